--- a/franking/src/election.rs
+++ b/crates/consensus/src/election.rs
@@ -7,8 +7,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::ops::ControlFlow;
-use vanewharf_mailroom::clock::At;
-use vanewharf_mailroom::messages::{Ballot, Cast, Membership, Register, RegisterNo, Vote};
+use vanewharf_clock::At;
+use vanewharf_protocol::messages::{Ballot, Cast, Membership, Register, RegisterNo, Vote};
 
 /// By which registers are told apart.
 pub type Rank = (Ballot, RegisterNo);
--- a/franking/src/group.rs
+++ b/crates/consensus/src/group.rs
@@ -5,8 +5,8 @@
 //! taken by their numbers, so that none is overtaken by a member of its own group; evacuations as they came.
 
 use serde_json::value::RawValue;
-use vanewharf_mailroom::config::Revision;
-use vanewharf_mailroom::messages::{Register, Taken};
+use vanewharf_config::config::Revision;
+use vanewharf_protocol::messages::{Register, Taken};
 
 /// So many configurations that were taken are remembered: over 7 KB of the register at most, and more than the changes
 /// of the longest day that was seen.
--- a/franking/src/group/tests.rs
+++ b/crates/consensus/src/group/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use vanewharf_mailroom::messages::{Ballot, RegisterNo};
+use vanewharf_protocol::messages::{Ballot, RegisterNo};
 
 fn body(revision: u64, mark: &str) -> Box<RawValue> {
     RawValue::from_string(format!("{{\"mark\":\"{mark}\",\"revision\":\"r{revision}\"}}")).expect("JSON")
--- a/franking/src/membership.rs
+++ b/crates/consensus/src/membership.rs
@@ -4,8 +4,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{IpAddr, SocketAddr};
 use std::time::Duration;
-use vanewharf_mailroom::clock::At;
-use vanewharf_mailroom::messages::{Ballot, Cast, Follower, Membership, Register, RegisterNo, Vote};
+use vanewharf_clock::At;
+use vanewharf_protocol::messages::{Ballot, Cast, Follower, Membership, Register, RegisterNo, Vote};
 
 /// A voter that was not heard of, or did not keep up, for so long is lost, as long as one that keeps up stands by.
 pub const LOST: Duration = Duration::from_secs(3);
--- a/franking/src/membership/tests.rs
+++ b/crates/consensus/src/membership/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 use std::net::IpAddr;
-use vanewharf_mailroom::messages::OfficeRow;
+use vanewharf_protocol::messages::OfficeRow;
 use yare::parameterized;
 
 const START: At = At(1_000_000_000);
--- a/franking/src/voter.rs
+++ b/crates/consensus/src/voter.rs
@@ -10,8 +10,8 @@
 use std::collections::BTreeMap;
 use std::net::{IpAddr, SocketAddr};
 use std::time::Duration;
-use vanewharf_mailroom::clock::At;
-use vanewharf_mailroom::messages::{Ballot, Cast, Register, Vote, VoteRequest};
+use vanewharf_clock::At;
+use vanewharf_protocol::messages::{Ballot, Cast, Register, Vote, VoteRequest};
 
 /// How long a granted lease lasts at its voter.
 pub const TERM: Duration = Duration::from_millis(1500);
--- a/franking/src/voter/tests.rs
+++ b/crates/consensus/src/voter/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 use crate::membership::{Recovery, majority, recovery};
-use vanewharf_mailroom::messages::RegisterNo;
+use vanewharf_protocol::messages::RegisterNo;
 
 const START: At = At(1_000_000_000);
 
--- a/franking/tests/model/drift.rs
+++ b/crates/consensus/tests/model/drift.rs
@@ -2,10 +2,10 @@
 
 use crate::machine::addr;
 use std::time::Duration;
-use vanewharf_franking::election::Term;
-use vanewharf_franking::voter::{MARGIN, TERM, Voter};
-use vanewharf_mailroom::clock::At;
-use vanewharf_mailroom::messages::{Ballot, Vote, VoteRequest};
+use vanewharf_clock::At;
+use vanewharf_consensus::election::Term;
+use vanewharf_consensus::voter::{MARGIN, TERM, Voter};
+use vanewharf_protocol::messages::{Ballot, Vote, VoteRequest};
 use yare::parameterized;
 
 const START: u64 = 1_000_000_000;
--- a/franking/tests/model/liveness.rs
+++ b/crates/consensus/tests/model/liveness.rs
@@ -1,7 +1,7 @@
 //! From any state on, with all members up and every message delivered: whether a holder comes about.
 
 use crate::machine::*;
-use vanewharf_mailroom::messages::Register;
+use vanewharf_protocol::messages::Register;
 
 /// So many tries have to do.
 const TRIES: usize = 40;
--- a/franking/tests/model/machine.rs
+++ b/crates/consensus/tests/model/machine.rs
@@ -7,11 +7,11 @@
 use stateright::{Model, Property};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
-use vanewharf_franking::election::{Claim, Election, Keeping, Recovering, Renewing, Term};
-use vanewharf_franking::membership::{carries, everyone};
-use vanewharf_franking::voter::{Promise, Voter};
-use vanewharf_mailroom::clock::At;
-use vanewharf_mailroom::messages::{Ballot, Cast, Membership, Register, RegisterNo, VoteRequest};
+use vanewharf_clock::At;
+use vanewharf_consensus::election::{Claim, Election, Keeping, Recovering, Renewing, Term};
+use vanewharf_consensus::membership::{carries, everyone};
+use vanewharf_consensus::voter::{Promise, Voter};
+use vanewharf_protocol::messages::{Ballot, Cast, Membership, Register, RegisterNo, VoteRequest};
 
 /// What a member's clock goes on in one tick of true time, in tenths of a millisecond. Two slow ticks are a
 /// holder's whole lease and two fast ones a voter's, so that these two are as far apart as the margin bears.
--- a/franking/tests/model/steps.rs
+++ b/crates/consensus/tests/model/steps.rs
@@ -4,15 +4,15 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::ops::ControlFlow;
-use vanewharf_franking::election::{Claim, Election, Keeping, Recovering, Renewing, Term};
-use vanewharf_franking::election::{Outcome, Renewal, Turn};
-use vanewharf_franking::membership::everyone;
-use vanewharf_franking::membership::towards;
-use vanewharf_franking::voter::{Promise, Voter};
-use vanewharf_franking::voter::{Save, TERM, above};
-use vanewharf_mailroom::clock::At;
-use vanewharf_mailroom::messages::Vote;
-use vanewharf_mailroom::messages::{Ballot, Cast, Register, RegisterNo, VoteRequest};
+use vanewharf_clock::At;
+use vanewharf_consensus::election::{Claim, Election, Keeping, Recovering, Renewing, Term};
+use vanewharf_consensus::election::{Outcome, Renewal, Turn};
+use vanewharf_consensus::membership::everyone;
+use vanewharf_consensus::membership::towards;
+use vanewharf_consensus::voter::{Promise, Voter};
+use vanewharf_consensus::voter::{Save, TERM, above};
+use vanewharf_protocol::messages::Vote;
+use vanewharf_protocol::messages::{Ballot, Cast, Register, RegisterNo, VoteRequest};
 
 impl Lease {
     pub fn possible(&self, state: &State, actions: &mut Vec<Action>) {
--- a/franking/src/source.rs
+++ b/crates/discovery/src/source.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Duration;
-use vanewharf_mailroom::clock::At;
+use vanewharf_clock::At;
 
 /// How long a pull waits for news.
 pub const WAIT: Duration = Duration::from_millis(300);
--- a/franking/src/summing.rs
+++ b/crates/discovery/src/summing.rs
@@ -1,12 +1,12 @@
 //! The ledger: what the doors report, summed; doors that fall silent stay in the sums until their slices have lapsed.
 
-use crate::evidence::Weighed;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::IpAddr;
 use std::time::Duration;
-use vanewharf_mailroom::clock::At;
-use vanewharf_mailroom::config::Config;
-use vanewharf_mailroom::messages::{DoorRow, Ledger, Lent, OfficeRow, Report, Tried, Use, Version};
+use vanewharf_clock::At;
+use vanewharf_config::config::Config;
+use vanewharf_health::evidence::Weighed;
+use vanewharf_protocol::messages::{DoorRow, Ledger, Lent, OfficeRow, Report, Tried, Use, Version};
 
 /// A door is named to clients for so long after it was last heard.
 const NAMED: Duration = Duration::from_millis(1000);
--- a/franking/src/view.rs
+++ b/crates/discovery/src/view.rs
@@ -5,8 +5,8 @@
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::net::IpAddr;
 use std::time::Duration;
-use vanewharf_mailroom::clock::At;
-use vanewharf_mailroom::messages::Neighbour;
+use vanewharf_clock::At;
+use vanewharf_protocol::messages::Neighbour;
 
 /// How many doors a view holds, and how many of them may be of other regions.
 pub const MOST: usize = 8;
--- a/txns/src/lib.rs
+++ b/crates/exchange/src/lib.rs
@@ -5,7 +5,7 @@
 pub mod line;
 
 use std::collections::BTreeMap;
-use vanewharf::interface::{BackendId, Outcome, Repeat, SubmissionNo, Tenths, TxnId};
+use vanewharf_policy::interface::{BackendId, Outcome, Repeat, SubmissionNo, Tenths, TxnId};
 
 /// One submission; `S` is whatever calls it off.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
--- a/txns/src/line.rs
+++ b/crates/exchange/src/line.rs
@@ -1,7 +1,7 @@
 //! One connection to a backend, which carries one submission at a time: what each thing that happens to it proves of the
 //! submission, and whether the connection may carry another.
 
-use vanewharf::interface::Outcome;
+use vanewharf_policy::interface::Outcome;
 
 /// Why a submission is no longer waited for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
--- a/told/src/lib.rs
+++ b/crates/gateway-settings/src/lib.rs
@@ -10,7 +10,7 @@
 use std::error::Error;
 use std::fmt;
 use std::str::FromStr;
-use vanewharf::interface::{
+use vanewharf_policy::interface::{
     Allowances, ColdFigures, DoorId, Plan, PlanId, Product, ProductId, Repeat, Start, Tenths,
 };
 
--- a/franking/src/allowance.rs
+++ b/crates/health/src/allowance.rs
@@ -2,7 +2,7 @@
 //! service. Each door keeps its part, so that the sum holds whoever is cut off.
 
 use std::time::Duration;
-use vanewharf_mailroom::clock::At;
+use vanewharf_clock::At;
 
 /// Of the rules' figures, what is used: clocks and rounding have the rest.
 const USED: f64 = 0.9;
--- a/franking/src/evidence.rs
+++ b/crates/health/src/evidence.rs
@@ -3,8 +3,8 @@
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
-use vanewharf_mailroom::clock::At;
-use vanewharf_mailroom::messages::Tried;
+use vanewharf_clock::At;
+use vanewharf_protocol::messages::Tried;
 
 /// What a door tells is of so long, in steps of this.
 const SPAN: Duration = Duration::from_millis(3000);
--- a/timetable/src/lib.rs
+++ b/crates/maintenance/src/lib.rs
@@ -8,7 +8,7 @@
 use jiff::tz::TimeZone;
 use std::collections::BTreeMap;
 use std::time::Duration;
-use vanewharf_mailroom::doc::{self, Checked, Doc};
+use vanewharf_config::doc::{self, Checked, Doc};
 
 /// How far ahead an opening is looked for, in days, first near and then far; beyond that the file is taken to have none.
 const AHEAD: [i64; 2] = [8, 400];
--- a/tests/counting.rs
+++ b/crates/policy/tests/counting.rs
@@ -5,8 +5,8 @@
 //! its calls fail, and which backends it draws.
 
 use std::collections::{BTreeMap, HashMap};
-use vanewharf::decide::Door;
-use vanewharf::interface::*;
+use vanewharf_policy::decide::Door;
+use vanewharf_policy::interface::*;
 
 const DOORS: u32 = 40;
 const RATE: f64 = 1.0;
--- a/tests/keeping.rs
+++ b/crates/policy/tests/keeping.rs
@@ -3,9 +3,9 @@
 //! late. Beside it, what one door does with words that it cannot use.
 
 use std::collections::{BTreeMap, VecDeque};
-use vanewharf::decide::Door;
-use vanewharf::interface::*;
-use vanewharf::letter;
+use vanewharf_policy::decide::Door;
+use vanewharf_policy::interface::*;
+use vanewharf_policy::letter;
 
 const DOORS: u32 = 40;
 const RATE: f64 = 2.0;
--- a/tests/scenarios.rs
+++ b/crates/policy/tests/scenarios.rs
@@ -2,8 +2,8 @@
 
 use std::collections::HashMap;
 use std::path::Path;
-use vanewharf::decide::Door;
-use vanewharf::interface::*;
+use vanewharf_policy::decide::Door;
+use vanewharf_policy::interface::*;
 
 struct Play {
     door: Option<Door>,
--- a/mailroom/src/changes.rs
+++ b/crates/protocol/src/changes.rs
@@ -1,11 +1,11 @@
 //! What changed from one version to the next: a reader that is little behind is told that alone and follows it; one that
 //! is far behind, or whose result is not the teller's, takes a snapshot.
 
-use crate::clock::At;
 use crate::messages::{Edit, List, ListChange, Register, RegisterChange, RegisterNo, Server, Version};
 use serde_json::value::RawValue;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
+use vanewharf_clock::At;
 
 /// Changes that are kept to be told, and their size altogether, in bytes about.
 const MOST_KEPT: usize = 48;
--- a/mailroom/src/store.rs
+++ b/crates/protocol/src/store.rs
@@ -2,10 +2,10 @@
 //! what it had.
 
 use crate::changes::{ListChanges, RegisterChanges};
-use crate::clock::At;
 use crate::messages::{Ledger, List, ListChange, Mail, Register, RegisterChange, RegisterNo, Vector};
 use std::rc::Rc;
 use std::time::Duration;
+use vanewharf_clock::At;
 
 #[derive(Clone, Debug, Default)]
 pub struct Store {
--- a/franking/src/pocket.rs
+++ b/crates/quota/src/pocket.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use std::time::Duration;
-use vanewharf_mailroom::clock::At;
+use vanewharf_clock::At;
 
 /// How long a token may wait: so much later than it was lent may it be used, and what the rules leave beyond quotas
 /// covers that.
--- a/franking/src/quota.rs
+++ b/crates/quota/src/quota.rs
@@ -4,8 +4,8 @@
 
 use std::collections::BTreeMap;
 use std::time::Duration;
-use vanewharf_mailroom::clock::At;
-use vanewharf_mailroom::messages::Use;
+use vanewharf_clock::At;
+use vanewharf_protocol::messages::Use;
 
 /// Seconds over which own let-through and metered use are averaged.
 const SPAN: f64 = 3.0;
--- a/mailroom/src/call.rs
+++ b/crates/rpc/src/call.rs
@@ -1,8 +1,6 @@
 //! HTTP/1.1 between processes: calls that end in time, and a server whose handler gives each request one
 //! reply. The system's own calls carry an id, and their answers the id of the call that they answer.
 
-use crate::once::{CallId, Heard, Hearing, adds_up};
-use crate::premises::{Ear, Net, Stream};
 use bytes::BytesMut;
 use flate2::Compression;
 use flate2::read::DeflateDecoder;
@@ -19,7 +17,9 @@
 use tokio::io::AsyncWriteExt;
 use tokio::time::{Instant, timeout};
 use tokio_util::codec::Framed;
-use vanewharf_frames::{Answer, Fault, Inward, Outward, Request};
+use vanewharf_http1::{Answer, Fault, Inward, Outward, Request};
+use vanewharf_protocol::once::{CallId, Heard, Hearing, adds_up};
+use vanewharf_runtime::premises::{Ear, Net, Stream};
 
 /// For a connection to come up: across regions it takes two ways.
 const DIAL: Duration = Duration::from_millis(400);
--- a/mailroom/src/call/tests.rs
+++ b/crates/rpc/src/call/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
-use crate::premises::Later;
 use std::io;
 use tokio::io::duplex;
 use tokio::sync::mpsc;
+use vanewharf_runtime::premises::Later;
 use yare::parameterized;
 
 #[test]
@@ -37,9 +37,12 @@
     }
 }
 
-impl Ear for mpsc::UnboundedReceiver<Stream> {
+/// A listener whose connections are handed in by the test.
+struct Incoming(mpsc::UnboundedReceiver<Stream>);
+
+impl Ear for Incoming {
     fn accept(&mut self) -> Later<'_, io::Result<Stream>> {
-        Box::pin(async move { self.recv().await.ok_or_else(|| io::ErrorKind::NotConnected.into()) })
+        Box::pin(async move { self.0.recv().await.ok_or_else(|| io::ErrorKind::NotConnected.into()) })
     }
 }
 
@@ -232,7 +235,7 @@
         let (net, _, there) = wires();
         let done = Rc::new(Cell::new(0));
         let counted = Rc::clone(&done);
-        tokio::task::spawn_local(serve_own(Box::new(there), move |_| {
+        tokio::task::spawn_local(serve_own(Box::new(Incoming(there)), move |_| {
             counted.set(counted.get() + 1);
             let said = Said::json(&counted.get());
             async move { said }
--- a/mailroom/src/feed.rs
+++ b/crates/rpc/src/feed.rs
@@ -1,14 +1,14 @@
 //! A process' store, those who wait for something new in it, and the loop that pulls from others.
 
 use crate::call::{Caller, Failed};
-use crate::clock::{At, Steady};
-use crate::messages::{Mail, Pull};
-use crate::store::{News, Store};
 use std::cell::{Ref, RefCell};
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::sync::Notify;
 use tokio::time::timeout_at;
+use vanewharf_clock::{At, Steady};
+use vanewharf_protocol::messages::{Mail, Pull};
+use vanewharf_protocol::store::{News, Store};
 
 /// The longest that an answer is held back.
 const LONGEST: Duration = Duration::from_secs(2);
--- a/mailroom/tests/gone.rs
+++ b/crates/rpc/tests/gone.rs
@@ -10,9 +10,9 @@
 use tokio::sync::{Notify, mpsc};
 use tokio::task::LocalSet;
 use tokio::time::timeout;
-use vanewharf_frames::Request;
-use vanewharf_mailroom::call::{Said, serve};
-use vanewharf_mailroom::premises::{Ear, Premises};
+use vanewharf_http1::Request;
+use vanewharf_rpc::call::{Said, serve};
+use vanewharf_runtime::premises::{Ear, Premises};
 
 const LONG: Duration = Duration::from_secs(20);
 
--- a/mailroom/src/premises.rs
+++ b/crates/runtime/src/premises.rs
@@ -1,7 +1,6 @@
 //! What a program finds where it runs: the network, a disk and chance. On a machine these are the system's own; the lab
 //! stands in for all three, so that the same programs run there on a network, a clock and disks that it makes up.
 
-use crate::clock::Steady;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::cell::RefCell;
@@ -17,6 +16,7 @@
 use tokio::io::{AsyncRead, AsyncWrite};
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 use tokio::sync::oneshot;
+use vanewharf_clock::Steady;
 
 pub type Later<'a, T> = Pin<Box<dyn Future<Output = T> + 'a>>;
 
--- a/mailroom/src/program.rs
+++ b/crates/runtime/src/program.rs
@@ -1,13 +1,13 @@
 //! What all of the system's programs do alike: their command line, their runtime, and how they are told to end.
 
 use crate::premises::Premises;
-use crate::settings::{Settings, Unread};
 use getopts::Options;
 use std::path::PathBuf;
 use std::process::ExitCode;
 use tokio::runtime::{Builder, LocalOptions};
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::sync::oneshot;
+use vanewharf_config::settings::{Settings, Unread};
 
 /// Comes when the program is to end.
 pub type End = oneshot::Receiver<()>;
--- a/lab/examples/pace.rs
+++ b/crates/simulator/examples/pace.rs
@@ -1,12 +1,12 @@
 //! How fast the lab is: emulated txns a second of wall time by doors and backends, and an hour's trace.
-//! `cargo run --release -p vanewharf-lab --example pace`; figures in docs/lab.md.
+//! `cargo run --release -p vanewharf-simulator --example pace`; figures in docs/lab.md.
 
 use std::time::Instant;
-use vanewharf_lab::arrivals::{drawn, traced};
-use vanewharf_lab::experiment::Experiment;
-use vanewharf_lab::policy::Module;
-use vanewharf_lab::run::run_with;
-use vanewharf_lab::world::World;
+use vanewharf_simulator::arrivals::{drawn, traced};
+use vanewharf_simulator::experiment::Experiment;
+use vanewharf_simulator::policy::Module;
+use vanewharf_simulator::run::run_with;
+use vanewharf_simulator::world::World;
 use vanewharf_traces::Row;
 
 fn experiment(doors: usize, backends: usize, length_s: f64) -> Experiment {
--- a/lab/src/arrivals.rs
+++ b/crates/simulator/src/arrivals.rs
@@ -2,7 +2,7 @@
 
 use crate::draw::{Draw, Stream, seconds};
 use crate::experiment::{Experiment, Shape};
-use vanewharf::interface::{CustomerId, PlanId, ProductId, Tenths};
+use vanewharf_policy::interface::{CustomerId, PlanId, ProductId, Tenths};
 use vanewharf_traces::Row;
 
 /// One customer, and the doors that its clients come through.
--- a/lab/src/backends.rs
+++ b/crates/simulator/src/backends.rs
@@ -2,7 +2,7 @@
 
 use crate::experiment::{Fleet, Rules, Stops};
 use std::collections::VecDeque;
-use vanewharf::interface::Tenths;
+use vanewharf_policy::interface::Tenths;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum State {
--- a/lab/src/draw.rs
+++ b/crates/simulator/src/draw.rs
@@ -4,7 +4,7 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, Exp, LogNormal};
-use vanewharf::interface::Tenths;
+use vanewharf_policy::interface::Tenths;
 
 #[derive(Clone, Copy, Debug)]
 pub enum Stream {
--- a/lab/src/lib.rs
+++ b/crates/simulator/src/lib.rs
@@ -13,5 +13,4 @@
 pub mod score;
 pub mod stores;
 pub mod sweep;
-pub mod system;
 pub mod world;
--- a/lab/src/policy.rs
+++ b/crates/simulator/src/policy.rs
@@ -2,8 +2,8 @@
 //! is and one that sees what no door can.
 
 use std::collections::BTreeMap;
-use vanewharf::decide::Door;
-use vanewharf::interface::{
+use vanewharf_policy::decide::Door;
+use vanewharf_policy::interface::{
     Action, Arrival, BackendId, Ending, Event, Outcome, Repeat, Standing, Start, Tenths, TxnId,
 };
 
@@ -70,7 +70,7 @@
 }
 
 impl Known {
-    fn listed(&mut self, entries: &[vanewharf::interface::Listed], whole: bool) {
+    fn listed(&mut self, entries: &[vanewharf_policy::interface::Listed], whole: bool) {
         if whole {
             self.ready.clear();
         }
--- a/lab/src/rules.rs
+++ b/crates/simulator/src/rules.rs
@@ -1,7 +1,7 @@
 //! The rules that a run is held to; each is checked where it may break, in `world`.
 
 use std::fmt;
-use vanewharf::interface::Tenths;
+use vanewharf_policy::interface::Tenths;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rule {
--- a/lab/src/score.rs
+++ b/crates/simulator/src/score.rs
@@ -7,7 +7,7 @@
 use crate::stores::Books;
 use hdrhistogram::Histogram;
 use std::collections::{BTreeMap, HashMap};
-use vanewharf::interface::Tenths;
+use vanewharf_policy::interface::Tenths;
 
 const START: i64 = 10_000_000;
 /// Seconds of the windows that the worst is looked for in.
--- a/lab/src/stores.rs
+++ b/crates/simulator/src/stores.rs
@@ -3,7 +3,7 @@
 
 use crate::experiment::{Experiment, Meter, Plan};
 use std::collections::VecDeque;
-use vanewharf::interface::Tenths;
+use vanewharf_policy::interface::Tenths;
 
 /// A store of units that starts full, fills at a rate and holds its burst at most.
 #[derive(Clone, Debug)]
--- a/lab/src/world.rs
+++ b/crates/simulator/src/world.rs
@@ -11,8 +11,8 @@
 use crate::stores::Books;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap};
-use vanewharf::interface::*;
-use vanewharf::letter;
+use vanewharf_policy::interface::*;
+use vanewharf_policy::letter;
 
 /// What happens at a moment.
 #[derive(Debug)]
--- a/lab/tests/rules.rs
+++ b/crates/simulator/tests/rules.rs
@@ -1,14 +1,14 @@
 //! The lab's own rule checker, against policies that break one rule each and the module, which must not; and the
 //! faults that the rules are there for.
 
-use vanewharf::decide::Door;
-use vanewharf::interface::*;
-use vanewharf_lab::arrivals::drawn;
-use vanewharf_lab::experiment::Experiment;
-use vanewharf_lab::policy::{Inside, Module, Plainest, Policy, Seen};
-use vanewharf_lab::rules::Rule;
-use vanewharf_lab::score::Record;
-use vanewharf_lab::world::World;
+use vanewharf_policy::decide::Door;
+use vanewharf_policy::interface::*;
+use vanewharf_simulator::arrivals::drawn;
+use vanewharf_simulator::experiment::Experiment;
+use vanewharf_simulator::policy::{Inside, Module, Plainest, Policy, Seen};
+use vanewharf_simulator::rules::Rule;
+use vanewharf_simulator::score::Record;
+use vanewharf_simulator::world::World;
 
 fn experiment(more: &str) -> Experiment {
     let text = format!(
--- a/lab/examples/capacity.rs
+++ b/crates/system-simulator/examples/capacity.rs
@@ -1,5 +1,5 @@
 //! What one process pays at sizes that no fleet here reaches: time, bytes on the wire and bytes held, of the same code that
-//! the programs run. `cargo run --release -p vanewharf-lab --example capacity [PART...]`, parts: config, list, ledger,
+//! the programs run. `cargo run --release -p vanewharf-system-simulator --example capacity [PART...]`, parts: config, list, ledger,
 //! hosts, lenders, calls; all where none is named. Figures in docs/CAPACITY.md.
 
 use flate2::Compression;
@@ -18,24 +18,24 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::{Duration, Instant};
 use tokio::sync::mpsc;
-use vanewharf::interface::Tenths;
-use vanewharf_carrier::gate::Posted;
-use vanewharf_carrier::rounds::{News, Place, Rounds, Start};
-use vanewharf_carrier::tables::Tables;
-use vanewharf_door::route::Decides;
-use vanewharf_frames::Request;
-use vanewharf_franking::quota::{Buckets, Quota};
-use vanewharf_franking::summing::{Summing, for_doors};
-use vanewharf_mailroom::call::{Caller, Said, serve};
-use vanewharf_mailroom::changes::{Document, ListChanges, RegisterChanges};
-use vanewharf_mailroom::clock::{At, Steady};
-use vanewharf_mailroom::config::Config;
-use vanewharf_mailroom::messages::{
+use vanewharf_clock::{At, Steady};
+use vanewharf_config::config::Config;
+use vanewharf_config::settings::Bounds;
+use vanewharf_discovery::summing::{Summing, for_doors};
+use vanewharf_gateway::route::Decides;
+use vanewharf_http1::Request;
+use vanewharf_policy::interface::Tenths;
+use vanewharf_protocol::changes::{Document, ListChanges, RegisterChanges};
+use vanewharf_protocol::messages::{
     Ballot, DoorRow, Ledger, Lent, List, Mail, OfficeRow, Pull, Register, RegisterNo, Report, Server, Tokens,
     Vector, Version,
 };
-use vanewharf_mailroom::premises::Premises;
-use vanewharf_mailroom::settings::Bounds;
+use vanewharf_proxy::gate::Posted;
+use vanewharf_proxy::rounds::{News, Place, Rounds, Start};
+use vanewharf_proxy::tables::Tables;
+use vanewharf_quota::quota::{Buckets, Quota};
+use vanewharf_rpc::call::{Caller, Said, serve};
+use vanewharf_runtime::premises::Premises;
 
 /// Counts what is held, and the most that was.
 struct Counting;
--- a/lab/src/system/day.rs
+++ b/crates/system-simulator/src/day.rs
@@ -17,11 +17,11 @@
 use tokio::runtime::Builder;
 use tokio::task::LocalSet;
 use tokio::time::{Instant, sleep, sleep_until, timeout};
-use vanewharf_mailroom::call::Caller;
-use vanewharf_mailroom::config::Config;
-use vanewharf_mailroom::feed::Feed;
-use vanewharf_mailroom::messages::{Pull, Register};
-use vanewharf_mailroom::premises::Premises;
+use vanewharf_config::config::Config;
+use vanewharf_protocol::messages::{Pull, Register};
+use vanewharf_rpc::call::Caller;
+use vanewharf_rpc::feed::Feed;
+use vanewharf_runtime::premises::Premises;
 
 const SERVICES: [&str; 2] = ["reads", "writes"];
 pub(super) const TENANTS: [(&str, f64, f64); 4] =
--- a/lab/src/system/disk.rs
+++ b/crates/system-simulator/src/disk.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 use tokio::sync::Notify;
 use tokio::time::sleep;
-use vanewharf_mailroom::premises::{Deed, Folder, Later};
+use vanewharf_runtime::premises::{Deed, Folder, Later};
 
 /// What of the writes that were not synced is found after a loss of power.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/lab/src/system/door.rs
+++ b/crates/system-simulator/src/door.rs
@@ -12,16 +12,16 @@
 use tokio::sync::mpsc;
 use tokio::time::{Instant, sleep};
 use tokio_util::codec::Decoder;
-use vanewharf::interface::{Action, BackendId, Ending, Event, Outcome, SubmissionNo, Tenths, TxnId};
-use vanewharf_carrier::Core;
-use vanewharf_carrier::gate::Wicket;
-use vanewharf_carrier::news::News;
-use vanewharf_door::gate::{Admitted, Gate};
-use vanewharf_door::route::Decides;
-use vanewharf_frames::{Inward, Request};
-use vanewharf_mailroom::config::Config;
-use vanewharf_mailroom::premises::Premises;
-use vanewharf_mailroom::settings::Settings;
+use vanewharf_config::config::Config;
+use vanewharf_config::settings::Settings;
+use vanewharf_gateway::gate::{Admitted, Gate};
+use vanewharf_gateway::route::Decides;
+use vanewharf_http1::{Inward, Request};
+use vanewharf_policy::interface::{Action, BackendId, Ending, Event, Outcome, SubmissionNo, Tenths, TxnId};
+use vanewharf_proxy::Core;
+use vanewharf_proxy::gate::Wicket;
+use vanewharf_proxy::news::News;
+use vanewharf_runtime::premises::Premises;
 
 /// A request that a client sends.
 #[derive(Clone, Debug)]
--- a/lab/src/system/many.rs
+++ b/crates/system-simulator/src/many.rs
@@ -5,10 +5,10 @@
 use super::plan::Plan;
 use super::play::enact;
 use super::world::Shape;
-use crate::plots::{Line, Plot};
 use std::sync::mpsc;
 use std::sync::{Mutex, PoisonError};
 use std::thread;
+use vanewharf_simulator::plots::{Line, Plot};
 
 /// Plays each on one of so many threads; what comes of each is told as it ends.
 pub fn each<W: Send, O: Send>(
@@ -17,7 +17,7 @@
     play: impl Fn(W) -> O + Sync,
     mut told: impl FnMut(O),
 ) {
-    vanewharf_mailroom::log::silence();
+    vanewharf_runtime::log::silence();
     let left = Mutex::new(what.into_iter());
     let (done, ended) = mpsc::channel();
     thread::scope(|scope| {
--- a/lab/src/system/net.rs
+++ b/crates/system-simulator/src/net.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::time::{Instant, Sleep, sleep, sleep_until};
-use vanewharf_mailroom::premises::{Ear, Later, Net, Stream};
+use vanewharf_runtime::premises::{Ear, Later, Net, Stream};
 
 /// What a writer may have under way before it waits for its reader.
 const WINDOW: usize = 256 * 1024;
--- a/lab/src/system/play.rs
+++ b/crates/system-simulator/src/play.rs
@@ -18,7 +18,7 @@
 use tokio::sync::{Mutex, Semaphore};
 use tokio::task::LocalSet;
 use tokio::time::{Instant, sleep, sleep_until, timeout};
-use vanewharf_mailroom::premises::Premises;
+use vanewharf_runtime::premises::Premises;
 
 /// Orders under way at once.
 const UNDER_WAY: usize = 8;
--- a/lab/src/system/town.rs
+++ b/crates/system-simulator/src/town.rs
@@ -6,7 +6,7 @@
 use std::net::{IpAddr, SocketAddr};
 use std::time::Duration;
 use tokio::time::Instant;
-use vanewharf_mailroom::feed::Feed;
+use vanewharf_rpc::feed::Feed;
 
 /// How far the platform's list is behind.
 pub const LAG: Duration = Duration::from_millis(500);
--- a/lab/src/system/world.rs
+++ b/crates/system-simulator/src/world.rs
@@ -18,10 +18,10 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::task::LocalSet;
 use tokio::time::Instant;
-use vanewharf_mailroom::call::{Said, serve};
-use vanewharf_mailroom::premises::{Folder, Premises};
-use vanewharf_mailroom::settings::Settings;
-use vanewharf_postmaster::Post;
+use vanewharf_config::settings::Settings;
+use vanewharf_controller::Post;
+use vanewharf_rpc::call::{Said, serve};
+use vanewharf_runtime::premises::{Folder, Premises};
 
 const CONTROL: u16 = 8200;
 const REGISTRY: u16 = 8201;
@@ -308,7 +308,7 @@
                 let (tell, end) = oneshot::channel();
                 *machine.end.borrow_mut() = Some(tell);
                 set.spawn_local(async move {
-                    match vanewharf_postmaster::start(settings, premises).await {
+                    match vanewharf_controller::start(settings, premises).await {
                         Ok(started) => {
                             let started = Rc::new(started);
                             *post.borrow_mut() = Some(Rc::clone(&started));
@@ -324,7 +324,7 @@
             Program::Sorter => {
                 set.spawn_local(async move {
                     let (keep, end) = oneshot::channel();
-                    said(vanewharf_sorter::run(settings, premises, end).await);
+                    said(vanewharf_agent::run(settings, premises, end).await);
                     drop(keep);
                 });
             }
--- a/lab/tests/cut.rs
+++ b/crates/system-simulator/tests/cut.rs
@@ -10,14 +10,14 @@
 use tokio::runtime::Builder;
 use tokio::task::LocalSet;
 use tokio::time::{Instant, sleep, sleep_until, timeout};
-use vanewharf_lab::system::disk::{Health, Left};
-use vanewharf_lab::system::many::each;
-use vanewharf_lab::system::net::Place;
-use vanewharf_lab::system::town::{Backend, LAG};
-use vanewharf_lab::system::world::{CONTACT, Shape, World, ZONES, operator};
-use vanewharf_mailroom::call::Caller;
-use vanewharf_mailroom::premises::Premises;
-use vanewharf_mailroom::store::Store;
+use vanewharf_protocol::store::Store;
+use vanewharf_rpc::call::Caller;
+use vanewharf_runtime::premises::Premises;
+use vanewharf_system_simulator::disk::{Health, Left};
+use vanewharf_system_simulator::many::each;
+use vanewharf_system_simulator::net::Place;
+use vanewharf_system_simulator::town::{Backend, LAG};
+use vanewharf_system_simulator::world::{CONTACT, Shape, World, ZONES, operator};
 use yare::parameterized;
 
 const SERVES: Duration = Duration::from_secs(8);
@@ -295,7 +295,7 @@
 
 #[test]
 fn a_door_near_machines_that_are_cut_off_goes_by_what_the_others_know() {
-    vanewharf_mailroom::log::silence();
+    vanewharf_runtime::log::silence();
     let mut cases = Vec::new();
     for how in [Cut::BothWays, Cut::NotHeard, Cut::DoNotHear, Cut::Frozen] {
         for (offices, cut) in [(3, &[1][..]), (3, &[0]), (5, &[1, 2]), (5, &[0, 3]), (5, &[3, 4])] {
@@ -325,7 +325,7 @@
 /// before.
 #[test]
 fn a_list_that_only_a_lost_holder_had_is_replaced_by_the_next_ones() {
-    vanewharf_mailroom::log::silence();
+    vanewharf_runtime::log::silence();
     play(async {
         let (world, _, holder) = at_work(3, 8, 5).await;
         let (cut, rest) = ([holder].into(), (0..3).filter(|no| *no != holder).collect());
@@ -353,7 +353,7 @@
     two_of_five_together = { 5, &[1, 2] },
 )]
 fn voters_that_were_cut_off_vote_again_and_have_what_the_others_have(offices: usize, away: &[usize]) {
-    vanewharf_mailroom::log::silence();
+    vanewharf_runtime::log::silence();
     play(async {
         let (world, premises, holder) = at_work(offices, 2, 5).await;
         let cut: BTreeSet<_> = away.iter().map(|far| (holder + far) % offices).collect();
@@ -384,7 +384,7 @@
 /// needs no disk, so it is renewed all the time, and doors go on hearing of the list.
 #[test]
 fn a_disk_that_hangs_while_another_voter_recovers_costs_no_lease() {
-    vanewharf_mailroom::log::silence();
+    vanewharf_runtime::log::silence();
     play(async {
         let (world, _, holder) = at_work(3, 2, 11).await;
         let (wiped, hangs) = ((holder + 1) % 3, (holder + 2) % 3);
--- a/lab/tests/days.rs
+++ b/crates/system-simulator/tests/days.rs
@@ -2,11 +2,11 @@
 //! meeting. None of them may break a rule. What is wrong with a file is told by its key.
 
 use std::path::{Path, PathBuf};
-use vanewharf_lab::system::hard::drawn;
-use vanewharf_lab::system::many::{each, planned, worst};
-use vanewharf_lab::system::plan::Plan;
-use vanewharf_lab::system::play::enact;
-use vanewharf_lab::system::world::Shape;
+use vanewharf_system_simulator::hard::drawn;
+use vanewharf_system_simulator::many::{each, planned, worst};
+use vanewharf_system_simulator::plan::Plan;
+use vanewharf_system_simulator::play::enact;
+use vanewharf_system_simulator::world::Shape;
 
 fn written() -> Vec<PathBuf> {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("days");
--- a/lab/tests/orders.rs
+++ b/crates/system-simulator/tests/orders.rs
@@ -14,14 +14,14 @@
 use tokio::runtime::Builder;
 use tokio::task::LocalSet;
 use tokio::time::{Instant, sleep, timeout};
-use vanewharf_lab::system::disk::{Disk, Health};
-use vanewharf_lab::system::net::{Network, Place};
-use vanewharf_lab::system::town::ip;
-use vanewharf_lab::system::world::{Shape, World, operator};
-use vanewharf_mailroom::call::Caller;
-use vanewharf_mailroom::messages::{Mail, Pull};
-use vanewharf_mailroom::premises::{Ear, Folder, Later, Net, Premises, Stream};
-use vanewharf_mailroom::settings::Settings;
+use vanewharf_config::settings::Settings;
+use vanewharf_protocol::messages::{Mail, Pull};
+use vanewharf_rpc::call::Caller;
+use vanewharf_runtime::premises::{Ear, Folder, Later, Net, Premises, Stream};
+use vanewharf_system_simulator::disk::{Disk, Health};
+use vanewharf_system_simulator::net::{Network, Place};
+use vanewharf_system_simulator::town::ip;
+use vanewharf_system_simulator::world::{Shape, World, operator};
 
 const SHAPE: Shape = Shape { offices: 3, doors: 0, seconds: 0, rate: 0, troubles: 0 };
 const ACKNOWLEDGE: Duration = Duration::from_secs(6);
@@ -30,7 +30,7 @@
 const REPLACE: &str = "/-/Configuration.Replace";
 
 fn on_the_core<F: Future<Output = ()>>(seed: u64, history: impl FnOnce(Rc<World>) -> F) {
-    vanewharf_mailroom::log::silence();
+    vanewharf_runtime::log::silence();
     let runtime = Builder::new_current_thread().enable_time().start_paused(true).build().expect("a runtime");
     let set = LocalSet::new();
     runtime.block_on(set.run_until(async move {
@@ -352,7 +352,7 @@
 
 #[test]
 fn a_round_that_is_held_up_does_not_hold_up_the_next_one_which_makes_both_certain() {
-    vanewharf_mailroom::log::silence();
+    vanewharf_runtime::log::silence();
     let runtime = Builder::new_current_thread().enable_time().start_paused(true).build().expect("a runtime");
     runtime.block_on(LocalSet::new().run_until(async {
         let network = Network::new(8);
@@ -367,7 +367,7 @@
             };
             let folder = Rc::new(Disk::new(Duration::from_millis(2))) as Rc<dyn Folder>;
             let premises = Premises::new(Rc::new(net.clone()), Some(folder), no.into());
-            let post = vanewharf_postmaster::start(settings(no), premises).await.expect("it starts");
+            let post = vanewharf_controller::start(settings(no), premises).await.expect("it starts");
             offices.push((post, net));
         }
         let order = |no: usize, zone: &'static str| {
--- a/lab/tests/system.rs
+++ b/crates/system-simulator/tests/system.rs
@@ -4,12 +4,12 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 use tokio::time::Instant;
-use vanewharf_lab::system::day::{Outcome, Strike, play, struck};
-use vanewharf_lab::system::disk::Left;
-use vanewharf_lab::system::judge::{Seen, judge};
-use vanewharf_lab::system::many::each;
-use vanewharf_lab::system::town::{Asked, AtEnd, Heard, Order, ReadBack, Run, Town, What};
-use vanewharf_lab::system::world::Shape;
+use vanewharf_system_simulator::day::{Outcome, Strike, play, struck};
+use vanewharf_system_simulator::disk::Left;
+use vanewharf_system_simulator::judge::{Seen, judge};
+use vanewharf_system_simulator::many::each;
+use vanewharf_system_simulator::town::{Asked, AtEnd, Heard, Order, ReadBack, Run, Town, What};
+use vanewharf_system_simulator::world::Shape;
 
 const SHAPE: Shape = Shape { offices: 3, doors: 4, seconds: 12, rate: 30, troubles: 4 };
 
@@ -40,7 +40,7 @@
 
 #[test]
 fn whatever_deed_of_a_disk_is_the_last_nothing_acknowledged_is_lost() {
-    vanewharf_mailroom::log::silence();
+    vanewharf_runtime::log::silence();
     let shape = Shape { doors: 1, seconds: 5, rate: 2, troubles: 0, ..SHAPE };
     // Days with a change of the configuration, one that two operators race for, and an evacuation.
     let mut points = 0;
--- a/testletter/examples/change.rs
+++ b/crates/testkit/examples/change.rs
@@ -1,12 +1,12 @@
 //! How long a change of one route takes on real sockets, by the size of the configuration that it changes: three
 //! postmasters and a door with its two programs, all on loopback and on real disks. `cargo run --release -p
-//! vanewharf-testletter --example change [PART...]`, each a part of 48,000 routes and 240,000 tenants. Figures in
+//! vanewharf-testkit --example change [PART...]`, each a part of 48,000 routes and 240,000 tenants. Figures in
 //! docs/CAPACITY.md.
 
 use serde_json::json;
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use std::time::Instant;
-use vanewharf_testletter::town::{Town, config};
+use vanewharf_testkit::town::{Town, config};
 
 const ROUTES: f64 = 48_000.0;
 const TENANTS: f64 = 240_000.0;
--- a/testletter/src/town.rs
+++ b/crates/testkit/src/town.rs
@@ -12,9 +12,9 @@
 use tempfile::TempDir;
 use tokio::runtime::{Builder, LocalOptions};
 use tokio::sync::oneshot;
-use vanewharf_mailroom::premises::Premises;
-use vanewharf_mailroom::program::End;
-use vanewharf_mailroom::settings::Settings;
+use vanewharf_config::settings::Settings;
+use vanewharf_runtime::premises::Premises;
+use vanewharf_runtime::program::End;
 
 /// Longer than anything here takes.
 const LONG: Duration = Duration::from_secs(20);
@@ -77,9 +77,9 @@
 async fn run(program: Program, settings: Settings, end: End) -> Result<(), String> {
     let premises = Premises::here(settings.data.clone()).map_err(|error| error.to_string())?;
     match program {
-        Program::Carrier => vanewharf_carrier::run(settings, premises, end).await,
-        Program::Sorter => vanewharf_sorter::run(settings, premises, end).await,
-        Program::Postmaster => vanewharf_postmaster::run(settings, premises, end).await,
+        Program::Carrier => vanewharf_proxy::run(settings, premises, end).await,
+        Program::Sorter => vanewharf_agent::run(settings, premises, end).await,
+        Program::Postmaster => vanewharf_controller::run(settings, premises, end).await,
     }
 }
 
--- a/testletter/tests/backends.rs
+++ b/crates/testkit/tests/backends.rs
@@ -1,9 +1,9 @@
 //! Backends that err, each in its own way, towards requests that may be repeated and others: nothing that may
 //! have run is sent again or promised not to have, and no answer goes to another caller.
 
-use vanewharf_testletter::http::{Message, call};
-use vanewharf_testletter::stand_ins::{Backend, Manner};
-use vanewharf_testletter::town::{Town, config};
+use vanewharf_testkit::http::{Message, call};
+use vanewharf_testkit::stand_ins::{Backend, Manner};
+use vanewharf_testkit::town::{Town, config};
 use yare::parameterized;
 
 fn town() -> Town {
--- a/testletter/tests/bad_input.rs
+++ b/crates/testkit/tests/bad_input.rs
@@ -5,8 +5,8 @@
 use std::io::Write;
 use std::net::{Shutdown, SocketAddr, TcpStream};
 use std::time::Duration;
-use vanewharf_testletter::http::{self, Message, call};
-use vanewharf_testletter::town::{OFFICES, Town, config};
+use vanewharf_testkit::http::{self, Message, call};
+use vanewharf_testkit::town::{OFFICES, Town, config};
 use yare::parameterized;
 
 /// Just these bytes on a connection of their own. None where the connection ends without an answer.
--- a/testletter/tests/whole.rs
+++ b/crates/testkit/tests/whole.rs
@@ -1,10 +1,10 @@
 //! The whole system on loopback, through what it is built to live through.
 
 use serde_json::{Value, json};
-use vanewharf_mailroom::messages::Membership;
-use vanewharf_testletter::http::call;
-use vanewharf_testletter::stand_ins::Manner;
-use vanewharf_testletter::town::{OFFICES, Town, config};
+use vanewharf_protocol::messages::Membership;
+use vanewharf_testkit::http::call;
+use vanewharf_testkit::stand_ins::Manner;
+use vanewharf_testkit::town::{OFFICES, Town, config};
 
 const READ: &str = "/read/x";
 const WRITE: &str = "/write/x";
--- a/sorter/src/lib.rs
+++ b/programs/agent/src/lib.rs
@@ -7,16 +7,16 @@
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::time::sleep;
-use vanewharf_frames::Request;
-use vanewharf_franking::source::{Next, Sources};
-use vanewharf_franking::view::View;
-use vanewharf_mailroom::call::{Caller, Said, serve_own};
-use vanewharf_mailroom::clock::At;
-use vanewharf_mailroom::feed::Feed;
-use vanewharf_mailroom::messages::{Neighbour, Pull, Report};
-use vanewharf_mailroom::premises::Premises;
-use vanewharf_mailroom::program::End;
-use vanewharf_mailroom::settings::Settings;
+use vanewharf_clock::At;
+use vanewharf_config::settings::Settings;
+use vanewharf_discovery::source::{Next, Sources};
+use vanewharf_discovery::view::View;
+use vanewharf_http1::Request;
+use vanewharf_protocol::messages::{Neighbour, Pull, Report};
+use vanewharf_rpc::call::{Caller, Said, serve_own};
+use vanewharf_rpc::feed::Feed;
+use vanewharf_runtime::premises::Premises;
+use vanewharf_runtime::program::End;
 
 const PAUSE: Duration = Duration::from_millis(60);
 /// A report that its carrier made longer ago tells nothing: the carrier is gone.
--- a/cli/src/main.rs
+++ b/programs/cli/src/main.rs
@@ -7,18 +7,18 @@
 use std::fs;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
-use vanewharf_lab::arrivals::traced;
-use vanewharf_lab::experiment::Experiment;
-use vanewharf_lab::run::{Outcome, run, run_with};
-use vanewharf_lab::system::day::Outcome as Played;
-use vanewharf_lab::system::many::{cost, cost_plot, days, planned, worst};
-use vanewharf_lab::system::plan::Plan;
-use vanewharf_lab::system::world::Shape;
-use vanewharf_lab::{plots, report, sweep};
-use vanewharf_mailroom::config::Config as SystemConfig;
-use vanewharf_mailroom::settings::Settings;
-use vanewharf_timetable::{Standing, Timestamp, Timetable};
-use vanewharf_told::Options;
+use vanewharf_config::config::Config as SystemConfig;
+use vanewharf_config::settings::Settings;
+use vanewharf_gateway_settings::Options;
+use vanewharf_maintenance::{Standing, Timestamp, Timetable};
+use vanewharf_simulator::arrivals::traced;
+use vanewharf_simulator::experiment::Experiment;
+use vanewharf_simulator::run::{Outcome, run, run_with};
+use vanewharf_simulator::{plots, report, sweep};
+use vanewharf_system_simulator::day::Outcome as Played;
+use vanewharf_system_simulator::many::{cost, cost_plot, days, planned, worst};
+use vanewharf_system_simulator::plan::Plan;
+use vanewharf_system_simulator::world::Shape;
 use vanewharf_traces as traces;
 
 #[derive(Parser)]
@@ -340,7 +340,7 @@
 }
 
 fn lab_cost(doors: &[u64], offices: usize, seed: u64, out: Option<&Path>) -> Result<(), String> {
-    vanewharf_mailroom::log::silence();
+    vanewharf_runtime::log::silence();
     let mut csv = String::from(
         "doors,door_bytes_per_s,door_messages_per_s,sorter_ms_per_s,postmaster_bytes_per_s,postmaster_messages_per_s,postmaster_ms_per_s\n",
     );
@@ -490,7 +490,7 @@
     }
     let settings = whole.get("settings").unwrap_or(&whole);
     let options = Options::nested(settings);
-    vanewharf_told::check(&options, None).map_err(|refused| named(refused.to_string()))?;
+    vanewharf_gateway_settings::check(&options, None).map_err(|refused| named(refused.to_string()))?;
     println!("{}: a door would start by these settings", file.display());
     Ok(())
 }
--- a/cli/src/system.rs
+++ b/programs/cli/src/system.rs
@@ -3,8 +3,8 @@
 use clap::Subcommand;
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
-use vanewharf_testletter::http::Message;
-use vanewharf_testletter::town::{OFFICES, Town, config};
+use vanewharf_testkit::http::Message;
+use vanewharf_testkit::town::{OFFICES, Town, config};
 
 #[derive(Subcommand)]
 pub enum System {
--- a/cli/tests/command_line.rs
+++ b/programs/cli/tests/command_line.rs
@@ -245,7 +245,7 @@
 
 #[test]
 fn the_experiments_in_the_repository_are_good() {
-    let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("../lab/experiments");
+    let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../crates/simulator/experiments");
     let files: Vec<_> =
         fs::read_dir(folder).expect("it is there").map(|file| file.expect("listed").path()).collect();
     assert!(files.len() >= 3);
@@ -257,7 +257,7 @@
 
 #[test]
 fn contract_hours_say_when_a_node_may_be_drained() {
-    let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("../deploy/contract-hours.json");
+    let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy/contract-hours.json");
     assert!(vanewharf(&["config", "check", path(&file)]).status.success());
     let at = |time: &str, node: &str| {
         let run = vanewharf(&["hours", path(&file), "--at", time, "--node", node]);
--- a/postmaster/src/cloud.rs
+++ b/programs/controller/src/cloud.rs
@@ -4,8 +4,8 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Duration;
-use vanewharf_mailroom::call::{Caller, Failed};
-use vanewharf_mailroom::messages::Server;
+use vanewharf_protocol::messages::Server;
+use vanewharf_rpc::call::{Caller, Failed};
 
 const WITHIN: Duration = Duration::from_millis(900);
 /// More pages than any deployment has: the list never ends by itself where the platform errs.
--- a/postmaster/src/disk.rs
+++ b/programs/controller/src/disk.rs
@@ -7,7 +7,7 @@
 use std::io;
 use std::rc::Rc;
 use tokio::sync::{mpsc, oneshot};
-use vanewharf_mailroom::premises::{Deed, Folder};
+use vanewharf_runtime::premises::{Deed, Folder};
 
 /// A record by its name on disk.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/postmaster/src/disk/tests.rs
+++ b/programs/controller/src/disk/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use std::fs;
 use std::path::Path;
-use vanewharf_mailroom::premises::Premises;
+use vanewharf_runtime::premises::Premises;
 
 fn folder(dir: &Path) -> Rc<dyn Folder> {
     Premises::here(Some(dir.to_owned())).expect("a folder").folder.expect("there is one")
--- a/postmaster/src/duties.rs
+++ b/programs/controller/src/duties.rs
@@ -10,17 +10,17 @@
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::time::sleep;
-use vanewharf_franking::membership::{Candidate, Following, next, wanted};
-use vanewharf_franking::quota::{Buckets, Quota};
-use vanewharf_franking::summing::{Summing, for_doors, homes};
-use vanewharf_mailroom::call::{Caller, Failed};
-use vanewharf_mailroom::config::Config;
-use vanewharf_mailroom::feed::Feed;
-use vanewharf_mailroom::messages::{
+use vanewharf_config::config::Config;
+use vanewharf_config::settings::Settings;
+use vanewharf_consensus::membership::{Candidate, Following, next, wanted};
+use vanewharf_discovery::summing::{Summing, for_doors, homes};
+use vanewharf_protocol::messages::{
     DoorRow, Follower, Lent, List, Mail, Membership, Neighbour, OfficeRow, Pull, RegisterNo, Tokens, Version,
 };
-use vanewharf_mailroom::premises::Premises;
-use vanewharf_mailroom::settings::Settings;
+use vanewharf_quota::quota::{Buckets, Quota};
+use vanewharf_rpc::call::{Caller, Failed};
+use vanewharf_rpc::feed::Feed;
+use vanewharf_runtime::premises::Premises;
 
 /// A follower's pull, while nothing is new.
 const FOLLOW: Duration = Duration::from_millis(400);
--- a/postmaster/src/lib.rs
+++ b/programs/controller/src/lib.rs
@@ -16,15 +16,15 @@
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::time::sleep;
-use vanewharf_franking::quota::Buckets;
-use vanewharf_franking::summing::Summing;
-use vanewharf_franking::voter::{Promise, Voter};
-use vanewharf_mailroom::call::{Said, serve, serve_own};
-use vanewharf_mailroom::feed::Feed;
-use vanewharf_mailroom::messages::{Ballot, OfficeRow, Pull, Tokens, VoteRequest};
-use vanewharf_mailroom::premises::Premises;
-use vanewharf_mailroom::program::End;
-use vanewharf_mailroom::settings::Settings;
+use vanewharf_config::settings::Settings;
+use vanewharf_consensus::voter::{Promise, Voter};
+use vanewharf_discovery::summing::Summing;
+use vanewharf_protocol::messages::{Ballot, OfficeRow, Pull, Tokens, VoteRequest};
+use vanewharf_quota::quota::Buckets;
+use vanewharf_rpc::call::{Said, serve, serve_own};
+use vanewharf_rpc::feed::Feed;
+use vanewharf_runtime::premises::Premises;
+use vanewharf_runtime::program::End;
 
 /// Calls that are under way at the end are answered.
 const LAST_ANSWERS: Duration = Duration::from_millis(600);
@@ -129,7 +129,7 @@
 }
 
 /// The system's own calls.
-async fn internal(desk: &Desk, request: &vanewharf_frames::Request) -> Said {
+async fn internal(desk: &Desk, request: &vanewharf_http1::Request) -> Said {
     let unread = |error: serde_json::Error| Said::status(400, &error.to_string());
     match (request.method(), request.target()) {
         ("POST", "/pull") => match serde_json::from_slice::<Pull>(request.body()) {
--- /dev/null
+++ b/programs/controller/src/main.rs
@@ -0,0 +1,9 @@
+use std::process::ExitCode;
+
+fn main() -> ExitCode {
+    vanewharf_runtime::program::main(
+        "vanewharf-controller",
+        env!("CARGO_PKG_VERSION"),
+        vanewharf_controller::run,
+    )
+}
--- a/postmaster/src/office.rs
+++ b/programs/controller/src/office.rs
@@ -10,17 +10,17 @@
 use std::time::Duration;
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{sleep, timeout};
-use vanewharf_franking::election::{
+use vanewharf_clock::{At, Steady};
+use vanewharf_config::config::Config;
+use vanewharf_consensus::election::{
     Canvass, Claim, Election, Keeping, Outcome, Rank, Recovering, Renewal, Renewing, Term, Turn,
 };
-use vanewharf_franking::membership::{assents, carries, everyone, towards};
-use vanewharf_franking::voter::{Promise, RENEWED, Save, TERM, Voter, above};
-use vanewharf_mailroom::call::Caller;
-use vanewharf_mailroom::clock::{At, Steady};
-use vanewharf_mailroom::config::Config;
-use vanewharf_mailroom::feed::Feed;
-use vanewharf_mailroom::messages::{Ballot, Cast, Membership, Register, RegisterNo, Vote, VoteRequest};
-use vanewharf_mailroom::premises::Premises;
+use vanewharf_consensus::membership::{assents, carries, everyone, towards};
+use vanewharf_consensus::voter::{Promise, RENEWED, Save, TERM, Voter, above};
+use vanewharf_protocol::messages::{Ballot, Cast, Membership, Register, RegisterNo, Vote, VoteRequest};
+use vanewharf_rpc::call::Caller;
+use vanewharf_rpc::feed::Feed;
+use vanewharf_runtime::premises::Premises;
 
 /// For an vote that needs no disk.
 const QUICK: Duration = Duration::from_millis(600);
--- a/postmaster/src/orders.rs
+++ b/programs/controller/src/orders.rs
@@ -13,8 +13,8 @@
 use std::time::Duration;
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{Instant, timeout};
-use vanewharf_franking::group::{Change, Outcome, gathered};
-use vanewharf_mailroom::messages::{Ballot, Register, RegisterNo};
+use vanewharf_consensus::group::{Change, Outcome, gathered};
+use vanewharf_protocol::messages::{Ballot, Register, RegisterNo};
 
 #[derive(Debug)]
 pub enum Order {
--- a/postmaster/src/public.rs
+++ b/programs/controller/src/public.rs
@@ -7,12 +7,12 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use std::time::Duration;
-use vanewharf_frames::Request;
-use vanewharf_franking::group::Change;
-use vanewharf_franking::membership::sound;
-use vanewharf_franking::summing::resolved;
-use vanewharf_mailroom::call::Said;
-use vanewharf_mailroom::config::Config;
+use vanewharf_config::config::Config;
+use vanewharf_consensus::group::Change;
+use vanewharf_consensus::membership::sound;
+use vanewharf_discovery::summing::resolved;
+use vanewharf_http1::Request;
+use vanewharf_rpc::call::Said;
 
 /// The most doors that one answer names.
 const MOST_NAMED: usize = 64;
--- a/frontdoor/src/admit.rs
+++ b/programs/gateway/src/admit.rs
@@ -2,9 +2,9 @@
 
 use crate::gate::{Admitted, Gate, Judged, Speech};
 use std::time::Duration;
-use vanewharf::interface::{Arrival, CustomerId, Outcome, PlanId, ProductId, Tenths, TxnId, Want};
-use vanewharf_frames::{Reply, Request};
-use vanewharf_told::{Bounds, Named};
+use vanewharf_gateway_settings::{Bounds, Named};
+use vanewharf_http1::{Reply, Request};
+use vanewharf_policy::interface::{Arrival, CustomerId, Outcome, PlanId, ProductId, Tenths, TxnId, Want};
 
 const CORRELATION: &str = "X-Correlation-Id";
 const AGAIN: &str = "X-Repeat";
--- a/frontdoor/src/clock.rs
+++ b/programs/gateway/src/clock.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
-use vanewharf::interface::Tenths;
+use vanewharf_policy::interface::Tenths;
 
 #[derive(Clone, Copy)]
 pub struct Clock {
--- a/frontdoor/src/commission.rs
+++ b/programs/gateway/src/commission.rs
@@ -4,7 +4,7 @@
 use serde::Deserialize;
 use serde_json::Value;
 use std::net::SocketAddr;
-use vanewharf_told::Options;
+use vanewharf_gateway_settings::Options;
 
 #[derive(Deserialize)]
 struct Written {
--- a/frontdoor/src/counter.rs
+++ b/programs/gateway/src/counter.rs
@@ -17,7 +17,7 @@
 use tokio::sync::mpsc;
 use tokio::time::{Instant, sleep_until, timeout};
 use tokio_util::codec::{FramedRead, FramedWrite};
-use vanewharf::interface::{CountName, Counted, Tenths};
+use vanewharf_policy::interface::{CountName, Counted, Tenths};
 
 /// One call, as the decisions ask for it: `step` units (below 0 takes off) to `name`, which a new name keeps
 /// for `forget_after` (the counter takes 1 ms to 60 s).
--- a/frontdoor/src/discovery.rs
+++ b/programs/gateway/src/discovery.rs
@@ -14,8 +14,8 @@
 use tokio::sync::watch;
 use tokio::time::{Instant, timeout};
 use tokio_util::codec::Framed;
-use vanewharf::interface::{BackendId, Listed, Standing, Tenths};
-use vanewharf_frames::{Outward, PassedOn, Request};
+use vanewharf_http1::{Outward, PassedOn, Request};
+use vanewharf_policy::interface::{BackendId, Listed, Standing, Tenths};
 
 /// For an answer that is due, and for a connection to the agent.
 const PATIENCE: Duration = Duration::from_millis(500);
--- a/frontdoor/src/gate.rs
+++ b/programs/gateway/src/gate.rs
@@ -2,8 +2,8 @@
 //! answer proves. The stages ask it; they know no field's name themselves.
 
 use std::time::Duration;
-use vanewharf::interface::{Arrival, Outcome, Tenths, TxnId};
-use vanewharf_frames::{Reply, Request};
+use vanewharf_http1::{Reply, Request};
+use vanewharf_policy::interface::{Arrival, Outcome, Tenths, TxnId};
 
 #[derive(Debug, PartialEq)]
 pub enum Admitted {
--- a/frontdoor/src/lib.rs
+++ b/programs/gateway/src/lib.rs
@@ -1,5 +1,5 @@
 //! The stages that a txn passes on sockets: take in, admit, route, send, relay and book, each in a file of its own;
-//! `route` alone asks the decisions. `vanewharf-door` is made of them, and so is the system's data plane; what
+//! `route` alone asks the decisions. `vanewharf-gateway` is made of them, and so is the system's data plane; what
 //! differs between the two stands behind `gate::Gate` and `route::Decides`.
 
 pub mod admit;
--- a/frontdoor/src/main.rs
+++ b/programs/gateway/src/main.rs
@@ -10,19 +10,19 @@
 use tokio::runtime::{Builder, LocalOptions};
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::sync::{Notify, mpsc, watch};
-use vanewharf::decide::Door;
-use vanewharf_door::admit::Told;
-use vanewharf_door::book::{Book, Count, Room};
-use vanewharf_door::clock::Clock;
-use vanewharf_door::commission::Commission;
-use vanewharf_door::discovery::Discovery;
-use vanewharf_door::open::OpenIds;
-use vanewharf_door::operator::Operator;
-use vanewharf_door::peers::Peers;
-use vanewharf_door::recall::Recall;
-use vanewharf_door::route::{Decisions, Route};
-use vanewharf_door::shared::Shared;
-use vanewharf_door::{counter, take_in};
+use vanewharf_gateway::admit::Told;
+use vanewharf_gateway::book::{Book, Count, Room};
+use vanewharf_gateway::clock::Clock;
+use vanewharf_gateway::commission::Commission;
+use vanewharf_gateway::discovery::Discovery;
+use vanewharf_gateway::open::OpenIds;
+use vanewharf_gateway::operator::Operator;
+use vanewharf_gateway::peers::Peers;
+use vanewharf_gateway::recall::Recall;
+use vanewharf_gateway::route::{Decisions, Route};
+use vanewharf_gateway::shared::Shared;
+use vanewharf_gateway::{counter, take_in};
+use vanewharf_policy::decide::Door;
 
 /// New clients keep coming for a while after the front was told that this door stops.
 const KEEP_ACCEPTING: Duration = Duration::from_millis(500);
@@ -88,11 +88,11 @@
     let operator = Operator::read(call.operator.as_deref())?;
     let options = operator.complete(options)?;
     let (mut start, named) =
-        vanewharf_told::start(&options, seed, clock.now()).map_err(|error| error.to_string())?;
-    let lines = vanewharf_told::lines(&options).map_err(|error| error.to_string())?;
-    let ask_within = vanewharf_told::ask_within(&options).map_err(|error| error.to_string())?;
-    let bounds = vanewharf_told::bounds(&options).map_err(|error| error.to_string())?;
-    let intake = vanewharf_told::peer_in_per_s(&options).map_err(|error| error.to_string())?;
+        vanewharf_gateway_settings::start(&options, seed, clock.now()).map_err(|error| error.to_string())?;
+    let lines = vanewharf_gateway_settings::lines(&options).map_err(|error| error.to_string())?;
+    let ask_within = vanewharf_gateway_settings::ask_within(&options).map_err(|error| error.to_string())?;
+    let bounds = vanewharf_gateway_settings::bounds(&options).map_err(|error| error.to_string())?;
+    let intake = vanewharf_gateway_settings::peer_in_per_s(&options).map_err(|error| error.to_string())?;
     if call.check {
         tracing::info!(name, peers = start.peers, counter = start.counter.is_some(), "a door would start");
         return Ok(());
--- a/frontdoor/src/note.rs
+++ b/programs/gateway/src/note.rs
@@ -5,11 +5,11 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 use tokio::sync::oneshot;
-use vanewharf::interface::{
+use vanewharf_exchange::line::CalledOff;
+use vanewharf_http1::{Reply, Request};
+use vanewharf_policy::interface::{
     Arrival, CountName, Counted, DoorId, Listed, Outcome, SubmissionNo, Tenths, TxnId, Word,
 };
-use vanewharf_frames::{Reply, Request};
-use vanewharf_txns::line::CalledOff;
 
 pub struct Taken {
     pub arrival: Arrival,
--- a/frontdoor/src/operator.rs
+++ b/programs/gateway/src/operator.rs
@@ -5,7 +5,7 @@
 use serde_json::Value;
 use std::net::SocketAddr;
 use std::path::Path;
-use vanewharf_told::Options;
+use vanewharf_gateway_settings::Options;
 
 #[derive(Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields)]
@@ -42,7 +42,7 @@
         let options =
             platform.beside(Options::nested(&self.settings)).map_err(|refused| refused.to_string())?;
         let counts = self.peers.as_ref().map(|peers| peers.doors.len());
-        vanewharf_told::check(&options, counts).map_err(|refused| refused.to_string())?;
+        vanewharf_gateway_settings::check(&options, counts).map_err(|refused| refused.to_string())?;
         if let Some(peers) = &self.peers {
             let mut others = peers.doors.clone();
             others.sort();
--- a/frontdoor/src/peers.rs
+++ b/programs/gateway/src/peers.rs
@@ -9,8 +9,8 @@
 use std::rc::Rc;
 use tokio::net::UdpSocket;
 use tokio::time::Instant;
-use vanewharf::interface::{DoorId, Word};
-use vanewharf::letter;
+use vanewharf_policy::interface::{DoorId, Word};
+use vanewharf_policy::letter;
 
 const NUMBER: usize = size_of::<u32>();
 
--- a/frontdoor/src/pool.rs
+++ b/programs/gateway/src/pool.rs
@@ -3,7 +3,7 @@
 use crate::note::Idle;
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
-use vanewharf::interface::{BackendId, Listed, Standing, Tenths};
+use vanewharf_policy::interface::{BackendId, Listed, Standing, Tenths};
 
 #[derive(Default)]
 struct Peer {
@@ -24,7 +24,7 @@
 impl Pool {
     /// `closes`: when a backend closes an idle connection, at the latest.
     pub fn new(closes: Tenths) -> Pool {
-        let most_idle = vanewharf_told::kept(closes);
+        let most_idle = vanewharf_gateway_settings::kept(closes);
         Pool { peers: BTreeMap::new(), most_idle, told_idle: most_idle }
     }
 
--- a/frontdoor/src/recall.rs
+++ b/programs/gateway/src/recall.rs
@@ -8,7 +8,7 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::time::Duration;
-use vanewharf::interface::Tenths;
+use vanewharf_policy::interface::Tenths;
 
 /// How long a watch may wait where lists are pushed to the agent and cost nothing: short, so that an agent
 /// gone silent is soon asked anew.
--- a/frontdoor/src/relay.rs
+++ b/programs/gateway/src/relay.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 use tokio::net::TcpStream;
 use tokio_util::codec::Framed;
-use vanewharf::interface::Tenths;
-use vanewharf_frames::{Answer, Inward, PassedBack, Reply};
+use vanewharf_http1::{Answer, Inward, PassedBack, Reply};
+use vanewharf_policy::interface::Tenths;
 
 /// A client that takes nothing for so long has given up, whatever it asked.
 const PATIENCE: Duration = Duration::from_secs(5);
--- a/frontdoor/src/route.rs
+++ b/programs/gateway/src/route.rs
@@ -16,13 +16,13 @@
 use std::rc::Rc;
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::Instant;
-use vanewharf::decide::Door;
-use vanewharf::interface::{
+use vanewharf_exchange::line::CalledOff;
+use vanewharf_exchange::{self as txns, Expiry, Submit, Txns};
+use vanewharf_http1::{Reply, Request};
+use vanewharf_policy::decide::Door;
+use vanewharf_policy::interface::{
     Action, Arrival, BackendId, Counted, Ending, Event, Outcome, Repeat, SubmissionNo, Tenths, TimerId, TxnId,
 };
-use vanewharf_frames::{Reply, Request};
-use vanewharf_txns::line::CalledOff;
-use vanewharf_txns::{self as txns, Expiry, Submit, Txns};
 
 /// For the answer's way back and one turn of the runtime's timers: the client counts from when it
 /// sent, this door from when it has read.
--- a/frontdoor/src/send.rs
+++ b/programs/gateway/src/send.rs
@@ -16,9 +16,9 @@
 use tokio::net::{TcpSocket, TcpStream};
 use tokio::sync::oneshot;
 use tokio_util::codec::Framed;
-use vanewharf::interface::Outcome;
-use vanewharf_frames::{Fault, Outward, PassedOn, Reply};
-use vanewharf_txns::line::{CalledOff, Happened, Line, Then};
+use vanewharf_exchange::line::{CalledOff, Happened, Line, Then};
+use vanewharf_http1::{Fault, Outward, PassedOn, Reply};
+use vanewharf_policy::interface::Outcome;
 
 struct Connection {
     framed: Framed<TcpStream, Outward>,
--- a/frontdoor/src/shared.rs
+++ b/programs/gateway/src/shared.rs
@@ -8,8 +8,8 @@
 use std::cell::Cell;
 use std::rc::Rc;
 use tokio::sync::mpsc;
-use vanewharf::interface::TxnId;
-use vanewharf_told::Lines;
+use vanewharf_gateway_settings::Lines;
+use vanewharf_policy::interface::TxnId;
 
 pub struct Shared {
     pub clock: Clock,
--- a/frontdoor/src/take_in.rs
+++ b/programs/gateway/src/take_in.rs
@@ -16,8 +16,8 @@
 use tokio::sync::{Notify, oneshot};
 use tokio::time::{Instant, sleep_until, timeout_at};
 use tokio_util::codec::Framed;
-use vanewharf::interface::{Tenths, TxnId};
-use vanewharf_frames::{Fault, Inward, Request};
+use vanewharf_http1::{Fault, Inward, Request};
+use vanewharf_policy::interface::{Tenths, TxnId};
 
 /// How long at most a freed descriptor is waited for before accepting is tried again.
 const PAUSE: Duration = Duration::from_millis(50);
--- a/frontdoor/tests/peers.rs
+++ b/programs/gateway/tests/peers.rs
@@ -8,8 +8,8 @@
 use std::net::{SocketAddr, UdpSocket};
 use std::process::Command;
 use std::time::Duration;
-use vanewharf::interface::{Verdict, Word};
-use vanewharf::letter;
+use vanewharf_policy::interface::{Verdict, Word};
+use vanewharf_policy::letter;
 
 /// Another door: it hears what is sent to its number, and says what the test has it say.
 struct Peer {
@@ -100,7 +100,7 @@
     both(Ok(()));
     assert_eq!(client.answer().status(), 200);
     client.send(&basic());
-    both(Err(Some(vanewharf::interface::Tenths(4_000))));
+    both(Err(Some(vanewharf_policy::interface::Tenths(4_000))));
     let answer = client.answer();
     assert_eq!(answer.status(), 429);
     assert_eq!(answer.field("Retry-After"), Some("0.4000"), "the keeper's own advice");
@@ -128,7 +128,7 @@
     let backend = Backend::new("a", vec![ok("", "seen")]);
     let (door, own) = asking(&backend, &[&first, &second]);
     let stranger = Peer::new(0);
-    let word = Word::Full { customer: vanewharf::interface::CustomerId(9) };
+    let word = Word::Full { customer: vanewharf_policy::interface::CustomerId(9) };
     let letter = letter::write(&word);
     stranger.says(own, &word);
     Peer { socket: first.socket.try_clone().expect("a copy"), number: 1 }.says(own, &word);
@@ -197,7 +197,7 @@
     let (_, path) = program(Some(&commission.to_string()), 1024);
     let file = path.with_extension("toml");
     std::fs::write(&file, operator).expect("a file of our own");
-    let mut direct = Command::new(env!("CARGO_BIN_EXE_vanewharf-door"));
+    let mut direct = Command::new(env!("CARGO_BIN_EXE_vanewharf-gateway"));
     let output = direct
         .args(["--check", "--operator"])
         .arg(&file)
@@ -215,7 +215,7 @@
     let good = operator(0, &doors);
     assert!(refused(&good, |_| {}).starts_with("STARTS "), "{}", refused(&good, |_| {}));
     assert!(refused("", |_| {}).starts_with("STARTS "));
-    let shown = include_str!("../../deploy/door.toml");
+    let shown = include_str!("../../../deploy/door.toml");
     let three = |settings: &mut Value| settings["balancers"] = json!(3);
     assert!(refused(shown, three).starts_with("STARTS "), "{}", refused(shown, three));
     let none = |_: &mut Value| {};
@@ -264,7 +264,7 @@
 #[test]
 fn the_log_is_json_where_asked_for() {
     let (_, path) = program(Some("{"), 1024);
-    let output = Command::new(env!("CARGO_BIN_EXE_vanewharf-door"))
+    let output = Command::new(env!("CARGO_BIN_EXE_vanewharf-gateway"))
         .args(["--log-format", "json"])
         .env("ROUTER_CONFIG", &path)
         .output()
--- a/frontdoor/tests/stand_ins/mod.rs
+++ b/programs/gateway/tests/stand_ins/mod.rs
@@ -231,9 +231,9 @@
 /// It may hold so many descriptors, whatever it is told.
 pub fn program(commission: Option<&str>, descriptors: usize) -> (Command, PathBuf) {
     let number = DOORS.fetch_add(1, Ordering::SeqCst);
-    let path = std::env::temp_dir().join(format!("vanewharf-door-{}-{number}.json", std::process::id()));
+    let path = std::env::temp_dir().join(format!("vanewharf-gateway-{}-{number}.json", std::process::id()));
     let mut command = Command::new("sh");
-    let limited = format!("ulimit -n {descriptors}; exec {}", env!("CARGO_BIN_EXE_vanewharf-door"));
+    let limited = format!("ulimit -n {descriptors}; exec {}", env!("CARGO_BIN_EXE_vanewharf-gateway"));
     command
         .args(["-c", &limited])
         .env_remove("ROUTER_CONFIG")
--- a/carrier/src/gate.rs
+++ b/programs/proxy/src/gate.rs
@@ -5,11 +5,11 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use std::time::Duration;
-use vanewharf::interface::{Arrival, Outcome, Tenths, TxnId};
-use vanewharf_door::gate::{Admitted, Gate, Judged, Speech};
-use vanewharf_frames::{Reply, Request};
-use vanewharf_franking::allowance::lapsed;
-use vanewharf_mailroom::clock::{At, Steady};
+use vanewharf_clock::{At, Steady};
+use vanewharf_gateway::gate::{Admitted, Gate, Judged, Speech};
+use vanewharf_health::allowance::lapsed;
+use vanewharf_http1::{Reply, Request};
+use vanewharf_policy::interface::{Arrival, Outcome, Tenths, TxnId};
 
 const ID: &str = "Attempt-Id";
 const TIME_LEFT: &str = "Remaining-Milliseconds";
--- a/carrier/src/lend.rs
+++ b/programs/proxy/src/lend.rs
@@ -9,12 +9,12 @@
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::sync::mpsc;
-use vanewharf_mailroom::call::Caller;
-use vanewharf_mailroom::clock::At;
-use vanewharf_mailroom::feed::Feed;
-use vanewharf_mailroom::messages::Tokens;
-use vanewharf_mailroom::premises::Premises;
-use vanewharf_mailroom::settings::Settings;
+use vanewharf_clock::At;
+use vanewharf_config::settings::Settings;
+use vanewharf_protocol::messages::Tokens;
+use vanewharf_rpc::call::Caller;
+use vanewharf_rpc::feed::Feed;
+use vanewharf_runtime::premises::Premises;
 
 /// A postmaster that did not answer is not asked for so long.
 const SPARED: Duration = Duration::from_secs(2);
--- a/carrier/src/lend/tests.rs
+++ b/programs/proxy/src/lend/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use vanewharf::interface::TxnId;
+use vanewharf_policy::interface::TxnId;
 
 #[test]
 fn those_who_wait_come_before_lots_and_silence_is_no_refusal() {
--- a/carrier/src/link.rs
+++ b/programs/proxy/src/link.rs
@@ -6,9 +6,9 @@
 use std::time::Duration;
 use tokio::sync::mpsc;
 use tokio::time::sleep;
-use vanewharf_mailroom::call::Caller;
-use vanewharf_mailroom::feed::Feed;
-use vanewharf_mailroom::messages::{DoorRow, Pull, Report};
+use vanewharf_protocol::messages::{DoorRow, Pull, Report};
+use vanewharf_rpc::call::Caller;
+use vanewharf_rpc::feed::Feed;
 
 const WAIT: Duration = Duration::from_millis(300);
 const PAUSE: Duration = Duration::from_millis(50);
--- /dev/null
+++ b/programs/proxy/src/main.rs
@@ -0,0 +1,5 @@
+use std::process::ExitCode;
+
+fn main() -> ExitCode {
+    vanewharf_runtime::program::main("vanewharf-proxy", env!("CARGO_PKG_VERSION"), vanewharf_proxy::run)
+}
--- a/carrier/src/news.rs
+++ b/programs/proxy/src/news.rs
@@ -4,9 +4,9 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use std::time::Duration;
-use vanewharf::interface::TxnId;
-use vanewharf_mailroom::clock::At;
-use vanewharf_mailroom::messages::{Ledger, List, Register, Tried};
+use vanewharf_clock::At;
+use vanewharf_policy::interface::TxnId;
+use vanewharf_protocol::messages::{Ledger, List, Register, Tried};
 
 /// For one answer of a lender: across regions it takes two ways.
 pub const LENT_WITHIN: Duration = Duration::from_millis(300);
--- a/carrier/src/rounds.rs
+++ b/programs/proxy/src/rounds.rs
@@ -13,20 +13,20 @@
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::sync::mpsc;
-use vanewharf::decide::Door;
-use vanewharf::interface::{self as told, *};
-use vanewharf_door::note::Told;
-use vanewharf_door::relay::Final;
-use vanewharf_door::route::Decides;
-use vanewharf_frames::Reply;
-use vanewharf_franking::allowance::{Cold, RepeatRule, Repeats, cold_part, weighted};
-use vanewharf_franking::evidence::{Seen, shared_cause, worth_of};
-use vanewharf_franking::pocket::Pocket;
-use vanewharf_franking::quota::Buckets;
-use vanewharf_mailroom::clock::{At, Steady};
-use vanewharf_mailroom::config::RouteKind;
-use vanewharf_mailroom::messages::{List, Register, Server};
-use vanewharf_mailroom::settings::Bounds;
+use vanewharf_clock::{At, Steady};
+use vanewharf_config::config::RouteKind;
+use vanewharf_config::settings::Bounds;
+use vanewharf_gateway::note::Told;
+use vanewharf_gateway::relay::Final;
+use vanewharf_gateway::route::Decides;
+use vanewharf_health::allowance::{Cold, RepeatRule, Repeats, cold_part, weighted};
+use vanewharf_health::evidence::{Seen, shared_cause, worth_of};
+use vanewharf_http1::Reply;
+use vanewharf_policy::decide::Door;
+use vanewharf_policy::interface::{self as told, *};
+use vanewharf_protocol::messages::{List, Register, Server};
+use vanewharf_quota::pocket::Pocket;
+use vanewharf_quota::quota::Buckets;
 
 /// One service in one region.
 type RoundKey = (Rc<str>, Rc<str>);
@@ -688,7 +688,7 @@
                 self.doors = f64::from(ledger.counted);
                 let tables = self.tables.clone();
                 let quota = |tenant: &str| {
-                    let none = vanewharf_franking::quota::Quota { rate: 0.0, burst: 0.0 };
+                    let none = vanewharf_quota::quota::Quota { rate: 0.0, burst: 0.0 };
                     tables.as_ref().map_or(none, |tables| tables.quota(tenant))
                 };
                 self.buckets.read(ledger.counted, &ledger.tenants, quota, self.steady.now());
--- a/carrier/src/rounds/tests.rs
+++ b/programs/proxy/src/rounds/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 use crate::tables::NoWay;
 use std::cell::{Cell, RefCell};
-use vanewharf_mailroom::messages::{Ballot, Ledger, Membership, RegisterNo, Use, Version};
+use vanewharf_protocol::messages::{Ballot, Ledger, Membership, RegisterNo, Use, Version};
 
 const SECOND: Tenths = Tenths::SECOND;
 
@@ -358,7 +358,7 @@
         use tokio_util::codec::Decoder;
         let text = format!("HTTP/1.1 {status} X\r\nContent-Length: 0\r\n\r\n");
         let mut bytes = bytes::BytesMut::from(text.as_bytes());
-        vanewharf_frames::Outward::default().decode(&mut bytes).ok().flatten().expect("a reply")
+        vanewharf_http1::Outward::default().decode(&mut bytes).ok().flatten().expect("a reply")
     };
     let passed = |status| match stage.rounds.concluded(TxnId(1), Final::Voided, Some(reply(status))) {
         Final::Settled(reply) => Some(reply.status()),
--- a/carrier/src/tables.rs
+++ b/programs/proxy/src/tables.rs
@@ -4,9 +4,9 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::rc::Rc;
 use std::time::Duration;
-use vanewharf_franking::quota::Quota;
-use vanewharf_mailroom::config::{Config, Customer, Limits, RouteKind, Service};
-use vanewharf_mailroom::messages::Register;
+use vanewharf_config::config::{Config, Customer, Limits, RouteKind, Service};
+use vanewharf_protocol::messages::Register;
+use vanewharf_quota::quota::Quota;
 
 /// One route, as a request under way goes by it.
 #[derive(Debug, PartialEq)]
--- a/benchlink/src/door.rs
+++ b/programs/simulator-adapter/src/door.rs
@@ -5,13 +5,13 @@
 use std::collections::hash_map::DefaultHasher;
 use std::fmt::Write;
 use std::hash::{Hash, Hasher};
-use vanewharf::decide::Door;
-use vanewharf::interface::{
+use vanewharf_gateway_settings::Named;
+use vanewharf_policy::decide::Door;
+use vanewharf_policy::interface::{
     Action, Arrival, BackendId, CountName, Counted, CustomerId, DoorId, Ending, Event, Listed, Outcome,
     Standing, SubmissionNo, TimerId, TxnId, Want,
 };
-use vanewharf::letter;
-use vanewharf_told::Named;
+use vanewharf_policy::letter;
 
 #[derive(Default)]
 struct Names {
--- a/benchlink/src/link.rs
+++ b/programs/simulator-adapter/src/link.rs
@@ -5,9 +5,9 @@
 use std::collections::BTreeMap;
 use std::error::Error;
 use std::io::{BufRead, Write};
-use vanewharf::decide::Door;
-use vanewharf::interface::{Event, Listed, Tenths};
-use vanewharf_told::Options;
+use vanewharf_gateway_settings::Options;
+use vanewharf_policy::decide::Door;
+use vanewharf_policy::interface::{Event, Listed, Tenths};
 
 /// A list under way: how many entries are still to come.
 struct Listing {
@@ -86,8 +86,9 @@
         match line.message {
             "LAUNCH" => {
                 let options = Options::flat(line.pairs().iter().copied());
-                let (start, named) = vanewharf_told::start(&options, line.whole("init_seed")?, now)
-                    .map_err(|unreadable| line.fault(unreadable.to_string()))?;
+                let (start, named) =
+                    vanewharf_gateway_settings::start(&options, line.whole("init_seed")?, now)
+                        .map_err(|unreadable| line.fault(unreadable.to_string()))?;
                 self.hosts.insert(name.clone(), Host::new(Door::start(start), named));
                 return Ok(());
             }
--- a/benchlink/src/main.rs
+++ b/programs/simulator-adapter/src/main.rs
@@ -14,7 +14,7 @@
     match Link::default().run(input, output) {
         Ok(()) => ExitCode::SUCCESS,
         Err(fault) => {
-            eprintln!("vanewharf-benchlink: {fault}");
+            eprintln!("vanewharf-simulator-adapter: {fault}");
             ExitCode::FAILURE
         }
     }
--- a/benchlink/src/wire.rs
+++ b/programs/simulator-adapter/src/wire.rs
@@ -3,8 +3,8 @@
 use std::error::Error;
 use std::fmt;
 use std::str::FromStr;
-use vanewharf::interface::Tenths;
-use vanewharf_told::tenths;
+use vanewharf_gateway_settings::tenths;
+use vanewharf_policy::interface::Tenths;
 
 /// What is wrong with the input, and where.
 #[derive(Debug)]
--- a/benchlink/tests/transcript.rs
+++ b/programs/simulator-adapter/tests/transcript.rs
@@ -22,7 +22,7 @@
 ";
 
 fn play(input: &str) -> Output {
-    let mut link = Command::new(env!("CARGO_BIN_EXE_vanewharf-benchlink"))
+    let mut link = Command::new(env!("CARGO_BIN_EXE_vanewharf-simulator-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
