--- a/crates/system-simulator/src/world.rs
+++ b/crates/system-simulator/src/world.rs
@@ -19,7 +19,7 @@
 use tokio::task::LocalSet;
 use tokio::time::Instant;
 use vanewharf_config::settings::Settings;
-use vanewharf_controller::Post;
+use vanewharf_controller::RunningController;
 use vanewharf_rpc::call::{Said, serve};
 use vanewharf_runtime::premises::{Folder, Premises};
 
@@ -111,7 +111,7 @@
     cages: RefCell<BTreeMap<Program, Rc<RefCell<Cage>>>>,
     starts: Cell<u64>,
     pub asks: Rc<RefCell<Option<mpsc::UnboundedSender<Ask>>>>,
-    post: Rc<RefCell<Option<Rc<Post>>>>,
+    controller: Rc<RefCell<Option<Rc<RunningController>>>>,
     end: RefCell<Option<oneshot::Sender<()>>>,
     /// How fast its steady clock runs.
     rate: f64,
@@ -150,7 +150,7 @@
 
 impl Machine {
     fn holds(&self) -> bool {
-        self.post.borrow().as_ref().is_some_and(|post| post.holds())
+        self.controller.borrow().as_ref().is_some_and(|controller| controller.holds_lease())
     }
 }
 
@@ -189,7 +189,7 @@
                 cages: RefCell::default(),
                 starts: Cell::new(0),
                 asks: Rc::default(),
-                post: Rc::default(),
+                controller: Rc::default(),
                 end: RefCell::default(),
                 rate: match chance.random_range(0..4) {
                     0 => 1.0 - drift,
@@ -304,16 +304,16 @@
         };
         match program {
             Program::Postmaster => {
-                let post = Rc::clone(&machine.post);
+                let controller = Rc::clone(&machine.controller);
                 let (tell, end) = oneshot::channel();
                 *machine.end.borrow_mut() = Some(tell);
                 set.spawn_local(async move {
                     match vanewharf_controller::start(settings, premises).await {
                         Ok(started) => {
                             let started = Rc::new(started);
-                            *post.borrow_mut() = Some(Rc::clone(&started));
+                            *controller.borrow_mut() = Some(Rc::clone(&started));
                             if end.await.is_ok() {
-                                started.leave().await;
+                                started.shut_down().await;
                             }
                             std::future::pending::<()>().await;
                         }
@@ -352,7 +352,7 @@
         self.befalls(Whom::Down(no));
         let machine = &self.machines[no];
         if which(Program::Postmaster) {
-            machine.post.borrow_mut().take();
+            machine.controller.borrow_mut().take();
         }
         if which(Program::Carrier) {
             machine.asks.borrow_mut().take();
--- a/crates/system-simulator/tests/orders.rs
+++ b/crates/system-simulator/tests/orders.rs
@@ -356,7 +356,7 @@
     let runtime = Builder::new_current_thread().enable_time().start_paused(true).build().expect("a runtime");
     runtime.block_on(LocalSet::new().run_until(async {
         let network = Network::new(8);
-        let mut offices = Vec::new();
+        let mut controllers = Vec::new();
         for no in 0..3 {
             let place = Place { zone: "east-a".to_owned(), region: "east".to_owned() };
             network.stand(ip(no + 1), place);
@@ -367,8 +367,8 @@
             };
             let folder = Rc::new(Disk::new(Duration::from_millis(2))) as Rc<dyn Folder>;
             let premises = Premises::new(Rc::new(net.clone()), Some(folder), no.into());
-            let post = vanewharf_controller::start(settings(no), premises).await.expect("it starts");
-            offices.push((post, net));
+            let controller = vanewharf_controller::start(settings(no), premises).await.expect("it starts");
+            controllers.push((controller, net));
         }
         let order = |no: usize, zone: &'static str| {
             let net = network.at(operator(no as u8));
@@ -380,12 +380,12 @@
             }
         };
         let holder = loop {
-            match offices.iter().position(|(post, _)| post.holds()) {
+            match controllers.iter().position(|(controller, _)| controller.holds_lease()) {
                 Some(holder) => break holder,
                 None => sleep(Duration::from_millis(20)).await,
             }
         };
-        let (_, net) = &offices[holder];
+        let (_, net) = &controllers[holder];
         // In the middle between two renewals of the lease.
         sleep(Duration::from_millis(200)).await;
         net.silent_until.set(net.dialled.get());
--- a/programs/controller/src/lib.rs
+++ b/programs/controller/src/lib.rs
@@ -2,7 +2,7 @@
 //! clients ask where to go.
 
 mod cloud;
-pub mod disk;
+mod disk;
 mod duties;
 mod office;
 mod orders;
@@ -29,31 +29,31 @@
 /// Calls that are under way at the end are answered.
 const LAST_ANSWERS: Duration = Duration::from_millis(600);
 
-/// A postmaster at work.
-pub struct Post {
+/// A controller whose tasks run on the current local set.
+pub struct RunningController {
     office: Rc<Office>,
 }
 
-impl Post {
-    /// Whether it takes orders now.
-    pub fn holds(&self) -> bool {
+impl RunningController {
+    /// Whether it holds the lease, and so executes operator orders, now.
+    pub fn holds_lease(&self) -> bool {
         self.office.holds()
     }
 
-    pub async fn leave(&self) {
+    pub async fn shut_down(&self) {
         self.office.leave().await;
         sleep(LAST_ANSWERS).await;
     }
 }
 
 pub async fn run(settings: Settings, premises: Premises, end: End) -> Result<(), String> {
-    let post = start(settings, premises).await?;
+    let controller = start(settings, premises).await?;
     let _ = end.await;
-    post.leave().await;
+    controller.shut_down().await;
     Ok(())
 }
 
-pub async fn start(settings: Settings, premises: Premises) -> Result<Post, String> {
+pub async fn start(settings: Settings, premises: Premises) -> Result<RunningController, String> {
     let because = |what: &str, error: std::io::Error| format!("{what}: {error}");
     let settings = Rc::new(settings);
     let (control, registry) = (settings.listens("control_plane"), settings.listens("directory_service"));
@@ -125,7 +125,7 @@
             async move { public::dispatch(&desk, &orders, &request).await }
         }));
     }
-    Ok(Post { office })
+    Ok(RunningController { office })
 }
 
 /// The system's own calls.
