--- a/programs/controller/src/lib.rs
+++ b/programs/controller/src/lib.rs
@@ -1,20 +1,20 @@
 //! The control plane's program: keeps the operator's register, lists and sums what all doors need, and is the registry that
 //! clients ask where to go.
 
-mod cloud;
-mod disk;
-mod duties;
-mod office;
 mod orders;
-mod public;
+mod platform;
+mod public_api;
+mod replica;
+mod roles;
+mod storage;
 
-use disk::{Disk, Record};
-use duties::{Desk, Lending};
-use office::Office;
-use orders::Orders;
+use orders::OrderQueue;
+use replica::Replica;
+use roles::{ControllerState, TokenLender};
 use std::cell::RefCell;
 use std::rc::Rc;
 use std::time::Duration;
+use storage::{Record, Storage};
 use tokio::time::sleep;
 use vanewharf_config::settings::Settings;
 use vanewharf_consensus::voter::{Promise, Voter};
@@ -31,17 +31,17 @@
 
 /// A controller whose tasks run on the current local set.
 pub struct RunningController {
-    office: Rc<Office>,
+    replica: Rc<Replica>,
 }
 
 impl RunningController {
     /// Whether it holds the lease, and so executes operator orders, now.
     pub fn holds_lease(&self) -> bool {
-        self.office.holds()
+        self.replica.holds()
     }
 
     pub async fn shut_down(&self) {
-        self.office.leave().await;
+        self.replica.leave().await;
         sleep(LAST_ANSWERS).await;
     }
 }
@@ -59,11 +59,11 @@
     let (control, registry) = (settings.listens("control_plane"), settings.listens("directory_service"));
     let control = control.map_err(|fault| fault.to_string())?;
     let folder = premises.folder.clone().ok_or("data_directory is missing: a postmaster needs a disk")?;
-    let found = disk::find(&*folder).map_err(|error| because("the disk cannot be read", error))?;
+    let found = storage::find(&*folder).map_err(|error| because("the disk cannot be read", error))?;
     for aside in &found.spoilt {
         spdlog::warn!("a copy was torn or spoilt and is set aside: {}", aside);
     }
-    let disk = Disk::start(folder, &found);
+    let disk = Storage::start(folder, &found);
 
     let steady = premises.steady();
     let feed = Feed::new(steady);
@@ -76,80 +76,80 @@
         spdlog::warn!("the set of voters is not on disk: {}", error);
     }
     let amnesic = voter.amnesic();
-    let office = Office::start(me, seeds, voter, disk.clone(), feed.clone(), premises.clone());
+    let replica = Replica::start(me, seeds, voter, disk.clone(), feed.clone(), premises.clone());
     if let Some(promise) = promise {
-        tokio::task::spawn_local(Rc::clone(&office).inquire(promise));
+        tokio::task::spawn_local(Rc::clone(&replica).inquire(promise));
     }
     if amnesic {
-        tokio::task::spawn_local(Rc::clone(&office).recover(disk));
+        tokio::task::spawn_local(Rc::clone(&replica).recover(disk));
     }
 
     let sums = Rc::new(RefCell::new(Summing::default()));
     let row = OfficeRow { ip: settings.ip, zone: settings.zone.clone() };
-    let desk = Rc::new(Desk {
-        office: Rc::clone(&office),
+    let state = Rc::new(ControllerState {
+        replica: Rc::clone(&replica),
         feed: feed.clone(),
         premises: premises.clone(),
         sums,
         row,
         settings: Rc::clone(&settings),
         hosts: RefCell::default(),
-        lending: RefCell::new(Lending {
+        lending: RefCell::new(TokenLender {
             buckets: Buckets::start(settings.bounds.rate_allowance, settings.initial_start, steady.now()),
             life: premises.life(),
         }),
         following: RefCell::default(),
     });
-    tokio::task::spawn_local(Rc::clone(&desk).follow());
-    tokio::task::spawn_local(Rc::clone(&desk).sum());
-    tokio::task::spawn_local(Rc::clone(&desk).ask_platform());
-    tokio::task::spawn_local(Rc::clone(&desk).attest());
-    let orders = Orders::start(Rc::clone(&office));
-    tokio::task::spawn_local(Rc::clone(&desk).tend_membership(orders.clone()));
+    tokio::task::spawn_local(Rc::clone(&state).follow());
+    tokio::task::spawn_local(Rc::clone(&state).sum());
+    tokio::task::spawn_local(Rc::clone(&state).ask_platform());
+    tokio::task::spawn_local(Rc::clone(&state).attest());
+    let orders = OrderQueue::start(Rc::clone(&replica));
+    tokio::task::spawn_local(Rc::clone(&state).tend_membership(orders.clone()));
 
     let inside =
         premises.net.listen(me).map_err(|error| because(&format!("cannot listen on {me}"), error))?;
-    let within = Rc::clone(&desk);
+    let within = Rc::clone(&state);
     tokio::task::spawn_local(serve_own(inside, move |request| {
-        let desk = Rc::clone(&within);
-        async move { internal(&desk, &request).await }
+        let state = Rc::clone(&within);
+        async move { internal(&state, &request).await }
     }));
     for address in [Some(control), registry.ok()].into_iter().flatten() {
         let outside = premises
             .net
             .listen(address)
             .map_err(|error| because(&format!("cannot listen on {address}"), error))?;
-        let (desk, orders) = (Rc::clone(&desk), orders.clone());
+        let (state, orders) = (Rc::clone(&state), orders.clone());
         tokio::task::spawn_local(serve(outside, move |request| {
-            let (desk, orders) = (Rc::clone(&desk), orders.clone());
-            async move { public::dispatch(&desk, &orders, &request).await }
+            let (state, orders) = (Rc::clone(&state), orders.clone());
+            async move { public_api::dispatch(&state, &orders, &request).await }
         }));
     }
-    Ok(RunningController { office })
+    Ok(RunningController { replica })
 }
 
 /// The system's own calls.
-async fn internal(desk: &Desk, request: &vanewharf_http1::Request) -> Said {
+async fn internal(state: &ControllerState, request: &vanewharf_http1::Request) -> Said {
     let unread = |error: serde_json::Error| Said::status(400, &error.to_string());
     match (request.method(), request.target()) {
         ("POST", "/pull") => match serde_json::from_slice::<Pull>(request.body()) {
-            Ok(pull) => Said::json(&desk.pulled(pull).await).packed(request),
+            Ok(pull) => Said::json(&state.pulled(pull).await).packed(request),
             Err(error) => unread(error),
         },
         ("POST", "/lend") => match serde_json::from_slice::<Tokens>(request.body()) {
-            Ok(wanted) => Said::json(&desk.lend(wanted)),
+            Ok(wanted) => Said::json(&state.lend(wanted)),
             Err(error) => unread(error),
         },
         ("POST", "/vote") => match serde_json::from_slice::<VoteRequest>(request.body()) {
-            Ok(request) => Said::json(&desk.office.vote(request).await),
+            Ok(request) => Said::json(&state.replica.vote(request).await),
             Err(error) => unread(error),
         },
         ("POST", "/holds") => match serde_json::from_slice::<Ballot>(request.body()) {
-            Ok(ballot) => Said::json(&desk.office.holds_by(ballot)),
+            Ok(ballot) => Said::json(&state.replica.holds_by(ballot)),
             Err(error) => unread(error),
         },
-        ("GET", "/neighbours") => Said::json(&desk.neighbours()),
-        ("GET", "/membership") => Said::json(&desk.office.membership()),
+        ("GET", "/neighbours") => Said::json(&state.neighbours()),
+        ("GET", "/membership") => Said::json(&state.replica.membership()),
         _ => Said::status(404, "there is no such call"),
     }
 }
--- a/programs/controller/src/orders.rs
+++ b/programs/controller/src/orders.rs
@@ -5,7 +5,7 @@
 //! one. So what a majority keeps makes all before it certain, too, and a round that is held up need not be waited for:
 //! after `OVERTAKEN` a second one may start, which takes the first one's orders along if that fails.
 
-use crate::office::Office;
+use crate::replica::Replica;
 use serde_json::value::RawValue;
 use std::collections::{BTreeSet, VecDeque};
 use std::net::SocketAddr;
@@ -28,7 +28,7 @@
 
 /// What became of an order.
 #[derive(Debug)]
-pub enum Done {
+pub enum OrderOutcome {
     Acknowledged,
     /// Another configuration was taken under its number; this is the number held.
     Conflict {
@@ -44,7 +44,7 @@
 struct Waiting {
     order: Order,
     came: Instant,
-    reply: oneshot::Sender<Done>,
+    reply: oneshot::Sender<OrderOutcome>,
 }
 
 impl Waiting {
@@ -65,12 +65,12 @@
 }
 
 #[derive(Clone)]
-pub struct Orders {
-    office: Rc<Office>,
+pub struct OrderQueue {
+    replica: Rc<Replica>,
     events: mpsc::Sender<Event>,
 }
 
-/// Orders that wait at once; more are turned away.
+/// OrderQueue that wait at once; more are turned away.
 const MOST_WAITING: usize = 64;
 /// An operator goes to another door after a second of silence.
 const WAITED: Duration = Duration::from_secs(1);
@@ -81,30 +81,30 @@
 /// How often those that wait are looked at.
 const LOOKED_AT: Duration = Duration::from_millis(100);
 
-impl Orders {
-    pub fn start(office: Rc<Office>) -> Orders {
+impl OrderQueue {
+    pub fn start(replica: Rc<Replica>) -> OrderQueue {
         let (events, taken) = mpsc::channel(MOST_WAITING);
         let (waiting, rounds) = (VecDeque::new(), Vec::new());
-        let clerk = Clerk { office: Rc::clone(&office), events: events.clone(), waiting, rounds };
+        let clerk = OrderExecutor { replica: Rc::clone(&replica), events: events.clone(), waiting, rounds };
         tokio::task::spawn_local(clerk.serve(taken));
-        Orders { office, events }
+        OrderQueue { replica, events }
     }
 
     /// Where whoever calls drops this, the order is not begun any more.
-    pub async fn give(&self, order: Order) -> Done {
+    pub async fn give(&self, order: Order) -> OrderOutcome {
         let (reply, done) = oneshot::channel();
         let waiting = Waiting { order, came: Instant::now(), reply };
         if self.events.try_send(Event::Came(waiting)).is_err() {
-            return Done::Uncertain;
+            return OrderOutcome::Uncertain;
         }
-        done.await.unwrap_or(Done::Uncertain)
+        done.await.unwrap_or(OrderOutcome::Uncertain)
     }
 
     /// The newest configuration that is certain; nobody can have had a newer one acknowledged while the lease lasts.
-    pub fn read(&self) -> Done {
-        let register = self.office.feed.store().register.clone();
+    pub fn read(&self) -> OrderOutcome {
+        let register = self.replica.feed.store().register.clone();
         let config = register.and_then(|register| register.config.clone());
-        if self.office.holds() { Done::Configuration(config) } else { Done::NotHere }
+        if self.replica.holds() { OrderOutcome::Configuration(config) } else { OrderOutcome::NotHere }
     }
 }
 
@@ -113,19 +113,19 @@
     ballot: Ballot,
     no: RegisterNo,
     begun: Instant,
-    told: Vec<(Done, oneshot::Sender<Done>)>,
+    told: Vec<(OrderOutcome, oneshot::Sender<OrderOutcome>)>,
 }
 
 /// Owns all orders that wait and all rounds.
-struct Clerk {
-    office: Rc<Office>,
+struct OrderExecutor {
+    replica: Rc<Replica>,
     events: mpsc::Sender<Event>,
     waiting: VecDeque<Waiting>,
     /// In the order in which they were begun.
     rounds: Vec<Round>,
 }
 
-impl Clerk {
+impl OrderExecutor {
     async fn serve(mut self, mut taken: mpsc::Receiver<Event>) {
         loop {
             let event = if self.waiting.is_empty() {
@@ -144,7 +144,7 @@
     fn hear(&mut self, event: Event) {
         match event {
             Event::Came(order) if self.waiting.len() < MOST_WAITING => self.waiting.push_back(order),
-            Event::Came(order) => drop(order.reply.send(Done::Uncertain)),
+            Event::Came(order) => drop(order.reply.send(OrderOutcome::Uncertain)),
             Event::Ended { ballot, no, kept } => self.ended(ballot, no, kept),
         }
     }
@@ -163,7 +163,7 @@
             Some(next) => over.iter_mut().for_each(|round| next.told.append(&mut round.told)),
             None => {
                 let told = over.into_iter().flat_map(|round| round.told);
-                told.for_each(|(_, reply)| drop(reply.send(Done::Uncertain)));
+                told.for_each(|(_, reply)| drop(reply.send(OrderOutcome::Uncertain)));
             }
         }
     }
@@ -173,12 +173,12 @@
         let (left, waiting): (VecDeque<_>, _) =
             std::mem::take(&mut self.waiting).into_iter().partition(Waiting::left);
         self.waiting = waiting;
-        left.into_iter().for_each(|waiting| drop(waiting.reply.send(Done::Uncertain)));
-        if !self.office.holds() {
+        left.into_iter().for_each(|waiting| drop(waiting.reply.send(OrderOutcome::Uncertain)));
+        if !self.replica.holds() {
             let all = self.waiting.drain(..);
-            return all.for_each(|waiting| drop(waiting.reply.send(Done::NotHere)));
+            return all.for_each(|waiting| drop(waiting.reply.send(OrderOutcome::NotHere)));
         }
-        let ballot = self.office.ballot();
+        let ballot = self.replica.ballot();
         let own: Vec<_> = self.rounds.iter().filter(|round| round.ballot == ballot).collect();
         let held_up = own.last().is_none_or(|round| round.begun.elapsed() >= OVERTAKEN);
         if !held_up || own.len() >= MOST_ROUNDS {
@@ -195,7 +195,8 @@
                 // One at a time, and nothing else meanwhile: who keeps the register changes.
                 _ if changes.is_empty() && alone => {
                     let acknowledged = self.membership(&waiting.order).await;
-                    let done = if acknowledged { Done::Acknowledged } else { Done::Uncertain };
+                    let done =
+                        if acknowledged { OrderOutcome::Acknowledged } else { OrderOutcome::Uncertain };
                     return drop(waiting.reply.send(done));
                 }
                 _ => {
@@ -209,8 +210,8 @@
         }
     }
 
-    fn begin(&mut self, changes: &[Change], replies: Vec<oneshot::Sender<Done>>) {
-        let newest = self.office.newest();
+    fn begin(&mut self, changes: &[Change], replies: Vec<oneshot::Sender<OrderOutcome>>) {
+        let newest = self.replica.newest();
         let group = gathered(&newest, changes);
         let held = group.register.taken.last().map_or(0, |taken| taken.revision);
         let conflicts = group.outcomes.iter().filter(|outcome| **outcome == Outcome::Conflict).count();
@@ -218,11 +219,11 @@
             spdlog::warn!("{} refused: another was taken under the number; r{} is held", conflicts, held);
         }
         let done = |outcome| match outcome {
-            Outcome::Acknowledged => Done::Acknowledged,
-            Outcome::Conflict => Done::Conflict { held },
+            Outcome::Acknowledged => OrderOutcome::Acknowledged,
+            Outcome::Conflict => OrderOutcome::Conflict { held },
         };
         let told = group.outcomes.into_iter().map(done).zip(replies).collect();
-        if !group.changed && self.office.certain(&newest) {
+        if !group.changed && self.replica.certain(&newest) {
             return Vec::into_iter(told)
                 .for_each(|(done, reply): (_, oneshot::Sender<_>)| drop(reply.send(done)));
         }
@@ -233,15 +234,15 @@
         }
     }
 
-    fn propose(&mut self, register: Register, told: Vec<(Done, oneshot::Sender<Done>)>) {
-        let Some(register) = self.office.propose(register) else {
-            return told.into_iter().for_each(|(_, reply)| drop(reply.send(Done::NotHere)));
+    fn propose(&mut self, register: Register, told: Vec<(OrderOutcome, oneshot::Sender<OrderOutcome>)>) {
+        let Some(register) = self.replica.propose(register) else {
+            return told.into_iter().for_each(|(_, reply)| drop(reply.send(OrderOutcome::NotHere)));
         };
         let (ballot, no) = register.rank();
         self.rounds.push(Round { ballot, no, begun: Instant::now(), told });
-        let (office, events) = (Rc::clone(&self.office), self.events.clone());
+        let (replica, events) = (Rc::clone(&self.replica), self.events.clone());
         tokio::task::spawn_local(async move {
-            let kept = office.keep(register).await;
+            let kept = replica.keep(register).await;
             // The clerk ends with the program only.
             let _ = events.send(Event::Ended { ballot, no, kept }).await;
         });
@@ -251,7 +252,7 @@
         match order {
             Order::Change(_) => false,
             Order::Reconfigure { epoch, voters } => {
-                self.office.membership().epoch == *epoch && self.office.reconfigure(voters.clone()).await
+                self.replica.membership().epoch == *epoch && self.replica.reconfigure(voters.clone()).await
             }
         }
     }
--- a/programs/controller/src/public.rs
+++ b/programs/controller/src/public_api.rs
@@ -1,7 +1,7 @@
 //! Calls from outside: the operator's, and clients that ask where to go. One dispatch on method and path segments.
 
-use crate::duties::Desk;
-use crate::orders::{Done, Order, Orders};
+use crate::orders::{Order, OrderOutcome, OrderQueue};
+use crate::roles::ControllerState;
 use serde_json::json;
 use serde_json::value::RawValue;
 use std::collections::BTreeSet;
@@ -21,47 +21,47 @@
 /// How long clients hold on to an answer.
 const LIFETIME: Duration = Duration::from_millis(4000);
 
-pub async fn dispatch(desk: &Desk, orders: &Orders, request: &Request) -> Said {
+pub async fn dispatch(state: &ControllerState, orders: &OrderQueue, request: &Request) -> Said {
     let (path, query) = request.target().split_once('?').unwrap_or((request.target(), ""));
     let segments: Vec<_> = path.split('/').skip(1).collect();
     let order = match (request.method(), segments.as_slice()) {
-        ("GET", ["-", "resolution"]) => return resolution(desk, query),
-        ("GET", ["-", "Configuration.Read"]) => return said(desk, request, orders.read()),
+        ("GET", ["-", "resolution"]) => return resolution(state, query),
+        ("GET", ["-", "Configuration.Read"]) => return said(state, request, orders.read()),
         ("POST", ["-", "Configuration.Replace"]) => replace(request.body()),
-        ("POST", ["-", "Evacuation.Begin", zone]) => evacuate(desk, zone, true),
-        ("POST", ["-", "Evacuation.Finish", zone]) => evacuate(desk, zone, false),
-        ("POST", ["-", "Voters.Replace", out, into]) => replace_voter(desk, request, out, into),
+        ("POST", ["-", "Evacuation.Begin", zone]) => evacuate(state, zone, true),
+        ("POST", ["-", "Evacuation.Finish", zone]) => evacuate(state, zone, false),
+        ("POST", ["-", "Voters.Replace", out, into]) => replace_voter(state, request, out, into),
         (_, ["-", ..]) => Err(Said::status(404, "there is no such call")),
         _ => Err(Said::status(404, "calls begin with /-/")),
     };
     match order {
-        Ok(order) => said(desk, request, orders.give(order).await),
+        Ok(order) => said(state, request, orders.give(order).await),
         Err(said) => said,
     }
 }
 
-fn said(desk: &Desk, request: &Request, done: Done) -> Said {
+fn said(state: &ControllerState, request: &Request, done: OrderOutcome) -> Said {
     match done {
-        Done::Acknowledged => Said::json(&json!({})),
+        OrderOutcome::Acknowledged => Said::json(&json!({})),
         // Looked at once more, as late as can be: a process that stood still since the order was carried out may
         // have lost the lease, and its word is old.
-        Done::Configuration(_) if !desk.office.holds() => elsewhere(desk, request),
-        Done::Configuration(Some(config)) => {
+        OrderOutcome::Configuration(_) if !state.replica.holds() => elsewhere(state, request),
+        OrderOutcome::Configuration(Some(config)) => {
             Said { status: 200, fields: Vec::new(), body: config.get().as_bytes().to_vec() }
         }
-        Done::Configuration(None) => Said::status(404, "no configuration was sent yet"),
-        Done::Conflict { held } => {
+        OrderOutcome::Configuration(None) => Said::status(404, "no configuration was sent yet"),
+        OrderOutcome::Conflict { held } => {
             Said::status(409, &format!("another configuration was taken under its number; r{held} is held"))
         }
-        Done::Uncertain => Said::status(503, "not certain to hold; send it again"),
-        Done::NotHere => elsewhere(desk, request),
+        OrderOutcome::Uncertain => Said::status(503, "not certain to hold; send it again"),
+        OrderOutcome::NotHere => elsewhere(state, request),
     }
 }
 
 /// To the door that takes orders now.
-fn elsewhere(desk: &Desk, request: &Request) -> Said {
-    let control = desk.settings.listens("control_plane").ok();
-    let holder = desk.office.holder().filter(|holder| *holder != desk.office.me);
+fn elsewhere(state: &ControllerState, request: &Request) -> Said {
+    let control = state.settings.listens("control_plane").ok();
+    let holder = state.replica.holder().filter(|holder| *holder != state.replica.me);
     let Some((holder, control)) = holder.zip(control) else {
         return Said::status(503, "nobody takes orders now; try again");
     };
@@ -78,8 +78,8 @@
     Ok(Order::Change(Change::Replace { revision: config.revision, config: raw }))
 }
 
-fn evacuate(desk: &Desk, zone: &str, begin: bool) -> Result<Order, Said> {
-    if !desk.settings.zones.contains_key(zone) {
+fn evacuate(state: &ControllerState, zone: &str, begin: bool) -> Result<Order, Said> {
+    if !state.settings.zones.contains_key(zone) {
         return Err(Said::status(404, &format!("the zone {zone} is not known")));
     }
     Ok(Order::Change(Change::Evacuate { zone: zone.to_owned(), begin }))
@@ -87,17 +87,17 @@
 
 /// By the addresses of machines. The one that takes orders knows who keeps up; no change is begun that these could not
 /// conclude.
-fn replace_voter(desk: &Desk, request: &Request, out: &str, into: &str) -> Result<Order, Said> {
-    let office = |text: &str| {
+fn replace_voter(state: &ControllerState, request: &Request, out: &str, into: &str) -> Result<Order, Said> {
+    let address = |text: &str| {
         let ip =
             text.parse().map_err(|_| Said::status(400, &format!("{text} is no address of a machine")))?;
-        Ok(desk.settings.office(ip))
+        Ok(state.settings.office(ip))
     };
-    let (out, into) = (office(out)?, office(into)?);
-    if !desk.office.holds() {
-        return Err(elsewhere(desk, request));
+    let (out, into) = (address(out)?, address(into)?);
+    if !state.replica.holds() {
+        return Err(elsewhere(state, request));
     }
-    let (membership, candidates) = desk.candidates();
+    let (membership, candidates) = state.candidates();
     let mut voters: BTreeSet<_> = membership.voters.iter().copied().collect();
     let why = match (voters.contains(&out), voters.contains(&into)) {
         _ if !membership.outgoing.is_empty() => {
@@ -122,18 +122,18 @@
     Err(Said::status(409, &why))
 }
 
-fn resolution(desk: &Desk, query: &str) -> Said {
+fn resolution(state: &ControllerState, query: &str) -> Said {
     let field = |name: &str| {
         query.split('&').filter_map(|pair| pair.split_once('=')).find(|(known, _)| *known == name)
     };
     let region = field("region").map_or("", |(_, region)| region);
-    let store = desk.feed.store();
+    let store = state.feed.store();
     let host = field("name").map_or("", |(_, host)| host).to_ascii_lowercase();
-    let hosts = desk.homes();
+    let hosts = state.homes();
     let homed = store.ledger.as_ref().is_some_and(|ledger| ledger.homed.contains(&host));
     let homes = hosts.get(&host).filter(|_| homed);
-    let now = desk.feed.now();
-    let sums = desk.sums.borrow();
+    let now = state.feed.now();
+    let sums = state.sums.borrow();
     // A ledger that is old names doors that are gone; whoever is still there has come to this process by then.
     let current = store.ledger.as_ref().filter(|_| now.since(store.ledger_at) < CURRENT);
     let heard: Vec<_> = sums.heard(now).collect();
@@ -145,6 +145,6 @@
     if addresses.is_empty() {
         return Said::status(503, "no doors are known yet");
     }
-    let lifetime = LIFETIME.min(desk.settings.bounds.ttl_max);
+    let lifetime = LIFETIME.min(state.settings.bounds.ttl_max);
     Said::json(&json!({ "addresses": addresses, "lifetime": format!("{}ms", lifetime.as_millis()) }))
 }
--- a/programs/controller/src/office.rs
+++ b/programs/controller/src/replica.rs
@@ -1,7 +1,7 @@
 //! The voter's owner, and the lease: whoever holds it takes the operator's orders, keeps the ledger and asks the platform
 //! for its list. One task owns the voter and works through a queue; one tries for the lease and holds it.
 
-use crate::disk::{Disk, Record};
+use crate::storage::{Record, Storage};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
@@ -45,8 +45,8 @@
 
 type Commands = mpsc::UnboundedSender<Command>;
 
-/// What all tasks of this process know of the office.
-pub struct Office {
+/// What all tasks of this process know of the replica.
+pub struct Replica {
     pub me: SocketAddr,
     pub feed: Feed,
     premises: Premises,
@@ -71,18 +71,18 @@
     config: RefCell<(RegisterNo, Option<Rc<Config>>)>,
 }
 
-impl Office {
+impl Replica {
     pub fn start(
         me: SocketAddr,
         seeds: Vec<SocketAddr>,
         voter: Voter,
-        disk: Disk,
+        disk: Storage,
         feed: Feed,
         premises: Premises,
-    ) -> Rc<Office> {
+    ) -> Rc<Replica> {
         let (commands, heard) = mpsc::unbounded_channel();
         let steady = feed.steady;
-        let office = Rc::new(Office {
+        let replica = Rc::new(Replica {
             me,
             feed,
             premises,
@@ -100,9 +100,9 @@
             barred: Cell::default(),
             config: RefCell::default(),
         });
-        tokio::task::spawn_local(Rc::clone(&office).own(heard, disk));
-        tokio::task::spawn_local(Rc::clone(&office).seek());
-        office
+        tokio::task::spawn_local(Rc::clone(&replica).own(heard, disk));
+        tokio::task::spawn_local(Rc::clone(&replica).seek());
+        replica
     }
 
     fn now(&self) -> At {
@@ -157,7 +157,7 @@
         self.term.get().map_or(Ballot(0), |term| term.ballot)
     }
 
-    /// The holder's office, as far as this process knows.
+    /// The lease holder, as far as this process knows.
     pub fn holder(&self) -> Option<SocketAddr> {
         let now = self.now();
         if self.holds() {
@@ -168,7 +168,7 @@
     }
 
     /// The voter hears one request after the other; what a vote promises is on disk before it is said.
-    async fn own(self: Rc<Self>, mut heard: mpsc::UnboundedReceiver<Command>, disk: Disk) {
+    async fn own(self: Rc<Self>, mut heard: mpsc::UnboundedReceiver<Command>, disk: Storage) {
         // Nothing is voted by what may be gone with the power.
         while let Err(error) = disk.confirm().await {
             spdlog::warn!("the folder cannot be synced: {}", error);
@@ -202,10 +202,10 @@
             // Nobody's lease waits until a slow disk has taken what another one's recovery wants written down: what is
             // known counts at once, and is told when it is on disk.
             if let Some(save) = step.save.as_ref().filter(|_| recovers).cloned() {
-                let (office, disk) = (Rc::clone(&self), disk.clone());
+                let (replica, disk) = (Rc::clone(&self), disk.clone());
                 tokio::task::spawn_local(async move {
-                    let kept = office.kept_on(&disk, save).await;
-                    let cast = office.voter.borrow().cast(if kept { vote } else { Vote::Unable });
+                    let kept = replica.kept_on(&disk, save).await;
+                    let cast = replica.voter.borrow().cast(if kept { vote } else { Vote::Unable });
                     let _ = reply.send(cast);
                 });
                 continue;
@@ -231,7 +231,7 @@
     }
 
     /// Whether the disk has it now.
-    async fn kept_on(&self, disk: &Disk, save: Save) -> bool {
+    async fn kept_on(&self, disk: &Storage, save: Save) -> bool {
         match self.save(disk, &save).await {
             Ok(()) => self.voter.borrow_mut().saved(save),
             Err(error) => {
@@ -257,20 +257,20 @@
     }
 
     /// What nobody waits for.
-    fn note(self: &Rc<Self>, disk: &Disk, save: Option<Save>, what: &'static str) {
+    fn note(self: &Rc<Self>, disk: &Storage, save: Option<Save>, what: &'static str) {
         let Some(save) = save else {
             return;
         };
-        let (office, disk) = (Rc::clone(self), disk.clone());
+        let (replica, disk) = (Rc::clone(self), disk.clone());
         tokio::task::spawn_local(async move {
-            match office.save(&disk, &save).await {
-                Ok(()) => office.voter.borrow_mut().saved(save),
+            match replica.save(&disk, &save).await {
+                Ok(()) => replica.voter.borrow_mut().saved(save),
                 Err(error) => spdlog::warn!("{} is not on disk: {}", what, error),
             }
         });
     }
 
-    async fn save(&self, disk: &Disk, save: &Save) -> std::io::Result<()> {
+    async fn save(&self, disk: &Storage, save: &Save) -> std::io::Result<()> {
         match save {
             Save::Promise(promise) => disk.save(Record::Promise, promise).await,
             Save::Register(register) => disk.save(Record::Register, register).await,
@@ -329,9 +329,9 @@
     ) -> Option<T> {
         let (said, mut votes) = mpsc::unbounded_channel();
         for &voter in voters {
-            let (office, request, said) = (Rc::clone(self), request.clone(), said.clone());
+            let (replica, request, said) = (Rc::clone(self), request.clone(), said.clone());
             tokio::task::spawn_local(async move {
-                let _ = said.send((voter, office.ask(voter, &request, QUICK).await));
+                let _ = said.send((voter, replica.ask(voter, &request, QUICK).await));
             });
         }
         drop(said);
@@ -417,11 +417,11 @@
         spdlog::info!("holds the lease under ballot {}, found register {}", ballot.0, found.no.0);
         self.next.set(RegisterNo(found.no.0 + 1));
         let settling = {
-            let office = Rc::clone(self);
+            let replica = Rc::clone(self);
             tokio::task::spawn_local(async move {
                 let register = Register { ballot, ..found };
-                if register.no == RegisterNo(0) || office.kept(&register).await {
-                    office.settle(register);
+                if register.no == RegisterNo(0) || replica.kept(&register).await {
+                    replica.settle(register);
                 }
             })
         };
@@ -487,16 +487,16 @@
         let mut trying = Vec::new();
         for &voter in &voters {
             let request = VoteRequest::Accept { register: register.clone() };
-            let (office, said) = (Rc::clone(self), said.clone());
+            let (replica, said) = (Rc::clone(self), said.clone());
             trying.push(tokio::task::spawn_local(async move {
                 loop {
-                    match office.ask(voter, &request, SLOW).await {
+                    match replica.ask(voter, &request, SLOW).await {
                         // Where nobody counts any more it is known already.
                         Some(cast) if matches!(cast.vote, Vote::Accepted | Vote::Refused { .. }) => {
                             let _ = said.send((voter, cast));
                             return;
                         }
-                        _ if office.superseded(no) => return,
+                        _ if replica.superseded(no) => return,
                         _ => sleep(AGAIN).await,
                     }
                 }
@@ -652,7 +652,7 @@
 
     /// A voter with amnesia asks those who have a say what they promised and accepted, and promises that again: a machine
     /// that lost its disk is a new member of its old name until then.
-    pub async fn recover(self: Rc<Self>, disk: Disk) {
+    pub async fn recover(self: Rc<Self>, disk: Storage) {
         let mut recovering = Recovering::begin(self.me, self.seeds.clone(), self.premises.life());
         let mut hear: BTreeSet<_> = self.seeds.iter().copied().filter(|seed| *seed != self.me).collect();
         while self.voter.borrow().amnesic() {
--- a/programs/controller/src/duties.rs
+++ b/programs/controller/src/roles.rs
@@ -1,9 +1,9 @@
 //! What a postmaster does unasked: follows the holder, or, while it holds the lease, sums the doors' reports, asks the
 //! platform for its list and attests that the register in hand is the newest.
 
-use crate::cloud;
-use crate::office::Office;
-use crate::orders::{Done, Order, Orders};
+use crate::orders::{Order, OrderOutcome, OrderQueue};
+use crate::platform;
+use crate::replica::Replica;
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -42,8 +42,8 @@
 const LISTED: Duration = Duration::from_millis(600);
 const LISTED_AGAIN: Duration = Duration::from_millis(1200);
 
-pub struct Desk {
-    pub office: Rc<Office>,
+pub struct ControllerState {
+    pub replica: Rc<Replica>,
     pub feed: Feed,
     pub premises: Premises,
     pub sums: Rc<RefCell<Summing>>,
@@ -52,12 +52,12 @@
     /// The homes of hosts, by the register that they were taken from.
     pub hosts: RefCell<(RegisterNo, Rc<Homes>)>,
     /// The tokens that this process lends, and by which quotas.
-    pub lending: RefCell<Lending>,
+    pub lending: RefCell<TokenLender>,
     /// Who follows this process, and keeps up.
     pub following: RefCell<Following>,
 }
 
-pub struct Lending {
+pub struct TokenLender {
     pub buckets: Buckets,
     pub life: u64,
 }
@@ -70,11 +70,11 @@
 
 pub type Homes = BTreeMap<String, BTreeSet<String>>;
 
-impl Desk {
+impl ControllerState {
     /// Tokens for a door; none of a tenant that no configuration in hand knows.
     pub fn lend(&self, wanted: Tokens) -> Tokens {
         let (mut lending, now) = (self.lending.borrow_mut(), self.feed.now());
-        let config = self.office.config();
+        let config = self.replica.config();
         let lent = |(tenant, wanted): (String, u32)| {
             let quota = quota_of(config.as_deref(), &tenant)?;
             let lent = lending.buckets.lend(&tenant, wanted, quota, now);
@@ -87,10 +87,10 @@
     fn read_ledger(&self) {
         let ledger = self.feed.store().ledger.clone();
         let (mut lending, now) = (self.lending.borrow_mut(), self.feed.now());
-        let config = self.office.config();
+        let config = self.replica.config();
         let none = Quota { rate: 0.0, burst: 0.0 };
         let quota = |tenant: &str| quota_of(config.as_deref(), tenant).unwrap_or(none);
-        ledger.iter().for_each(|ledger| self.office.count(ledger.counted));
+        ledger.iter().for_each(|ledger| self.replica.count(ledger.counted));
         if let Some((ledger, lenders)) = ledger.as_ref().and_then(|ledger| Some((ledger, ledger.lenders?))) {
             lending.buckets.read(lenders, &ledger.tenants, quota, now);
         }
@@ -116,7 +116,7 @@
     pub fn homes(&self) -> Rc<Homes> {
         let register = self.feed.store().register.clone();
         if let Some(register) = register.filter(|register| register.no != self.hosts.borrow().0) {
-            let hosts = self.office.config().as_deref().map(homes).unwrap_or_default();
+            let hosts = self.replica.config().as_deref().map(homes).unwrap_or_default();
             *self.hosts.borrow_mut() = (register.no, Rc::new(hosts));
         }
         Rc::clone(&self.hosts.borrow().1)
@@ -136,7 +136,7 @@
             self.following.borrow_mut().hear(follower, settled, now);
         }
         let mut mail = self.feed.answer(&pull).await;
-        mail.holder = self.office.holder();
+        mail.holder = self.replica.holder();
         if pull.office.is_none() {
             mail.ledger = mail.ledger.map(for_doors);
         }
@@ -147,12 +147,12 @@
     pub async fn follow(self: Rc<Self>) {
         let (mut callers, mut turn): (Vec<Caller>, usize) = (Vec::new(), 0);
         loop {
-            if self.office.holds() {
+            if self.replica.holds() {
                 sleep(ALONE).await;
                 continue;
             }
-            let others: Vec<SocketAddr> = self.office.peers();
-            let holder = self.office.holder().filter(|holder| *holder != self.office.me);
+            let others: Vec<SocketAddr> = self.replica.peers();
+            let holder = self.replica.holder().filter(|holder| *holder != self.replica.me);
             let Some(from) = holder.or_else(|| others.get(turn % others.len().max(1)).copied()) else {
                 sleep(ALONE).await;
                 continue;
@@ -166,14 +166,14 @@
             let pull = Pull {
                 have: self.feed.store().have(),
                 wait_ms: FOLLOW.as_millis() as u64,
-                office: Some(Follower { row: self.row.clone(), kept: self.office.kept_here() }),
+                office: Some(Follower { row: self.row.clone(), kept: self.replica.kept_here() }),
                 lent: Some(self.lent()),
                 reports: self.sums.borrow().reports(self.feed.now()),
             };
             match self.feed.pull(caller, &pull).await {
                 Ok(news) => {
                     if news.register {
-                        self.office.adopt();
+                        self.replica.adopt();
                     }
                     if news.ledger {
                         self.read_ledger();
@@ -197,7 +197,7 @@
     }
 
     fn version(&self, last: Version) -> Version {
-        let ballot = self.office.ballot();
+        let ballot = self.replica.ballot();
         Version { ballot, no: if last.ballot == ballot { last.no + 1 } else { 1 } }
     }
 
@@ -208,10 +208,10 @@
             sleep(GATHERED).await;
         }
         loop {
-            let holds = self.office.holds();
+            let holds = self.replica.holds();
             if holds && !std::mem::replace(&mut held, holds) {
                 let (now, before) = (self.feed.now(), self.feed.store().ledger.clone());
-                self.sums.borrow_mut().begin(self.office.doors(), now);
+                self.sums.borrow_mut().begin(self.replica.doors(), now);
                 before.iter().for_each(|ledger| self.sums.borrow_mut().inherit(ledger, now));
             }
             held = holds;
@@ -238,32 +238,32 @@
             // Read before the lease is looked at: a process that stands still in between attests nothing of
             // later.
             let now = self.feed.now();
-            if self.office.holds() {
+            if self.replica.holds() {
                 self.feed.change(|store| {
                     store.be_sure(now);
                     false
                 });
             }
-            sleep(if self.office.holds() { ATTESTED } else { ALERT }).await;
+            sleep(if self.replica.holds() { ATTESTED } else { ALERT }).await;
         }
     }
 
     /// Who votes, and who may, as the holder sees it.
     pub fn candidates(&self) -> (Membership, Vec<Candidate>) {
-        let membership = self.office.membership();
-        let me = (self.office.me, self.settings.zone.as_str());
-        let (office, now) = (|ip| self.settings.office(ip), self.feed.now());
-        let known = self.following.borrow().candidates(&membership.voters, me, office, now);
+        let membership = self.replica.membership();
+        let me = (self.replica.me, self.settings.zone.as_str());
+        let (address, now) = (|ip| self.settings.office(ip), self.feed.now());
+        let known = self.following.borrow().candidates(&membership.voters, me, address, now);
         (membership, known)
     }
 
     /// The set of voters, as it should be: enlarged to what the losses to be borne want, a lost voter replaced by a machine
     /// that keeps up, one change after the other.
-    pub async fn tend_membership(self: Rc<Self>, orders: Orders) {
+    pub async fn tend_membership(self: Rc<Self>, orders: OrderQueue) {
         let mut held = false;
         loop {
             sleep(TENDED).await;
-            let (holds, now) = (self.office.holds(), self.feed.now());
+            let (holds, now) = (self.replica.holds(), self.feed.now());
             match (std::mem::replace(&mut held, holds), holds) {
                 (false, true) => self.following.borrow_mut().begin(now),
                 (true, false) => self.following.borrow_mut().end(now),
@@ -282,7 +282,7 @@
                 spdlog::info!("the voters are to be {:?} after epoch {}", voters, membership.epoch);
                 let done = orders.give(Order::Reconfigure { epoch: membership.epoch, voters }).await;
                 // Operators' orders wait while a change of the set is tried.
-                if let Done::Uncertain = done {
+                if let OrderOutcome::Uncertain = done {
                     sleep(HELD_OFF).await;
                 }
             }
@@ -295,12 +295,12 @@
         };
         let mut platform = Caller::to(api.address, &self.premises.net);
         loop {
-            if !self.office.holds() {
+            if !self.replica.holds() {
                 sleep(ALERT).await;
                 continue;
             }
             let asked = self.feed.now();
-            match cloud::list(&mut platform).await {
+            match platform::list(&mut platform).await {
                 Ok(servers) => {
                     let (last, known) = {
                         let store = self.feed.store();
@@ -309,9 +309,9 @@
                     };
                     // A holder before may have told some doors of a list that never came here: what is the
                     // same as the one in hand is new to them.
-                    let others = last.ballot != self.office.ballot();
-                    let differs = others || known.is_none_or(|known| cloud::differs(&known, &servers));
-                    if differs && self.office.holds() {
+                    let others = last.ballot != self.replica.ballot();
+                    let differs = others || known.is_none_or(|known| platform::differs(&known, &servers));
+                    if differs && self.replica.holds() {
                         let list = List { version: self.version(last), age_ms: 0, servers };
                         self.feed.change(|store| store.set_list(list, asked));
                     }
--- a/programs/controller/src/disk.rs
+++ b/programs/controller/src/storage.rs
@@ -45,20 +45,20 @@
 }
 
 #[derive(Clone)]
-pub struct Disk {
+pub struct Storage {
     jobs: mpsc::UnboundedSender<Job>,
 }
 
 /// What was found at the start.
 #[derive(Debug, Default)]
-pub struct Found {
+pub struct StoredRecords {
     bodies: [Option<Vec<u8>>; RECORDS.len()],
     /// Copies that were torn or spoilt, to be set aside.
     pub spoilt: Vec<String>,
     writes: [u64; RECORDS.len()],
 }
 
-impl Found {
+impl StoredRecords {
     pub fn record<T: DeserializeOwned>(&self, record: Record) -> Option<T> {
         serde_json::from_slice(self.bodies[record as usize].as_deref()?).ok()
     }
@@ -85,8 +85,8 @@
     sum.finalize()
 }
 
-pub fn find(folder: &dyn Folder) -> io::Result<Found> {
-    let (mut found, mut files) = (Found::default(), folder.read()?);
+pub fn find(folder: &dyn Folder) -> io::Result<StoredRecords> {
+    let (mut found, mut files) = (StoredRecords::default(), folder.read()?);
     for record in RECORDS {
         for copy in 0..2 {
             let name = record.file(copy);
@@ -117,8 +117,8 @@
     [Deed::Write { file: file.clone(), bytes }, Deed::Sync { file }].into_iter().chain(folder).collect()
 }
 
-impl Disk {
-    pub fn start(folder: Rc<dyn Folder>, found: &Found) -> Disk {
+impl Storage {
+    pub fn start(folder: Rc<dyn Folder>, found: &StoredRecords) -> Storage {
         let (jobs, mut taken) = mpsc::unbounded_channel::<Job>();
         let mut writes = found.writes;
         let aside: Vec<_> =
@@ -150,7 +150,7 @@
                 let _ = done.send(carried_out);
             }
         });
-        Disk { jobs }
+        Storage { jobs }
     }
 
     /// Whether it is on disk for good.
