--- a/crates/config/src/config.rs
+++ b/crates/config/src/config.rs
@@ -6,7 +6,7 @@
 
 /// The number of a configuration's version; bodies write it `r12`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Revision(pub u64);
+pub struct ConfigRevision(pub u64);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RouteKind {
@@ -57,7 +57,7 @@
 
 #[derive(Clone, Debug, PartialEq)]
 pub struct Config {
-    pub revision: Revision,
+    pub revision: ConfigRevision,
     pub routes: BTreeMap<String, Route>,
     pub services: BTreeMap<String, Service>,
     pub limits: Limits,
@@ -74,7 +74,7 @@
         let doc = Doc::whole(&value);
         let at = doc.at("revision")?;
         let number = at.text()?.strip_prefix('r').and_then(|number| number.parse().ok());
-        let revision = Revision(number.ok_or_else(|| at.unsound("a version is r and a number"))?);
+        let revision = ConfigRevision(number.ok_or_else(|| at.unsound("a version is r and a number"))?);
         let mut services = BTreeMap::new();
         for (name, doc) in doc.at("services")?.table()? {
             services.insert(name.to_owned(), service(&doc)?);
--- a/crates/config/src/config/tests.rs
+++ b/crates/config/src/config/tests.rs
@@ -17,7 +17,7 @@
 #[test]
 fn a_whole_one_is_read() {
     let config = Config::of(body().as_bytes()).expect("sound");
-    assert_eq!(config.revision, Revision(7));
+    assert_eq!(config.revision, ConfigRevision(7));
     let (one, two) = (&config.routes["one"], &config.routes["two"]);
     assert_eq!((one.hostname.as_str(), one.services.len()), ("a.example", 2));
     assert_eq!((two.deadline, two.kind), (Duration::from_millis(2500), RouteKind::Mutating));
--- a/crates/consensus/src/election.rs
+++ b/crates/consensus/src/election.rs
@@ -8,10 +8,10 @@
 use std::net::SocketAddr;
 use std::ops::ControlFlow;
 use vanewharf_clock::At;
-use vanewharf_protocol::messages::{Ballot, Cast, Membership, Register, RegisterNo, Vote};
+use vanewharf_protocol::messages::{Ballot, Membership, Register, Revision, Vote, VoteResponse};
 
 /// By which registers are told apart.
-pub type Rank = (Ballot, RegisterNo);
+pub type Rank = (Ballot, Revision);
 
 /// A lease in hand.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -73,7 +73,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Canvass {
     set: Membership,
-    votes: Vec<(SocketAddr, Cast)>,
+    votes: Vec<(SocketAddr, VoteResponse)>,
 }
 
 impl Canvass {
@@ -82,7 +82,7 @@
     }
 
     /// Ends where a majority is willing, with the highest ballot that any of those has promised who spoke.
-    pub fn hear(&mut self, voter: SocketAddr, cast: Cast) -> ControlFlow<Ballot> {
+    pub fn hear(&mut self, voter: SocketAddr, cast: VoteResponse) -> ControlFlow<Ballot> {
         self.votes.push((voter, cast));
         if !carries(&self.set, &assents(&self.votes)) {
             return ControlFlow::Continue(());
@@ -102,7 +102,7 @@
     /// Whose majority it needs, and which register names these.
     set: Membership,
     known: Rank,
-    votes: Vec<(SocketAddr, Cast)>,
+    votes: Vec<(SocketAddr, VoteResponse)>,
 }
 
 /// Where an election stands once that is decided. One in which all have spoken before that is lost.
@@ -126,7 +126,7 @@
         &self.set
     }
 
-    pub fn hear(&mut self, voter: SocketAddr, cast: Cast) -> ControlFlow<Outcome> {
+    pub fn hear(&mut self, voter: SocketAddr, cast: VoteResponse) -> ControlFlow<Outcome> {
         self.votes.push((voter, cast));
         if !self.carried() {
             return ControlFlow::Continue(());
@@ -175,7 +175,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Keeping {
     set: Membership,
-    votes: Vec<(SocketAddr, Cast)>,
+    votes: Vec<(SocketAddr, VoteResponse)>,
 }
 
 impl Keeping {
@@ -184,7 +184,7 @@
     }
 
     /// Ends when a majority keeps it (true), or none can any more.
-    pub fn hear(&mut self, voter: SocketAddr, cast: Cast) -> ControlFlow<bool> {
+    pub fn hear(&mut self, voter: SocketAddr, cast: VoteResponse) -> ControlFlow<bool> {
         self.votes.push((voter, cast));
         if carries(&self.set, &assents(&self.votes)) {
             return ControlFlow::Break(true);
@@ -212,7 +212,7 @@
 pub struct Renewing {
     ballot: Ballot,
     set: Membership,
-    votes: Vec<(SocketAddr, Cast)>,
+    votes: Vec<(SocketAddr, VoteResponse)>,
 }
 
 impl Renewing {
@@ -225,7 +225,7 @@
     }
 
     /// Ends when a majority renews.
-    pub fn hear(&mut self, voter: SocketAddr, cast: Cast) -> ControlFlow<()> {
+    pub fn hear(&mut self, voter: SocketAddr, cast: VoteResponse) -> ControlFlow<()> {
         self.votes.push((voter, cast));
         match self.outcome() {
             Renewal::Carried => ControlFlow::Break(()),
@@ -238,7 +238,7 @@
         if carries(&self.set, &assents(&self.votes)) {
             return Renewal::Carried;
         }
-        let higher = |(_, cast): &(SocketAddr, Cast)| match cast.vote {
+        let higher = |(_, cast): &(SocketAddr, VoteResponse)| match cast.vote {
             Vote::Refused { promised, .. } => promised > self.ballot,
             _ => false,
         };
@@ -254,7 +254,7 @@
     incarnation: u64,
     /// The highest incarnation of its own that another had heard of before.
     heard: u64,
-    told: BTreeMap<SocketAddr, Cast>,
+    told: BTreeMap<SocketAddr, VoteResponse>,
 }
 
 /// What it does next.
@@ -278,11 +278,11 @@
 
     /// Who has told what it promised and accepted.
     pub fn known(&self) -> BTreeSet<SocketAddr> {
-        let known = |cast: &Cast| matches!(cast.vote, Vote::Known { .. });
+        let known = |cast: &VoteResponse| matches!(cast.vote, Vote::Known { .. });
         self.told.iter().filter(|(_, cast)| known(cast)).map(|(member, _)| *member).collect()
     }
 
-    pub fn hear(&mut self, member: SocketAddr, cast: Cast) {
+    pub fn hear(&mut self, member: SocketAddr, cast: VoteResponse) {
         if let Vote::Outlived { incarnation } = cast.vote {
             self.heard = incarnation.max(self.heard);
         }
--- a/crates/consensus/src/election/tests.rs
+++ b/crates/consensus/src/election/tests.rs
@@ -12,24 +12,24 @@
     founded(voters.map(addr).collect())
 }
 
-fn cast(vote: Vote) -> Cast {
-    Cast { incarnation: 0, incarnations: BTreeMap::new(), vote }
+fn cast(vote: Vote) -> VoteResponse {
+    VoteResponse { incarnation: 0, incarnations: BTreeMap::new(), vote }
 }
 
 fn register(ballot: u64, no: u64, membership: Membership) -> Register {
-    Register { ballot: Ballot(ballot), no: RegisterNo(no), membership, ..Register::none() }
+    Register { ballot: Ballot(ballot), no: Revision(no), membership, ..Register::none() }
 }
 
-fn granted(register: Register) -> Cast {
+fn granted(register: Register) -> VoteResponse {
     cast(Vote::Granted { register, doors: 8 })
 }
 
-fn refused(promised: u64) -> Cast {
+fn refused(promised: u64) -> VoteResponse {
     cast(Vote::Refused { promised: Ballot(promised), holder: None })
 }
 
 fn rank(ballot: u64, no: u64) -> Rank {
-    (Ballot(ballot), RegisterNo(no))
+    (Ballot(ballot), Revision(no))
 }
 
 #[test]
--- a/crates/consensus/src/group.rs
+++ b/crates/consensus/src/group.rs
@@ -5,8 +5,8 @@
 //! taken by their numbers, so that none is overtaken by a member of its own group; evacuations as they came.
 
 use serde_json::value::RawValue;
-use vanewharf_config::config::Revision;
-use vanewharf_protocol::messages::{Register, Taken};
+use vanewharf_config::config::ConfigRevision;
+use vanewharf_protocol::messages::{AcceptedConfig, Register};
 
 /// So many configurations that were taken are remembered: over 7 KB of the register at most, and more than the changes
 /// of the longest day that was seen.
@@ -15,7 +15,7 @@
 /// What an operator's order changes.
 #[derive(Clone, Debug)]
 pub enum Change {
-    Replace { revision: Revision, config: Box<RawValue> },
+    Replace { revision: ConfigRevision, config: Box<RawValue> },
     Evacuate { zone: String, begin: bool },
 }
 
@@ -70,12 +70,13 @@
 /// A register of before this was remembered names the one that it holds.
 fn remember_held(register: &mut Register) {
     let held = register.config.as_deref().filter(|_| register.taken.is_empty());
-    let held = held.and_then(|held| Some(Taken { revision: revision(held)?.0, digest: digest(held) }));
+    let held =
+        held.and_then(|held| Some(AcceptedConfig { revision: revision(held)?.0, digest: digest(held) }));
     register.taken.extend(held);
 }
 
-fn replace(register: &mut Register, revision: Revision, config: &RawValue) -> (Outcome, bool) {
-    let this = Taken { revision: revision.0, digest: digest(config) };
+fn replace(register: &mut Register, revision: ConfigRevision, config: &RawValue) -> (Outcome, bool) {
+    let this = AcceptedConfig { revision: revision.0, digest: digest(config) };
     if register.taken.last().is_none_or(|held| held.revision < this.revision) {
         register.config = Some(config.to_owned());
         register.taken.push(this);
@@ -90,13 +91,13 @@
 }
 
 /// The number of a configuration that was read whole before.
-fn revision(config: &RawValue) -> Option<Revision> {
+fn revision(config: &RawValue) -> Option<ConfigRevision> {
     #[derive(serde::Deserialize)]
     struct Head {
         revision: String,
     }
     let head: Head = serde_json::from_str(config.get()).ok()?;
-    Some(Revision(head.revision.strip_prefix('r')?.parse().ok()?))
+    Some(ConfigRevision(head.revision.strip_prefix('r')?.parse().ok()?))
 }
 
 /// FNV-1a, of the text byte for byte: what is sent again is sent just as it was.
--- a/crates/consensus/src/group/tests.rs
+++ b/crates/consensus/src/group/tests.rs
@@ -1,12 +1,12 @@
 use super::*;
-use vanewharf_protocol::messages::{Ballot, RegisterNo};
+use vanewharf_protocol::messages::{Ballot, Revision};
 
 fn body(revision: u64, mark: &str) -> Box<RawValue> {
     RawValue::from_string(format!("{{\"mark\":\"{mark}\",\"revision\":\"r{revision}\"}}")).expect("JSON")
 }
 
 fn replace(revision: u64, mark: &str) -> Change {
-    Change::Replace { revision: Revision(revision), config: body(revision, mark) }
+    Change::Replace { revision: ConfigRevision(revision), config: body(revision, mark) }
 }
 
 fn evacuate(zone: &str, begin: bool) -> Change {
@@ -80,7 +80,7 @@
 #[test]
 fn a_register_of_before_names_the_one_that_it_holds() {
     let old =
-        Register { ballot: Ballot(3), no: RegisterNo(8), config: Some(body(7, "held")), ..Register::none() };
+        Register { ballot: Ballot(3), no: Revision(8), config: Some(body(7, "held")), ..Register::none() };
     let outcomes = gathered(&old, &[replace(7, "held"), replace(7, "other"), replace(6, "older")]).outcomes;
     assert_eq!(outcomes, [Acknowledged, Conflict, Acknowledged]);
 }
--- a/crates/consensus/src/membership.rs
+++ b/crates/consensus/src/membership.rs
@@ -5,7 +5,7 @@
 use std::net::{IpAddr, SocketAddr};
 use std::time::Duration;
 use vanewharf_clock::At;
-use vanewharf_protocol::messages::{Ballot, Cast, Follower, Membership, Register, RegisterNo, Vote};
+use vanewharf_protocol::messages::{Ballot, Follower, Membership, Register, Revision, Vote, VoteResponse};
 
 /// A voter that was not heard of, or did not keep up, for so long is lost, as long as one that keeps up stands by.
 pub const LOST: Duration = Duration::from_secs(3);
@@ -71,7 +71,9 @@
 }
 
 /// What each machine is known to have come back as, by all of these votes.
-pub fn incarnations<'a>(votes: impl Iterator<Item = (SocketAddr, &'a Cast)>) -> BTreeMap<SocketAddr, u64> {
+pub fn incarnations<'a>(
+    votes: impl Iterator<Item = (SocketAddr, &'a VoteResponse)>,
+) -> BTreeMap<SocketAddr, u64> {
     let mut newest = BTreeMap::new();
     let mut note = |member: SocketAddr, incarnation: u64| {
         let known: &mut u64 = newest.entry(member).or_default();
@@ -85,16 +87,19 @@
 }
 
 /// Who assents: without those whose vote was cast before they lost their disk, as far as another voter knows of that.
-pub fn assents(votes: &[(SocketAddr, Cast)]) -> BTreeSet<SocketAddr> {
+pub fn assents(votes: &[(SocketAddr, VoteResponse)]) -> BTreeSet<SocketAddr> {
     let newest = incarnations(votes.iter().map(|(voter, cast)| (*voter, cast)));
-    let yes = |cast: &Cast| matches!(cast.vote, Vote::Granted { .. } | Vote::Willing { .. } | Vote::Accepted);
-    let counts =
-        |(voter, cast): &&(SocketAddr, Cast)| yes(cast) && newest.get(voter) == Some(&cast.incarnation);
+    let yes = |cast: &VoteResponse| {
+        matches!(cast.vote, Vote::Granted { .. } | Vote::Willing { .. } | Vote::Accepted)
+    };
+    let counts = |(voter, cast): &&(SocketAddr, VoteResponse)| {
+        yes(cast) && newest.get(voter) == Some(&cast.incarnation)
+    };
     votes.iter().filter(counts).map(|(voter, _)| *voter).collect()
 }
 
 /// The newest register of those granted, or of none.
-pub fn newest(votes: &[(SocketAddr, Cast)]) -> Register {
+pub fn newest(votes: &[(SocketAddr, VoteResponse)]) -> Register {
     let registers = votes.iter().filter_map(|(_, cast)| match &cast.vote {
         Vote::Granted { register, .. } => Some(register),
         _ => None,
@@ -118,7 +123,7 @@
 /// says whose majority has to have told. A change is kept by a majority of the set before it, too, so that a majority of
 /// an old set cannot all be unaware of the next one. Where no register was ever kept (the power went in the first moments)
 /// there is no majority that remembers; then all have to be heard, and all must be blank.
-pub fn recovery(me: SocketAddr, seeds: &[SocketAddr], told: &BTreeMap<SocketAddr, Cast>) -> Recovery {
+pub fn recovery(me: SocketAddr, seeds: &[SocketAddr], told: &BTreeMap<SocketAddr, VoteResponse>) -> Recovery {
     let mut known = BTreeMap::new();
     for (member, cast) in told.iter().filter(|(member, _)| **member != me) {
         if let Vote::Known { promised, register } = &cast.vote {
@@ -257,7 +262,7 @@
     /// Since when it has been sound without a break.
     since: At,
     /// What it has to have on its disk, and since when.
-    goal: RegisterNo,
+    goal: Revision,
     set: At,
 }
 
@@ -286,7 +291,7 @@
     }
 
     /// It pulls, and says what is on its disk; `settled` is what it should have soon.
-    pub fn hear(&mut self, follower: &Follower, settled: RegisterNo, now: At) {
+    pub fn hear(&mut self, follower: &Follower, settled: Revision, now: At) {
         let zone = follower.row.zone.clone();
         let fresh = || Heard { zone, sound: None, since: now, goal: settled, set: now };
         let heard = self.heard.entry(follower.row.ip).or_insert_with(fresh);
--- a/crates/consensus/src/membership/tests.rs
+++ b/crates/consensus/src/membership/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 use std::net::IpAddr;
-use vanewharf_protocol::messages::OfficeRow;
+use vanewharf_protocol::messages::ControllerEntry;
 use yare::parameterized;
 
 const START: At = At(1_000_000_000);
@@ -22,18 +22,18 @@
 }
 
 fn register(no: u64, membership: Membership) -> Register {
-    Register { ballot: Ballot(no << 8), no: RegisterNo(no), membership, ..Register::none() }
+    Register { ballot: Ballot(no << 8), no: Revision(no), membership, ..Register::none() }
 }
 
-fn cast(vote: Vote) -> Cast {
-    Cast { incarnation: 0, incarnations: BTreeMap::new(), vote }
+fn cast(vote: Vote) -> VoteResponse {
+    VoteResponse { incarnation: 0, incarnations: BTreeMap::new(), vote }
 }
 
-fn known(no: u64, membership: &Membership) -> Cast {
+fn known(no: u64, membership: &Membership) -> VoteResponse {
     cast(Vote::Known { promised: Ballot(no << 8), register: register(no, membership.clone()) })
 }
 
-fn amnesic(seeds: &[u8]) -> Cast {
+fn amnesic(seeds: &[u8]) -> VoteResponse {
     cast(Vote::Amnesic { seeds: list(seeds) })
 }
 
@@ -55,8 +55,8 @@
 fn a_vote_cast_before_a_disk_was_lost_counts_for_nothing_beside_one_that_knows() {
     let old = (addr(1), cast(Vote::Accepted));
     let unaware = (addr(2), cast(Vote::Accepted));
-    let aware = (addr(2), Cast { incarnations: [(addr(1), 1)].into(), ..cast(Vote::Accepted) });
-    let again = (addr(1), Cast { incarnation: 1, ..cast(Vote::Accepted) });
+    let aware = (addr(2), VoteResponse { incarnations: [(addr(1), 1)].into(), ..cast(Vote::Accepted) });
+    let again = (addr(1), VoteResponse { incarnation: 1, ..cast(Vote::Accepted) });
     assert_eq!(assents(&[old.clone(), unaware.clone()]), set(&[1, 2]));
     assert_eq!(assents(&[old, aware.clone()]), set(&[2]));
     assert_eq!(assents(&[again.clone(), aware]), set(&[1, 2]));
@@ -68,7 +68,7 @@
 fn one_with_amnesia_goes_by_a_majority_of_the_newest_set_that_is_told() {
     let (first, later) = (members(1, &[1, 2, 3], &[]), members(3, &[1, 3, 4], &[]));
     let change = members(2, &[1, 3, 4], &[1, 2, 3]);
-    type Case<'a> = (&'a str, Vec<(u8, Cast)>, Result<u64, &'a [u8]>);
+    type Case<'a> = (&'a str, Vec<(u8, VoteResponse)>, Result<u64, &'a [u8]>);
     let cases: [Case<'_>; 10] = [
         ("both others", vec![(2, known(3, &first)), (3, known(3, &first))], Ok(3)),
         ("one of two may remember less", vec![(2, known(3, &first)), (3, amnesic(&[1, 2, 3]))], Err(&[3])),
@@ -96,7 +96,7 @@
     for (what, told, expected) in cases {
         let told = told.into_iter().map(|(no, cast)| (addr(no), cast)).collect();
         match (recovery(addr(1), &list(&[1, 2, 3]), &told), expected) {
-            (Recovery::Done { register, .. }, Ok(no)) => assert_eq!(register.no, RegisterNo(no), "{what}"),
+            (Recovery::Done { register, .. }, Ok(no)) => assert_eq!(register.no, Revision(no), "{what}"),
             (Recovery::Hear(missing), Err(whom)) => assert_eq!(missing, set(whom), "{what}"),
             (came, expected) => panic!("{what}: {came:?}, not {expected:?}"),
         }
@@ -145,16 +145,16 @@
     following.begin(START);
     let ip = |no: u8| IpAddr::from([10, 0, 0, no]);
     let follower = |no: u8, kept: Option<u64>| Follower {
-        row: OfficeRow { ip: ip(no), zone: "z".to_owned() },
-        kept: kept.map(|no| (Ballot(1), RegisterNo(no))),
+        row: ControllerEntry { ip: ip(no), zone: "z".to_owned() },
+        kept: kept.map(|no| (Ballot(1), Revision(no))),
     };
     // Changes come faster than they are kept: 2 is one behind each time, 3 stays where it was, 4 has amnesia.
     let mut now = START;
     for turn in 1..40u64 {
         now = now.after(Duration::from_millis(100));
-        following.hear(&follower(2, Some(turn - 1)), RegisterNo(turn), now);
-        following.hear(&follower(3, Some(2)), RegisterNo(turn), now);
-        following.hear(&follower(4, None), RegisterNo(turn), now);
+        following.hear(&follower(2, Some(turn - 1)), Revision(turn), now);
+        following.hear(&follower(3, Some(2)), Revision(turn), now);
+        following.hear(&follower(4, None), Revision(turn), now);
     }
     let office = |ip| SocketAddr::new(ip, 7600);
     let all = following.candidates(&list(&[1, 2, 5]), (addr(1), "z"), office, now);
@@ -184,10 +184,10 @@
 fn a_holder_that_has_the_lease_again_soon_misses_whom_it_missed_before() {
     let (mut following, ip) = (Following::default(), |no: u8| IpAddr::from([10, 0, 0, no]));
     let office = |ip| SocketAddr::new(ip, 7600);
-    let kept = Some((Ballot(1), RegisterNo(1)));
+    let kept = Some((Ballot(1), Revision(1)));
     let hear = |following: &mut Following, no: u8, now: At| {
-        let row = OfficeRow { ip: ip(no), zone: "z".to_owned() };
-        following.hear(&Follower { row, kept }, RegisterNo(1), now);
+        let row = ControllerEntry { ip: ip(no), zone: "z".to_owned() };
+        following.hear(&Follower { row, kept }, Revision(1), now);
     };
     let after = |span: u64| START.after(Duration::from_millis(span));
     following.begin(START);
--- a/crates/consensus/src/voter.rs
+++ b/crates/consensus/src/voter.rs
@@ -11,7 +11,7 @@
 use std::net::{IpAddr, SocketAddr};
 use std::time::Duration;
 use vanewharf_clock::At;
-use vanewharf_protocol::messages::{Ballot, Cast, Register, Vote, VoteRequest};
+use vanewharf_protocol::messages::{Ballot, Register, Vote, VoteRequest, VoteResponse};
 
 /// How long a granted lease lasts at its voter.
 pub const TERM: Duration = Duration::from_millis(1500);
@@ -145,8 +145,8 @@
     }
 
     /// A vote as it goes out.
-    pub fn cast(&self, vote: Vote) -> Cast {
-        Cast { incarnation: self.incarnation, incarnations: self.incarnations.clone(), vote }
+    pub fn cast(&self, vote: Vote) -> VoteResponse {
+        VoteResponse { incarnation: self.incarnation, incarnations: self.incarnations.clone(), vote }
     }
 
     pub fn doors(&self) -> u32 {
--- a/crates/consensus/src/voter/tests.rs
+++ b/crates/consensus/src/voter/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 use crate::membership::{Recovery, majority, recovery};
-use vanewharf_protocol::messages::RegisterNo;
+use vanewharf_protocol::messages::Revision;
 
 const START: At = At(1_000_000_000);
 
@@ -39,7 +39,7 @@
 
 fn register(ballot: u64, no: u64) -> Register {
     let membership = founded(seeds());
-    Register { ballot: Ballot(ballot), no: RegisterNo(no), membership, ..Register::none() }
+    Register { ballot: Ballot(ballot), no: Revision(no), membership, ..Register::none() }
 }
 
 fn keep(voter: &mut Voter, kept: Register, now: At) -> bool {
@@ -84,7 +84,7 @@
     assert!(!keep(&mut voter, register(1 << 8, 4), START), "promised to another since");
     assert!(keep(&mut voter, register(2 << 8, 3), START));
     assert!(!keep(&mut voter, register(2 << 8, 2), START), "older");
-    assert_eq!(voter.register().rank(), (Ballot(2 << 8), RegisterNo(3)));
+    assert_eq!(voter.register().rank(), (Ballot(2 << 8), Revision(3)));
 }
 
 #[test]
@@ -103,7 +103,7 @@
     let mut voter = Voter::start(None, None, &seeds(), true, START);
     let step = voter.hear(VoteRequest::Accept { register: register(1 << 8, 1) }, START);
     assert!(step.save.is_some(), "the disk then refuses it");
-    assert_eq!(voter.register().no, RegisterNo(0));
+    assert_eq!(voter.register().no, Revision(0));
 }
 
 #[test]
@@ -118,7 +118,7 @@
     one.saved(Save::Register(Box::new(register(3 << 8, 7))));
     assert!(matches!(one.hear(lease(5 << 8, 1), START).vote, Vote::Granted { .. }));
     let (promise, register) = recover(1, &mut [(2, &mut one), (3, &mut other)], 1 << 32).expect("both told");
-    assert_eq!((promise.ballot, register.rank()), (Ballot(5 << 8), (Ballot(4 << 8), RegisterNo(6))));
+    assert_eq!((promise.ballot, register.rank()), (Ballot(5 << 8), (Ballot(4 << 8), Revision(6))));
     voter.restore(&promise, register, START);
     assert!(!keep(&mut voter, self::register(4 << 8, 9), START), "the others have promised to 5");
     assert!(keep(&mut voter, self::register(5 << 8, 9), START));
@@ -219,7 +219,7 @@
             let mut next = Register { ballot, ..found };
             for fresh in [false, true] {
                 if fresh {
-                    next.no = RegisterNo(next.no.0 + 1);
+                    next.no = Revision(next.no.0 + 1);
                     next.evacuated = [format!("{turn}")].into();
                 }
                 let kept = (0..3).filter(|_| walk.draw(4) > 0).collect::<Vec<_>>();
--- a/crates/consensus/tests/model/machine.rs
+++ b/crates/consensus/tests/model/machine.rs
@@ -11,7 +11,7 @@
 use vanewharf_consensus::election::{Claim, Election, Keeping, Recovering, Renewing, Term};
 use vanewharf_consensus::membership::{carries, everyone};
 use vanewharf_consensus::voter::{Promise, Voter};
-use vanewharf_protocol::messages::{Ballot, Cast, Membership, Register, RegisterNo, VoteRequest};
+use vanewharf_protocol::messages::{Ballot, Membership, Register, Revision, VoteRequest, VoteResponse};
 
 /// What a member's clock goes on in one tick of true time, in tenths of a millisecond. Two slow ticks are a
 /// holder's whole lease and two fast ones a voter's, so that these two are as far apart as the margin bears.
@@ -176,7 +176,7 @@
     pub claim: Claim,
     pub election: Option<(u8, Ballot, At, Election)>,
     pub term: Option<Term>,
-    pub next: RegisterNo,
+    pub next: Revision,
     /// The last that was proposed for the operator's orders, certain or not: the next one holds what it
     /// changed.
     pub proposed: Option<Register>,
@@ -191,7 +191,7 @@
 
 impl Member {
     /// As `Office::newest_set`.
-    pub fn newest_set(&self) -> (Membership, (Ballot, RegisterNo)) {
+    pub fn newest_set(&self) -> (Membership, (Ballot, Revision)) {
         let settled = self.store.as_ref().filter(|register| register.rank() > self.voter.register().rank());
         let register = settled.unwrap_or(self.voter.register());
         (register.membership.clone(), register.rank())
@@ -218,7 +218,7 @@
     pub round: u8,
     pub voter: usize,
     pub request: VoteRequest,
-    pub vote: Option<Cast>,
+    pub vote: Option<VoteResponse>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -231,7 +231,7 @@
     /// All elections that were won, with the values that were found.
     pub won: BTreeMap<Ballot, BTreeSet<String>>,
     /// All that was acknowledged.
-    pub acknowledged: BTreeMap<RegisterNo, (BTreeSet<String>, Membership)>,
+    pub acknowledged: BTreeMap<Revision, (BTreeSet<String>, Membership)>,
     pub broken: Option<&'static str>,
 }
 
@@ -357,7 +357,7 @@
                 claim: Claim::default(),
                 election: None,
                 term: None,
-                next: RegisterNo(0),
+                next: Revision(0),
                 proposed: None,
                 renewing: None,
                 keeping: None,
--- a/crates/consensus/tests/model/steps.rs
+++ b/crates/consensus/tests/model/steps.rs
@@ -12,7 +12,7 @@
 use vanewharf_consensus::voter::{Promise, Voter};
 use vanewharf_consensus::voter::{Save, TERM, above};
 use vanewharf_protocol::messages::Vote;
-use vanewharf_protocol::messages::{Ballot, Cast, Register, RegisterNo, VoteRequest};
+use vanewharf_protocol::messages::{Ballot, Register, Revision, VoteRequest, VoteResponse};
 
 impl Lease {
     pub fn possible(&self, state: &State, actions: &mut Vec<Action>) {
@@ -288,7 +288,7 @@
         if purpose == Purpose::Value {
             member.proposed = Some(register.clone());
         }
-        member.next = RegisterNo(member.next.0 + 1);
+        member.next = Revision(member.next.0 + 1);
         self.keep(state, place, purpose, register);
     }
 
@@ -335,7 +335,7 @@
         (member.election, member.term, member.renewing, member.keeping) = (None, None, None, None);
         (member.store, member.recovering, member.unrenewed) = (None, None, false);
         member.proposed = None;
-        (member.seen, member.claim, member.next) = (Ballot(0), Claim::default(), RegisterNo(0));
+        (member.seen, member.claim, member.next) = (Ballot(0), Claim::default(), Revision(0));
         state.net.retain(|one| !(one.owner == place && (one.vote.is_some() || one.voter == place)));
     }
 
@@ -396,7 +396,7 @@
         }
     }
 
-    fn count(&self, state: &mut State, envelope: Envelope, mut cast: Cast) {
+    fn count(&self, state: &mut State, envelope: Envelope, mut cast: VoteResponse) {
         if self.has(Planted::IncarnationsNotCounted) {
             (cast.incarnation, cast.incarnations) = (0, BTreeMap::new());
         }
@@ -406,7 +406,7 @@
     }
 
     /// As `Office::own`: on disk first.
-    fn voter_hears(&self, state: &mut State, envelope: &Envelope, refused: bool) -> Cast {
+    fn voter_hears(&self, state: &mut State, envelope: &Envelope, refused: bool) -> VoteResponse {
         let now = self.now(state, envelope.voter);
         let forgets = self.has(Planted::RefusalForgotten);
         let early = self.has(Planted::PromiseBeforeDisk) && state.tick > 0;
@@ -434,7 +434,7 @@
         member.voter.cast(vote)
     }
 
-    fn owner_hears(&self, state: &mut State, envelope: Envelope, cast: Cast) {
+    fn owner_hears(&self, state: &mut State, envelope: Envelope, cast: VoteResponse) {
         let Envelope { owner, round, voter, request, .. } = envelope;
         let (me, from) = (owner, addr(voter));
         let member = &mut state.members[me];
@@ -513,9 +513,9 @@
         state.won.insert(ballot, found.evacuated.clone());
         let member = &mut state.members[me];
         member.term = Some(self.lasting(Term::won(ballot, asked), asked));
-        member.next = RegisterNo(found.no.0 + 1);
+        member.next = Revision(found.no.0 + 1);
         let register = Register { ballot, ..found };
-        if register.no == RegisterNo(0) {
+        if register.no == Revision(0) {
             self.carried(state, me, Purpose::Settle, register);
         } else {
             self.keep(state, me, Purpose::Settle, register);
@@ -557,7 +557,7 @@
         (me, round): (usize, u8),
         (voter, request): (usize, VoteRequest),
         recovering: &mut Recovering,
-        cast: Cast,
+        cast: VoteResponse,
     ) {
         let now = self.now(state, me);
         let believed = match &cast.vote {
--- a/crates/discovery/src/summing.rs
+++ b/crates/discovery/src/summing.rs
@@ -6,7 +6,10 @@
 use vanewharf_clock::At;
 use vanewharf_config::config::Config;
 use vanewharf_health::evidence::Weighed;
-use vanewharf_protocol::messages::{DoorRow, Ledger, Lent, OfficeRow, Report, Tried, Use, Version};
+use vanewharf_protocol::messages::{
+    AttemptCounts, ControllerEntry, FleetSummary, ProxyEntry, ProxyReport, TenantUsage, TokenLeaseReport,
+    Version,
+};
 
 /// A door is named to clients for so long after it was last heard.
 const NAMED: Duration = Duration::from_millis(1000);
@@ -27,11 +30,11 @@
 
 #[derive(Clone, Debug)]
 struct Heard {
-    row: DoorRow,
+    row: ProxyEntry,
     counted: u32,
     counts: Counts,
     hosts: BTreeMap<String, (u64, u64)>,
-    tried: BTreeMap<String, Tried>,
+    tried: BTreeMap<String, AttemptCounts>,
 }
 
 /// The life of one that is only known by what the holder before said.
@@ -82,10 +85,10 @@
     all: impl Iterator<Item = &'a Counts> + Clone,
     counted: usize,
     now: At,
-) -> BTreeMap<String, Use> {
+) -> BTreeMap<String, TenantUsage> {
     // Who has not told what it holds may hold all that the others don't.
     let unheard = counted > all.clone().filter(|counts| counts.life != UNHEARD).count();
-    let mut tenants: BTreeMap<String, Use> = BTreeMap::new();
+    let mut tenants: BTreeMap<String, TenantUsage> = BTreeMap::new();
     for counts in all.clone() {
         // What a silent one lets in is not known any more; its slice bounds it.
         let silent = now.since(counts.made) > SILENT;
@@ -119,14 +122,14 @@
     known: u32,
     /// When the first door came by.
     first: Option<At>,
-    offices: BTreeMap<OfficeRow, At>,
+    offices: BTreeMap<ControllerEntry, At>,
 }
 
 impl Summing {
-    pub fn report(&mut self, report: Report, now: At) {
+    pub fn report(&mut self, report: ProxyReport, now: At) {
         let made = now.before(Duration::from_millis(report.age_ms));
         self.first.get_or_insert(now);
-        let Report { door: row, life, let_through, slices, hosts, counted, tried, .. } = report;
+        let ProxyReport { door: row, life, let_through, slices, hosts, counted, tried, .. } = report;
         match self.doors.get_mut(&row.name) {
             Some(heard) => {
                 if made > heard.counts.made || heard.counts.life != life {
@@ -141,8 +144,8 @@
         }
     }
 
-    pub fn lent(&mut self, lent: Lent, now: At) {
-        let Lent { ip, life, let_through, slices } = lent;
+    pub fn lent(&mut self, lent: TokenLeaseReport, now: At) {
+        let TokenLeaseReport { ip, life, let_through, slices } = lent;
         match self.lenders.get_mut(&ip) {
             Some(counts) => counts.hear(life, let_through, slices, now),
             None => drop(self.lenders.insert(ip, Counts::new(life, let_through, slices, now))),
@@ -155,9 +158,9 @@
     }
 
     /// What the holder before knew of the doors: those that nothing is heard of are counted all the same.
-    pub fn inherit(&mut self, ledger: &Ledger, now: At) {
+    pub fn inherit(&mut self, ledger: &FleetSummary, now: At) {
         for row in &ledger.doors {
-            let row = DoorRow { ready: false, ..row.clone() };
+            let row = ProxyEntry { ready: false, ..row.clone() };
             let counts = Counts::new(UNHEARD, BTreeMap::new(), BTreeMap::new(), now);
             let (hosts, tried) = Default::default();
             let heard = Heard { row, counted: 0, counts, hosts, tried };
@@ -185,18 +188,18 @@
     }
 
     /// The doors that this process itself hears of, as they are now.
-    pub fn heard(&self, now: At) -> impl Iterator<Item = &DoorRow> {
+    pub fn heard(&self, now: At) -> impl Iterator<Item = &ProxyEntry> {
         self.doors.values().filter(move |heard| now.since(heard.counts.made) < NAMED).map(|heard| &heard.row)
     }
 
-    pub fn office(&mut self, office: OfficeRow, now: At) {
+    pub fn office(&mut self, office: ControllerEntry, now: At) {
         self.offices.insert(office, now);
     }
 
     /// What this process heard itself, for the one who sums.
-    pub fn reports(&self, now: At) -> Vec<Report> {
+    pub fn reports(&self, now: At) -> Vec<ProxyReport> {
         let fresh = self.doors.values().filter(|heard| now.since(heard.counts.made) < NAMED);
-        let told = |heard: &Heard| Report {
+        let told = |heard: &Heard| ProxyReport {
             door: heard.row.clone(),
             life: heard.counts.life,
             age_ms: now.since(heard.counts.made).as_millis() as u64,
@@ -209,7 +212,7 @@
         fresh.map(told).collect()
     }
 
-    pub fn ledger(&mut self, version: Version, allowance: f64, now: At) -> Ledger {
+    pub fn ledger(&mut self, version: Version, allowance: f64, now: At) -> FleetSummary {
         self.doors.retain(|_, heard| now.since(heard.counts.made) < COUNTED);
         self.offices.retain(|_, heard| now.since(*heard) < OFFICES_KNOWN);
         self.lenders.retain(|_, counts| now.since(counts.made) < COUNTED);
@@ -235,11 +238,11 @@
         let homed = mostly.map(|(name, _)| name.clone()).collect();
         let told = self.doors.values().filter(|heard| now.since(heard.counts.made) < NAMED);
         let ill = self.weighed.weigh(told.map(|heard| &heard.tried), counted, now);
-        let row = |heard: &Heard| DoorRow {
+        let row = |heard: &Heard| ProxyEntry {
             ready: heard.row.ready && now.since(heard.counts.made) < NAMED,
             ..heard.row.clone()
         };
-        Ledger {
+        FleetSummary {
             version,
             doors: self.doors.values().map(row).collect(),
             counted: counted as u32,
@@ -255,11 +258,11 @@
 /// The doors that a client is sent to: ready ones in its region where all that its host serves may be served there,
 /// else in a region where it may, else any that are ready, else all.
 pub fn resolved<'a>(
-    doors: &[&'a DoorRow],
+    doors: &[&'a ProxyEntry],
     region: &str,
     homes: Option<&BTreeSet<String>>,
     most: usize,
-) -> Vec<&'a DoorRow> {
+) -> Vec<&'a ProxyEntry> {
     let ready = || doors.iter().copied().filter(|door| door.ready);
     let home = |region: &str| homes.is_none_or(|homes| homes.contains(region));
     let mut named: Vec<_> = ready().filter(|door| door.region == region && home(region)).collect();
@@ -277,9 +280,9 @@
 }
 
 /// What of a ledger a door goes by; the rest is for postmasters.
-pub fn for_doors(ledger: Ledger) -> Ledger {
+pub fn for_doors(ledger: FleetSummary) -> FleetSummary {
     let tenants = if ledger.lenders.is_some() { BTreeMap::new() } else { ledger.tenants };
-    Ledger { doors: Vec::new(), homed: BTreeSet::new(), tenants, ..ledger }
+    FleetSummary { doors: Vec::new(), homed: BTreeSet::new(), tenants, ..ledger }
 }
 
 /// For each host with routes that have homes, the regions in which all of its routes may be served. A host whose routes
--- a/crates/discovery/src/summing/tests.rs
+++ b/crates/discovery/src/summing/tests.rs
@@ -2,8 +2,8 @@
 
 const START: At = At(1_000_000_000);
 
-fn report(name: &str, life: u64, age_ms: u64, through: u64) -> Report {
-    let row = DoorRow {
+fn report(name: &str, life: u64, age_ms: u64, through: u64) -> ProxyReport {
+    let row = ProxyEntry {
         name: name.to_owned(),
         address: "10.0.0.1:80".parse().expect("an address"),
         zone: "z".to_owned(),
@@ -12,7 +12,7 @@
     };
     let tenant = || "t".to_owned();
     let (let_through, slices) = ([(tenant(), through)].into(), [(tenant(), 0.5)].into());
-    Report {
+    ProxyReport {
         door: row,
         life,
         age_ms,
@@ -35,11 +35,11 @@
         sums.report(report("b", 1, 400, second * 5), at(second * 1000 + 100));
     }
     let ledger = sums.ledger(Version::default(), 20.0, at(3000));
-    assert_eq!(ledger.tenants["t"], Use { per_s: 15.0, slices: 1.0 });
+    assert_eq!(ledger.tenants["t"], TenantUsage { per_s: 15.0, slices: 1.0 });
     sums.report(report("a", 1, 0, 100), at(7000));
     let ledger = sums.ledger(Version::default(), 20.0, at(7000));
     assert_eq!((ledger.counted, ledger.doors[1].ready), (2, false), "b is counted and not named");
-    let part = Use { per_s: 17.5, slices: 1.0 };
+    let part = TenantUsage { per_s: 17.5, slices: 1.0 };
     assert_eq!(ledger.tenants["t"], part, "b's slice is counted, and what it let in at last is not");
     let doors: Vec<_> = ledger.doors.iter().collect();
     assert_eq!(resolved(&doors, "r", None, 64).len(), 1);
@@ -50,7 +50,7 @@
 
 #[test]
 fn clients_of_a_host_with_homes_are_sent_home() {
-    let row = |name: &str, region: &str, ready| DoorRow {
+    let row = |name: &str, region: &str, ready| ProxyEntry {
         region: region.to_owned(),
         ready,
         ..report(name, 1, 0, 0).door
@@ -73,7 +73,7 @@
 fn a_host_is_homed_where_most_of_its_requests_are() {
     let mut sums = Summing::default();
     let hosts = [("mostly".to_owned(), (10, 7)), ("hardly".to_owned(), (10, 5))];
-    sums.report(Report { hosts: hosts.into(), ..report("a", 1, 0, 0) }, START);
+    sums.report(ProxyReport { hosts: hosts.into(), ..report("a", 1, 0, 0) }, START);
     let homed = sums.ledger(Version::default(), 20.0, START).homed;
     assert_eq!(homed.into_iter().collect::<Vec<_>>(), ["mostly"]);
 }
@@ -83,7 +83,7 @@
     let mut sums = Summing::default();
     let lent = |ip: u8, through, slice| {
         let (let_through, slices) = ([("t".to_owned(), through)].into(), [("t".to_owned(), slice)].into());
-        Lent { ip: IpAddr::from([10, 0, 0, ip]), life: 1, let_through, slices }
+        TokenLeaseReport { ip: IpAddr::from([10, 0, 0, ip]), life: 1, let_through, slices }
     };
     for second in 0..3 {
         let now = START.after(Duration::from_secs(second));
@@ -92,7 +92,7 @@
         (0..20).for_each(|door| sums.report(report(&format!("d{door}"), 1, 0, second * 100), now));
     }
     let ledger = sums.ledger(Version::default(), 20.0, START.after(Duration::from_secs(2)));
-    assert_eq!((ledger.lenders, ledger.tenants["t"]), (Some(2), Use { per_s: 12.0, slices: 0.9 }));
+    assert_eq!((ledger.lenders, ledger.tenants["t"]), (Some(2), TenantUsage { per_s: 12.0, slices: 0.9 }));
     let ledger = sums.ledger(Version::default(), 60.0, START.after(Duration::from_secs(2)));
     assert_eq!((ledger.lenders, ledger.tenants["t"].per_s), (None, 2000.0));
 }
@@ -101,7 +101,7 @@
 fn a_holder_that_has_forgotten_divides_by_what_doors_were_told() {
     let mut sums = Summing::default();
     sums.begin(0, START);
-    sums.report(Report { counted: 9, ..report("a", 1, 0, 10) }, START);
+    sums.report(ProxyReport { counted: 9, ..report("a", 1, 0, 10) }, START);
     let ledger = sums.ledger(Version::default(), 20.0, START);
     assert_eq!(
         (ledger.counted, ledger.tenants["t"].slices),
@@ -109,7 +109,7 @@
         "eight are to come, at the even slice"
     );
     let later = START.after(COUNTED);
-    sums.report(Report { counted: 9, ..report("a", 1, 0, 10) }, later);
+    sums.report(ProxyReport { counted: 9, ..report("a", 1, 0, 10) }, later);
     assert_eq!(sums.ledger(Version::default(), 20.0, later).counted, 1, "nobody else came");
 }
 
@@ -125,7 +125,7 @@
     let mut knows = sums.clone();
     knows.begin(9, START);
     assert!(knows.ready(START) && knows.ledger(Version::default(), 20.0, START).counted == 9);
-    sums.report(Report { counted: 9, ..report("b", 1, 0, 10) }, START);
+    sums.report(ProxyReport { counted: 9, ..report("b", 1, 0, 10) }, START);
     assert!(sums.ready(START), "this one knows");
 }
 
@@ -133,13 +133,15 @@
 fn what_an_unheard_door_holds_is_not_given_to_others() {
     let mut sums = Summing::default();
     sums.begin(0, START);
-    let before =
-        Ledger { doors: vec![report("cut", 1, 0, 0).door, report("a", 1, 0, 0).door], ..Ledger::default() };
+    let before = FleetSummary {
+        doors: vec![report("cut", 1, 0, 0).door, report("a", 1, 0, 0).door],
+        ..FleetSummary::default()
+    };
     sums.inherit(&before, START);
     let slices = [("t".to_owned(), 0.1)];
-    sums.report(Report { slices: slices.into(), ..report("a", 7, 0, 10) }, START);
+    sums.report(ProxyReport { slices: slices.into(), ..report("a", 7, 0, 10) }, START);
     assert_eq!(sums.ledger(Version::default(), 20.0, START).tenants["t"].slices, 1.0);
-    let told = Report { slices: [("t".to_owned(), 0.2)].into(), ..report("cut", 8, 0, 10) };
+    let told = ProxyReport { slices: [("t".to_owned(), 0.2)].into(), ..report("cut", 8, 0, 10) };
     sums.report(told, START);
     let slices = sums.ledger(Version::default(), 20.0, START).tenants["t"].slices;
     assert!((slices - 0.3).abs() < 1e-9, "{slices}");
--- a/crates/discovery/src/view.rs
+++ b/crates/discovery/src/view.rs
@@ -6,7 +6,7 @@
 use std::net::IpAddr;
 use std::time::Duration;
 use vanewharf_clock::At;
-use vanewharf_protocol::messages::Neighbour;
+use vanewharf_protocol::messages::PeerEntry;
 
 /// How many doors a view holds, and how many of them may be of other regions.
 pub const MOST: usize = 8;
@@ -44,7 +44,7 @@
 
     /// What others told: the newest account of each door counts. Where there are too many, one that chance picks goes: were
     /// it the one longest unheard, doors would know the same few, and fall apart.
-    pub fn merge(&mut self, told: &[Neighbour], now: At) {
+    pub fn merge(&mut self, told: &[PeerEntry], now: At) {
         for neighbour in told.iter().filter(|neighbour| neighbour.ip != self.me) {
             let heard = now.before(Duration::from_millis(neighbour.heard_ms));
             let region = neighbour.region.clone();
@@ -78,11 +78,11 @@
     }
 
     /// Some of the view, from one drawn on, and this door itself: what is told in a shuffle.
-    pub fn told(&self, draw: usize, now: At) -> Vec<Neighbour> {
-        let me = Neighbour { ip: self.me, region: self.region.clone(), heard_ms: 0 };
+    pub fn told(&self, draw: usize, now: At) -> Vec<PeerEntry> {
+        let me = PeerEntry { ip: self.me, region: self.region.clone(), heard_ms: 0 };
         let some =
             self.known.iter().cycle().skip(draw % self.known.len().max(1)).take(TOLD.min(self.known.len()));
-        let some = some.map(|(ip, known)| Neighbour {
+        let some = some.map(|(ip, known)| PeerEntry {
             ip: *ip,
             region: known.region.clone(),
             heard_ms: now.since(known.heard).as_millis() as u64,
--- a/crates/health/src/evidence.rs
+++ b/crates/health/src/evidence.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 use vanewharf_clock::At;
-use vanewharf_protocol::messages::Tried;
+use vanewharf_protocol::messages::AttemptCounts;
 
 /// What a door tells is of so long, in steps of this.
 const SPAN: Duration = Duration::from_millis(3000);
@@ -24,7 +24,7 @@
 /// One door's own counts.
 #[derive(Clone, Debug, Default)]
 pub struct Seen {
-    steps: VecDeque<(At, BTreeMap<String, Tried>)>,
+    steps: VecDeque<(At, BTreeMap<String, AttemptCounts>)>,
 }
 
 impl Seen {
@@ -39,7 +39,7 @@
             return;
         };
         if !step.contains_key(backend) {
-            step.insert(backend.to_owned(), Tried::default());
+            step.insert(backend.to_owned(), AttemptCounts::default());
         }
         if let Some(tried) = step.get_mut(backend) {
             tried.tried += 1;
@@ -48,8 +48,8 @@
     }
 
     /// Of the backends that failed it lately.
-    pub fn told(&self, now: At) -> BTreeMap<String, Tried> {
-        let mut sums: BTreeMap<&String, Tried> = BTreeMap::new();
+    pub fn told(&self, now: At) -> BTreeMap<String, AttemptCounts> {
+        let mut sums: BTreeMap<&String, AttemptCounts> = BTreeMap::new();
         let fresh = self.steps.iter().filter(|(begun, _)| now.since(*begun) <= SPAN);
         for (backend, tried) in fresh.flat_map(|(_, step)| step) {
             let sum = sums.entry(backend).or_default();
@@ -77,11 +77,11 @@
     /// The part of its requests that each backend fails, of those that are ill, out of so many doors' words.
     pub fn weigh<'a>(
         &mut self,
-        told: impl Iterator<Item = &'a BTreeMap<String, Tried>>,
+        told: impl Iterator<Item = &'a BTreeMap<String, AttemptCounts>>,
         doors: usize,
         now: At,
     ) -> BTreeMap<String, f64> {
-        let mut sums: BTreeMap<&String, (Tried, usize)> = BTreeMap::new();
+        let mut sums: BTreeMap<&String, (AttemptCounts, usize)> = BTreeMap::new();
         for (backend, tried) in told.flatten() {
             let (sum, failing) = sums.entry(backend).or_default();
             (sum.tried, sum.failed) = (sum.tried + tried.tried, sum.failed + tried.failed);
--- a/crates/protocol/src/changes.rs
+++ b/crates/protocol/src/changes.rs
@@ -1,7 +1,9 @@
 //! What changed from one version to the next: a reader that is little behind is told that alone and follows it; one that
 //! is far behind, or whose result is not the teller's, takes a snapshot.
 
-use crate::messages::{Edit, List, ListChange, Register, RegisterChange, RegisterNo, Server, Version};
+use crate::messages::{
+    Backend, BackendList, BackendListChange, ConfigEdit, Register, RegisterChange, Revision, Version,
+};
 use serde_json::value::RawValue;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
@@ -63,14 +65,14 @@
     }
 
     /// What makes this one into the other.
-    fn edits(&self, newer: &Document) -> Vec<Edit> {
+    fn edits(&self, newer: &Document) -> Vec<ConfigEdit> {
         let mut edits = Vec::new();
         let names: BTreeSet<_> = self.parts.keys().chain(newer.parts.keys()).collect();
         for name in names {
-            let whole = |value: Option<Box<RawValue>>| Edit { part: name.clone(), entry: None, value };
+            let whole = |value: Option<Box<RawValue>>| ConfigEdit { part: name.clone(), entry: None, value };
             match (self.parts.get(name), newer.parts.get(name)) {
                 (Some(Part::Table(old)), Some(Part::Table(new))) => {
-                    let entry = |entry: &String, value: Option<&Box<RawValue>>| Edit {
+                    let entry = |entry: &String, value: Option<&Box<RawValue>>| ConfigEdit {
                         part: name.clone(),
                         entry: Some(entry.clone()),
                         value: value.cloned(),
@@ -96,8 +98,8 @@
         edits
     }
 
-    fn apply(&mut self, edits: &[Edit]) {
-        for Edit { part, entry, value } in edits {
+    fn apply(&mut self, edits: &[ConfigEdit]) {
+        for ConfigEdit { part, entry, value } in edits {
             match (entry, value) {
                 (None, None) => drop(self.parts.remove(part)),
                 (None, Some(value)) => drop(self.parts.insert(part.clone(), Part::of(value))),
@@ -119,7 +121,7 @@
 }
 
 /// In bytes, about.
-fn size(edits: &[Edit]) -> usize {
+fn size(edits: &[ConfigEdit]) -> usize {
     edits.iter().map(|edit| 60 + edit.value.as_ref().map_or(0, |value| value.get().len())).sum()
 }
 
@@ -181,7 +183,7 @@
     }
 
     /// What leads from that register to the newest.
-    pub fn since(&self, have: RegisterNo) -> Option<Vec<RegisterChange>> {
+    pub fn since(&self, have: Revision) -> Option<Vec<RegisterChange>> {
         let first = self.kept.iter().position(|(change, _)| change.from == have)?;
         Some(self.kept.iter().skip(first).map(|(change, _)| change.clone()).collect())
     }
@@ -224,41 +226,41 @@
 #[derive(Clone, Debug, Default)]
 pub struct ListChanges {
     /// With the time at which the newer list was taken: what a change says of warmth counts from then.
-    kept: VecDeque<(ListChange, At)>,
+    kept: VecDeque<(BackendListChange, At)>,
 }
 
-fn warmed(server: &mut Server, since: Duration) {
+fn warmed(server: &mut Backend, since: Duration) {
     server.cold_ms = server.cold_ms.saturating_sub(since.as_millis() as u64);
 }
 
 /// What merely grew warm in that time is no change.
-fn same(old: &Server, new: &Server, since: Duration) -> bool {
+fn same(old: &Backend, new: &Backend, since: Duration) -> bool {
     const SLACK_MS: u64 = 200;
     let expected = old.cold_ms.saturating_sub(since.as_millis() as u64);
-    Server { cold_ms: old.cold_ms, ..new.clone() } == *old && new.cold_ms <= expected + SLACK_MS
+    Backend { cold_ms: old.cold_ms, ..new.clone() } == *old && new.cold_ms <= expected + SLACK_MS
 }
 
 impl ListChanges {
     /// The list in hand is replaced by a newer one; with the times at which they were taken.
-    pub fn moved(&mut self, from: Option<&List>, to: &List, (before, taken): (At, At)) {
+    pub fn moved(&mut self, from: Option<&BackendList>, to: &BackendList, (before, taken): (At, At)) {
         let later = taken.since(before);
         let Some(from) = from else {
             return self.kept.clear();
         };
-        let old: BTreeMap<&str, &Server> =
+        let old: BTreeMap<&str, &Backend> =
             from.servers.iter().map(|server| (server.id.as_str(), server)).collect();
         let new: BTreeSet<&str> = to.servers.iter().map(|server| server.id.as_str()).collect();
         let known =
-            |server: &&Server| !old.get(server.id.as_str()).is_some_and(|one| same(one, server, later));
+            |server: &&Backend| !old.get(server.id.as_str()).is_some_and(|one| same(one, server, later));
         let set: Vec<_> = to.servers.iter().filter(known).cloned().collect();
         let gone: Vec<_> = old.keys().filter(|id| !new.contains(*id)).map(|id| (*id).to_owned()).collect();
         if set.len() * 2 >= to.servers.len() {
             return self.kept.clear();
         }
-        self.keep(ListChange { from: from.version, version: to.version, age_ms: 0, set, gone }, taken);
+        self.keep(BackendListChange { from: from.version, version: to.version, age_ms: 0, set, gone }, taken);
     }
 
-    fn keep(&mut self, change: ListChange, taken: At) {
+    fn keep(&mut self, change: BackendListChange, taken: At) {
         self.kept.push_back((change, taken));
         if self.kept.len() > MOST_KEPT {
             self.kept.pop_front();
@@ -266,11 +268,11 @@
     }
 
     /// What leads from that list to the newest, with its age; what it says of warmth counts from when that was taken.
-    pub fn since(&self, have: Version, listed: At, now: At) -> Option<Vec<ListChange>> {
+    pub fn since(&self, have: Version, listed: At, now: At) -> Option<Vec<BackendListChange>> {
         let first = self.kept.iter().position(|(change, _)| change.from == have)?;
         let age_ms = now.since(listed).as_millis() as u64;
-        let told = |(change, taken): &(ListChange, At)| {
-            let mut change = ListChange { age_ms, ..change.clone() };
+        let told = |(change, taken): &(BackendListChange, At)| {
+            let mut change = BackendListChange { age_ms, ..change.clone() };
             change.set.iter_mut().for_each(|server| warmed(server, listed.since(*taken)));
             change
         };
@@ -280,11 +282,11 @@
     /// The list after these changes; with the times at which the one in hand and the newest were taken.
     pub fn follow(
         &mut self,
-        from: &List,
-        changes: Vec<ListChange>,
+        from: &BackendList,
+        changes: Vec<BackendListChange>,
         (before, taken): (At, At),
-    ) -> Option<List> {
-        let mut servers: BTreeMap<String, Server> = BTreeMap::new();
+    ) -> Option<BackendList> {
+        let mut servers: BTreeMap<String, Backend> = BTreeMap::new();
         for server in &from.servers {
             let mut server = server.clone();
             warmed(&mut server, taken.since(before));
@@ -301,7 +303,7 @@
         }
         let age_ms = changes.last()?.age_ms;
         changes.into_iter().for_each(|change| self.keep(change, taken));
-        Some(List { version, age_ms, servers: servers.into_values().collect() })
+        Some(BackendList { version, age_ms, servers: servers.into_values().collect() })
     }
 }
 
--- a/crates/protocol/src/changes/tests.rs
+++ b/crates/protocol/src/changes/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::messages::{Ballot, Mail, Membership, Vector, Version};
+use crate::messages::{Ballot, Membership, PullResponse, Version, VersionVector};
 use crate::store::Store;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -19,17 +19,17 @@
     let config = json!({"revision": format!("r{no}"), "routes": routes, "services": {"s": {"a": odd}},
         "limits": {"b": 1}, "odd": odd, "list": [odd, 2]});
     let config = RawValue::from_string(config.to_string()).ok();
-    Register { no: RegisterNo(no), ballot: Ballot(no / 5), config, ..Register::none() }
+    Register { no: Revision(no), ballot: Ballot(no / 5), config, ..Register::none() }
 }
 
 fn value(register: &Register) -> Value {
     serde_json::from_str(register.config.as_ref().expect("there is one").get()).expect("JSON")
 }
 
-fn server(id: u64, cold_ms: u64, draining: bool) -> Server {
+fn server(id: u64, cold_ms: u64, draining: bool) -> Backend {
     let address = "10.0.0.9:80".parse().expect("an address");
     let (service, zone) = ("s".to_owned(), "z".to_owned());
-    Server { id: format!("i{id}"), service, address, zone, capacity: 3, draining, cold_ms }
+    Backend { id: format!("i{id}"), service, address, zone, capacity: 3, draining, cold_ms }
 }
 
 /// Readers that fall behind by chance, some through another reader, have what the teller has each time they come.
@@ -64,7 +64,7 @@
             let mut servers: Vec<_> = servers.collect();
             servers.sort_by(|one, other| one.id.cmp(&other.id));
             let version = Version { ballot: Ballot(no / 5), no };
-            teller.set_list(List { version, age_ms: 0, servers }, now);
+            teller.set_list(BackendList { version, age_ms: 0, servers }, now);
             for reader in 0..readers.len() {
                 if chance.random_bool(0.4) {
                     continue;
@@ -72,7 +72,7 @@
                 // The last one hears through the first.
                 let have = readers[reader].have();
                 let from = if reader == 2 { &readers[0] } else { &teller };
-                let mail: Mail = serde_json::to_string(&from.mail(&have, false, Duration::ZERO, now))
+                let mail: PullResponse = serde_json::to_string(&from.mail(&have, false, Duration::ZERO, now))
                     .and_then(|text| serde_json::from_str(&text))
                     .expect("JSON there and back");
                 changed += mail.register_changes.len();
@@ -81,12 +81,13 @@
                 readers[reader].absorb(mail, now, now);
                 let (mine, theirs) = (readers[reader].register.as_deref(), expected.0.as_deref());
                 assert_eq!(mine.map(value), theirs.map(value), "seed {seed} register {no}");
-                let ids = |list: &List| {
+                let ids = |list: &BackendList| {
                     list.servers.iter().map(|one| (one.id.clone(), one.draining)).collect::<Vec<_>>()
                 };
                 let lists = (readers[reader].list.as_deref(), expected.1.as_deref());
                 assert_eq!(lists.0.map(ids), lists.1.map(ids), "seed {seed} list {no}");
-                let warm = |list: &List| list.servers.iter().map(|one| one.cold_ms).collect::<Vec<_>>();
+                let warm =
+                    |list: &BackendList| list.servers.iter().map(|one| one.cold_ms).collect::<Vec<_>>();
                 let both = lists
                     .0
                     .map(warm)
@@ -117,12 +118,12 @@
     assert!(!reader.absorb(mail, START, START).register);
     assert_eq!(
         (reader.register.as_ref().map(|register| register.no), reader.sure),
-        (Some(RegisterNo(1)), None)
+        (Some(Revision(1)), None)
     );
-    assert_eq!(reader.have(), Vector::default(), "as one that has nothing");
+    assert_eq!(reader.have(), VersionVector::default(), "as one that has nothing");
     let snapshot = tell(&teller, &reader);
     assert!(snapshot.register.is_some() && reader.absorb(snapshot, START, START).register);
-    assert_eq!(reader.have().register, RegisterNo(2));
+    assert_eq!(reader.have().register, Revision(2));
 }
 
 #[test]
@@ -130,11 +131,11 @@
     let (mut teller, mut reader) = (Store::default(), Store::default());
     let list = |no, draining| {
         let servers = (0..9).map(|id| server(id, 0, draining && id == 0)).collect();
-        List { version: Version { ballot: Ballot(1), no }, age_ms: 0, servers }
+        BackendList { version: Version { ballot: Ballot(1), no }, age_ms: 0, servers }
     };
     let tell = |teller: &Store, reader: &Store| {
         let mail = teller.mail(&reader.have(), false, Duration::ZERO, START);
-        Mail { sure_ms: Some(0), ..mail }
+        PullResponse { sure_ms: Some(0), ..mail }
     };
     teller.set_list(list(1, false), START);
     reader.absorb(tell(&teller, &reader), START.before(Duration::from_secs(5)), START);
@@ -162,17 +163,18 @@
     let before = document(&reader);
     let voters = vec!["10.0.0.9:7600".parse().expect("an address")];
     let membership = Membership { epoch: 2, voters, outgoing: Vec::new() };
-    let after = Register { no: RegisterNo(3), membership: membership.clone(), ..register(2, &routes, 0) };
+    let after = Register { no: Revision(3), membership: membership.clone(), ..register(2, &routes, 0) };
     teller.set_register(Rc::new(after));
     let mut mail = tell(&teller, &reader);
     assert!(mail.register_changes.iter().all(|change| change.edits.is_empty()));
     // One whose sum is another's is not believed, though it edits nothing.
-    let mut other = Mail { register_changes: mail.register_changes.clone(), ..Mail::default() };
+    let mut other =
+        PullResponse { register_changes: mail.register_changes.clone(), ..PullResponse::default() };
     other.register_changes[0].sum ^= 1;
     let mut doubtful = reader.clone();
     assert!(!doubtful.absorb(other, START, START).register);
     mail.sure_ms = Some(0);
     assert!(reader.absorb(mail, START, START).register);
-    assert_eq!((document(&reader).get(), reader.have().register), (before.get(), RegisterNo(3)));
+    assert_eq!((document(&reader).get(), reader.have().register), (before.get(), Revision(3)));
     assert_eq!(reader.register.as_ref().map(|register| register.membership.clone()), Some(membership));
 }
--- a/crates/protocol/src/messages.rs
+++ b/crates/protocol/src/messages.rs
@@ -13,20 +13,20 @@
 
 /// The operator's orders in the order in which they hold.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct RegisterNo(pub u64);
+pub struct Revision(pub u64);
 
 /// The operator's register: the newest configuration, as it was sent, and the zones that are to get nothing.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Register {
     pub ballot: Ballot,
-    pub no: RegisterNo,
+    pub no: Revision,
     /// Null until the first one has come.
     pub config: Option<Box<RawValue>>,
     pub evacuated: BTreeSet<String>,
     pub membership: Membership,
     /// The last configurations that were taken, in their order; for postmasters alone.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub taken: Vec<Taken>,
+    pub taken: Vec<AcceptedConfig>,
 }
 
 /// Who grants leases and keeps the register. A change goes by joint consensus: while there are outgoing voters, a majority
@@ -42,7 +42,7 @@
 
 /// A configuration that was taken: one that is sent again is told by this from another one under its number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Taken {
+pub struct AcceptedConfig {
     pub revision: u64,
     /// Of its text as it was sent.
     pub digest: u64,
@@ -52,7 +52,7 @@
     pub fn none() -> Register {
         Register {
             ballot: Ballot(0),
-            no: RegisterNo(0),
+            no: Revision(0),
             config: None,
             evacuated: BTreeSet::new(),
             membership: Membership::default(),
@@ -61,7 +61,7 @@
     }
 
     /// All that it says; a configuration by its text.
-    fn content(&self) -> (Ballot, RegisterNo, Option<&str>, &BTreeSet<String>, &Membership) {
+    fn content(&self) -> (Ballot, Revision, Option<&str>, &BTreeSet<String>, &Membership) {
         let config = self.config.as_ref().map(|config| config.get());
         (self.ballot, self.no, config, &self.evacuated, &self.membership)
     }
@@ -73,7 +73,7 @@
     }
 
     /// Of two, the one that later holders go by.
-    pub fn rank(&self) -> (Ballot, RegisterNo) {
+    pub fn rank(&self) -> (Ballot, Revision) {
         (self.ballot, self.no)
     }
 }
@@ -101,14 +101,14 @@
 
 /// What a reader has of each source.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Vector {
-    pub register: RegisterNo,
+pub struct VersionVector {
+    pub register: Revision,
     pub list: Version,
     pub ledger: Version,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Server {
+pub struct Backend {
     pub id: String,
     pub service: String,
     pub address: SocketAddr,
@@ -121,16 +121,16 @@
 
 /// The platform's list of backends.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct List {
+pub struct BackendList {
     pub version: Version,
     /// How long ago it was taken.
     pub age_ms: u64,
-    pub servers: Vec<Server>,
+    pub servers: Vec<Backend>,
 }
 
 /// A frontend door, as the registry names it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct DoorRow {
+pub struct ProxyEntry {
     pub name: String,
     pub address: SocketAddr,
     pub zone: String,
@@ -139,7 +139,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct OfficeRow {
+pub struct ControllerEntry {
     pub ip: IpAddr,
     pub zone: String,
 }
@@ -147,32 +147,32 @@
 /// A postmaster that follows the holder.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Follower {
-    pub row: OfficeRow,
+    pub row: ControllerEntry,
     /// The register on its disk; null while it has amnesia.
-    pub kept: Option<(Ballot, RegisterNo)>,
+    pub kept: Option<(Ballot, Revision)>,
 }
 
 /// A tenant's use over all doors, a second, and the sum of the doors' slices of its quota.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Use {
+pub struct TenantUsage {
     pub per_s: f64,
     pub slices: f64,
 }
 
 /// What is summed and known of the doors.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Ledger {
+pub struct FleetSummary {
     pub version: Version,
-    pub doors: Vec<DoorRow>,
+    pub doors: Vec<ProxyEntry>,
     /// By how many doors what all may do together is divided.
     pub counted: u32,
-    pub tenants: BTreeMap<String, Use>,
+    pub tenants: BTreeMap<String, TenantUsage>,
     /// By how many postmasters the tenants' quotas are divided, where doors are too many to hold a slice each: then
     /// these hold the slices, and doors borrow. Nothing: doors hold them.
     pub lenders: Option<u32>,
     /// Hosts most of whose requests are on routes with homes.
     pub homed: BTreeSet<String>,
-    pub offices: BTreeSet<OfficeRow>,
+    pub offices: BTreeSet<ControllerEntry>,
     /// Backends that many doors saw failing, each with the part that fails.
     #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
     pub ill: BTreeMap<String, f64>,
@@ -180,8 +180,8 @@
 
 /// What a door says of itself.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Report {
-    pub door: DoorRow,
+pub struct ProxyReport {
+    pub door: ProxyEntry,
     /// Drawn anew at each start: counts begin at nothing then.
     pub life: u64,
     /// How long ago it was made.
@@ -196,19 +196,19 @@
     pub hosts: BTreeMap<String, (u64, u64)>,
     /// Of the backends that failed it lately, how often.
     #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
-    pub tried: BTreeMap<String, Tried>,
+    pub tried: BTreeMap<String, AttemptCounts>,
 }
 
 /// Requests that a door sent to a backend lately, and those that failed there.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Tried {
+pub struct AttemptCounts {
     pub tried: u32,
     pub failed: u32,
 }
 
 /// A frontend door, as another one knows it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Neighbour {
+pub struct PeerEntry {
     pub ip: IpAddr,
     pub region: String,
     /// How long ago it was last heard of.
@@ -217,7 +217,7 @@
 
 /// What a postmaster says of the tokens that it lends.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Lent {
+pub struct TokenLeaseReport {
     pub ip: IpAddr,
     pub life: u64,
     pub let_through: BTreeMap<String, u64>,
@@ -225,23 +225,23 @@
 }
 
 /// Tokens asked of a lender, or given by it, by tenant.
-pub type Tokens = BTreeMap<String, u32>;
+pub type TokenCounts = BTreeMap<String, u32>;
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Pull {
-    pub have: Vector,
+pub struct PullRequest {
+    pub have: VersionVector,
     /// How long the answer may be held back for something new.
     pub wait_ms: u64,
     /// Who pulls, where it is a postmaster.
     pub office: Option<Follower>,
     /// What that postmaster lends.
-    pub lent: Option<Lent>,
-    pub reports: Vec<Report>,
+    pub lent: Option<TokenLeaseReport>,
+    pub reports: Vec<ProxyReport>,
 }
 
 /// One entry of a table, or a whole part where no entry is named; without a value it is gone.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Edit {
+pub struct ConfigEdit {
     pub part: String,
     #[serde(default)]
     pub entry: Option<String>,
@@ -252,37 +252,37 @@
 /// From one register to the next.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct RegisterChange {
-    pub from: RegisterNo,
-    pub no: RegisterNo,
+    pub from: Revision,
+    pub no: Revision,
     pub ballot: Ballot,
     pub evacuated: BTreeSet<String>,
     pub membership: Membership,
-    pub edits: Vec<Edit>,
+    pub edits: Vec<ConfigEdit>,
     /// Of the text that the configuration has afterwards.
     pub sum: u32,
 }
 
 /// From one list to the next.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct ListChange {
+pub struct BackendListChange {
     pub from: Version,
     pub version: Version,
     /// How long ago the newer one was taken.
     pub age_ms: u64,
-    pub set: Vec<Server>,
+    pub set: Vec<Backend>,
     pub gone: Vec<String>,
 }
 
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub struct Mail {
+pub struct PullResponse {
     pub register: Option<Register>,
     /// In place of the register, where the reader is little behind.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub register_changes: Vec<RegisterChange>,
-    pub list: Option<List>,
+    pub list: Option<BackendList>,
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub list_changes: Vec<ListChange>,
-    pub ledger: Option<Ledger>,
+    pub list_changes: Vec<BackendListChange>,
+    pub ledger: Option<FleetSummary>,
     /// How long ago the register that the reader now has was certainly the newest acknowledged; null: never known.
     pub sure_ms: Option<u64>,
     /// How long the answer was held back.
@@ -347,7 +347,7 @@
 /// A vote, with the incarnation of who casts it, and what that one knows of the others': a vote that a member cast before
 /// it lost its disk counts for nothing beside one that was cast by who knows of the loss.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Cast {
+pub struct VoteResponse {
     pub incarnation: u64,
     #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
     pub incarnations: BTreeMap<SocketAddr, u64>,
--- a/crates/protocol/src/store.rs
+++ b/crates/protocol/src/store.rs
@@ -2,7 +2,10 @@
 //! what it had.
 
 use crate::changes::{ListChanges, RegisterChanges};
-use crate::messages::{Ledger, List, ListChange, Mail, Register, RegisterChange, RegisterNo, Vector};
+use crate::messages::{
+    BackendList, BackendListChange, FleetSummary, PullResponse, Register, RegisterChange, Revision,
+    VersionVector,
+};
 use std::rc::Rc;
 use std::time::Duration;
 use vanewharf_clock::At;
@@ -15,10 +18,10 @@
     /// Changes that came lead nowhere from here: the next pull asks for a snapshot.
     lost_register: bool,
     lost_list: bool,
-    pub list: Option<Rc<List>>,
+    pub list: Option<Rc<BackendList>>,
     /// When the list was taken, at the latest.
     pub listed: At,
-    pub ledger: Option<Rc<Ledger>>,
+    pub ledger: Option<Rc<FleetSummary>>,
     pub ledger_at: At,
     /// When the register was certainly the newest acknowledged, and the list at least the one that its holder
     /// had.
@@ -43,17 +46,17 @@
 }
 
 impl Store {
-    pub fn have(&self) -> Vector {
+    pub fn have(&self) -> VersionVector {
         let register = self.register.as_ref().filter(|_| !self.lost_register);
         let list = self.list.as_ref().filter(|_| !self.lost_list);
-        Vector {
-            register: register.map_or(RegisterNo(0), |register| register.no),
+        VersionVector {
+            register: register.map_or(Revision(0), |register| register.no),
             list: list.map(|list| list.version).unwrap_or_default(),
             ledger: self.ledger.as_ref().map(|ledger| ledger.version).unwrap_or_default(),
         }
     }
 
-    pub fn has_more_than(&self, have: &Vector) -> bool {
+    pub fn has_more_than(&self, have: &VersionVector) -> bool {
         let mine = self.have();
         mine.register > have.register || mine.list > have.list || mine.ledger > have.ledger
     }
@@ -76,7 +79,7 @@
         changed
     }
 
-    fn follow_list(&mut self, changes: Vec<ListChange>, now: At) -> bool {
+    fn follow_list(&mut self, changes: Vec<BackendListChange>, now: At) -> bool {
         let taken = changes.last().map(|last| now.before(Duration::from_millis(last.age_ms))).unwrap_or(now);
         let times = (self.listed, taken);
         let followed = self.list.as_deref().and_then(|list| self.list_changes.follow(list, changes, times));
@@ -88,7 +91,7 @@
         changed
     }
 
-    pub fn set_list(&mut self, list: List, now: At) -> bool {
+    pub fn set_list(&mut self, list: BackendList, now: At) -> bool {
         let newer = self.list.as_ref().is_none_or(|mine| list.version > mine.version);
         if newer {
             let taken = now.before(Duration::from_millis(list.age_ms));
@@ -98,7 +101,7 @@
         newer
     }
 
-    pub fn set_ledger(&mut self, ledger: Ledger, now: At) -> bool {
+    pub fn set_ledger(&mut self, ledger: FleetSummary, now: At) -> bool {
         let newer = self.ledger.as_ref().is_none_or(|mine| ledger.version > mine.version);
         if newer {
             (self.ledger, self.ledger_at) = (Some(Rc::new(ledger)), now);
@@ -112,8 +115,9 @@
     }
 
     /// Takes an answer to a pull that was sent at `asked`: the answer was given no sooner than it was held back for.
-    pub fn absorb(&mut self, mail: Mail, asked: At, now: At) -> News {
-        let Mail { register, register_changes, list, list_changes, ledger, sure_ms, held_ms, holder } = mail;
+    pub fn absorb(&mut self, mail: PullResponse, asked: At, now: At) -> News {
+        let PullResponse { register, register_changes, list, list_changes, ledger, sure_ms, held_ms, holder } =
+            mail;
         let mut news = News::default();
         if let Some(register) = register {
             news.register = self.set_register(Rc::new(register));
@@ -140,7 +144,7 @@
     }
 
     /// What a reader lacks: what changed, where it is little behind; `verbatim`: the register as it was sent.
-    pub fn mail(&self, have: &Vector, verbatim: bool, held: Duration, now: At) -> Mail {
+    pub fn mail(&self, have: &VersionVector, verbatim: bool, held: Duration, now: At) -> PullResponse {
         let age = now.since(self.listed);
         let newer_register = self.register.as_ref().filter(|register| register.no > have.register);
         let newer_list = self.list.as_ref().filter(|list| list.version > have.list);
@@ -150,12 +154,12 @@
         let register = newer_register.filter(|_| register_changes.is_none());
         let list = newer_list.filter(|_| list_changes.is_none()).map(|list| {
             let age_ms = age.as_millis() as u64;
-            List { age_ms, ..List::clone(list) }
+            BackendList { age_ms, ..BackendList::clone(list) }
         });
         let ledger = self.ledger.as_ref().filter(|ledger| ledger.version > have.ledger);
         // Rounded so that nothing is taken for surer than it is.
         let sure_ms = self.sure.map(|sure| now.since(sure).as_millis() as u64 + 1);
-        Mail {
+        PullResponse {
             register: register.map(|register| {
                 let taken = if verbatim { register.taken.clone() } else { Vec::new() };
                 Register { taken, ..Register::clone(register) }
@@ -163,7 +167,7 @@
             register_changes: register_changes.unwrap_or_default(),
             list,
             list_changes: list_changes.unwrap_or_default(),
-            ledger: ledger.map(|ledger| Ledger::clone(ledger)),
+            ledger: ledger.map(|ledger| FleetSummary::clone(ledger)),
             sure_ms,
             held_ms: held.as_millis() as u64,
             holder: self.holder,
--- a/crates/protocol/src/store/tests.rs
+++ b/crates/protocol/src/store/tests.rs
@@ -2,17 +2,20 @@
 use crate::messages::{Ballot, Version};
 
 fn register(no: u64) -> Register {
-    Register { no: RegisterNo(no), ..Register::none() }
+    Register { no: Revision(no), ..Register::none() }
 }
 
 #[test]
 fn nothing_goes_back_a_version() {
     let mut store = Store::default();
     let at = At(1_000_000_000);
-    let mail = |no| Mail { register: Some(register(no)), ..Mail::default() };
+    let mail = |no| PullResponse { register: Some(register(no)), ..PullResponse::default() };
     assert!(store.absorb(mail(3), at, at).register);
     assert!(!store.absorb(mail(2), at, at).any());
-    let of = |ballot, no| Ledger { version: Version { ballot: Ballot(ballot), no }, ..Ledger::default() };
+    let of = |ballot, no| FleetSummary {
+        version: Version { ballot: Ballot(ballot), no },
+        ..FleetSummary::default()
+    };
     assert!(store.set_ledger(of(1, 9), at) && store.set_ledger(of(2, 1), at));
     assert!(!store.set_ledger(of(1, 10), at), "of a holder before");
     let have = store.have();
@@ -29,7 +32,7 @@
     // Asked at 100 ms by the second's clock, which is 7 s behind; held back for 300 ms, 20 ms under way.
     let behind = At(start.0 - 70_000);
     let answered = start.after(ms(420));
-    let mail = first.mail(&Vector::default(), false, ms(300), answered);
+    let mail = first.mail(&VersionVector::default(), false, ms(300), answered);
     second.absorb(mail, behind.after(ms(100)), behind.after(ms(440)));
     let sure = second.sure.expect("told");
     assert!(sure <= behind, "never surer than the first was");
--- a/crates/quota/src/quota.rs
+++ b/crates/quota/src/quota.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 use vanewharf_clock::At;
-use vanewharf_protocol::messages::Use;
+use vanewharf_protocol::messages::TenantUsage;
 
 /// Seconds over which own let-through and metered use are averaged.
 const SPAN: f64 = 3.0;
@@ -179,7 +179,13 @@
     }
 
     /// A new ledger: how many doors there are, and each tenant's use and the slices that the doors hold together.
-    pub fn read(&mut self, doors: u32, uses: &BTreeMap<String, Use>, quota: impl Fn(&str) -> Quota, now: At) {
+    pub fn read(
+        &mut self,
+        doors: u32,
+        uses: &BTreeMap<String, TenantUsage>,
+        quota: impl Fn(&str) -> Quota,
+        now: At,
+    ) {
         // Nobody is counted: whoever says so has heard of nobody yet.
         if doors == 0 {
             return;
--- a/crates/quota/src/quota/tests.rs
+++ b/crates/quota/src/quota/tests.rs
@@ -12,7 +12,7 @@
 fn played(rates: &[f64], cut: &[usize], seconds: u64) -> Vec<(f64, usize)> {
     let mut doors: Vec<_> = rates.iter().map(|_| Buckets::start(20.0, true, START)).collect();
     let (mut let_in, mut credit) = (Vec::new(), vec![0.0; rates.len()]);
-    let (mut before, mut reported) = (vec![0; rates.len()], Use::default());
+    let (mut before, mut reported) = (vec![0; rates.len()], TenantUsage::default());
     for door in &mut doors {
         door.read(rates.len() as u32, &BTreeMap::new(), |_| QUOTA, START);
     }
@@ -30,7 +30,7 @@
         }
         if step % 100 == 99 {
             let uses = BTreeMap::from([("t".to_owned(), reported)]);
-            let mut sum = Use::default();
+            let mut sum = TenantUsage::default();
             for (no, door) in doors.iter_mut().enumerate() {
                 if cut.contains(&no) && step > 300 {
                     continue;
--- a/crates/rpc/src/feed.rs
+++ b/crates/rpc/src/feed.rs
@@ -7,7 +7,7 @@
 use tokio::sync::Notify;
 use tokio::time::timeout_at;
 use vanewharf_clock::{At, Steady};
-use vanewharf_protocol::messages::{Mail, Pull};
+use vanewharf_protocol::messages::{PullRequest, PullResponse};
 use vanewharf_protocol::store::{News, Store};
 
 /// The longest that an answer is held back.
@@ -45,7 +45,7 @@
     }
 
     /// The answer to a pull, as soon as there is something new or the reader would wait no longer.
-    pub async fn answer(&self, pull: &Pull) -> Mail {
+    pub async fn answer(&self, pull: &PullRequest) -> PullResponse {
         let begun = self.now();
         let until = self.steady.instant(begun.after(Duration::from_millis(pull.wait_ms).min(LONGEST)));
         loop {
@@ -60,10 +60,10 @@
     }
 
     /// One pull: what was new.
-    pub async fn pull(&self, from: &mut Caller, pull: &Pull) -> Result<News, Failed> {
+    pub async fn pull(&self, from: &mut Caller, pull: &PullRequest) -> Result<News, Failed> {
         let (asked, wait) = (self.now(), Duration::from_millis(pull.wait_ms));
         let within = wait + ON_THE_WAY;
-        let mail: Mail = from.ask("/pull", pull, within).await?;
+        let mail: PullResponse = from.ask("/pull", pull, within).await?;
         let mut news = News::default();
         self.change(|store| {
             news = store.absorb(mail, asked, self.steady.now());
--- a/crates/system-simulator/examples/capacity.rs
+++ b/crates/system-simulator/examples/capacity.rs
@@ -27,8 +27,8 @@
 use vanewharf_policy::interface::Tenths;
 use vanewharf_protocol::changes::{Document, ListChanges, RegisterChanges};
 use vanewharf_protocol::messages::{
-    Ballot, DoorRow, Ledger, Lent, List, Mail, OfficeRow, Pull, Register, RegisterNo, Report, Server, Tokens,
-    Vector, Version,
+    Backend, BackendList, Ballot, ControllerEntry, FleetSummary, ProxyEntry, ProxyReport, PullRequest,
+    PullResponse, Register, Revision, TokenCounts, TokenLeaseReport, Version, VersionVector,
 };
 use vanewharf_proxy::gate::Posted;
 use vanewharf_proxy::rounds::{News, Place, Rounds, Start};
@@ -147,7 +147,7 @@
 }
 
 fn register(no: u64, config: Box<RawValue>) -> Register {
-    Register { no: RegisterNo(no), config: Some(config), ..Register::none() }
+    Register { no: Revision(no), config: Some(config), ..Register::none() }
 }
 
 fn configs() {
@@ -190,12 +190,12 @@
         teller.moved(None, &older);
         let mut reader = teller.clone();
         let moved = took(|| teller.moved(Some(&older), &newer));
-        let changes = teller.since(RegisterNo(1)).expect("a change");
+        let changes = teller.since(Revision(1)).expect("a change");
         let told = bytes(&changes);
         let follow = took(|| reader.follow(&older, changes).expect("it follows"));
-        let mail = Mail { register: Some(older), ..Mail::default() };
+        let mail = PullResponse { register: Some(older), ..PullResponse::default() };
         let written = took(|| bytes(&mail));
-        let heard = took(|| serde_json::from_slice::<Mail>(&written.out).expect("a mail"));
+        let heard = took(|| serde_json::from_slice::<PullResponse>(&written.out).expect("a mail"));
         rows.push_str(&format!(
             "| {routes} | {tenants} | {made:.0}, {held:.1} | {:.0} | {}, {} | {:.0} | {tables_ms:.0}, {tables_held:.1}, \
              {tables_most:.1} | {:.0}, {:.0} |\n",
@@ -214,8 +214,8 @@
     println!("| --- | --- | --- | --- | --- | --- | --- | --- |\n{rows}");
 }
 
-fn servers(count: usize, from: usize) -> Vec<Server> {
-    let one = |no: usize| Server {
+fn servers(count: usize, from: usize) -> Vec<Backend> {
+    let one = |no: usize| Backend {
         id: format!("{}-{:08x}", service(no), draw(no) as u32),
         service: service(no),
         address: ([10, (no >> 16) as u8, (no >> 8) as u8, no as u8], 8080).into(),
@@ -229,8 +229,8 @@
     all
 }
 
-fn list(no: u64, servers: Vec<Server>) -> List {
-    List { version: Version { ballot: Ballot(1), no }, age_ms: 0, servers }
+fn list(no: u64, servers: Vec<Backend>) -> BackendList {
+    BackendList { version: Version { ballot: Ballot(1), no }, age_ms: 0, servers }
 }
 
 fn bounds() -> Bounds {
@@ -274,12 +274,12 @@
         let mut later = servers(count, 0);
         // A hundred go and a hundred cold ones come.
         later.truncate(count - 100);
-        later.extend(servers(100, count).into_iter().map(|one| Server { cold_ms: 3_000, ..one }));
+        later.extend(servers(100, count).into_iter().map(|one| Backend { cold_ms: 3_000, ..one }));
         later.sort_by(|one, other| one.id.cmp(&other.id));
         let new = list(2, later);
-        let mail = Mail { list: Some(old.clone()), ..Mail::default() };
+        let mail = PullResponse { list: Some(old.clone()), ..PullResponse::default() };
         let written = took(|| bytes(&mail));
-        let read = took(|| serde_json::from_slice::<Mail>(&written.out).expect("a mail"));
+        let read = took(|| serde_json::from_slice::<PullResponse>(&written.out).expect("a mail"));
         let times = (At(10_000), At(16_000));
         let (mut teller, mut reader) = (ListChanges::default(), ListChanges::default());
         let moved = took(|| teller.moved(Some(&old), &new, times));
@@ -298,7 +298,7 @@
         let (_, wide, ..) = first(48_000);
         let (mut rounds, ms, held, at) = first(10);
         let again = took(|| rounds.news(Tenths(30), News::List(Rc::clone(&new), at)).is_some());
-        let ledger = Rc::new(Ledger { counted: 5_400, ..Ledger::default() });
+        let ledger = Rc::new(FleetSummary { counted: 5_400, ..FleetSummary::default() });
         let ledger = took(|| rounds.news(Tenths(40), News::Ledger(ledger)).is_some());
         println!(
             "| {count} | {}, {} | {:.1}, {:.1} | {:.1} | {:.1}, {}, {}, {:.1} | {ms:.0}, {held:.1} | {wide:.0} | {:.1} | {:.1} |",
@@ -318,8 +318,8 @@
 }
 
 /// A door's report after so many requests of so many tenants out of a pool.
-fn report(door: usize, tenants: usize, pool: usize, round: u64) -> Report {
-    let row = DoorRow {
+fn report(door: usize, tenants: usize, pool: usize, round: u64) -> ProxyReport {
+    let row = ProxyEntry {
         name: format!("front-{door:04}"),
         address: ([10, 200, (door >> 8) as u8, door as u8], 8080).into(),
         zone: zone(door),
@@ -329,7 +329,7 @@
     let names: BTreeSet<_> =
         (0..tenants).map(|no| format!("tenant-{:06}", draw(door * tenants + no) as usize % pool)).collect();
     let count = |name: &String| (name.clone(), round * 17 + 1_234);
-    Report {
+    ProxyReport {
         door: row,
         life: door as u64 + 1,
         age_ms: 0,
@@ -346,8 +346,8 @@
     At(1_000_000_000 + second * 10_000)
 }
 
-fn office(no: usize) -> OfficeRow {
-    OfficeRow { ip: [10, 100, 0, no as u8].into(), zone: zone(no) }
+fn office(no: usize) -> ControllerEntry {
+    ControllerEntry { ip: [10, 100, 0, no as u8].into(), zone: zone(no) }
 }
 
 fn ledgers() {
@@ -372,9 +372,9 @@
             let heard = took(|| reports.into_iter().for_each(|report| sums.report(report, at(2))));
             (0..OFFICES).for_each(|no| sums.office(office(no), at(2)));
             let made = took(|| sums.ledger(Version { ballot: Ballot(1), no: 1 }, 1e9, at(2)));
-            let copied = took(|| Ledger::clone(&made.out));
+            let copied = took(|| FleetSummary::clone(&made.out));
             let written = took(|| bytes(&made.out));
-            let read = took(|| serde_json::from_slice::<Ledger>(&written.out).expect("a ledger"));
+            let read = took(|| serde_json::from_slice::<FleetSummary>(&written.out).expect("a ledger"));
             let to_doors = bytes(&for_doors(copied.out)).len();
             // One postmaster's part of them, as it tells the holder.
             let mut part = Summing::default();
@@ -404,12 +404,12 @@
     for hosts in [8, 100, 1_000, 6_000] {
         let told: BTreeMap<_, _> =
             (0..hosts).map(|no| (format!("host-{no:04}.shop.example"), (1_001, 20))).collect();
-        let one = |door: usize| Report { hosts: told.clone(), ..report(door, 0, 1, 1) };
+        let one = |door: usize| ProxyReport { hosts: told.clone(), ..report(door, 0, 1, 1) };
         let size = bytes(&one(0)).len();
         let reports: Vec<_> = (0..DOORS).map(one).collect();
         let mut sums = Summing::default();
         let heard = took(|| bytes(&reports).len());
-        let read = took(|| serde_json::from_slice::<Vec<Report>>(&bytes(&reports)).expect("reports"));
+        let read = took(|| serde_json::from_slice::<Vec<ProxyReport>>(&bytes(&reports)).expect("reports"));
         drop(reports);
         let held = read.held;
         read.out.into_iter().for_each(|report| sums.report(report, at(1)));
@@ -440,7 +440,7 @@
         let lent = took(|| names.iter().map(|name| buckets.lend(name, 1, quota, at(9))).sum::<u32>());
         let tell = |no: usize| {
             let (let_through, slices) = (buckets.let_through(), buckets.slices());
-            Lent { ip: office(no).ip, life: 1, let_through, slices }
+            TokenLeaseReport { ip: office(no).ip, life: 1, let_through, slices }
         };
         let told = took(|| bytes(&tell(0)));
         let mut sums = Summing::default();
@@ -448,7 +448,7 @@
         (0..OFFICES).for_each(|no| sums.lent(tell(no), at(10)));
         let made = took(|| sums.ledger(Version::default(), 1.0, at(10)));
         let ledger = bytes(&made.out);
-        let copied = took(|| for_doors(Ledger::clone(&made.out)));
+        let copied = took(|| for_doors(FleetSummary::clone(&made.out)));
         let read = took(|| buckets.read(OFFICES as u32, &made.out.tenants, |_| quota, at(10)));
         println!(
             "| {tenants} | {held:.1} | {:.0} | {:.2} | {:.0}, {}, {} | {:.0}, {}, {} | {:.1} | {:.0} |",
@@ -479,10 +479,13 @@
         let _ = up.send(());
         let answered = |request: Request| async move {
             match request.target() {
-                "/lend" => Said::json(&serde_json::from_slice::<Tokens>(request.body()).expect("tokens")),
+                "/lend" => {
+                    Said::json(&serde_json::from_slice::<TokenCounts>(request.body()).expect("tokens"))
+                }
                 "/pull" => {
-                    let pull: Pull = serde_json::from_slice(request.body()).expect("a pull");
-                    Said::json(&Mail { held_ms: pull.wait_ms, ..Mail::default() }).packed(&request)
+                    let pull: PullRequest = serde_json::from_slice(request.body()).expect("a pull");
+                    Said::json(&PullResponse { held_ms: pull.wait_ms, ..PullResponse::default() })
+                        .packed(&request)
                 }
                 _ => Said::json(&spent()),
             }
@@ -526,23 +529,23 @@
     local(async {
         let net = Premises::here(None).expect("without a disk").net;
         let mut asking = Caller::to(at, &net);
-        let pull = |report| Pull {
-            have: Vector::default(),
+        let pull = |report| PullRequest {
+            have: VersionVector::default(),
             wait_ms: 300,
             office: None,
             lent: None,
             reports: vec![report],
         };
         let (short, long) = (pull(report(1, 0, 1, 1)), pull(report(1, 100, 10_000, 1)));
-        let token = Tokens::from([("tenant-000123".to_owned(), 1)]);
+        let token = TokenCounts::from([("tenant-000123".to_owned(), 1)]);
         for (name, kind) in [("/lend, one token", 0), ("/pull, no tenants", 1), ("/pull, 100 tenants", 2)] {
             let within = Duration::from_secs(9);
             let before: Duration = asking.ask("/spent", &(), within).await.expect("told");
             let (began, many) = (Instant::now(), (32, 1_500));
             match kind {
-                0 => calls_of::<_, Tokens>(at, ("/lend", token.clone()), many).await,
-                1 => calls_of::<_, Mail>(at, ("/pull", short.clone()), many).await,
-                _ => calls_of::<_, Mail>(at, ("/pull", long.clone()), many).await,
+                0 => calls_of::<_, TokenCounts>(at, ("/lend", token.clone()), many).await,
+                1 => calls_of::<_, PullResponse>(at, ("/pull", short.clone()), many).await,
+                _ => calls_of::<_, PullResponse>(at, ("/pull", long.clone()), many).await,
             }
             let wall = began.elapsed().as_secs_f64();
             let after: Duration = asking.ask("/spent", &(), within).await.expect("told");
--- a/crates/system-simulator/src/day.rs
+++ b/crates/system-simulator/src/day.rs
@@ -18,7 +18,7 @@
 use tokio::task::LocalSet;
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 use vanewharf_config::config::Config;
-use vanewharf_protocol::messages::{Pull, Register};
+use vanewharf_protocol::messages::{PullRequest, Register};
 use vanewharf_rpc::call::Caller;
 use vanewharf_rpc::feed::Feed;
 use vanewharf_runtime::premises::Premises;
@@ -682,8 +682,13 @@
         for no in control.into_iter().filter(|no| world.runs(*no)) {
             let feed = Feed::new(premises.steady());
             let mut there = Caller::to(world.inside(no), &premises.net);
-            let pull =
-                Pull { have: feed.store().have(), wait_ms: 0, office: None, lent: None, reports: Vec::new() };
+            let pull = PullRequest {
+                have: feed.store().have(),
+                wait_ms: 0,
+                office: None,
+                lent: None,
+                reports: Vec::new(),
+            };
             let _ = feed.pull(&mut there, &pull).await;
             let register = feed.store().register.clone();
             let revision = |register: &Register| {
--- a/crates/system-simulator/tests/orders.rs
+++ b/crates/system-simulator/tests/orders.rs
@@ -15,7 +15,7 @@
 use tokio::task::LocalSet;
 use tokio::time::{Instant, sleep, timeout};
 use vanewharf_config::settings::Settings;
-use vanewharf_protocol::messages::{Mail, Pull};
+use vanewharf_protocol::messages::{PullRequest, PullResponse};
 use vanewharf_rpc::call::Caller;
 use vanewharf_runtime::premises::{Ear, Folder, Later, Net, Premises, Stream};
 use vanewharf_system_simulator::disk::{Disk, Health};
@@ -98,9 +98,10 @@
 
 async fn evacuated(world: &World) -> BTreeSet<String> {
     let inside = SocketAddr::new(world.machines[holder(world).await].ip, 7600);
-    let pull = Pull { have: Default::default(), wait_ms: 0, office: None, lent: None, reports: Vec::new() };
+    let pull =
+        PullRequest { have: Default::default(), wait_ms: 0, office: None, lent: None, reports: Vec::new() };
     let mut caller = Caller::to(inside, &world.network.at(operator(7)));
-    let mail: Mail = caller.ask("/pull", &pull, SILENCE).await.expect("answered");
+    let mail: PullResponse = caller.ask("/pull", &pull, SILENCE).await.expect("answered");
     mail.register.expect("a register").evacuated
 }
 
--- a/crates/testkit/src/stand_ins.rs
+++ b/crates/testkit/src/stand_ins.rs
@@ -143,7 +143,7 @@
             let _ = stream.write_all(head.as_bytes()).and_then(|()| stream.write_all(id.as_bytes()));
             return false;
         }
-        Manner::Fails => http::write(stream, "HTTP/1.1 500 Internal Server Error", &own, "failed"),
+        Manner::Fails => http::write(stream, "HTTP/1.1 500 Internal Backend Error", &own, "failed"),
         Manner::Feigns(status) => {
             http::write(stream, &format!("HTTP/1.1 {status} So It Says"), &own, "feigned")
         }
--- a/programs/agent/src/lib.rs
+++ b/programs/agent/src/lib.rs
@@ -12,7 +12,7 @@
 use vanewharf_discovery::source::{Next, Sources};
 use vanewharf_discovery::view::View;
 use vanewharf_http1::Request;
-use vanewharf_protocol::messages::{Neighbour, Pull, Report};
+use vanewharf_protocol::messages::{PeerEntry, ProxyReport, PullRequest};
 use vanewharf_rpc::call::{Caller, Said, serve_own};
 use vanewharf_rpc::feed::Feed;
 use vanewharf_runtime::premises::Premises;
@@ -33,9 +33,9 @@
 const MOST_RELAYED: usize = 8;
 
 /// The carrier's last report, and when it was made.
-type Last = Rc<RefCell<Option<(Report, At)>>>;
+type Last = Rc<RefCell<Option<(ProxyReport, At)>>>;
 /// Reports of doors that reach no postmaster, by name.
-type Relayed = Rc<RefCell<BTreeMap<String, (Report, At)>>>;
+type Relayed = Rc<RefCell<BTreeMap<String, (ProxyReport, At)>>>;
 
 pub async fn run(settings: Settings, premises: Premises, end: End) -> Result<(), String> {
     let (feed, last) = (Feed::new(premises.steady()), Last::default());
@@ -48,7 +48,7 @@
             if (request.method(), request.target()) != ("POST", "/pull") {
                 return Said::status(404, "there is no such call");
             }
-            match serde_json::from_slice::<Pull>(request.body()) {
+            match serde_json::from_slice::<PullRequest>(request.body()) {
                 Ok(mut pull) => {
                     if let Some(report) = pull.reports.pop() {
                         let now = feed.now();
@@ -90,7 +90,7 @@
     request: &Request,
 ) -> Said {
     match (request.method(), request.target()) {
-        ("POST", "/shuffle") => match serde_json::from_slice::<Vec<Neighbour>>(request.body()) {
+        ("POST", "/shuffle") => match serde_json::from_slice::<Vec<PeerEntry>>(request.body()) {
             Ok(told) => {
                 let now = feed.now();
                 let mine = view.borrow().told(draw, now);
@@ -99,7 +99,7 @@
             }
             Err(error) => Said::status(400, &error.to_string()),
         },
-        ("POST", "/pull") => match serde_json::from_slice::<Pull>(request.body()) {
+        ("POST", "/pull") => match serde_json::from_slice::<PullRequest>(request.body()) {
             Ok(pull) => {
                 let now = feed.now();
                 {
@@ -129,7 +129,7 @@
             Some(ip) => {
                 let told = view.borrow().told(draw, now);
                 let mut there = Caller::to(settings.neighbour(ip), &premises.net);
-                match there.ask::<_, Vec<Neighbour>>("/shuffle", &told, BESIDE).await {
+                match there.ask::<_, Vec<PeerEntry>>("/shuffle", &told, BESIDE).await {
                     Ok(heard) => view.borrow_mut().merge(&heard, feed.now()),
                     Err(_) => view.borrow_mut().lost(ip),
                 }
@@ -138,7 +138,7 @@
             None => {
                 for ip in known(&settings, &feed) {
                     let mut there = Caller::to(settings.office(ip), &premises.net);
-                    if let Ok(heard) = there.fetch::<Vec<Neighbour>>("/neighbours", BESIDE).await {
+                    if let Ok(heard) = there.fetch::<Vec<PeerEntry>>("/neighbours", BESIDE).await {
                         view.borrow_mut().merge(&heard, feed.now());
                         break;
                     }
@@ -172,15 +172,15 @@
         let kept = callers.iter().position(|caller| caller.address == best).map(|at| callers.remove(at));
         let mut caller = kept.unwrap_or_else(|| Caller::to(best, &premises.net));
         let now = feed.now();
-        let aged = |(report, made): &(Report, At)| {
+        let aged = |(report, made): &(ProxyReport, At)| {
             let age = now.since(*made);
-            (age < STALE).then(|| Report { age_ms: age.as_millis() as u64, ..report.clone() })
+            (age < STALE).then(|| ProxyReport { age_ms: age.as_millis() as u64, ..report.clone() })
         };
         let own = last.borrow().as_ref().and_then(aged);
         let name = own.as_ref().map(|report| report.door.name.clone());
         let relayed: Vec<_> = relayed.borrow().values().filter_map(aged).collect();
         let others = relayed.into_iter().filter(|report| Some(&report.door.name) != name.as_ref());
-        let pull = Pull {
+        let pull = PullRequest {
             have: feed.store().have(),
             wait_ms: wait.as_millis() as u64,
             office: None,
--- a/programs/controller/src/lib.rs
+++ b/programs/controller/src/lib.rs
@@ -19,7 +19,7 @@
 use vanewharf_config::settings::Settings;
 use vanewharf_consensus::voter::{Promise, Voter};
 use vanewharf_discovery::summing::Summing;
-use vanewharf_protocol::messages::{Ballot, OfficeRow, Pull, Tokens, VoteRequest};
+use vanewharf_protocol::messages::{Ballot, ControllerEntry, PullRequest, TokenCounts, VoteRequest};
 use vanewharf_quota::quota::Buckets;
 use vanewharf_rpc::call::{Said, serve, serve_own};
 use vanewharf_rpc::feed::Feed;
@@ -85,7 +85,7 @@
     }
 
     let sums = Rc::new(RefCell::new(Summing::default()));
-    let row = OfficeRow { ip: settings.ip, zone: settings.zone.clone() };
+    let row = ControllerEntry { ip: settings.ip, zone: settings.zone.clone() };
     let state = Rc::new(ControllerState {
         replica: Rc::clone(&replica),
         feed: feed.clone(),
@@ -132,11 +132,11 @@
 async fn internal(state: &ControllerState, request: &vanewharf_http1::Request) -> Said {
     let unread = |error: serde_json::Error| Said::status(400, &error.to_string());
     match (request.method(), request.target()) {
-        ("POST", "/pull") => match serde_json::from_slice::<Pull>(request.body()) {
+        ("POST", "/pull") => match serde_json::from_slice::<PullRequest>(request.body()) {
             Ok(pull) => Said::json(&state.pulled(pull).await).packed(request),
             Err(error) => unread(error),
         },
-        ("POST", "/lend") => match serde_json::from_slice::<Tokens>(request.body()) {
+        ("POST", "/lend") => match serde_json::from_slice::<TokenCounts>(request.body()) {
             Ok(wanted) => Said::json(&state.lend(wanted)),
             Err(error) => unread(error),
         },
--- a/programs/controller/src/orders.rs
+++ b/programs/controller/src/orders.rs
@@ -14,7 +14,7 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{Instant, timeout};
 use vanewharf_consensus::group::{Change, Outcome, gathered};
-use vanewharf_protocol::messages::{Ballot, Register, RegisterNo};
+use vanewharf_protocol::messages::{Ballot, Register, Revision};
 
 #[derive(Debug)]
 pub enum Order {
@@ -59,7 +59,7 @@
     /// A round has ended, with its register kept by a majority or not.
     Ended {
         ballot: Ballot,
-        no: RegisterNo,
+        no: Revision,
         kept: bool,
     },
 }
@@ -111,7 +111,7 @@
 /// One register on its way to a majority, and those who are told once it is certain.
 struct Round {
     ballot: Ballot,
-    no: RegisterNo,
+    no: Revision,
     begun: Instant,
     told: Vec<(OrderOutcome, oneshot::Sender<OrderOutcome>)>,
 }
@@ -149,7 +149,7 @@
         }
     }
 
-    fn ended(&mut self, ballot: Ballot, no: RegisterNo, kept: bool) {
+    fn ended(&mut self, ballot: Ballot, no: Revision, kept: bool) {
         let certain = |round: &mut Round| round.ballot == ballot && (round.no == no || kept && round.no < no);
         let mut over: Vec<_> = self.rounds.extract_if(.., certain).collect();
         if kept {
--- a/programs/controller/src/platform.rs
+++ b/programs/controller/src/platform.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Duration;
-use vanewharf_protocol::messages::Server;
+use vanewharf_protocol::messages::Backend;
 use vanewharf_rpc::call::{Caller, Failed};
 
 const WITHIN: Duration = Duration::from_millis(900);
@@ -40,7 +40,7 @@
 }
 
 /// The whole list, in the order of the identifiers.
-pub async fn list(platform: &mut Caller) -> Result<Vec<Server>, Failed> {
+pub async fn list(platform: &mut Caller) -> Result<Vec<Backend>, Failed> {
     let (mut servers, mut token) = (Vec::new(), None);
     for _ in 0..MOST_PAGES {
         let path = match &token {
@@ -53,7 +53,7 @@
         };
         let page: Page = serde_json::from_slice(&page).map_err(|_| Failed::Unread)?;
         for (zone, entries) in page.instances {
-            servers.extend(entries.into_iter().map(|entry| Server {
+            servers.extend(entries.into_iter().map(|entry| Backend {
                 id: entry.identifier,
                 service: entry.service,
                 address: entry.address,
@@ -73,11 +73,11 @@
 }
 
 /// Whether doors have to be told: what merely warms up on its way is known to them already.
-pub fn differs(one: &[Server], other: &[Server]) -> bool {
+pub fn differs(one: &[Backend], other: &[Backend]) -> bool {
     one.len() != other.len()
         || one.iter().zip(other).any(|(one, other)| {
             let colder = other.cold_ms > one.cold_ms.saturating_add(200);
-            let same = Server { cold_ms: one.cold_ms, ..other.clone() } == *one;
+            let same = Backend { cold_ms: one.cold_ms, ..other.clone() } == *one;
             !same || colder
         })
 }
--- a/programs/controller/src/platform/tests.rs
+++ b/programs/controller/src/platform/tests.rs
@@ -2,7 +2,7 @@
 
 #[test]
 fn what_warms_up_is_not_told_again_and_what_turns_cold_is() {
-    let server = |cold_ms, draining| Server {
+    let server = |cold_ms, draining| Backend {
         id: "i-1".to_owned(),
         service: "s".to_owned(),
         address: "10.0.0.1:80".parse().expect("an address"),
--- a/programs/controller/src/replica.rs
+++ b/programs/controller/src/replica.rs
@@ -17,7 +17,7 @@
 };
 use vanewharf_consensus::membership::{assents, carries, everyone, towards};
 use vanewharf_consensus::voter::{Promise, RENEWED, Save, TERM, Voter, above};
-use vanewharf_protocol::messages::{Ballot, Cast, Membership, Register, RegisterNo, Vote, VoteRequest};
+use vanewharf_protocol::messages::{Ballot, Membership, Register, Revision, Vote, VoteRequest, VoteResponse};
 use vanewharf_rpc::call::Caller;
 use vanewharf_rpc::feed::Feed;
 use vanewharf_runtime::premises::Premises;
@@ -36,7 +36,7 @@
 
 /// What the voter's owner works through.
 enum Command {
-    Hear(VoteRequest, oneshot::Sender<Cast>),
+    Hear(VoteRequest, oneshot::Sender<VoteResponse>),
     /// Quotas are divided by so many doors.
     Count(u32),
     /// What a holder has made known.
@@ -61,14 +61,14 @@
     claim: Cell<Claim>,
     callers: RefCell<BTreeMap<SocketAddr, Vec<Caller>>>,
     /// No number is given twice under one ballot.
-    next: Cell<RegisterNo>,
+    next: Cell<Revision>,
     /// The last register that was proposed for the operator's orders, certain or not.
     proposed: RefCell<Option<Register>>,
     leaving: Cell<bool>,
     /// The highest ballot that a voter who was asked has promised to another: below it that one takes part in nothing.
     barred: Cell<Ballot>,
     /// The configuration of the register in hand, read once.
-    config: RefCell<(RegisterNo, Option<Rc<Config>>)>,
+    config: RefCell<(Revision, Option<Rc<Config>>)>,
 }
 
 impl Replica {
@@ -94,7 +94,7 @@
             term: Cell::new(None),
             claim: Cell::default(),
             callers: RefCell::default(),
-            next: Cell::new(RegisterNo(0)),
+            next: Cell::new(Revision(0)),
             proposed: RefCell::default(),
             leaving: Cell::new(false),
             barred: Cell::default(),
@@ -131,7 +131,7 @@
     }
 
     /// The register on this machine's disk, where it may vote.
-    pub fn kept_here(&self) -> Option<(Ballot, RegisterNo)> {
+    pub fn kept_here(&self) -> Option<(Ballot, Revision)> {
         let voter = self.voter.borrow();
         (!voter.amnesic()).then(|| voter.register().rank())
     }
@@ -278,7 +278,7 @@
     }
 
     /// This process' own voter.
-    pub async fn vote(&self, request: VoteRequest) -> Cast {
+    pub async fn vote(&self, request: VoteRequest) -> VoteResponse {
         let (reply, cast) = oneshot::channel();
         if self.commands.send(Command::Hear(request, reply)).is_err() {
             return self.voter.borrow().cast(Vote::Unable);
@@ -299,7 +299,7 @@
         self.doors.get()
     }
 
-    async fn ask(&self, voter: SocketAddr, request: &VoteRequest, within: Duration) -> Option<Cast> {
+    async fn ask(&self, voter: SocketAddr, request: &VoteRequest, within: Duration) -> Option<VoteResponse> {
         let cast = self.asked(voter, request, within).await?;
         if let Vote::Refused { promised, .. } = cast.vote {
             self.barred.set(promised.max(self.barred.get()));
@@ -307,7 +307,12 @@
         Some(cast)
     }
 
-    async fn asked(&self, voter: SocketAddr, request: &VoteRequest, within: Duration) -> Option<Cast> {
+    async fn asked(
+        &self,
+        voter: SocketAddr,
+        request: &VoteRequest,
+        within: Duration,
+    ) -> Option<VoteResponse> {
         if voter == self.me {
             return timeout(within, self.vote(request.clone())).await.ok();
         }
@@ -325,7 +330,7 @@
         self: &Rc<Self>,
         voters: &BTreeSet<SocketAddr>,
         request: VoteRequest,
-        mut hear: impl FnMut(SocketAddr, Cast) -> ControlFlow<T>,
+        mut hear: impl FnMut(SocketAddr, VoteResponse) -> ControlFlow<T>,
     ) -> Option<T> {
         let (said, mut votes) = mpsc::unbounded_channel();
         for &voter in voters {
@@ -415,12 +420,12 @@
     /// under a higher ballot: a voter that has promised one takes no part any more.
     async fn hold(self: &Rc<Self>, ballot: Ballot, found: Register) -> bool {
         spdlog::info!("holds the lease under ballot {}, found register {}", ballot.0, found.no.0);
-        self.next.set(RegisterNo(found.no.0 + 1));
+        self.next.set(Revision(found.no.0 + 1));
         let settling = {
             let replica = Rc::clone(self);
             tokio::task::spawn_local(async move {
                 let register = Register { ballot, ..found };
-                if register.no == RegisterNo(0) || replica.kept(&register).await {
+                if register.no == Revision(0) || replica.kept(&register).await {
                     replica.settle(register);
                 }
             })
@@ -535,14 +540,14 @@
     /// Whether it is what a majority has, and nobody else can have changed it since.
     pub fn certain(&self, register: &Register) -> bool {
         let store = self.feed.store();
-        let settled = store.register.as_deref().map_or((Ballot(0), RegisterNo(0)), Register::rank);
+        let settled = store.register.as_deref().map_or((Ballot(0), Revision(0)), Register::rank);
         self.holds() && settled == register.rank()
     }
 
     fn numbered(&self, register: Register) -> Option<Register> {
         let term = self.term.get().filter(|_| self.holds())?;
         let no = self.next.get();
-        self.next.set(RegisterNo(no.0 + 1));
+        self.next.set(Revision(no.0 + 1));
         Some(Register { ballot: term.ballot, no, ..register })
     }
 
@@ -563,7 +568,7 @@
     }
 
     /// A later one was proposed, which holds all that this one does.
-    fn superseded(&self, no: RegisterNo) -> bool {
+    fn superseded(&self, no: Revision) -> bool {
         self.next.get().0 > no.0 + 1
     }
 
--- a/programs/controller/src/roles.rs
+++ b/programs/controller/src/roles.rs
@@ -15,7 +15,8 @@
 use vanewharf_consensus::membership::{Candidate, Following, next, wanted};
 use vanewharf_discovery::summing::{Summing, for_doors, homes};
 use vanewharf_protocol::messages::{
-    DoorRow, Follower, Lent, List, Mail, Membership, Neighbour, OfficeRow, Pull, RegisterNo, Tokens, Version,
+    BackendList, ControllerEntry, Follower, Membership, PeerEntry, ProxyEntry, PullRequest, PullResponse,
+    Revision, TokenCounts, TokenLeaseReport, Version,
 };
 use vanewharf_quota::quota::{Buckets, Quota};
 use vanewharf_rpc::call::{Caller, Failed};
@@ -47,10 +48,10 @@
     pub feed: Feed,
     pub premises: Premises,
     pub sums: Rc<RefCell<Summing>>,
-    pub row: OfficeRow,
+    pub row: ControllerEntry,
     pub settings: Rc<Settings>,
     /// The homes of hosts, by the register that they were taken from.
-    pub hosts: RefCell<(RegisterNo, Rc<Homes>)>,
+    pub hosts: RefCell<(Revision, Rc<Homes>)>,
     /// The tokens that this process lends, and by which quotas.
     pub lending: RefCell<TokenLender>,
     /// Who follows this process, and keeps up.
@@ -72,7 +73,7 @@
 
 impl ControllerState {
     /// Tokens for a door; none of a tenant that no configuration in hand knows.
-    pub fn lend(&self, wanted: Tokens) -> Tokens {
+    pub fn lend(&self, wanted: TokenCounts) -> TokenCounts {
         let (mut lending, now) = (self.lending.borrow_mut(), self.feed.now());
         let config = self.replica.config();
         let lent = |(tenant, wanted): (String, u32)| {
@@ -97,19 +98,19 @@
     }
 
     /// A few of the doors that this process hears, for one that knows no other.
-    pub fn neighbours(&self) -> Vec<Neighbour> {
+    pub fn neighbours(&self) -> Vec<PeerEntry> {
         let (now, sums) = (self.feed.now(), self.sums.borrow());
         let mut heard: Vec<_> = sums.heard(now).collect();
         self.premises.shuffle(&mut heard);
         let of =
-            |door: &DoorRow| Neighbour { ip: door.address.ip(), region: door.region.clone(), heard_ms: 0 };
+            |door: &ProxyEntry| PeerEntry { ip: door.address.ip(), region: door.region.clone(), heard_ms: 0 };
         heard.into_iter().take(NEIGHBOURS).map(of).collect()
     }
 
-    fn lent(&self) -> Lent {
+    fn lent(&self) -> TokenLeaseReport {
         let lending = self.lending.borrow();
         let (let_through, slices) = (lending.buckets.let_through(), lending.buckets.slices());
-        Lent { ip: self.row.ip, life: lending.life, let_through, slices }
+        TokenLeaseReport { ip: self.row.ip, life: lending.life, let_through, slices }
     }
 
     /// Where each host's clients are to go, by the register in hand.
@@ -123,7 +124,7 @@
     }
 
     /// A pull by a sorter or by another postmaster: takes its reports and gives it what it lacks.
-    pub async fn pulled(&self, pull: Pull) -> Mail {
+    pub async fn pulled(&self, pull: PullRequest) -> PullResponse {
         let now = self.feed.now();
         {
             let mut sums = self.sums.borrow_mut();
@@ -132,7 +133,7 @@
             pull.reports.iter().for_each(|report| sums.report(report.clone(), now));
         }
         if let Some(follower) = &pull.office {
-            let settled = self.feed.store().register.as_ref().map_or(RegisterNo(0), |register| register.no);
+            let settled = self.feed.store().register.as_ref().map_or(Revision(0), |register| register.no);
             self.following.borrow_mut().hear(follower, settled, now);
         }
         let mut mail = self.feed.answer(&pull).await;
@@ -163,7 +164,7 @@
             let Some(caller) = callers.iter_mut().find(|caller| caller.address == from) else {
                 continue;
             };
-            let pull = Pull {
+            let pull = PullRequest {
                 have: self.feed.store().have(),
                 wait_ms: FOLLOW.as_millis() as u64,
                 office: Some(Follower { row: self.row.clone(), kept: self.replica.kept_here() }),
@@ -312,7 +313,7 @@
                     let others = last.ballot != self.replica.ballot();
                     let differs = others || known.is_none_or(|known| platform::differs(&known, &servers));
                     if differs && self.replica.holds() {
-                        let list = List { version: self.version(last), age_ms: 0, servers };
+                        let list = BackendList { version: self.version(last), age_ms: 0, servers };
                         self.feed.change(|store| store.set_list(list, asked));
                     }
                     sleep(LISTED).await;
--- a/programs/proxy/src/lend.rs
+++ b/programs/proxy/src/lend.rs
@@ -11,7 +11,7 @@
 use tokio::sync::mpsc;
 use vanewharf_clock::At;
 use vanewharf_config::settings::Settings;
-use vanewharf_protocol::messages::Tokens;
+use vanewharf_protocol::messages::TokenCounts;
 use vanewharf_rpc::call::Caller;
 use vanewharf_rpc::feed::Feed;
 use vanewharf_runtime::premises::Premises;
@@ -30,7 +30,7 @@
 }
 
 /// Requests that wait come first; what is left is for the lots.
-fn shared_out(asks: &[Ask], mut given: Option<Tokens>) -> Loans {
+fn shared_out(asks: &[Ask], mut given: Option<TokenCounts>) -> Loans {
     let mut loans = Loans::default();
     let mut take = |tenant: &Rc<str>, most: u32| {
         let left = given.as_mut()?.entry(tenant.to_string()).or_default();
@@ -71,8 +71,8 @@
     }
 
     /// What was lent; nothing where nobody answered.
-    async fn borrow(&self, asks: &[Ask]) -> Option<Tokens> {
-        let mut wanted = Tokens::new();
+    async fn borrow(&self, asks: &[Ask]) -> Option<TokenCounts> {
+        let mut wanted = TokenCounts::new();
         for ask in asks {
             *wanted.entry(ask.tenant.to_string()).or_default() += u32::from(ask.txn.is_some()) + ask.more;
         }
--- a/programs/proxy/src/lib.rs
+++ b/programs/proxy/src/lib.rs
@@ -30,7 +30,7 @@
 use vanewharf_gateway::take_in;
 use vanewharf_gateway_settings::Lines;
 use vanewharf_policy::interface::Tenths;
-use vanewharf_protocol::messages::DoorRow;
+use vanewharf_protocol::messages::ProxyEntry;
 use vanewharf_rpc::call::{Caller, Said, serve};
 use vanewharf_rpc::feed::Feed;
 use vanewharf_runtime::premises::Premises;
@@ -79,7 +79,7 @@
         let lending =
             Rc::new(Lending::new(feed.clone(), Rc::clone(settings), premises.clone(), news.clone()));
         tokio::task::spawn_local(lending.run(asked));
-        let row = DoorRow {
+        let row = ProxyEntry {
             name: settings.name.clone(),
             address: frontend,
             zone: settings.zone.clone(),
--- a/programs/proxy/src/link.rs
+++ b/programs/proxy/src/link.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 use tokio::sync::mpsc;
 use tokio::time::sleep;
-use vanewharf_protocol::messages::{DoorRow, Pull, Report};
+use vanewharf_protocol::messages::{ProxyEntry, ProxyReport, PullRequest};
 use vanewharf_rpc::call::Caller;
 use vanewharf_rpc::feed::Feed;
 
@@ -16,7 +16,7 @@
 pub struct Link {
     pub feed: Feed,
     pub sorter: Caller,
-    pub row: DoorRow,
+    pub row: ProxyEntry,
     pub life: u64,
     pub posted: Rc<Posted>,
     pub told: Rc<Told>,
@@ -34,8 +34,8 @@
     pub async fn run(mut self) {
         loop {
             let ready = Link::ready(&self.posted, &self.told, &self.feed);
-            let report = Report {
-                door: DoorRow { ready, ..self.row.clone() },
+            let report = ProxyReport {
+                door: ProxyEntry { ready, ..self.row.clone() },
                 life: self.life,
                 age_ms: 0,
                 counted: self.feed.store().ledger.as_ref().map_or(0, |ledger| ledger.counted),
@@ -45,7 +45,7 @@
                 tried: self.told.tried.borrow().clone(),
             };
             let wait_ms = WAIT.as_millis() as u64;
-            let pull = Pull {
+            let pull = PullRequest {
                 have: self.feed.store().have(),
                 wait_ms,
                 office: None,
--- a/programs/proxy/src/news.rs
+++ b/programs/proxy/src/news.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 use vanewharf_clock::At;
 use vanewharf_policy::interface::TxnId;
-use vanewharf_protocol::messages::{Ledger, List, Register, Tried};
+use vanewharf_protocol::messages::{AttemptCounts, BackendList, FleetSummary, Register};
 
 /// For one answer of a lender: across regions it takes two ways.
 pub const LENT_WITHIN: Duration = Duration::from_millis(300);
@@ -15,8 +15,8 @@
 pub enum News {
     Register(Rc<Register>),
     /// With the time at which it was taken.
-    List(Rc<List>, At),
-    Ledger(Rc<Ledger>),
+    List(Rc<BackendList>, At),
+    Ledger(Rc<FleetSummary>),
     Lent(Loans),
 }
 
@@ -42,7 +42,7 @@
     pub let_through: RefCell<BTreeMap<String, u64>>,
     pub slices: RefCell<BTreeMap<String, f64>>,
     pub hosts: RefCell<BTreeMap<String, (u64, u64)>>,
-    pub tried: RefCell<BTreeMap<String, Tried>>,
+    pub tried: RefCell<BTreeMap<String, AttemptCounts>>,
     /// Told to end: clients are to go elsewhere.
     pub ending: Cell<bool>,
 }
--- a/programs/proxy/src/rounds.rs
+++ b/programs/proxy/src/rounds.rs
@@ -24,7 +24,7 @@
 use vanewharf_http1::Reply;
 use vanewharf_policy::decide::Door;
 use vanewharf_policy::interface::{self as told, *};
-use vanewharf_protocol::messages::{List, Register, Server};
+use vanewharf_protocol::messages::{Backend, BackendList, Register};
 use vanewharf_quota::pocket::Pocket;
 use vanewharf_quota::quota::Buckets;
 
@@ -40,8 +40,8 @@
     stuck: Option<At>,
 }
 
-struct Backend {
-    server: Server,
+struct PooledBackend {
+    server: Backend,
     key: RoundKey,
     /// Cold until then.
     cold_until: At,
@@ -101,9 +101,9 @@
     /// What the tables were made from.
     register: Option<Rc<Register>>,
     tables: Option<Rc<Tables>>,
-    list: Option<(Rc<List>, At)>,
+    list: Option<(Rc<BackendList>, At)>,
     rounds: BTreeMap<RoundKey, Round>,
-    backends: BTreeMap<BackendId, Backend>,
+    backends: BTreeMap<BackendId, PooledBackend>,
     ids: HashMap<String, BackendId>,
     named: u32,
     ways: BTreeMap<TxnId, Way>,
@@ -204,7 +204,7 @@
             named.insert(id);
             let key = (Rc::from(server.service.as_str()), self.region(&server.zone));
             let cold_until = listed.after(Duration::from_millis(server.cold_ms));
-            let known = self.backends.entry(id).or_insert_with(|| Backend {
+            let known = self.backends.entry(id).or_insert_with(|| PooledBackend {
                 server: server.clone(),
                 key,
                 cold_until,
