--- a/crates/config/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -8,7 +8,7 @@
 use thiserror::Error;
 
 #[derive(Debug, Error)]
-pub enum Unread {
+pub enum SettingsError {
     #[error("VANEWHARF_SETTINGS is not set")]
     NoPath,
     #[error("cannot read {0}: {1}")]
@@ -61,13 +61,13 @@
 }
 
 impl Settings {
-    pub fn path() -> Result<PathBuf, Unread> {
-        std::env::var_os("VANEWHARF_SETTINGS").map(PathBuf::from).ok_or(Unread::NoPath)
+    pub fn path() -> Result<PathBuf, SettingsError> {
+        std::env::var_os("VANEWHARF_SETTINGS").map(PathBuf::from).ok_or(SettingsError::NoPath)
     }
 
-    pub fn read(path: PathBuf) -> Result<Settings, Unread> {
-        let text = std::fs::read(&path).map_err(|error| Unread::File(path.clone(), error))?;
-        Settings::of(&text).map_err(|fault| Unread::Content(path, fault))
+    pub fn read(path: PathBuf) -> Result<Settings, SettingsError> {
+        let text = std::fs::read(&path).map_err(|error| SettingsError::File(path.clone(), error))?;
+        Settings::of(&text).map_err(|fault| SettingsError::Content(path, fault))
     }
 
     pub fn of(text: &[u8]) -> Checked<Settings> {
--- a/crates/consensus/src/election.rs
+++ b/crates/consensus/src/election.rs
@@ -7,7 +7,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::ops::ControlFlow;
-use vanewharf_clock::At;
+use vanewharf_clock::Timestamp;
 use vanewharf_protocol::messages::{Ballot, Membership, Register, Revision, Vote, VoteResponse};
 
 /// By which registers are told apart.
@@ -17,28 +17,28 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Term {
     pub ballot: Ballot,
-    pub until: At,
+    pub until: Timestamp,
     /// What was kept before is kept under this ballot too, so that orders may be taken.
     pub settled: bool,
 }
 
 impl Term {
     /// Granted by a majority that was asked at that time or later.
-    pub fn won(ballot: Ballot, asked: At) -> Term {
+    pub fn won(ballot: Ballot, asked: Timestamp) -> Term {
         Term { ballot, until: asked.after(TERM - MARGIN), settled: false }
     }
 
     /// Renewed by a majority that was asked then; answers may come out of turn.
-    pub fn renewed(self, asked: At) -> Term {
+    pub fn renewed(self, asked: Timestamp) -> Term {
         Term { until: asked.after(TERM - MARGIN).max(self.until), ..self }
     }
 
-    pub fn lasts(&self, now: At) -> bool {
+    pub fn lasts(&self, now: Timestamp) -> bool {
         self.until > now
     }
 
     /// Whether its holder may act by it.
-    pub fn serves(&self, now: At) -> bool {
+    pub fn serves(&self, now: Timestamp) -> bool {
         self.settled && self.lasts(now)
     }
 }
@@ -57,7 +57,7 @@
     }
 
     /// A voter that promised that ballot and was restarted asks whether it is still held.
-    pub fn asked(&mut self, ballot: Ballot, term: Option<Term>, now: At) -> bool {
+    pub fn asked(&mut self, ballot: Ballot, term: Option<Term>, now: Timestamp) -> bool {
         let held = term.is_some_and(|term| term.ballot == ballot && term.lasts(now));
         self.disowned |= !held && self.ballot == ballot;
         held
--- a/crates/consensus/src/election/tests.rs
+++ b/crates/consensus/src/election/tests.rs
@@ -2,7 +2,7 @@
 use crate::membership::{begun, founded};
 use std::time::Duration;
 
-const START: At = At(1_000_000_000);
+const START: Timestamp = Timestamp(1_000_000_000);
 
 fn addr(no: u8) -> SocketAddr {
     SocketAddr::from(([10, 0, 0, no], 7600))
--- a/crates/consensus/src/membership.rs
+++ b/crates/consensus/src/membership.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{IpAddr, SocketAddr};
 use std::time::Duration;
-use vanewharf_clock::At;
+use vanewharf_clock::Timestamp;
 use vanewharf_protocol::messages::{Ballot, Follower, Membership, Register, Revision, Vote, VoteResponse};
 
 /// A voter that was not heard of, or did not keep up, for so long is lost, as long as one that keeps up stands by.
@@ -248,9 +248,9 @@
 /// What the holder knows of those that follow it. It knows nothing of before it took the lease.
 #[derive(Debug, Default)]
 pub struct Following {
-    began: At,
+    began: Timestamp,
     /// When the lease was lost, while it is.
-    ended: Option<At>,
+    ended: Option<Timestamp>,
     heard: BTreeMap<IpAddr, Heard>,
 }
 
@@ -258,18 +258,18 @@
 struct Heard {
     zone: String,
     /// When it was last heard of with all on its disk that it had to have by then.
-    sound: Option<At>,
+    sound: Option<Timestamp>,
     /// Since when it has been sound without a break.
-    since: At,
+    since: Timestamp,
     /// What it has to have on its disk, and since when.
     goal: Revision,
-    set: At,
+    set: Timestamp,
 }
 
 impl Following {
     /// The lease is had. Had again soon, what was known of others counts on, without the time between in which nobody
     /// followed: who was lost before is not waited for once more.
-    pub fn begin(&mut self, now: At) {
+    pub fn begin(&mut self, now: Timestamp) {
         match self.ended.take().map(|ended| now.since(ended)).filter(|between| *between < RESUMED) {
             Some(between) => {
                 self.began = self.began.after(between);
@@ -286,12 +286,12 @@
     }
 
     /// The lease is lost.
-    pub fn end(&mut self, now: At) {
+    pub fn end(&mut self, now: Timestamp) {
         self.ended = Some(now);
     }
 
     /// It pulls, and says what is on its disk; `settled` is what it should have soon.
-    pub fn hear(&mut self, follower: &Follower, settled: Revision, now: At) {
+    pub fn hear(&mut self, follower: &Follower, settled: Revision, now: Timestamp) {
         let zone = follower.row.zone.clone();
         let fresh = || Heard { zone, sound: None, since: now, goal: settled, set: now };
         let heard = self.heard.entry(follower.row.ip).or_insert_with(fresh);
@@ -318,7 +318,7 @@
         voters: &[SocketAddr],
         (me, zone): (SocketAddr, &str),
         office: impl Fn(IpAddr) -> SocketAddr,
-        now: At,
+        now: Timestamp,
     ) -> Vec<Candidate> {
         let held = now.since(self.began);
         let mut all: Vec<_> = self
--- a/crates/consensus/src/membership/tests.rs
+++ b/crates/consensus/src/membership/tests.rs
@@ -3,7 +3,7 @@
 use vanewharf_protocol::messages::ControllerEntry;
 use yare::parameterized;
 
-const START: At = At(1_000_000_000);
+const START: Timestamp = Timestamp(1_000_000_000);
 
 fn addr(no: u8) -> SocketAddr {
     SocketAddr::from(([10, 0, 0, no], 7600))
@@ -185,7 +185,7 @@
     let (mut following, ip) = (Following::default(), |no: u8| IpAddr::from([10, 0, 0, no]));
     let office = |ip| SocketAddr::new(ip, 7600);
     let kept = Some((Ballot(1), Revision(1)));
-    let hear = |following: &mut Following, no: u8, now: At| {
+    let hear = |following: &mut Following, no: u8, now: Timestamp| {
         let row = ControllerEntry { ip: ip(no), zone: "z".to_owned() };
         following.hear(&Follower { row, kept }, Revision(1), now);
     };
@@ -195,7 +195,7 @@
     following.end(after(2_000));
     following.begin(after(7_000));
     hear(&mut following, 2, after(7_100));
-    let missing = |following: &Following, no: u8, now: At| {
+    let missing = |following: &Following, no: u8, now: Timestamp| {
         let all = following.candidates(&list(&[1, 2, 3]), (addr(1), "z"), office, now);
         let one = all.into_iter().find(|one| one.office == addr(no)).expect("it is known");
         (one.missing, one.keeping_up)
--- a/crates/consensus/src/voter.rs
+++ b/crates/consensus/src/voter.rs
@@ -10,7 +10,7 @@
 use std::collections::BTreeMap;
 use std::net::{IpAddr, SocketAddr};
 use std::time::Duration;
-use vanewharf_clock::At;
+use vanewharf_clock::Timestamp;
 use vanewharf_protocol::messages::{Ballot, Register, Vote, VoteRequest, VoteResponse};
 
 /// How long a granted lease lasts at its voter.
@@ -44,7 +44,7 @@
 struct Lease {
     ballot: Ballot,
     holder: SocketAddr,
-    until: At,
+    until: Timestamp,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -56,7 +56,7 @@
     register: Register,
     lease: Option<Lease>,
     /// Grants given before this start may last until then.
-    quiet_until: At,
+    quiet_until: Timestamp,
     /// It has forgotten what it promised.
     amnesic: bool,
     seeds: Vec<SocketAddr>,
@@ -99,7 +99,7 @@
         register: Option<Register>,
         seeds: &[SocketAddr],
         first: bool,
-        now: At,
+        now: Timestamp,
     ) -> Voter {
         let nothing = Promise {
             ballot: Ballot::default(),
@@ -178,21 +178,21 @@
     }
 
     /// Whose lease this voter goes by.
-    pub fn holder(&self, now: At) -> Option<SocketAddr> {
+    pub fn holder(&self, now: Timestamp) -> Option<SocketAddr> {
         self.lease.filter(|lease| lease.until > now).map(|lease| lease.holder)
     }
 
     /// Whether it may try for the lease itself.
-    pub fn vacant(&self, now: At) -> bool {
+    pub fn vacant(&self, now: Timestamp) -> bool {
         !self.amnesic && now >= self.quiet_until && self.holder(now).is_none()
     }
 
     /// Whether another one holds the lease.
-    fn taken(&self, holder: SocketAddr, now: At) -> bool {
+    fn taken(&self, holder: SocketAddr, now: Timestamp) -> bool {
         self.lease.is_some_and(|lease| lease.until > now && lease.holder != holder)
     }
 
-    pub fn hear(&mut self, vote_request: VoteRequest, now: At) -> Step {
+    pub fn hear(&mut self, vote_request: VoteRequest, now: Timestamp) -> Step {
         if self.amnesic {
             return Step::say(Vote::Amnesic { seeds: self.seeds.clone() });
         }
@@ -260,7 +260,7 @@
     }
 
     /// The one it promised to before this start holds nothing any more, as it says itself.
-    pub fn released(&mut self, ballot: Ballot, now: At) {
+    pub fn released(&mut self, ballot: Ballot, now: Timestamp) {
         if ballot == self.promised && self.lease.is_none() {
             self.quiet_until = self.quiet_until.min(now);
         }
@@ -291,7 +291,7 @@
     }
 
     /// What a member with amnesia was told, once that and the new incarnation are on disk.
-    pub fn restore(&mut self, recovered: &Promise, register: Register, now: At) {
+    pub fn restore(&mut self, recovered: &Promise, register: Register, now: Timestamp) {
         self.promised = recovered.ballot.max(register.ballot);
         self.register = register;
         self.founders = recovered.founders.clone();
--- a/crates/consensus/src/voter/tests.rs
+++ b/crates/consensus/src/voter/tests.rs
@@ -2,7 +2,7 @@
 use crate::membership::{Recovery, majority, recovery};
 use vanewharf_protocol::messages::Revision;
 
-const START: At = At(1_000_000_000);
+const START: Timestamp = Timestamp(1_000_000_000);
 
 fn addr(no: u8) -> SocketAddr {
     SocketAddr::from(([10, 0, 0, no], 7600))
@@ -42,7 +42,7 @@
     Register { ballot: Ballot(ballot), no: Revision(no), membership, ..Register::none() }
 }
 
-fn keep(voter: &mut Voter, kept: Register, now: At) -> bool {
+fn keep(voter: &mut Voter, kept: Register, now: Timestamp) -> bool {
     let step = voter.hear(VoteRequest::Accept { register: kept }, now);
     step.save.into_iter().for_each(|save| voter.saved(save));
     matches!(step.vote, Vote::Accepted)
--- a/crates/consensus/tests/model/drift.rs
+++ b/crates/consensus/tests/model/drift.rs
@@ -2,7 +2,7 @@
 
 use crate::machine::addr;
 use std::time::Duration;
-use vanewharf_clock::At;
+use vanewharf_clock::Timestamp;
 use vanewharf_consensus::election::Term;
 use vanewharf_consensus::voter::{MARGIN, TERM, Voter};
 use vanewharf_protocol::messages::{Ballot, Vote, VoteRequest};
@@ -11,9 +11,9 @@
 const START: u64 = 1_000_000_000;
 
 /// By a steady clock that runs so many millionths too fast (or too slow).
-fn at(truly: Duration, millionths: i64) -> At {
+fn at(truly: Duration, millionths: i64) -> Timestamp {
     let tenths = truly.as_micros() as i64 / 100;
-    At((START as i64 + tenths + tenths * millionths / 1_000_000) as u64)
+    Timestamp((START as i64 + tenths + tenths * millionths / 1_000_000) as u64)
 }
 
 /// Whether there is a moment at which the holder still goes by its lease and its voter grants another.
@@ -22,11 +22,11 @@
     let seeds: Vec<_> = (0..3).map(addr).collect();
     (0..20_000u64).any(|tenths| {
         let truly = Duration::from_micros(tenths * 100);
-        let mut one = Voter::start(None, None, &seeds, true, At(START));
+        let mut one = Voter::start(None, None, &seeds, true, Timestamp(START));
         // Asked and granted at one moment: the worst for the holder.
-        assert!(matches!(one.hear(lease(1, 0), At(START)).vote, Vote::Granted { .. }));
+        assert!(matches!(one.hear(lease(1, 0), Timestamp(START)).vote, Vote::Granted { .. }));
         let granted = matches!(one.hear(lease(2, 1), at(truly, voter)).vote, Vote::Granted { .. });
-        granted && Term::won(Ballot(1), At(START)).lasts(at(truly, holder))
+        granted && Term::won(Ballot(1), Timestamp(START)).lasts(at(truly, holder))
     })
 }
 
--- a/crates/consensus/tests/model/machine.rs
+++ b/crates/consensus/tests/model/machine.rs
@@ -7,7 +7,7 @@
 use stateright::{Model, Property};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
-use vanewharf_clock::At;
+use vanewharf_clock::Timestamp;
 use vanewharf_consensus::election::{Claim, Election, Keeping, Recovering, Renewing, Term};
 use vanewharf_consensus::membership::{carries, everyone};
 use vanewharf_consensus::voter::{Promise, Voter};
@@ -146,8 +146,8 @@
         self.planted == Some(planted)
     }
 
-    pub fn now(&self, state: &State, member: usize) -> At {
-        At(ORIGIN + u64::from(state.tick) * self.clocks[member])
+    pub fn now(&self, state: &State, member: usize) -> Timestamp {
+        Timestamp(ORIGIN + u64::from(state.tick) * self.clocks[member])
     }
 
     pub fn seeds(&self) -> Vec<SocketAddr> {
@@ -174,13 +174,13 @@
     pub rounds: u8,
     pub seen: Ballot,
     pub claim: Claim,
-    pub election: Option<(u8, Ballot, At, Election)>,
+    pub election: Option<(u8, Ballot, Timestamp, Election)>,
     pub term: Option<Term>,
     pub next: Revision,
     /// The last that was proposed for the operator's orders, certain or not: the next one holds what it
     /// changed.
     pub proposed: Option<Register>,
-    pub renewing: Option<(u8, At, Renewing)>,
+    pub renewing: Option<(u8, Timestamp, Renewing)>,
     pub keeping: Option<(u8, Purpose, Register, Keeping)>,
     /// What it makes known: settled.
     pub store: Option<Register>,
@@ -343,10 +343,10 @@
         let member = |place: usize| {
             // Machines that came later have followed the others, and have long recovered.
             let first = place < self.founders;
-            let founded = Voter::start(None, None, &founders, true, At(ORIGIN));
+            let founded = Voter::start(None, None, &founders, true, Timestamp(ORIGIN));
             let (promise, seeds) = (founded.record(), self.seeds());
-            let mut voter = Voter::start(Some(&promise), None, &seeds, first, At(ORIGIN));
-            voter.released(Ballot(0), At(ORIGIN));
+            let mut voter = Voter::start(Some(&promise), None, &seeds, first, Timestamp(ORIGIN));
+            voter.released(Ballot(0), Timestamp(ORIGIN));
             Member {
                 up: true,
                 voter,
--- a/crates/consensus/tests/model/steps.rs
+++ b/crates/consensus/tests/model/steps.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::ops::ControlFlow;
-use vanewharf_clock::At;
+use vanewharf_clock::Timestamp;
 use vanewharf_consensus::election::{Claim, Election, Keeping, Recovering, Renewing, Term};
 use vanewharf_consensus::election::{Outcome, Renewal, Turn};
 use vanewharf_consensus::membership::everyone;
@@ -501,11 +501,11 @@
         }
     }
 
-    fn lasting(&self, term: Term, asked: At) -> Term {
+    fn lasting(&self, term: Term, asked: Timestamp) -> Term {
         if self.has(Planted::NoMargin) { Term { until: asked.after(TERM), ..term } } else { term }
     }
 
-    fn win(&self, state: &mut State, me: usize, ballot: Ballot, asked: At, found: Register) {
+    fn win(&self, state: &mut State, me: usize, ballot: Ballot, asked: Timestamp, found: Register) {
         // All that a holder before this one acknowledged.
         if !state.values().is_subset(&found.evacuated) {
             state.broken = Some(FOUND);
--- a/crates/discovery/src/source.rs
+++ b/crates/discovery/src/source.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Duration;
-use vanewharf_clock::At;
+use vanewharf_clock::Timestamp;
 
 /// How long a pull waits for news.
 pub const WAIT: Duration = Duration::from_millis(300);
@@ -33,12 +33,12 @@
 #[derive(Clone, Copy, Debug)]
 struct Spared {
     fault: Fault,
-    since: At,
+    since: Timestamp,
     how_long: Duration,
 }
 
 impl Spared {
-    fn now(self, now: At) -> bool {
+    fn now(self, now: Timestamp) -> bool {
         now.since(self.since) < self.how_long
     }
 }
@@ -54,7 +54,7 @@
 pub struct Sources {
     spared: BTreeMap<SocketAddr, Spared>,
     /// When each was last asked, of those that are or were spared.
-    asked: BTreeMap<SocketAddr, At>,
+    asked: BTreeMap<SocketAddr, Timestamp>,
     last: Option<SocketAddr>,
     /// The last one was a neighbour, and in vain.
     in_vain: bool,
@@ -64,7 +64,7 @@
     /// From the nearest postmaster that answers and is up to date; where there is none, from a neighbour that
     /// is; else from the postmaster behind that was asked longest ago: one of them may be up to date by now,
     /// and clients hear of this door through it. None where nobody is left: all may be asked again.
-    pub fn next(&mut self, offices: &[SocketAddr], beside: &[SocketAddr], now: At) -> Option<Next> {
+    pub fn next(&mut self, offices: &[SocketAddr], beside: &[SocketAddr], now: Timestamp) -> Option<Next> {
         let known = |source: &SocketAddr| offices.contains(source) || beside.contains(source);
         self.spared.retain(|source, _| known(source));
         self.asked.retain(|source, _| known(source));
@@ -97,7 +97,13 @@
     }
 
     /// It answered, and was itself up to date then; whether it is of use.
-    pub fn answered(&mut self, source: SocketAddr, sure: Option<At>, beside: &[SocketAddr], now: At) -> bool {
+    pub fn answered(
+        &mut self,
+        source: SocketAddr,
+        sure: Option<Timestamp>,
+        beside: &[SocketAddr],
+        now: Timestamp,
+    ) -> bool {
         let fault = match sure {
             Some(sure) if now.since(sure) <= BEHIND => {
                 self.spared.remove(&source);
@@ -110,12 +116,12 @@
         false
     }
 
-    pub fn failed(&mut self, source: SocketAddr, beside: &[SocketAddr], now: At) {
+    pub fn failed(&mut self, source: SocketAddr, beside: &[SocketAddr], now: Timestamp) {
         self.last = None;
         self.spare(source, Fault::Failed, beside, now);
     }
 
-    fn spare(&mut self, source: SocketAddr, fault: Fault, beside: &[SocketAddr], now: At) {
+    fn spare(&mut self, source: SocketAddr, fault: Fault, beside: &[SocketAddr], now: Timestamp) {
         self.in_vain = beside.contains(&source);
         let before = self.spared.get(&source).filter(|before| before.fault == fault);
         let how_long = match before {
--- a/crates/discovery/src/source/tests.rs
+++ b/crates/discovery/src/source/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use yare::parameterized;
 
-const START: At = At(1_000_000_000);
+const START: Timestamp = Timestamp(1_000_000_000);
 
 fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
@@ -17,12 +17,12 @@
     sources: Sources,
     offices: Vec<SocketAddr>,
     beside: Vec<SocketAddr>,
-    now: At,
+    now: Timestamp,
     /// Since when a source has heard nothing; none: never; one that is not named is up to date.
-    cut: BTreeMap<SocketAddr, Option<At>>,
+    cut: BTreeMap<SocketAddr, Option<Timestamp>>,
     silent: Vec<SocketAddr>,
     /// When the door last heard what was the newest within a quarter of a second.
-    heard: At,
+    heard: Timestamp,
     longest: Duration,
     asked: Vec<SocketAddr>,
 }
--- a/crates/discovery/src/summing.rs
+++ b/crates/discovery/src/summing.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::IpAddr;
 use std::time::Duration;
-use vanewharf_clock::At;
+use vanewharf_clock::Timestamp;
 use vanewharf_config::config::Config;
 use vanewharf_health::evidence::Weighed;
 use vanewharf_protocol::messages::{
@@ -44,22 +44,33 @@
 #[derive(Clone, Debug)]
 struct Counts {
     life: u64,
-    made: At,
+    made: Timestamp,
     /// The counts that the rates are taken from, and when they were made.
     base: BTreeMap<String, u64>,
-    base_at: At,
+    base_at: Timestamp,
     latest: BTreeMap<String, u64>,
     rates: BTreeMap<String, f64>,
     slices: BTreeMap<String, f64>,
 }
 
 impl Counts {
-    fn new(life: u64, latest: BTreeMap<String, u64>, slices: BTreeMap<String, f64>, made: At) -> Counts {
+    fn new(
+        life: u64,
+        latest: BTreeMap<String, u64>,
+        slices: BTreeMap<String, f64>,
+        made: Timestamp,
+    ) -> Counts {
         let (base, rates) = (latest.clone(), BTreeMap::new());
         Counts { life, made, base, base_at: made, latest, rates, slices }
     }
 
-    fn hear(&mut self, life: u64, latest: BTreeMap<String, u64>, slices: BTreeMap<String, f64>, made: At) {
+    fn hear(
+        &mut self,
+        life: u64,
+        latest: BTreeMap<String, u64>,
+        slices: BTreeMap<String, f64>,
+        made: Timestamp,
+    ) {
         if life != self.life {
             *self = Counts::new(life, latest, slices, made);
             return;
@@ -84,7 +95,7 @@
 fn summed<'a>(
     all: impl Iterator<Item = &'a Counts> + Clone,
     counted: usize,
-    now: At,
+    now: Timestamp,
 ) -> BTreeMap<String, TenantUsage> {
     // Who has not told what it holds may hold all that the others don't.
     let unheard = counted > all.clone().filter(|counts| counts.life != UNHEARD).count();
@@ -118,15 +129,15 @@
     lenders: BTreeMap<IpAddr, Counts>,
     weighed: Weighed,
     /// When this process began to sum for all.
-    begun: Option<At>,
+    begun: Option<Timestamp>,
     known: u32,
     /// When the first door came by.
-    first: Option<At>,
-    offices: BTreeMap<ControllerEntry, At>,
+    first: Option<Timestamp>,
+    offices: BTreeMap<ControllerEntry, Timestamp>,
 }
 
 impl Summing {
-    pub fn report(&mut self, report: ProxyReport, now: At) {
+    pub fn report(&mut self, report: ProxyReport, now: Timestamp) {
         let made = now.before(Duration::from_millis(report.age_ms));
         self.first.get_or_insert(now);
         let ProxyReport { door: row, life, let_through, slices, hosts, counted, tried, .. } = report;
@@ -144,7 +155,7 @@
         }
     }
 
-    pub fn lent(&mut self, lent: TokenLeaseReport, now: At) {
+    pub fn lent(&mut self, lent: TokenLeaseReport, now: Timestamp) {
         let TokenLeaseReport { ip, life, let_through, slices } = lent;
         match self.lenders.get_mut(&ip) {
             Some(counts) => counts.hear(life, let_through, slices, now),
@@ -153,12 +164,12 @@
     }
 
     /// This process sums for all from now on; so many doors there were, as far as anybody knows (0: nobody does).
-    pub fn begin(&mut self, known: u32, now: At) {
+    pub fn begin(&mut self, known: u32, now: Timestamp) {
         (self.begun, self.known) = (Some(now), known);
     }
 
     /// What the holder before knew of the doors: those that nothing is heard of are counted all the same.
-    pub fn inherit(&mut self, ledger: &FleetSummary, now: At) {
+    pub fn inherit(&mut self, ledger: &FleetSummary, now: Timestamp) {
         for row in &ledger.doors {
             let row = ProxyEntry { ready: false, ..row.clone() };
             let counts = Counts::new(UNHEARD, BTreeMap::new(), BTreeMap::new(), now);
@@ -181,23 +192,23 @@
 
     /// Whether there is anything to divide by: with no door heard there is not, and the first of doors that have
     /// all forgotten must not be told that it is the only one.
-    pub fn ready(&self, now: At) -> bool {
+    pub fn ready(&self, now: Timestamp) -> bool {
         let gathered = self.first.is_some_and(|first| now.since(first) >= GATHERING);
         let inherited = self.doors.values().any(|heard| heard.counts.life == UNHEARD);
         !self.doors.is_empty() && (gathered || inherited || self.told() > 0)
     }
 
     /// The doors that this process itself hears of, as they are now.
-    pub fn heard(&self, now: At) -> impl Iterator<Item = &ProxyEntry> {
+    pub fn heard(&self, now: Timestamp) -> impl Iterator<Item = &ProxyEntry> {
         self.doors.values().filter(move |heard| now.since(heard.counts.made) < NAMED).map(|heard| &heard.row)
     }
 
-    pub fn office(&mut self, office: ControllerEntry, now: At) {
+    pub fn office(&mut self, office: ControllerEntry, now: Timestamp) {
         self.offices.insert(office, now);
     }
 
     /// What this process heard itself, for the one who sums.
-    pub fn reports(&self, now: At) -> Vec<ProxyReport> {
+    pub fn reports(&self, now: Timestamp) -> Vec<ProxyReport> {
         let fresh = self.doors.values().filter(|heard| now.since(heard.counts.made) < NAMED);
         let told = |heard: &Heard| ProxyReport {
             door: heard.row.clone(),
@@ -212,7 +223,7 @@
         fresh.map(told).collect()
     }
 
-    pub fn ledger(&mut self, version: Version, allowance: f64, now: At) -> FleetSummary {
+    pub fn ledger(&mut self, version: Version, allowance: f64, now: Timestamp) -> FleetSummary {
         self.doors.retain(|_, heard| now.since(heard.counts.made) < COUNTED);
         self.offices.retain(|_, heard| now.since(*heard) < OFFICES_KNOWN);
         self.lenders.retain(|_, counts| now.since(counts.made) < COUNTED);
--- a/crates/discovery/src/summing/tests.rs
+++ b/crates/discovery/src/summing/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-const START: At = At(1_000_000_000);
+const START: Timestamp = Timestamp(1_000_000_000);
 
 fn report(name: &str, life: u64, age_ms: u64, through: u64) -> ProxyReport {
     let row = ProxyEntry {
--- a/crates/discovery/src/view.rs
+++ b/crates/discovery/src/view.rs
@@ -5,7 +5,7 @@
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::net::IpAddr;
 use std::time::Duration;
-use vanewharf_clock::At;
+use vanewharf_clock::Timestamp;
 use vanewharf_protocol::messages::PeerEntry;
 
 /// How many doors a view holds, and how many of them may be of other regions.
@@ -19,7 +19,7 @@
 #[derive(Clone, Debug)]
 struct Known {
     region: String,
-    heard: At,
+    heard: Timestamp,
 }
 
 #[derive(Clone, Debug)]
@@ -44,7 +44,7 @@
 
     /// What others told: the newest account of each door counts. Where there are too many, one that chance picks goes: were
     /// it the one longest unheard, doors would know the same few, and fall apart.
-    pub fn merge(&mut self, told: &[PeerEntry], now: At) {
+    pub fn merge(&mut self, told: &[PeerEntry], now: Timestamp) {
         for neighbour in told.iter().filter(|neighbour| neighbour.ip != self.me) {
             let heard = now.before(Duration::from_millis(neighbour.heard_ms));
             let region = neighbour.region.clone();
@@ -61,7 +61,7 @@
         }
     }
 
-    fn drop_one(&mut self, now: At, of: impl Fn(&View, &Known) -> bool) {
+    fn drop_one(&mut self, now: Timestamp, of: impl Fn(&View, &Known) -> bool) {
         let lot = |ip: &IpAddr| {
             let mut hasher = DefaultHasher::new();
             (self.me, ip, now.0).hash(&mut hasher);
@@ -78,7 +78,7 @@
     }
 
     /// Some of the view, from one drawn on, and this door itself: what is told in a shuffle.
-    pub fn told(&self, draw: usize, now: At) -> Vec<PeerEntry> {
+    pub fn told(&self, draw: usize, now: Timestamp) -> Vec<PeerEntry> {
         let me = PeerEntry { ip: self.me, region: self.region.clone(), heard_ms: 0 };
         let some =
             self.known.iter().cycle().skip(draw % self.known.len().max(1)).take(TOLD.min(self.known.len()));
--- a/crates/discovery/src/view/tests.rs
+++ b/crates/discovery/src/view/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use std::collections::BTreeSet;
 
-const START: At = At(1_000_000_000);
+const START: Timestamp = Timestamp(1_000_000_000);
 
 fn ip(no: usize) -> IpAddr {
     IpAddr::from([10, 0, (no / 250) as u8, (no % 250) as u8 + 1])
--- a/crates/health/src/allowance.rs
+++ b/crates/health/src/allowance.rs
@@ -2,7 +2,7 @@
 //! service. Each door keeps its part, so that the sum holds whoever is cut off.
 
 use std::time::Duration;
-use vanewharf_clock::At;
+use vanewharf_clock::Timestamp;
 
 /// Of the rules' figures, what is used: clocks and rounding have the rest.
 const USED: f64 = 0.9;
@@ -12,7 +12,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Cold {
     tokens: f64,
-    last: At,
+    last: Timestamp,
 }
 
 /// What a door may send to one cold backend.
@@ -31,11 +31,11 @@
 }
 
 impl Cold {
-    pub fn new(part: ColdPart, now: At) -> Cold {
+    pub fn new(part: ColdPart, now: Timestamp) -> Cold {
         Cold { tokens: part.depth, last: now }
     }
 
-    pub fn spend(&mut self, part: ColdPart, now: At) -> bool {
+    pub fn spend(&mut self, part: ColdPart, now: Timestamp) -> bool {
         let gap = now.since(self.last).as_secs_f64();
         self.tokens = (self.tokens + part.per_s * gap).min(part.depth);
         self.last = now;
@@ -101,7 +101,7 @@
 }
 
 /// When a request may no longer be let in by its key: the right lapses where nothing was heard in time.
-pub fn lapsed(global: bool, revocation: Duration, sure: Option<At>, now: At) -> bool {
+pub fn lapsed(global: bool, revocation: Duration, sure: Option<Timestamp>, now: Timestamp) -> bool {
     const KEPT_BACK: Duration = Duration::from_millis(600);
     global && sure.is_none_or(|sure| now.since(sure) + KEPT_BACK >= revocation)
 }
--- a/crates/health/src/allowance/tests.rs
+++ b/crates/health/src/allowance/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use yare::parameterized;
 
-const START: At = At(1_000_000_000);
+const START: Timestamp = Timestamp(1_000_000_000);
 
 #[parameterized(
     registry = { 7.5, 5.0, 8 },
--- a/crates/health/src/evidence.rs
+++ b/crates/health/src/evidence.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
-use vanewharf_clock::At;
+use vanewharf_clock::Timestamp;
 use vanewharf_protocol::messages::AttemptCounts;
 
 /// What a door tells is of so long, in steps of this.
@@ -24,11 +24,11 @@
 /// One door's own counts.
 #[derive(Clone, Debug, Default)]
 pub struct Seen {
-    steps: VecDeque<(At, BTreeMap<String, AttemptCounts>)>,
+    steps: VecDeque<(Timestamp, BTreeMap<String, AttemptCounts>)>,
 }
 
 impl Seen {
-    pub fn ended(&mut self, backend: &str, failed: bool, now: At) {
+    pub fn ended(&mut self, backend: &str, failed: bool, now: Timestamp) {
         if self.steps.back().is_none_or(|(begun, _)| now.since(*begun) >= STEP) {
             self.steps.push_back((now, BTreeMap::new()));
         }
@@ -48,7 +48,7 @@
     }
 
     /// Of the backends that failed it lately.
-    pub fn told(&self, now: At) -> BTreeMap<String, AttemptCounts> {
+    pub fn told(&self, now: Timestamp) -> BTreeMap<String, AttemptCounts> {
         let mut sums: BTreeMap<&String, AttemptCounts> = BTreeMap::new();
         let fresh = self.steps.iter().filter(|(begun, _)| now.since(*begun) <= SPAN);
         for (backend, tried) in fresh.flat_map(|(_, step)| step) {
@@ -65,12 +65,12 @@
 #[derive(Clone, Debug, Default)]
 pub struct Weighed {
     shares: BTreeMap<String, f64>,
-    at: At,
+    at: Timestamp,
 }
 
 impl Weighed {
     /// What the holder before had weighed.
-    pub fn inherit(&mut self, ill: &BTreeMap<String, f64>, now: At) {
+    pub fn inherit(&mut self, ill: &BTreeMap<String, f64>, now: Timestamp) {
         (self.shares, self.at) = (ill.clone(), now);
     }
 
@@ -79,7 +79,7 @@
         &mut self,
         told: impl Iterator<Item = &'a BTreeMap<String, AttemptCounts>>,
         doors: usize,
-        now: At,
+        now: Timestamp,
     ) -> BTreeMap<String, f64> {
         let mut sums: BTreeMap<&String, (AttemptCounts, usize)> = BTreeMap::new();
         for (backend, tried) in told.flatten() {
--- a/crates/health/src/evidence/tests.rs
+++ b/crates/health/src/evidence/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
 
-const START: At = At(1_000_000_000);
+const START: Timestamp = Timestamp(1_000_000_000);
 
-fn at(ms: u64) -> At {
+fn at(ms: u64) -> Timestamp {
     START.after(Duration::from_millis(ms))
 }
 
--- a/crates/protocol/src/changes.rs
+++ b/crates/protocol/src/changes.rs
@@ -7,7 +7,7 @@
 use serde_json::value::RawValue;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
-use vanewharf_clock::At;
+use vanewharf_clock::Timestamp;
 
 /// Changes that are kept to be told, and their size altogether, in bytes about.
 const MOST_KEPT: usize = 48;
@@ -226,7 +226,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct ListChanges {
     /// With the time at which the newer list was taken: what a change says of warmth counts from then.
-    kept: VecDeque<(BackendListChange, At)>,
+    kept: VecDeque<(BackendListChange, Timestamp)>,
 }
 
 fn warmed(server: &mut Backend, since: Duration) {
@@ -242,7 +242,12 @@
 
 impl ListChanges {
     /// The list in hand is replaced by a newer one; with the times at which they were taken.
-    pub fn moved(&mut self, from: Option<&BackendList>, to: &BackendList, (before, taken): (At, At)) {
+    pub fn moved(
+        &mut self,
+        from: Option<&BackendList>,
+        to: &BackendList,
+        (before, taken): (Timestamp, Timestamp),
+    ) {
         let later = taken.since(before);
         let Some(from) = from else {
             return self.kept.clear();
@@ -260,7 +265,7 @@
         self.keep(BackendListChange { from: from.version, version: to.version, age_ms: 0, set, gone }, taken);
     }
 
-    fn keep(&mut self, change: BackendListChange, taken: At) {
+    fn keep(&mut self, change: BackendListChange, taken: Timestamp) {
         self.kept.push_back((change, taken));
         if self.kept.len() > MOST_KEPT {
             self.kept.pop_front();
@@ -268,10 +273,10 @@
     }
 
     /// What leads from that list to the newest, with its age; what it says of warmth counts from when that was taken.
-    pub fn since(&self, have: Version, listed: At, now: At) -> Option<Vec<BackendListChange>> {
+    pub fn since(&self, have: Version, listed: Timestamp, now: Timestamp) -> Option<Vec<BackendListChange>> {
         let first = self.kept.iter().position(|(change, _)| change.from == have)?;
         let age_ms = now.since(listed).as_millis() as u64;
-        let told = |(change, taken): &(BackendListChange, At)| {
+        let told = |(change, taken): &(BackendListChange, Timestamp)| {
             let mut change = BackendListChange { age_ms, ..change.clone() };
             change.set.iter_mut().for_each(|server| warmed(server, listed.since(*taken)));
             change
@@ -284,7 +289,7 @@
         &mut self,
         from: &BackendList,
         changes: Vec<BackendListChange>,
-        (before, taken): (At, At),
+        (before, taken): (Timestamp, Timestamp),
     ) -> Option<BackendList> {
         let mut servers: BTreeMap<String, Backend> = BTreeMap::new();
         for server in &from.servers {
--- a/crates/protocol/src/changes/tests.rs
+++ b/crates/protocol/src/changes/tests.rs
@@ -1,12 +1,12 @@
 use super::*;
 use crate::messages::{Ballot, Membership, PullResponse, Version, VersionVector};
-use crate::store::Store;
+use crate::store::VersionStore;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use serde_json::{Value, json};
 use std::rc::Rc;
 
-const START: At = At(1_000_000_000);
+const START: Timestamp = Timestamp(1_000_000_000);
 
 fn register(no: u64, routes: &BTreeMap<String, u64>, odd: u64) -> Register {
     let route = |(name, no): (&String, &u64)| {
@@ -37,10 +37,10 @@
 fn readers_that_follow_changes_have_what_the_teller_has() {
     for seed in 0..8 {
         let mut chance = SmallRng::seed_from_u64(seed);
-        let (mut teller, mut now) = (Store::default(), START);
-        let mut readers = vec![Store::default(); 3];
+        let (mut teller, mut now) = (VersionStore::default(), START);
+        let mut readers = vec![VersionStore::default(); 3];
         let mut routes: BTreeMap<String, u64> = (0..40).map(|no| (format!("r{no}"), no)).collect();
-        let mut cold: BTreeMap<u64, (At, bool)> = (0..30).map(|no| (no, (START, false))).collect();
+        let mut cold: BTreeMap<u64, (Timestamp, bool)> = (0..30).map(|no| (no, (START, false))).collect();
         let (mut changed, mut snapshots) = (0, 0);
         for no in 1..60u64 {
             now = now.after(Duration::from_millis(700));
@@ -59,7 +59,7 @@
                 1 => drop(cold.insert(one, (now.after(Duration::from_secs(3)), false))),
                 _ => cold.values_mut().take(1).for_each(|(_, draining)| *draining ^= true),
             }
-            let left = |until: &At| until.since(now).as_millis() as u64;
+            let left = |until: &Timestamp| until.since(now).as_millis() as u64;
             let servers = cold.iter().map(|(id, (until, draining))| server(*id, left(until), *draining));
             let mut servers: Vec<_> = servers.collect();
             servers.sort_by(|one, other| one.id.cmp(&other.id));
@@ -105,10 +105,12 @@
 
 #[test]
 fn what_leads_elsewhere_than_it_says_is_not_followed_and_a_snapshot_is_asked_for() {
-    let (mut teller, mut reader) = (Store::default(), Store::default());
+    let (mut teller, mut reader) = (VersionStore::default(), VersionStore::default());
     let routes = |no: u64| (0..40u64).map(|one| (format!("r{one}"), one * no)).collect::<BTreeMap<_, _>>();
     let changed = |no: u64| [(format!("r{no}"), 7)];
-    let tell = |teller: &Store, reader: &Store| teller.mail(&reader.have(), false, Duration::ZERO, START);
+    let tell = |teller: &VersionStore, reader: &VersionStore| {
+        teller.mail(&reader.have(), false, Duration::ZERO, START)
+    };
     teller.set_register(Rc::new(register(1, &routes(1), 0)));
     reader.absorb(tell(&teller, &reader), START, START);
     teller.set_register(Rc::new(register(2, &routes(1).into_iter().chain(changed(2)).collect(), 0)));
@@ -128,12 +130,12 @@
 
 #[test]
 fn a_list_that_could_not_be_followed_is_not_taken_for_the_newest() {
-    let (mut teller, mut reader) = (Store::default(), Store::default());
+    let (mut teller, mut reader) = (VersionStore::default(), VersionStore::default());
     let list = |no, draining| {
         let servers = (0..9).map(|id| server(id, 0, draining && id == 0)).collect();
         BackendList { version: Version { ballot: Ballot(1), no }, age_ms: 0, servers }
     };
-    let tell = |teller: &Store, reader: &Store| {
+    let tell = |teller: &VersionStore, reader: &VersionStore| {
         let mail = teller.mail(&reader.have(), false, Duration::ZERO, START);
         PullResponse { sure_ms: Some(0), ..mail }
     };
@@ -152,14 +154,17 @@
 
 #[test]
 fn a_change_of_voters_alone_is_followed_and_one_that_leads_to_another_text_is_not() {
-    let (mut teller, mut reader) = (Store::default(), Store::default());
+    let (mut teller, mut reader) = (VersionStore::default(), VersionStore::default());
     let routes: BTreeMap<_, _> = (0..40u64).map(|one| (format!("r{one}"), one)).collect();
-    let tell = |teller: &Store, reader: &Store| teller.mail(&reader.have(), false, Duration::ZERO, START);
+    let tell = |teller: &VersionStore, reader: &VersionStore| {
+        teller.mail(&reader.have(), false, Duration::ZERO, START)
+    };
     for no in 1..=2 {
         teller.set_register(Rc::new(register(no, &routes, 0)));
         reader.absorb(tell(&teller, &reader), START, START);
     }
-    let document = |store: &Store| store.register.as_ref().and_then(|one| one.config.clone()).expect("one");
+    let document =
+        |store: &VersionStore| store.register.as_ref().and_then(|one| one.config.clone()).expect("one");
     let before = document(&reader);
     let voters = vec!["10.0.0.9:7600".parse().expect("an address")];
     let membership = Membership { epoch: 2, voters, outgoing: Vec::new() };
--- a/crates/protocol/src/once.rs
+++ b/crates/protocol/src/deduplication.rs
@@ -51,7 +51,7 @@
 
 /// What a call is.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Hearing<T> {
+pub enum CallStatus<T> {
     New,
     /// The answer that was given to it.
     Answered(T),
@@ -60,22 +60,22 @@
 }
 
 #[derive(Clone, Debug)]
-pub struct Heard<T> {
+pub struct CallHistory<T> {
     callers: BTreeMap<u64, Known<T>>,
 }
 
-impl<T> Default for Heard<T> {
+impl<T> Default for CallHistory<T> {
     fn default() -> Self {
-        Heard { callers: BTreeMap::new() }
+        CallHistory { callers: BTreeMap::new() }
     }
 }
 
-impl<T: Clone> Heard<T> {
-    pub fn hears(&mut self, id: CallId, now: Instant) -> Hearing<T> {
+impl<T: Clone> CallHistory<T> {
+    pub fn hears(&mut self, id: CallId, now: Instant) -> CallStatus<T> {
         match self.callers.get_mut(&id.life) {
             Some(known) if id.no <= known.no => {
                 let answer = known.answer.clone().filter(|_| id.no == known.no);
-                return answer.map_or(Hearing::Repeated, Hearing::Answered);
+                return answer.map_or(CallStatus::Repeated, CallStatus::Answered);
             }
             Some(known) => *known = Known { no: id.no, answer: None, heard: now },
             None => {
@@ -85,7 +85,7 @@
                 self.callers.insert(id.life, Known { no: id.no, answer: None, heard: now });
             }
         }
-        Hearing::New
+        CallStatus::New
     }
 
     /// What was answered is kept until its caller's next call.
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -1,6 +1,6 @@
 //! What the system's programs send each other: messages, versions, changes between versions, call ids.
 
 pub mod changes;
+pub mod deduplication;
 pub mod messages;
-pub mod once;
 pub mod store;
--- a/crates/protocol/src/store.rs
+++ b/crates/protocol/src/store.rs
@@ -8,10 +8,10 @@
 };
 use std::rc::Rc;
 use std::time::Duration;
-use vanewharf_clock::At;
+use vanewharf_clock::Timestamp;
 
 #[derive(Clone, Debug, Default)]
-pub struct Store {
+pub struct VersionStore {
     pub register: Option<Rc<Register>>,
     register_changes: RegisterChanges,
     list_changes: ListChanges,
@@ -20,32 +20,32 @@
     lost_list: bool,
     pub list: Option<Rc<BackendList>>,
     /// When the list was taken, at the latest.
-    pub listed: At,
+    pub listed: Timestamp,
     pub ledger: Option<Rc<FleetSummary>>,
-    pub ledger_at: At,
+    pub ledger_at: Timestamp,
     /// When the register was certainly the newest acknowledged, and the list at least the one that its holder
     /// had.
-    pub sure: Option<At>,
+    pub sure: Option<Timestamp>,
     pub holder: Option<std::net::SocketAddr>,
 }
 
 /// What of a mail was new.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct News {
+pub struct AppliedUpdates {
     pub register: bool,
     pub list: bool,
     pub ledger: bool,
     /// When what its sender has was certainly the newest: the sender's own word, whatever is in hand here.
-    pub sure: Option<At>,
+    pub sure: Option<Timestamp>,
 }
 
-impl News {
+impl AppliedUpdates {
     pub fn any(self) -> bool {
         self.register || self.list || self.ledger
     }
 }
 
-impl Store {
+impl VersionStore {
     pub fn have(&self) -> VersionVector {
         let register = self.register.as_ref().filter(|_| !self.lost_register);
         let list = self.list.as_ref().filter(|_| !self.lost_list);
@@ -79,7 +79,7 @@
         changed
     }
 
-    fn follow_list(&mut self, changes: Vec<BackendListChange>, now: At) -> bool {
+    fn follow_list(&mut self, changes: Vec<BackendListChange>, now: Timestamp) -> bool {
         let taken = changes.last().map(|last| now.before(Duration::from_millis(last.age_ms))).unwrap_or(now);
         let times = (self.listed, taken);
         let followed = self.list.as_deref().and_then(|list| self.list_changes.follow(list, changes, times));
@@ -91,7 +91,7 @@
         changed
     }
 
-    pub fn set_list(&mut self, list: BackendList, now: At) -> bool {
+    pub fn set_list(&mut self, list: BackendList, now: Timestamp) -> bool {
         let newer = self.list.as_ref().is_none_or(|mine| list.version > mine.version);
         if newer {
             let taken = now.before(Duration::from_millis(list.age_ms));
@@ -101,7 +101,7 @@
         newer
     }
 
-    pub fn set_ledger(&mut self, ledger: FleetSummary, now: At) -> bool {
+    pub fn set_ledger(&mut self, ledger: FleetSummary, now: Timestamp) -> bool {
         let newer = self.ledger.as_ref().is_none_or(|mine| ledger.version > mine.version);
         if newer {
             (self.ledger, self.ledger_at) = (Some(Rc::new(ledger)), now);
@@ -110,15 +110,15 @@
     }
 
     /// The register in hand was certainly the newest then.
-    pub fn be_sure(&mut self, at: At) {
+    pub fn be_sure(&mut self, at: Timestamp) {
         self.sure = self.sure.max(Some(at));
     }
 
     /// Takes an answer to a pull that was sent at `asked`: the answer was given no sooner than it was held back for.
-    pub fn absorb(&mut self, mail: PullResponse, asked: At, now: At) -> News {
+    pub fn absorb(&mut self, mail: PullResponse, asked: Timestamp, now: Timestamp) -> AppliedUpdates {
         let PullResponse { register, register_changes, list, list_changes, ledger, sure_ms, held_ms, holder } =
             mail;
-        let mut news = News::default();
+        let mut news = AppliedUpdates::default();
         if let Some(register) = register {
             news.register = self.set_register(Rc::new(register));
         } else if !register_changes.is_empty() {
@@ -144,7 +144,7 @@
     }
 
     /// What a reader lacks: what changed, where it is little behind; `verbatim`: the register as it was sent.
-    pub fn mail(&self, have: &VersionVector, verbatim: bool, held: Duration, now: At) -> PullResponse {
+    pub fn mail(&self, have: &VersionVector, verbatim: bool, held: Duration, now: Timestamp) -> PullResponse {
         let age = now.since(self.listed);
         let newer_register = self.register.as_ref().filter(|register| register.no > have.register);
         let newer_list = self.list.as_ref().filter(|list| list.version > have.list);
--- a/crates/protocol/src/store/tests.rs
+++ b/crates/protocol/src/store/tests.rs
@@ -7,8 +7,8 @@
 
 #[test]
 fn nothing_goes_back_a_version() {
-    let mut store = Store::default();
-    let at = At(1_000_000_000);
+    let mut store = VersionStore::default();
+    let at = Timestamp(1_000_000_000);
     let mail = |no| PullResponse { register: Some(register(no)), ..PullResponse::default() };
     assert!(store.absorb(mail(3), at, at).register);
     assert!(!store.absorb(mail(2), at, at).any());
@@ -25,12 +25,12 @@
 
 #[test]
 fn how_sure_a_word_is_adds_up_along_the_way() {
-    let (mut first, mut second) = (Store::default(), Store::default());
-    let start = At(1_000_000_000);
+    let (mut first, mut second) = (VersionStore::default(), VersionStore::default());
+    let start = Timestamp(1_000_000_000);
     first.be_sure(start);
     let ms = |ms| Duration::from_millis(ms);
     // Asked at 100 ms by the second's clock, which is 7 s behind; held back for 300 ms, 20 ms under way.
-    let behind = At(start.0 - 70_000);
+    let behind = Timestamp(start.0 - 70_000);
     let answered = start.after(ms(420));
     let mail = first.mail(&VersionVector::default(), false, ms(300), answered);
     second.absorb(mail, behind.after(ms(100)), behind.after(ms(440)));
--- a/crates/quota/src/quota.rs
+++ b/crates/quota/src/quota.rs
@@ -4,7 +4,7 @@
 
 use std::collections::BTreeMap;
 use std::time::Duration;
-use vanewharf_clock::At;
+use vanewharf_clock::Timestamp;
 use vanewharf_protocol::messages::TenantUsage;
 
 /// Seconds over which own let-through and metered use are averaged.
@@ -41,7 +41,7 @@
 struct Bucket {
     slice: f64,
     tokens: f64,
-    last: At,
+    last: Timestamp,
     let_through: u64,
     /// As it was at the last reading, and averaged, a second.
     let_before: u64,
@@ -50,7 +50,7 @@
 }
 
 impl Bucket {
-    fn new(slice: f64, tokens: f64, last: At) -> Bucket {
+    fn new(slice: f64, tokens: f64, last: Timestamp) -> Bucket {
         Bucket { slice, tokens, last, let_through: 0, let_before: 0, let_rate: 0.0, metered: 0.0 }
     }
 }
@@ -62,22 +62,22 @@
     reserve: Option<f64>,
     /// When a lender last answered: what doors have of their own for when none does fills from then on. Filled before, a
     /// token in each of many doors would come on top of all that was lent just before.
-    answered: At,
+    answered: Timestamp,
     /// By how many doors what all may do together is divided; the system supplies it.
     doors: f64,
     /// The whole allowance beyond a quota that the rules make, once.
     allowance: f64,
-    started: At,
+    started: Timestamp,
     /// Whether a tenant not yet seen starts full: only at the first start of all, else restarts would give twice.
     full: bool,
     buckets: BTreeMap<String, Bucket>,
-    read_at: At,
+    read_at: Timestamp,
     /// Whether it was ever told by what the quotas are divided; until then nothing is let in.
     told: bool,
 }
 
 impl Buckets {
-    pub fn start(allowance: f64, full: bool, now: At) -> Buckets {
+    pub fn start(allowance: f64, full: bool, now: Timestamp) -> Buckets {
         let buckets = BTreeMap::new();
         Buckets {
             reserve: None,
@@ -97,7 +97,7 @@
         DEEPER * self.allowance / self.doors
     }
 
-    fn refilled(&mut self, tenant: &str, quota: Quota, now: At) -> &mut Bucket {
+    fn refilled(&mut self, tenant: &str, quota: Quota, now: Timestamp) -> &mut Bucket {
         let even = 1.0 / self.doors;
         if !self.buckets.contains_key(tenant) {
             let most = quota.burst * even + self.deeper();
@@ -124,17 +124,17 @@
     }
 
     /// A lender answered, whatever it said.
-    pub fn answered(&mut self, now: At) {
+    pub fn answered(&mut self, now: Timestamp) {
         self.answered = now;
     }
 
     /// Tokens for another, as far as they go.
-    pub fn lend(&mut self, tenant: &str, wanted: u32, quota: Quota, now: At) -> u32 {
+    pub fn lend(&mut self, tenant: &str, wanted: u32, quota: Quota, now: Timestamp) -> u32 {
         (0..wanted).take_while(|_| self.ask(tenant, quota, now).is_ok()).count() as u32
     }
 
     /// One request: spent, or when the next try is worth its while.
-    pub fn ask(&mut self, tenant: &str, quota: Quota, now: At) -> Result<(), Duration> {
+    pub fn ask(&mut self, tenant: &str, quota: Quota, now: Timestamp) -> Result<(), Duration> {
         if quota.rate <= 0.0 {
             return Ok(());
         }
@@ -184,7 +184,7 @@
         doors: u32,
         uses: &BTreeMap<String, TenantUsage>,
         quota: impl Fn(&str) -> Quota,
-        now: At,
+        now: Timestamp,
     ) {
         // Nobody is counted: whoever says so has heard of nobody yet.
         if doors == 0 {
@@ -237,7 +237,7 @@
     }
 
     /// A door that nobody hears of keeps the floor alone: by now the others' slices take up the rest.
-    pub fn tick(&mut self, now: At) {
+    pub fn tick(&mut self, now: Timestamp) {
         if now.since(self.read_at) < SILENT {
             return;
         }
--- a/crates/quota/src/quota/tests.rs
+++ b/crates/quota/src/quota/tests.rs
@@ -1,9 +1,9 @@
 use super::*;
 
-const START: At = At(1_000_000_000);
+const START: Timestamp = Timestamp(1_000_000_000);
 const QUOTA: Quota = Quota { rate: 40.0, burst: 40.0 };
 
-fn at(seconds: f64) -> At {
+fn at(seconds: f64) -> Timestamp {
     START.after(Duration::from_secs_f64(seconds))
 }
 
--- a/crates/rpc/src/call.rs
+++ b/crates/rpc/src/call.rs
@@ -18,8 +18,8 @@
 use tokio::time::{Instant, timeout};
 use tokio_util::codec::Framed;
 use vanewharf_http1::{Answer, Fault, Inward, Outward, Request};
-use vanewharf_protocol::once::{CallId, Heard, Hearing, adds_up};
-use vanewharf_runtime::premises::{Ear, Net, Stream};
+use vanewharf_protocol::deduplication::{CallHistory, CallId, CallStatus, adds_up};
+use vanewharf_runtime::environment::{Listener, Network, Stream};
 
 /// For a connection to come up: across regions it takes two ways.
 const DIAL: Duration = Duration::from_millis(400);
@@ -34,7 +34,7 @@
 pub const MOST_BODY: usize = 24 << 20;
 
 #[derive(Debug, Error)]
-pub enum Failed {
+pub enum RpcError {
     #[error("no connection")]
     NoConnection,
     #[error("no answer in time")]
@@ -54,9 +54,9 @@
 const REPEATED: &str = "Call-Repeated";
 
 /// One kept connection to one address; a call that fails closes it.
-pub struct Caller {
+pub struct RpcClient {
     pub address: SocketAddr,
-    net: Rc<dyn Net>,
+    net: Rc<dyn Network>,
     kept: Option<Framed<Stream, Outward>>,
     /// Of the last call.
     id: CallId,
@@ -70,9 +70,9 @@
     own: bool,
 }
 
-impl Caller {
-    pub fn to(address: SocketAddr, net: &Rc<dyn Net>) -> Caller {
-        Caller { address, net: Rc::clone(net), kept: None, id: CallId { life: net.life(), no: 0 } }
+impl RpcClient {
+    pub fn to(address: SocketAddr, net: &Rc<dyn Network>) -> RpcClient {
+        RpcClient { address, net: Rc::clone(net), kept: None, id: CallId { life: net.life(), no: 0 } }
     }
 
     /// Status and body, of one that need not be of the system's own.
@@ -82,20 +82,20 @@
         path: &str,
         body: &str,
         within: Duration,
-    ) -> Result<(u16, Vec<u8>), Failed> {
+    ) -> Result<(u16, Vec<u8>), RpcError> {
         self.request(Asked { method, path, body, own: false }, within).await
     }
 
     /// Where a kept connection breaks, or gives another call's answer, the same goes out once more on a new
     /// one if that can do no harm: what changes nothing by coming twice does so as a new call, and what adds
     /// up under the same id.
-    async fn request(&mut self, asked: Asked<'_>, within: Duration) -> Result<(u16, Vec<u8>), Failed> {
+    async fn request(&mut self, asked: Asked<'_>, within: Duration) -> Result<(u16, Vec<u8>), RpcError> {
         let again = asked.own || asked.method == "GET";
         self.kept = self.kept.take().and_then(still_quiet);
         let kept = self.kept.is_some();
         self.id.no += 1;
         match self.once(&asked, within).await {
-            Err(Failed::Broke | Failed::AnotherCalls) if kept && again => {
+            Err(RpcError::Broke | RpcError::AnotherCalls) if kept && again => {
                 if !adds_up(asked.path) {
                     self.id.no += 1;
                 }
@@ -119,40 +119,40 @@
     }
 
     /// `within` is for silence: an answer that keeps coming over a narrow link may take `WHOLE_ANSWER`.
-    async fn once(&mut self, asked: &Asked<'_>, within: Duration) -> Result<(u16, Vec<u8>), Failed> {
+    async fn once(&mut self, asked: &Asked<'_>, within: Duration) -> Result<(u16, Vec<u8>), RpcError> {
         let message = self.message(asked);
         let mut framed = match self.kept.take() {
             Some(framed) => framed,
             None => Framed::new(self.dial().await?, Outward::up_to(MOST_BODY)),
         };
         let sent = timeout(within.max(WHOLE), framed.get_mut().write_all(message.as_bytes())).await;
-        sent.map_err(|_| Failed::Silent)?.map_err(|_| Failed::Broke)?;
+        sent.map_err(|_| RpcError::Silent)?.map_err(|_| RpcError::Broke)?;
         let begun = Instant::now();
         let read = loop {
             let before = (framed.codec().come(), framed.read_buffer().len());
             match timeout(within, framed.next()).await {
                 Ok(read) => break read,
                 Err(_) if before == (framed.codec().come(), framed.read_buffer().len()) => {
-                    return Err(Failed::Silent);
+                    return Err(RpcError::Silent);
                 }
-                Err(_) if begun.elapsed() > WHOLE_ANSWER => return Err(Failed::Silent),
+                Err(_) if begun.elapsed() > WHOLE_ANSWER => return Err(RpcError::Silent),
                 Err(_) => {}
             }
         };
         let reply = match read {
             Some(Ok(reply)) => reply,
-            None | Some(Err(Fault::Io(_) | Fault::Cut)) => return Err(Failed::Broke),
-            Some(Err(_)) => return Err(Failed::Unread),
+            None | Some(Err(Fault::Io(_) | Fault::Cut)) => return Err(RpcError::Broke),
+            Some(Err(_)) => return Err(RpcError::Unread),
         };
         // The connection ends here: whatever else comes on it belongs to no call, either.
         if asked.own && reply.sole(CALL_ID).and_then(|id| id.parse().ok()) != Some(self.id) {
-            return Err(Failed::AnotherCalls);
+            return Err(RpcError::AnotherCalls);
         }
         let status = reply.status();
         let body = match reply.field("Content-Encoding") {
             None => reply.body().to_vec(),
-            Some(PACKED) => unpacked(reply.body()).ok_or(Failed::Unread)?,
-            Some(_) => return Err(Failed::Unread),
+            Some(PACKED) => unpacked(reply.body()).ok_or(RpcError::Unread)?,
+            Some(_) => return Err(RpcError::Unread),
         };
         if !reply.last() && framed.read_buffer().is_empty() {
             if framed.read_buffer().capacity() > SMALL {
@@ -163,9 +163,9 @@
         Ok((status, body))
     }
 
-    async fn dial(&self) -> Result<Stream, Failed> {
+    async fn dial(&self) -> Result<Stream, RpcError> {
         let stream = timeout(DIAL, self.net.dial(self.address)).await;
-        stream.map_err(|_| Failed::NoConnection)?.map_err(|_| Failed::NoConnection)
+        stream.map_err(|_| RpcError::NoConnection)?.map_err(|_| RpcError::NoConnection)
     }
 
     /// A call of the system's own: JSON both ways.
@@ -174,20 +174,20 @@
         path: &str,
         question: &Q,
         within: Duration,
-    ) -> Result<A, Failed> {
-        let body = serde_json::to_string(question).map_err(|_| Failed::Unread)?;
+    ) -> Result<A, RpcError> {
+        let body = serde_json::to_string(question).map_err(|_| RpcError::Unread)?;
         self.own(Asked { method: "POST", path, body: &body, own: true }, within).await
     }
 
     /// One that asks for something and says nothing.
-    pub async fn fetch<A: DeserializeOwned>(&mut self, path: &str, within: Duration) -> Result<A, Failed> {
+    pub async fn fetch<A: DeserializeOwned>(&mut self, path: &str, within: Duration) -> Result<A, RpcError> {
         self.own(Asked { method: "GET", path, body: "", own: true }, within).await
     }
 
-    async fn own<A: DeserializeOwned>(&mut self, asked: Asked<'_>, within: Duration) -> Result<A, Failed> {
+    async fn own<A: DeserializeOwned>(&mut self, asked: Asked<'_>, within: Duration) -> Result<A, RpcError> {
         match self.request(asked, within).await? {
-            (200, answer) => serde_json::from_slice(&answer).map_err(|_| Failed::Unread),
-            (status, _) => Err(Failed::Status(status)),
+            (200, answer) => serde_json::from_slice(&answer).map_err(|_| RpcError::Unread),
+            (status, _) => Err(RpcError::Status(status)),
         }
     }
 }
@@ -220,15 +220,15 @@
 
 /// What a handler says.
 #[derive(Clone, Debug)]
-pub struct Said {
+pub struct RpcResponse {
     pub status: u16,
     pub fields: Vec<(&'static str, String)>,
     pub body: Vec<u8>,
 }
 
-impl Said {
+impl RpcResponse {
     /// Made smaller where it is long and the caller can read it so.
-    pub fn packed(self, request: &Request) -> Said {
+    pub fn packed(self, request: &Request) -> RpcResponse {
         let reads = request.field("Accept-Encoding") == Some(PACKED);
         if !reads || self.body.len() < WORTH_PACKING {
             return self;
@@ -237,51 +237,51 @@
             Some(body) => {
                 let mut fields = self.fields;
                 fields.push(("Content-Encoding", PACKED.to_owned()));
-                Said { status: self.status, fields, body }
+                RpcResponse { status: self.status, fields, body }
             }
             None => self,
         }
     }
 
-    pub fn status(status: u16, why: &str) -> Said {
+    pub fn status(status: u16, why: &str) -> RpcResponse {
         let body =
             if status < 300 { "{}".to_owned() } else { serde_json::json!({ "error": why }).to_string() };
-        Said { status, fields: Vec::new(), body: body.into_bytes() }
+        RpcResponse { status, fields: Vec::new(), body: body.into_bytes() }
     }
 
-    pub fn json<T: Serialize>(said: &T) -> Said {
+    pub fn json<T: Serialize>(said: &T) -> RpcResponse {
         match serde_json::to_vec(said) {
-            Ok(body) => Said { status: 200, fields: Vec::new(), body },
-            Err(_) => Said::status(500, "the answer cannot be written"),
+            Ok(body) => RpcResponse { status: 200, fields: Vec::new(), body },
+            Err(_) => RpcResponse::status(500, "the answer cannot be written"),
         }
     }
 }
 
 /// Serves for as long as the program runs; each caller in a task of its own.
-pub async fn serve<H, F>(ear: Box<dyn Ear>, handler: H)
+pub async fn serve<H, F>(ear: Box<dyn Listener>, handler: H)
 where
     H: Fn(Request) -> F + 'static,
-    F: Future<Output = Said>,
+    F: Future<Output = RpcResponse>,
 {
     attend_all(ear, handler, None).await;
 }
 
 /// The same for the system's own calls: one that was heard before is told so and changes nothing.
-pub async fn serve_own<H, F>(ear: Box<dyn Ear>, handler: H)
+pub async fn serve_deduplicated<H, F>(ear: Box<dyn Listener>, handler: H)
 where
     H: Fn(Request) -> F + 'static,
-    F: Future<Output = Said>,
+    F: Future<Output = RpcResponse>,
 {
     attend_all(ear, handler, Some(Rc::default())).await;
 }
 
 /// The calls that were heard, and what was said to those that add up.
-type Calls = Rc<RefCell<Heard<Said>>>;
+type Calls = Rc<RefCell<CallHistory<RpcResponse>>>;
 
-async fn attend_all<H, F>(mut ear: Box<dyn Ear>, handler: H, calls: Option<Calls>)
+async fn attend_all<H, F>(mut ear: Box<dyn Listener>, handler: H, calls: Option<Calls>)
 where
     H: Fn(Request) -> F + 'static,
-    F: Future<Output = Said>,
+    F: Future<Output = RpcResponse>,
 {
     let (handler, callers) = (Rc::new(handler), Rc::new(Cell::new(0)));
     loop {
@@ -302,26 +302,28 @@
 }
 
 /// What is said to a call, unless it was heard before.
-async fn said_to<H, F>(request: Request, handler: &H, calls: Option<&Calls>) -> Said
+async fn said_to<H, F>(request: Request, handler: &H, calls: Option<&Calls>) -> RpcResponse
 where
     H: Fn(Request) -> F,
-    F: Future<Output = Said>,
+    F: Future<Output = RpcResponse>,
 {
     let id = request.field(CALL_ID).map(str::parse::<CallId>);
     let (id, calls) = match (id, calls) {
         (Some(Ok(id)), Some(calls)) => (id, calls),
-        (Some(Err(why)), Some(_)) => return Said::status(400, why),
+        (Some(Err(why)), Some(_)) => return RpcResponse::status(400, why),
         // From outside, where no id means anything.
         _ => return handler(request).await,
     };
     let hearing = calls.borrow_mut().hears(id, Instant::now());
     match hearing {
-        Hearing::Answered(mut said) => {
+        CallStatus::Answered(mut said) => {
             said.fields.push((REPEATED, "1".to_owned()));
             said
         }
-        Hearing::Repeated => Said::status(409, "this call, or a later one of its caller, was heard before"),
-        Hearing::New => {
+        CallStatus::Repeated => {
+            RpcResponse::status(409, "this call, or a later one of its caller, was heard before")
+        }
+        CallStatus::New => {
             let kept = adds_up(request.target());
             let said = handler(request).await;
             if kept {
@@ -338,8 +340,8 @@
 async fn unless_gone(
     framed: &mut Framed<Stream, Inward>,
     ahead: &mut Option<Result<Request, Fault>>,
-    saying: impl Future<Output = Said>,
-) -> Option<Said> {
+    saying: impl Future<Output = RpcResponse>,
+) -> Option<RpcResponse> {
     // Else the end would not be seen before the runtime has asked the system once more what has come.
     tokio::task::yield_now().await;
     let mut saying = std::pin::pin!(saying);
@@ -360,7 +362,7 @@
 async fn attend<H, F>(stream: Stream, handler: &H, calls: Option<Calls>)
 where
     H: Fn(Request) -> F,
-    F: Future<Output = Said>,
+    F: Future<Output = RpcResponse>,
 {
     let mut framed = Framed::new(stream, Inward::up_to(MOST_BODY));
     let mut ahead = None;
@@ -386,9 +388,9 @@
         let mut call = None;
         let (said, last) = match read {
             None | Some(Err(Fault::Io(_) | Fault::Cut)) => return,
-            Some(Err(Fault::HeadTooLarge)) => (Said::status(431, "the head is too large"), true),
-            Some(Err(Fault::BodyTooLarge)) => (Said::status(413, "the body is too large"), true),
-            Some(Err(fault)) => (Said::status(400, &fault.to_string()), true),
+            Some(Err(Fault::HeadTooLarge)) => (RpcResponse::status(431, "the head is too large"), true),
+            Some(Err(Fault::BodyTooLarge)) => (RpcResponse::status(413, "the body is too large"), true),
+            Some(Err(fault)) => (RpcResponse::status(400, &fault.to_string()), true),
             Some(Ok(request)) => {
                 let last = request.last();
                 call = request.field(CALL_ID).map(str::to_owned);
--- a/crates/rpc/src/call/tests.rs
+++ b/crates/rpc/src/call/tests.rs
@@ -2,7 +2,7 @@
 use std::io;
 use tokio::io::duplex;
 use tokio::sync::mpsc;
-use vanewharf_runtime::premises::Later;
+use vanewharf_runtime::environment::BoxFuture;
 use yare::parameterized;
 
 #[test]
@@ -20,14 +20,14 @@
     lives: Cell<u64>,
 }
 
-impl Net for Wires {
-    fn dial(&self, _: SocketAddr) -> Later<'static, io::Result<Stream>> {
+impl Network for Wires {
+    fn dial(&self, _: SocketAddr) -> BoxFuture<'static, io::Result<Stream>> {
         let (here, there) = duplex(1 << 16);
         let dialled = self.dialled.send(Box::new(there)).map_err(|_| io::ErrorKind::ConnectionRefused.into());
         Box::pin(async move { dialled.map(|()| Box::new(here) as Stream) })
     }
 
-    fn listen(&self, _: SocketAddr) -> io::Result<Box<dyn Ear>> {
+    fn listen(&self, _: SocketAddr) -> io::Result<Box<dyn Listener>> {
         Err(io::ErrorKind::Unsupported.into())
     }
 
@@ -40,18 +40,18 @@
 /// A listener whose connections are handed in by the test.
 struct Incoming(mpsc::UnboundedReceiver<Stream>);
 
-impl Ear for Incoming {
-    fn accept(&mut self) -> Later<'_, io::Result<Stream>> {
+impl Listener for Incoming {
+    fn accept(&mut self) -> BoxFuture<'_, io::Result<Stream>> {
         Box::pin(async move { self.0.recv().await.ok_or_else(|| io::ErrorKind::NotConnected.into()) })
     }
 }
 
 const WITHIN: Duration = Duration::from_millis(300);
 
-fn wires() -> (Rc<dyn Net>, Caller, mpsc::UnboundedReceiver<Stream>) {
+fn wires() -> (Rc<dyn Network>, RpcClient, mpsc::UnboundedReceiver<Stream>) {
     let (dialled, there) = mpsc::unbounded_channel();
-    let net: Rc<dyn Net> = Rc::new(Wires { dialled, lives: Cell::new(0) });
-    let caller = Caller::to("10.0.0.1:7600".parse().expect("an address"), &net);
+    let net: Rc<dyn Network> = Rc::new(Wires { dialled, lives: Cell::new(0) });
+    let caller = RpcClient::to("10.0.0.1:7600".parse().expect("an address"), &net);
     (net, caller, there)
 }
 
@@ -131,7 +131,7 @@
         };
         let (answer, ()) = tokio::join!(calls, callee);
         match wrong {
-            Wrong::Garbled => assert!(matches!(answer, Err(Failed::Unread)), "{answer:?}"),
+            Wrong::Garbled => assert!(matches!(answer, Err(RpcError::Unread)), "{answer:?}"),
             _ => assert_eq!(answer.expect("its own"), 2),
         }
     })
@@ -143,7 +143,7 @@
     within_a_set(async {
         let (_net, mut caller, mut there) = wires();
         let calls = async {
-            assert!(matches!(caller.ask::<_, u32>("/pull", &1, WITHIN).await, Err(Failed::Silent)));
+            assert!(matches!(caller.ask::<_, u32>("/pull", &1, WITHIN).await, Err(RpcError::Silent)));
             caller.ask::<_, u32>("/pull", &2, WITHIN).await.expect("answered")
         };
         let callee = async {
@@ -180,7 +180,7 @@
             for _ in 0..2 {
                 let asked = Asked { method, path, body: "1", own };
                 if let Err(failed) = caller.request(asked, WITHIN).await {
-                    assert!(matches!(failed, Failed::Broke) && again.is_none(), "{failed:?}");
+                    assert!(matches!(failed, RpcError::Broke) && again.is_none(), "{failed:?}");
                 }
             }
         };
@@ -235,9 +235,9 @@
         let (net, _, there) = wires();
         let done = Rc::new(Cell::new(0));
         let counted = Rc::clone(&done);
-        tokio::task::spawn_local(serve_own(Box::new(Incoming(there)), move |_| {
+        tokio::task::spawn_local(serve_deduplicated(Box::new(Incoming(there)), move |_| {
             counted.set(counted.get() + 1);
-            let said = Said::json(&counted.get());
+            let said = RpcResponse::json(&counted.get());
             async move { said }
         }));
         let raw = |path: &'static str, id: &'static str| {
--- a/crates/rpc/src/feed.rs
+++ b/crates/rpc/src/publisher.rs
@@ -1,14 +1,14 @@
 //! A process' store, those who wait for something new in it, and the loop that pulls from others.
 
-use crate::call::{Caller, Failed};
+use crate::call::{RpcClient, RpcError};
 use std::cell::{Ref, RefCell};
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::sync::Notify;
 use tokio::time::timeout_at;
-use vanewharf_clock::{At, Steady};
+use vanewharf_clock::{MonotonicClock, Timestamp};
 use vanewharf_protocol::messages::{PullRequest, PullResponse};
-use vanewharf_protocol::store::{News, Store};
+use vanewharf_protocol::store::{AppliedUpdates, VersionStore};
 
 /// The longest that an answer is held back.
 const LONGEST: Duration = Duration::from_secs(2);
@@ -16,28 +16,28 @@
 const ON_THE_WAY: Duration = Duration::from_millis(350);
 
 #[derive(Clone)]
-pub struct Feed {
-    pub steady: Steady,
-    store: Rc<RefCell<Store>>,
+pub struct Publisher {
+    pub steady: MonotonicClock,
+    store: Rc<RefCell<VersionStore>>,
     /// Whoever waits is woken in the order in which they came.
     changed: Rc<Notify>,
 }
 
-impl Feed {
-    pub fn new(steady: Steady) -> Feed {
-        Feed { steady, store: Rc::default(), changed: Rc::default() }
+impl Publisher {
+    pub fn new(steady: MonotonicClock) -> Publisher {
+        Publisher { steady, store: Rc::default(), changed: Rc::default() }
     }
 
-    pub fn now(&self) -> At {
+    pub fn now(&self) -> Timestamp {
         self.steady.now()
     }
 
-    pub fn store(&self) -> Ref<'_, Store> {
+    pub fn store(&self) -> Ref<'_, VersionStore> {
         self.store.borrow()
     }
 
     /// Whoever waits is woken where the change says so.
-    pub fn change(&self, change: impl FnOnce(&mut Store) -> bool) {
+    pub fn change(&self, change: impl FnOnce(&mut VersionStore) -> bool) {
         let changed = change(&mut self.store.borrow_mut());
         if changed {
             self.changed.notify_waiters();
@@ -60,11 +60,11 @@
     }
 
     /// One pull: what was new.
-    pub async fn pull(&self, from: &mut Caller, pull: &PullRequest) -> Result<News, Failed> {
+    pub async fn pull(&self, from: &mut RpcClient, pull: &PullRequest) -> Result<AppliedUpdates, RpcError> {
         let (asked, wait) = (self.now(), Duration::from_millis(pull.wait_ms));
         let within = wait + ON_THE_WAY;
         let mail: PullResponse = from.ask("/pull", pull, within).await?;
-        let mut news = News::default();
+        let mut news = AppliedUpdates::default();
         self.change(|store| {
             news = store.absorb(mail, asked, self.steady.now());
             news.any()
--- a/crates/rpc/tests/gone.rs
+++ b/crates/rpc/tests/gone.rs
@@ -11,15 +11,15 @@
 use tokio::task::LocalSet;
 use tokio::time::timeout;
 use vanewharf_http1::Request;
-use vanewharf_rpc::call::{Said, serve};
-use vanewharf_runtime::premises::{Ear, Premises};
+use vanewharf_rpc::{RpcResponse, serve};
+use vanewharf_runtime::environment::{Environment, Listener};
 
 const LONG: Duration = Duration::from_secs(20);
 
-fn on_loopback<F: Future<Output = ()>>(test: impl FnOnce(Box<dyn Ear>, SocketAddr) -> F) {
+fn on_loopback<F: Future<Output = ()>>(test: impl FnOnce(Box<dyn Listener>, SocketAddr) -> F) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     runtime.block_on(LocalSet::new().run_until(async {
-        let premises = Premises::here(None).expect("no disk is needed");
+        let premises = Environment::here(None).expect("no disk is needed");
         // A port that was free a moment ago.
         let free = std::net::TcpListener::bind("127.0.0.1:0").expect("a port").local_addr();
         let at = free.expect("an address");
@@ -32,8 +32,8 @@
     format!("POST {path} HTTP/1.1\r\nHost: x\r\nContent-Length: 2\r\n\r\n{{}}").into_bytes()
 }
 
-fn said(request: &Request) -> Said {
-    Said { status: 200, fields: Vec::new(), body: request.target().as_bytes().to_vec() }
+fn said(request: &Request) -> RpcResponse {
+    RpcResponse { status: 200, fields: Vec::new(), body: request.target().as_bytes().to_vec() }
 }
 
 /// Another caller's whole call.
--- a/crates/runtime/src/premises.rs
+++ b/crates/runtime/src/environment.rs
@@ -16,9 +16,9 @@
 use tokio::io::{AsyncRead, AsyncWrite};
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 use tokio::sync::oneshot;
-use vanewharf_clock::Steady;
+use vanewharf_clock::MonotonicClock;
 
-pub type Later<'a, T> = Pin<Box<dyn Future<Output = T> + 'a>>;
+pub type BoxFuture<'a, T> = Pin<Box<dyn Future<Output = T> + 'a>>;
 
 pub trait Wire: AsyncRead + AsyncWrite + Unpin {}
 
@@ -27,14 +27,14 @@
 pub type Stream = Box<dyn Wire>;
 
 /// Where callers come in.
-pub trait Ear {
-    fn accept(&mut self) -> Later<'_, io::Result<Stream>>;
+pub trait Listener {
+    fn accept(&mut self) -> BoxFuture<'_, io::Result<Stream>>;
 }
 
-pub trait Net {
-    fn dial(&self, to: SocketAddr) -> Later<'static, io::Result<Stream>>;
+pub trait Network {
+    fn dial(&self, to: SocketAddr) -> BoxFuture<'static, io::Result<Stream>>;
 
-    fn listen(&self, at: SocketAddr) -> io::Result<Box<dyn Ear>>;
+    fn listen(&self, at: SocketAddr) -> io::Result<Box<dyn Listener>>;
 
     /// Another number each time, for what must be told apart from all others of its kind on this network.
     fn life(&self) -> u64;
@@ -42,7 +42,7 @@
 
 /// One thing done to a disk.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Deed {
+pub enum FileOperation {
     /// The file's whole content, in place of what it held; it lasts with its sync.
     Write {
         file: String,
@@ -60,45 +60,45 @@
 }
 
 /// The folder for what is to outlast the process; none of its files has another one's name.
-pub trait Folder {
+pub trait Directory {
     /// All files, at the start.
     fn read(&self) -> io::Result<BTreeMap<String, Vec<u8>>>;
 
     /// In this order, and no further than the first that fails.
-    fn carry_out(&self, deeds: Vec<Deed>) -> Later<'static, io::Result<()>>;
+    fn carry_out(&self, deeds: Vec<FileOperation>) -> BoxFuture<'static, io::Result<()>>;
 }
 
 /// All of it, for one process.
 #[derive(Clone)]
-pub struct Premises {
-    pub net: Rc<dyn Net>,
+pub struct Environment {
+    pub net: Rc<dyn Network>,
     /// None where the machine has no disk.
-    pub folder: Option<Rc<dyn Folder>>,
+    pub folder: Option<Rc<dyn Directory>>,
     chance: Rc<RefCell<SmallRng>>,
     /// How fast its steady clock runs.
     rate: f64,
 }
 
-impl Premises {
-    pub fn new(net: Rc<dyn Net>, folder: Option<Rc<dyn Folder>>, seed: u64) -> Premises {
-        Premises { net, folder, chance: Rc::new(RefCell::new(SmallRng::seed_from_u64(seed))), rate: 1.0 }
+impl Environment {
+    pub fn new(net: Rc<dyn Network>, folder: Option<Rc<dyn Directory>>, seed: u64) -> Environment {
+        Environment { net, folder, chance: Rc::new(RefCell::new(SmallRng::seed_from_u64(seed))), rate: 1.0 }
     }
 
     /// The same with a steady clock that is fast or slow.
-    pub fn at_rate(self, rate: f64) -> Premises {
-        Premises { rate, ..self }
+    pub fn at_rate(self, rate: f64) -> Environment {
+        Environment { rate, ..self }
     }
 
     /// The process' clock, from now on.
-    pub fn steady(&self) -> Steady {
-        Steady::at_rate(self.rate)
+    pub fn steady(&self) -> MonotonicClock {
+        MonotonicClock::at_rate(self.rate)
     }
 
     /// The machine's own.
-    pub fn here(data: Option<PathBuf>) -> io::Result<Premises> {
+    pub fn here(data: Option<PathBuf>) -> io::Result<Environment> {
         let folder =
-            data.map(|dir| Files::at(dir).map(|files| Rc::new(files) as Rc<dyn Folder>)).transpose()?;
-        Ok(Premises::new(Rc::new(Tcp), folder, rand::random()))
+            data.map(|dir| Files::at(dir).map(|files| Rc::new(files) as Rc<dyn Directory>)).transpose()?;
+        Ok(Environment::new(Rc::new(Tcp), folder, rand::random()))
     }
 
     /// A whole number below `end`.
@@ -122,8 +122,8 @@
 
 const BACKLOG: u32 = 512;
 
-impl Net for Tcp {
-    fn dial(&self, to: SocketAddr) -> Later<'static, io::Result<Stream>> {
+impl Network for Tcp {
+    fn dial(&self, to: SocketAddr) -> BoxFuture<'static, io::Result<Stream>> {
         Box::pin(async move {
             let stream = TcpStream::connect(to).await?;
             let _ = stream.set_nodelay(true);
@@ -131,7 +131,7 @@
         })
     }
 
-    fn listen(&self, at: SocketAddr) -> io::Result<Box<dyn Ear>> {
+    fn listen(&self, at: SocketAddr) -> io::Result<Box<dyn Listener>> {
         let socket = TcpSocket::new_v4()?;
         socket.set_reuseaddr(true)?;
         socket.bind(at)?;
@@ -143,8 +143,8 @@
     }
 }
 
-impl Ear for TcpListener {
-    fn accept(&mut self) -> Later<'_, io::Result<Stream>> {
+impl Listener for TcpListener {
+    fn accept(&mut self) -> BoxFuture<'_, io::Result<Stream>> {
         Box::pin(async move {
             let (stream, _) = TcpListener::accept(self).await?;
             let _ = stream.set_nodelay(true);
@@ -153,7 +153,7 @@
     }
 }
 
-type Job = (Vec<Deed>, oneshot::Sender<io::Result<()>>);
+type Job = (Vec<FileOperation>, oneshot::Sender<io::Result<()>>);
 
 /// Plain files; a thread of their own waits for the disk.
 struct Files {
@@ -178,24 +178,24 @@
 }
 
 /// What was written last is synced where it is open.
-fn do_it(dir: &Path, deed: &Deed, open: &mut Option<(String, File)>) -> io::Result<()> {
+fn do_it(dir: &Path, deed: &FileOperation, open: &mut Option<(String, File)>) -> io::Result<()> {
     match deed {
-        Deed::Write { file: name, bytes } => {
+        FileOperation::Write { file: name, bytes } => {
             let mut file = OpenOptions::new().write(true).create(true).truncate(true).open(dir.join(name))?;
             file.write_all(bytes)?;
             *open = Some((name.clone(), file));
             Ok(())
         }
-        Deed::Sync { file } => match open.take().filter(|(name, _)| name == file) {
+        FileOperation::Sync { file } => match open.take().filter(|(name, _)| name == file) {
             Some((_, written)) => written.sync_all(),
             None => File::open(dir.join(file))?.sync_all(),
         },
-        Deed::Rename { from, to } => fs::rename(dir.join(from), dir.join(to)),
-        Deed::SyncFolder => File::open(dir)?.sync_all(),
+        FileOperation::Rename { from, to } => fs::rename(dir.join(from), dir.join(to)),
+        FileOperation::SyncFolder => File::open(dir)?.sync_all(),
     }
 }
 
-impl Folder for Files {
+impl Directory for Files {
     fn read(&self) -> io::Result<BTreeMap<String, Vec<u8>>> {
         let mut files = BTreeMap::new();
         for entry in fs::read_dir(&self.dir)? {
@@ -207,7 +207,7 @@
         Ok(files)
     }
 
-    fn carry_out(&self, deeds: Vec<Deed>) -> Later<'static, io::Result<()>> {
+    fn carry_out(&self, deeds: Vec<FileOperation>) -> BoxFuture<'static, io::Result<()>> {
         let (done, told) = oneshot::channel();
         let taken = self.jobs.send((deeds, done));
         let gone = || io::Error::other("the disk's thread has ended");
--- a/crates/runtime/src/lib.rs
+++ b/crates/runtime/src/lib.rs
@@ -1,5 +1,5 @@
 //! What a program runs on: the environment (network, disk, clock, randomness), the log and the main function.
 
+pub mod environment;
 pub mod log;
-pub mod premises;
 pub mod program;
--- a/crates/runtime/src/program.rs
+++ b/crates/runtime/src/program.rs
@@ -1,13 +1,13 @@
 //! What all of the system's programs do alike: their command line, their runtime, and how they are told to end.
 
-use crate::premises::Premises;
+use crate::environment::Environment;
 use getopts::Options;
 use std::path::PathBuf;
 use std::process::ExitCode;
 use tokio::runtime::{Builder, LocalOptions};
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::sync::oneshot;
-use vanewharf_config::settings::{Settings, Unread};
+use vanewharf_config::settings::{Settings, SettingsError};
 
 /// Comes when the program is to end.
 pub type End = oneshot::Receiver<()>;
@@ -15,7 +15,7 @@
 /// Reads what the program is called with and runs it until SIGTERM.
 pub fn main<F, R>(name: &str, version: &str, run: F) -> ExitCode
 where
-    F: FnOnce(Settings, Premises, End) -> R,
+    F: FnOnce(Settings, Environment, End) -> R,
     R: Future<Output = Result<(), String>>,
 {
     let settings = match called(name, version) {
@@ -37,7 +37,7 @@
             });
             let data = settings.data.clone();
             let premises =
-                Premises::here(data).map_err(|error| format!("the disk cannot be read: {error}"))?;
+                Environment::here(data).map_err(|error| format!("the disk cannot be read: {error}"))?;
             run(settings, premises, end).await
         }),
         Err(error) => Err(format!("no runtime: {error}")),
@@ -82,7 +82,7 @@
         return Called::Over(ExitCode::SUCCESS);
     }
     let path = matches.opt_str("settings").map(PathBuf::from).map_or_else(Settings::path, Ok);
-    let settings: Result<Settings, Unread> = path.and_then(Settings::read);
+    let settings: Result<Settings, SettingsError> = path.and_then(Settings::read);
     match settings {
         Ok(_) if matches.opt_present("check") => {
             println!("{name}: the settings can be read");
--- a/crates/system-simulator/examples/capacity.rs
+++ b/crates/system-simulator/examples/capacity.rs
@@ -18,7 +18,7 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::{Duration, Instant};
 use tokio::sync::mpsc;
-use vanewharf_clock::{At, Steady};
+use vanewharf_clock::{MonotonicClock, Timestamp};
 use vanewharf_config::config::Config;
 use vanewharf_config::settings::Bounds;
 use vanewharf_discovery::summing::{Summing, for_doors};
@@ -34,8 +34,8 @@
 use vanewharf_proxy::rounds::{News, Place, Rounds, Start};
 use vanewharf_proxy::tables::Tables;
 use vanewharf_quota::quota::{Buckets, Quota};
-use vanewharf_rpc::call::{Caller, Said, serve};
-use vanewharf_runtime::premises::Premises;
+use vanewharf_rpc::{RpcClient, RpcResponse, serve};
+use vanewharf_runtime::environment::Environment;
 
 /// Counts what is held, and the most that was.
 struct Counting;
@@ -249,7 +249,7 @@
 }
 
 fn carrier() -> Rounds {
-    let steady = Steady::start();
+    let steady = MonotonicClock::start();
     let posted = Rc::new(Posted {
         tables: RefCell::default(),
         entries: RefCell::default(),
@@ -280,7 +280,7 @@
         let mail = PullResponse { list: Some(old.clone()), ..PullResponse::default() };
         let written = took(|| bytes(&mail));
         let read = took(|| serde_json::from_slice::<PullResponse>(&written.out).expect("a mail"));
-        let times = (At(10_000), At(16_000));
+        let times = (Timestamp(10_000), Timestamp(16_000));
         let (mut teller, mut reader) = (ListChanges::default(), ListChanges::default());
         let moved = took(|| teller.moved(Some(&old), &new, times));
         let changes = teller.since(old.version, times.1, times.1).expect("a change");
@@ -291,7 +291,7 @@
             let mut rounds = carrier();
             let register = Rc::new(register(1, config(routes, 10, 1, false)));
             rounds.news(Tenths(10), News::Register(register));
-            let at = Steady::start().now();
+            let at = MonotonicClock::start().now();
             let arranged = took(|| rounds.news(Tenths(20), News::List(Rc::clone(&old), at)).is_some());
             (rounds, arranged.ms, arranged.held, at)
         };
@@ -342,8 +342,8 @@
 }
 
 /// A second after the first, and so on.
-fn at(second: u64) -> At {
-    At(1_000_000_000 + second * 10_000)
+fn at(second: u64) -> Timestamp {
+    Timestamp(1_000_000_000 + second * 10_000)
 }
 
 fn office(no: usize) -> ControllerEntry {
@@ -475,19 +475,19 @@
 /// Answers on loopback for as long as this program runs: tokens as they were asked for, and mails with nothing new.
 fn answering(at: SocketAddr, up: std::sync::mpsc::Sender<()>) {
     local(async {
-        let ear = Premises::here(None).expect("without a disk").net.listen(at).expect("a free port");
+        let ear = Environment::here(None).expect("without a disk").net.listen(at).expect("a free port");
         let _ = up.send(());
         let answered = |request: Request| async move {
             match request.target() {
                 "/lend" => {
-                    Said::json(&serde_json::from_slice::<TokenCounts>(request.body()).expect("tokens"))
+                    RpcResponse::json(&serde_json::from_slice::<TokenCounts>(request.body()).expect("tokens"))
                 }
                 "/pull" => {
                     let pull: PullRequest = serde_json::from_slice(request.body()).expect("a pull");
-                    Said::json(&PullResponse { held_ms: pull.wait_ms, ..PullResponse::default() })
+                    RpcResponse::json(&PullResponse { held_ms: pull.wait_ms, ..PullResponse::default() })
                         .packed(&request)
                 }
-                _ => Said::json(&spent()),
+                _ => RpcResponse::json(&spent()),
             }
         };
         serve(ear, answered).await;
@@ -505,9 +505,9 @@
     (path, asked): (&'static str, Q),
     (callers, each): (usize, usize),
 ) {
-    let net = Premises::here(None).expect("without a disk").net;
+    let net = Environment::here(None).expect("without a disk").net;
     let one = |_| {
-        let (mut caller, asked) = (Caller::to(at, &net), asked.clone());
+        let (mut caller, asked) = (RpcClient::to(at, &net), asked.clone());
         tokio::task::spawn_local(async move {
             for _ in 0..each {
                 let _: A = caller.ask(path, &asked, Duration::from_secs(9)).await.expect("an answer");
@@ -527,8 +527,8 @@
     println!("\n| calls over loopback, 32 callers | calls | callee's processor µs a call | a second |");
     println!("| --- | --- | --- | --- |");
     local(async {
-        let net = Premises::here(None).expect("without a disk").net;
-        let mut asking = Caller::to(at, &net);
+        let net = Environment::here(None).expect("without a disk").net;
+        let mut asking = RpcClient::to(at, &net);
         let pull = |report| PullRequest {
             have: VersionVector::default(),
             wait_ms: 300,
--- a/crates/system-simulator/src/day.rs
+++ b/crates/system-simulator/src/day.rs
@@ -19,9 +19,9 @@
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 use vanewharf_config::config::Config;
 use vanewharf_protocol::messages::{PullRequest, Register};
-use vanewharf_rpc::call::Caller;
-use vanewharf_rpc::feed::Feed;
-use vanewharf_runtime::premises::Premises;
+use vanewharf_rpc::Publisher;
+use vanewharf_rpc::RpcClient;
+use vanewharf_runtime::environment::Environment;
 
 const SERVICES: [&str; 2] = ["reads", "writes"];
 pub(super) const TENANTS: [(&str, f64, f64); 4] =
@@ -424,7 +424,7 @@
 
 /// Sends its orders one after the other, to any postmaster, until each is clear.
 async fn operate(world: Rc<World>, no: u8, orders: Vec<(Duration, What)>, begun: Instant) {
-    let premises = Premises::new(world.network.at(operator(no)), None, u64::from(no) + 1);
+    let premises = Environment::new(world.network.at(operator(no)), None, u64::from(no) + 1);
     for (when, what) in orders {
         sleep_until(begun + when).await;
         let sent = Instant::now();
@@ -472,7 +472,7 @@
 /// At any postmaster; two redirections are followed.
 pub(super) async fn call(
     world: &World,
-    premises: &Premises,
+    premises: &Environment,
     method: &str,
     path: &str,
     body: &str,
@@ -483,7 +483,7 @@
     };
     let mut to = world.office(to);
     for _ in 0..3 {
-        let mut caller = Caller::to(to, &premises.net);
+        let mut caller = RpcClient::to(to, &premises.net);
         let answer = timeout(WITHIN, caller.call(method, path, body, WITHIN)).await;
         let (status, text) = answer.ok()?.ok()?;
         if status != 307 {
@@ -651,7 +651,7 @@
 
 /// At the end the operator reads back, again and again, and all that was seen is judged.
 pub(super) async fn ended(world: &Rc<World>, seed: u64, begun: Instant) -> Vec<Broken> {
-    let premises = Premises::new(world.network.at(operator(9)), None, seed);
+    let premises = Environment::new(world.network.at(operator(9)), None, seed);
     for _ in 0..60 {
         if let Some((200, text)) = call(world, &premises, "GET", "/-/Configuration.Read", "").await {
             world.town.history.borrow_mut().read_back = String::from_utf8(text).ok();
@@ -674,14 +674,14 @@
 }
 
 /// What each postmaster that runs has; asked again for a little while where they differ, as orders may be under way.
-async fn agreed(world: &World, premises: &Premises) -> Vec<AtEnd> {
+async fn agreed(world: &World, premises: &Environment) -> Vec<AtEnd> {
     let mut all = Vec::new();
     for _ in 0..20 {
         all.clear();
         let control = world.control.borrow().clone();
         for no in control.into_iter().filter(|no| world.runs(*no)) {
-            let feed = Feed::new(premises.steady());
-            let mut there = Caller::to(world.inside(no), &premises.net);
+            let feed = Publisher::new(premises.steady());
+            let mut there = RpcClient::to(world.inside(no), &premises.net);
             let pull = PullRequest {
                 have: feed.store().have(),
                 wait_ms: 0,
--- a/crates/system-simulator/src/disk.rs
+++ b/crates/system-simulator/src/disk.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 use tokio::sync::Notify;
 use tokio::time::sleep;
-use vanewharf_runtime::premises::{Deed, Folder, Later};
+use vanewharf_runtime::environment::{BoxFuture, Directory, FileOperation};
 
 /// What of the writes that were not synced is found after a loss of power.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -36,7 +36,7 @@
     files: Files,
     /// As it would be found if all that was not synced were gone.
     durable: Files,
-    unsynced: Vec<Deed>,
+    unsynced: Vec<FileOperation>,
     /// Files whose names are in the folder for good.
     entered: BTreeSet<String>,
     health: Health,
@@ -106,11 +106,11 @@
             };
             match deed {
                 _ if part == 0.0 => {}
-                Deed::Write { file, bytes } => {
+                FileOperation::Write { file, bytes } => {
                     let whole = (bytes.len() as f64 * part) as usize;
                     found.insert(file, bytes[..whole].to_vec());
                 }
-                Deed::Rename { from, to } if part >= 1.0 => {
+                FileOperation::Rename { from, to } if part >= 1.0 => {
                     if let Some(bytes) = found.remove(&from) {
                         found.insert(to, bytes);
                     }
@@ -131,7 +131,7 @@
         platter.watched = None;
     }
 
-    async fn do_it(self, deed: Deed) -> io::Result<()> {
+    async fn do_it(self, deed: FileOperation) -> io::Result<()> {
         let (reached, health, sync) = {
             let mut platter = self.platter.borrow_mut();
             platter.deeds += 1;
@@ -150,41 +150,41 @@
             }
             Health::Well | Health::Full => {}
         }
-        if let Deed::Sync { .. } | Deed::SyncFolder = deed {
+        if let FileOperation::Sync { .. } | FileOperation::SyncFolder = deed {
             sleep(sync).await;
         }
         let mut platter = self.platter.borrow_mut();
         let platter = &mut *platter;
         match &deed {
-            Deed::Write { file, bytes } => {
+            FileOperation::Write { file, bytes } => {
                 let full = platter.health == Health::Full;
                 let bytes = if full { Vec::new() } else { bytes.clone() };
                 platter.files.insert(file.clone(), bytes.clone());
-                platter.unsynced.push(Deed::Write { file: file.clone(), bytes });
+                platter.unsynced.push(FileOperation::Write { file: file.clone(), bytes });
                 if full {
                     return Err(io::ErrorKind::StorageFull.into());
                 }
             }
-            Deed::Sync { file } => {
+            FileOperation::Sync { file } => {
                 let bytes = platter.files.get(file).cloned().unwrap_or_default();
                 platter.durable.insert(file.clone(), bytes);
                 platter
                     .unsynced
-                    .retain(|one| !matches!(one, Deed::Write { file: other, .. } if other == file));
+                    .retain(|one| !matches!(one, FileOperation::Write { file: other, .. } if other == file));
             }
-            Deed::Rename { from, to } => {
+            FileOperation::Rename { from, to } => {
                 let bytes = platter.files.remove(from).ok_or(io::ErrorKind::NotFound)?;
                 platter.files.insert(to.clone(), bytes);
                 platter.unsynced.push(deed);
             }
-            Deed::SyncFolder => {
+            FileOperation::SyncFolder => {
                 platter.entered = platter.files.keys().cloned().collect();
                 let (renames, rest): (Vec<_>, Vec<_>) = std::mem::take(&mut platter.unsynced)
                     .into_iter()
-                    .partition(|one| matches!(one, Deed::Rename { .. }));
+                    .partition(|one| matches!(one, FileOperation::Rename { .. }));
                 platter.unsynced = rest;
                 for rename in renames {
-                    if let Deed::Rename { from, to } = rename
+                    if let FileOperation::Rename { from, to } = rename
                         && let Some(bytes) = platter.durable.remove(&from)
                     {
                         platter.durable.insert(to, bytes);
@@ -196,12 +196,12 @@
     }
 }
 
-impl Folder for Disk {
+impl Directory for Disk {
     fn read(&self) -> io::Result<Files> {
         Ok(self.platter.borrow().files.clone())
     }
 
-    fn carry_out(&self, deeds: Vec<Deed>) -> Later<'static, io::Result<()>> {
+    fn carry_out(&self, deeds: Vec<FileOperation>) -> BoxFuture<'static, io::Result<()>> {
         let disk = self.clone();
         Box::pin(async move {
             for deed in deeds {
--- a/crates/system-simulator/src/door.rs
+++ b/crates/system-simulator/src/door.rs
@@ -1,7 +1,7 @@
 //! A carrier among made-up clients and backends: the real gate, tables, buckets and rounds, fed by the real link from the
 //! real sorter. Only the sockets of clients and backends are stood in for.
 
-use super::net::Network;
+use super::net::SimulatedNetwork;
 use super::town::{Asked, Heard, Run, Town};
 use bytes::BytesMut;
 use std::collections::BTreeMap;
@@ -21,7 +21,7 @@
 use vanewharf_proxy::Core;
 use vanewharf_proxy::gate::Wicket;
 use vanewharf_proxy::news::News;
-use vanewharf_runtime::premises::Premises;
+use vanewharf_runtime::environment::Environment;
 
 /// A request that a client sends.
 #[derive(Clone, Debug)]
@@ -50,8 +50,8 @@
     no: usize,
     ip: IpAddr,
     town: Rc<Town>,
-    network: Network,
-    premises: Premises,
+    network: SimulatedNetwork,
+    premises: Environment,
     core: Core,
     life: u64,
     next: u64,
@@ -73,9 +73,9 @@
 
 impl Door {
     pub async fn run(
-        (no, town, network): (usize, Rc<Town>, Network),
+        (no, town, network): (usize, Rc<Town>, SimulatedNetwork),
         settings: Settings,
-        premises: Premises,
+        premises: Environment,
         asks: Rc<std::cell::RefCell<Option<mpsc::UnboundedSender<Ask>>>>,
     ) -> Result<(), String> {
         let settings = Rc::new(settings);
--- a/crates/system-simulator/src/net.rs
+++ b/crates/system-simulator/src/net.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::time::{Instant, Sleep, sleep, sleep_until};
-use vanewharf_runtime::premises::{Ear, Later, Net, Stream};
+use vanewharf_runtime::environment::{BoxFuture, Listener, Network, Stream};
 
 /// What a writer may have under way before it waits for its reader.
 const WINDOW: usize = 256 * 1024;
@@ -122,14 +122,14 @@
 }
 
 #[derive(Clone)]
-pub struct Network {
+pub struct SimulatedNetwork {
     map: Rc<RefCell<Map>>,
     seed: u64,
 }
 
-impl Network {
-    pub fn new(seed: u64) -> Network {
-        Network { map: Rc::default(), seed }
+impl SimulatedNetwork {
+    pub fn new(seed: u64) -> SimulatedNetwork {
+        SimulatedNetwork { map: Rc::default(), seed }
     }
 
     pub fn stand(&self, ip: IpAddr, place: Place) {
@@ -137,7 +137,7 @@
     }
 
     /// The network as one process sees it.
-    pub fn at(&self, ip: IpAddr) -> Rc<dyn Net> {
+    pub fn at(&self, ip: IpAddr) -> Rc<dyn Network> {
         Rc::new(View { network: self.clone(), ip })
     }
 
@@ -196,7 +196,7 @@
 }
 
 struct View {
-    network: Network,
+    network: SimulatedNetwork,
     ip: IpAddr,
 }
 
@@ -207,8 +207,8 @@
     }
 }
 
-impl Net for View {
-    fn dial(&self, to: SocketAddr) -> Later<'static, io::Result<Stream>> {
+impl Network for View {
+    fn dial(&self, to: SocketAddr) -> BoxFuture<'static, io::Result<Stream>> {
         let (network, from, to) = (self.network.clone(), self.ip, self.there(to));
         Box::pin(async move {
             let (no, way) = {
@@ -256,7 +256,7 @@
         })
     }
 
-    fn listen(&self, at: SocketAddr) -> io::Result<Box<dyn Ear>> {
+    fn listen(&self, at: SocketAddr) -> io::Result<Box<dyn Listener>> {
         let (queue, at) = (Rc::<RefCell<Queue>>::default(), self.there(at));
         let mut map = self.network.map.borrow_mut();
         if map.ears.contains_key(&at) {
@@ -274,13 +274,13 @@
 }
 
 struct Listening {
-    network: Network,
+    network: SimulatedNetwork,
     at: SocketAddr,
     queue: Rc<RefCell<Queue>>,
 }
 
-impl Ear for Listening {
-    fn accept(&mut self) -> Later<'_, io::Result<Stream>> {
+impl Listener for Listening {
+    fn accept(&mut self) -> BoxFuture<'_, io::Result<Stream>> {
         let queue = Rc::clone(&self.queue);
         Box::pin(poll_fn(move |cx| {
             let mut queue = queue.borrow_mut();
@@ -307,7 +307,7 @@
 struct End {
     read: Rc<RefCell<Lane>>,
     write: Rc<RefCell<Lane>>,
-    network: Network,
+    network: SimulatedNetwork,
     timer: Option<Pin<Box<Sleep>>>,
 }
 
@@ -393,7 +393,7 @@
     }
 }
 
-fn end(network: &Network, lane: &RefCell<Lane>) {
+fn end(network: &SimulatedNetwork, lane: &RefCell<Lane>) {
     let mut lane = lane.borrow_mut();
     let map = network.map.borrow();
     // One that went dark cannot say that it ended.
--- a/crates/system-simulator/src/play.rs
+++ b/crates/system-simulator/src/play.rs
@@ -18,7 +18,7 @@
 use tokio::sync::{Mutex, Semaphore};
 use tokio::task::LocalSet;
 use tokio::time::{Instant, sleep, sleep_until, timeout};
-use vanewharf_runtime::premises::Premises;
+use vanewharf_runtime::environment::Environment;
 
 /// Orders under way at once.
 const UNDER_WAY: usize = 8;
@@ -167,7 +167,7 @@
 
     /// Sends it until it is clear what became of it; whether it was acknowledged.
     async fn until_clear(&self, world: &Rc<World>, what: &What, seed: u64, chance: &mut SmallRng) -> bool {
-        let premises = Premises::new(world.network.at(operator((seed % 5) as u8)), None, seed);
+        let premises = Environment::new(world.network.at(operator((seed % 5) as u8)), None, seed);
         let (path, body) = match what {
             What::Replace { body, .. } => ("/-/Configuration.Replace".to_owned(), body.as_str()),
             What::Invalid { .. } => ("/-/Configuration.Replace".to_owned(), "{\"revision\":\"r99\"}"),
@@ -217,7 +217,7 @@
 /// One that reads back all day long.
 async fn read(world: Rc<World>, no: u8, seed: u64, begun: Instant) {
     sleep_until(begun + seconds(3.0 + f64::from(no) / 5.0)).await;
-    let premises = Premises::new(world.network.at(operator(5 + no)), None, seed ^ u64::from(no) << 40);
+    let premises = Environment::new(world.network.at(operator(5 + no)), None, seed ^ u64::from(no) << 40);
     loop {
         let sent = Instant::now();
         if let Some((200, text)) = call(&world, &premises, "GET", "/-/Configuration.Read", "").await {
--- a/crates/system-simulator/src/town.rs
+++ b/crates/system-simulator/src/town.rs
@@ -6,7 +6,7 @@
 use std::net::{IpAddr, SocketAddr};
 use std::time::Duration;
 use tokio::time::Instant;
-use vanewharf_rpc::feed::Feed;
+use vanewharf_rpc::Publisher;
 
 /// How far the platform's list is behind.
 pub const LAG: Duration = Duration::from_millis(500);
@@ -123,7 +123,7 @@
     shown: RefCell<Vec<(Instant, BTreeMap<String, Backend>)>>,
     pub history: RefCell<History>,
     /// The feed of each door's carrier, while it runs.
-    pub feeds: RefCell<BTreeMap<usize, Feed>>,
+    pub feeds: RefCell<BTreeMap<usize, Publisher>>,
     pub platform: SocketAddr,
 }
 
--- a/crates/system-simulator/src/world.rs
+++ b/crates/system-simulator/src/world.rs
@@ -3,7 +3,7 @@
 
 use super::disk::{Disk, Left};
 use super::door::{Ask, Door};
-use super::net::{Network, Place};
+use super::net::{Place, SimulatedNetwork};
 use super::town::{Town, ip};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -20,8 +20,8 @@
 use tokio::time::Instant;
 use vanewharf_config::settings::Settings;
 use vanewharf_controller::RunningController;
-use vanewharf_rpc::call::{Said, serve};
-use vanewharf_runtime::premises::{Folder, Premises};
+use vanewharf_rpc::{RpcResponse, serve};
+use vanewharf_runtime::environment::{Directory, Environment};
 
 const CONTROL: u16 = 8200;
 const REGISTRY: u16 = 8201;
@@ -131,7 +131,7 @@
 pub struct World {
     pub shape: Shape,
     pub town: Rc<Town>,
-    pub network: Network,
+    pub network: SimulatedNetwork,
     pub machines: Vec<Machine>,
     pub troubles: RefCell<Vec<Trouble>>,
     /// The core machines that the operator's list names now.
@@ -163,7 +163,7 @@
     /// slow by up to a part.
     pub fn with(shape: Shape, seed: u64, spares: usize, drift: f64) -> Rc<World> {
         let mut chance = SmallRng::seed_from_u64(seed ^ 0xc10c);
-        let network = Network::new(seed);
+        let network = SimulatedNetwork::new(seed);
         let platform = SocketAddr::new(IpAddr::from([10, 9, 0, 100]), 80);
         let mut machines = Vec::new();
         for no in 0..shape.offices + shape.doors + spares {
@@ -236,7 +236,7 @@
         let ear = ear.expect("nothing else listens there");
         tokio::task::spawn_local(serve(ear, move |request| {
             let page = (request.target().starts_with("/instances")).then(|| town.page());
-            async move { page.map_or(Said::status(404, "no such call"), |page| Said::json(&page)) }
+            async move { page.map_or(RpcResponse::status(404, "no such call"), |page| RpcResponse::json(&page)) }
         }));
     }
 
@@ -292,10 +292,10 @@
     fn start(&self, no: usize, program: Program) {
         let machine = &self.machines[no];
         machine.starts.set(machine.starts.get() + 1);
-        let folder = machine.disk.clone().map(|disk| Rc::new(disk) as Rc<dyn Folder>);
+        let folder = machine.disk.clone().map(|disk| Rc::new(disk) as Rc<dyn Directory>);
         let mixed =
             self.seed.wrapping_mul(0x9e37_79b9).wrapping_add((no as u64) << 16 | machine.starts.get());
-        let premises = Premises::new(self.network.at(machine.ip), folder, mixed).at_rate(machine.rate);
+        let premises = Environment::new(self.network.at(machine.ip), folder, mixed).at_rate(machine.rate);
         let (settings, set) = (self.settings(no), LocalSet::new());
         let (town, name) = (Rc::clone(&self.town), machine.name.clone());
         let said = move |ended: Result<(), String>| {
--- a/crates/system-simulator/tests/cut.rs
+++ b/crates/system-simulator/tests/cut.rs
@@ -10,9 +10,9 @@
 use tokio::runtime::Builder;
 use tokio::task::LocalSet;
 use tokio::time::{Instant, sleep, sleep_until, timeout};
-use vanewharf_protocol::store::Store;
-use vanewharf_rpc::call::Caller;
-use vanewharf_runtime::premises::Premises;
+use vanewharf_protocol::store::VersionStore;
+use vanewharf_rpc::RpcClient;
+use vanewharf_runtime::environment::Environment;
 use vanewharf_system_simulator::disk::{Health, Left};
 use vanewharf_system_simulator::many::each;
 use vanewharf_system_simulator::net::Place;
@@ -86,12 +86,12 @@
 
 /// Status and, of a redirection, where to.
 async fn at(
-    premises: &Premises,
+    premises: &Environment,
     office: SocketAddr,
     call: (&str, &str, &str),
 ) -> Option<(u16, Option<SocketAddr>)> {
     let (method, path, body) = call;
-    let mut caller = Caller::to(office, &premises.net);
+    let mut caller = RpcClient::to(office, &premises.net);
     let (status, text) = caller.call(method, path, body, WITHIN).await.ok()?;
     let text: Value = serde_json::from_slice(&text).unwrap_or_default();
     let there = text["location"].as_str().and_then(|text| {
@@ -101,7 +101,7 @@
 }
 
 /// At one of these machines after the other, until it is acknowledged.
-async fn order(premises: &Premises, offices: &[SocketAddr], call: (&str, &str, &str)) -> Instant {
+async fn order(premises: &Environment, offices: &[SocketAddr], call: (&str, &str, &str)) -> Instant {
     loop {
         for office in offices {
             let mut to = *office;
@@ -118,10 +118,10 @@
 }
 
 /// By way of any machine, redirected or not.
-async fn read_back(premises: &Premises, office: SocketAddr) -> String {
+async fn read_back(premises: &Environment, office: SocketAddr) -> String {
     let mut to = office;
     for _ in 0..3 {
-        let mut caller = Caller::to(to, &premises.net);
+        let mut caller = RpcClient::to(to, &premises.net);
         let read = caller.call("GET", "/-/Configuration.Read", "", WITHIN).await.expect("answered");
         let text = String::from_utf8(read.1).expect("text");
         if read.0 != 307 {
@@ -138,7 +138,7 @@
     (0..world.shape.offices).filter(|no| !cut.contains(no)).collect()
 }
 
-fn doors_know(world: &World, knows: impl Fn(&Store) -> bool) -> bool {
+fn doors_know(world: &World, knows: impl Fn(&VersionStore) -> bool) -> bool {
     let feeds = world.town.feeds.borrow();
     feeds.len() == world.shape.doors && feeds.values().all(|feed| knows(&feed.store()))
 }
@@ -156,7 +156,7 @@
 }
 
 /// A system at work, who operates it, and which of the core takes orders.
-async fn at_work(offices: usize, doors: usize, seed: u64) -> (Rc<World>, Premises, usize) {
+async fn at_work(offices: usize, doors: usize, seed: u64) -> (Rc<World>, Environment, usize) {
     let shape = Shape { offices, doors, seconds: 0, rate: 1, troubles: 0 };
     let world = World::new(shape, seed);
     for no in 0..60u8 {
@@ -171,7 +171,7 @@
     world.town.show();
     let begun = Instant::now();
     world.begin();
-    let premises = Premises::new(world.network.at(operator(0)), None, seed);
+    let premises = Environment::new(world.network.at(operator(0)), None, seed);
     let all: Vec<_> = (0..offices).map(|no| world.office(no)).collect();
     sleep_until(begun + Duration::from_secs(1)).await;
     order(&premises, &all, ("POST", "/-/Configuration.Replace", &config(1))).await;
@@ -191,7 +191,7 @@
     world.town.show();
 }
 
-fn shows(store: &Store, id: &str, draining: bool) -> bool {
+fn shows(store: &VersionStore, id: &str, draining: bool) -> bool {
     let list = store.list.as_ref();
     list.is_some_and(|list| list.servers.iter().any(|one| one.id == id && one.draining == draining))
 }
@@ -211,7 +211,7 @@
     // What is said at the machines that are cut off.
     for no in &cut {
         let (office, seen) = (world.office(*no), Rc::clone(&seen));
-        let premises = Premises::new(world.network.at(operator(1)), None, case.seed + 7);
+        let premises = Environment::new(world.network.at(operator(1)), None, case.seed + 7);
         tokio::task::spawn_local(async move {
             let (newest, mut turn) = (config(9_000), 0);
             while from.elapsed() < CUT_FOR {
@@ -238,7 +238,7 @@
         no += 1;
         let acked = order(&premises, &rest, ("POST", "/-/Configuration.Replace", &config(no))).await;
         let text = format!("\"r{no}\"");
-        let knows = |store: &Store| {
+        let knows = |store: &VersionStore| {
             let register = store.register.as_ref().and_then(|register| register.config.as_ref());
             register.is_some_and(|config| config.get().contains(&text))
         };
@@ -249,7 +249,7 @@
             _ => (false, "/-/Evacuation.Finish/east-b"),
         };
         let acked = order(&premises, &rest, ("POST", call, "")).await;
-        let knows = |store: &Store| {
+        let knows = |store: &VersionStore| {
             store.register.as_ref().is_some_and(|register| register.evacuated.contains("east-b") == begins)
         };
         let heard = until(|| doors_know(&world, knows)).await;
@@ -367,7 +367,7 @@
         let mut told = BTreeMap::new();
         for office in 0..offices {
             let at = SocketAddr::new(world.office(office).ip(), 7600);
-            let mut caller = Caller::to(at, &premises.net);
+            let mut caller = RpcClient::to(at, &premises.net);
             // As one that is no member of theirs: it leaves no mark that counts.
             let recover = r#"{"Recover":{"member":"10.9.9.9:1","incarnation":0}}"#;
             let known = caller.call("POST", "/vote", recover, WITHIN).await.expect("answered").1;
--- a/crates/system-simulator/tests/orders.rs
+++ b/crates/system-simulator/tests/orders.rs
@@ -16,10 +16,10 @@
 use tokio::time::{Instant, sleep, timeout};
 use vanewharf_config::settings::Settings;
 use vanewharf_protocol::messages::{PullRequest, PullResponse};
-use vanewharf_rpc::call::Caller;
-use vanewharf_runtime::premises::{Ear, Folder, Later, Net, Premises, Stream};
+use vanewharf_rpc::RpcClient;
+use vanewharf_runtime::environment::{BoxFuture, Directory, Environment, Listener, Network, Stream};
 use vanewharf_system_simulator::disk::{Disk, Health};
-use vanewharf_system_simulator::net::{Network, Place};
+use vanewharf_system_simulator::net::{Place, SimulatedNetwork};
 use vanewharf_system_simulator::town::ip;
 use vanewharf_system_simulator::world::{Shape, World, operator};
 
@@ -56,7 +56,7 @@
 async fn call(world: &World, no: u8, office: usize, path: &str, body: &str) -> Option<(u16, Vec<u8>)> {
     let method = if path.ends_with("Read") { "GET" } else { "POST" };
     let net = world.network.at(operator(no));
-    let mut caller = Caller::to(world.office(office), &net);
+    let mut caller = RpcClient::to(world.office(office), &net);
     timeout(SILENCE, caller.call(method, path, body, SILENCE)).await.ok()?.ok()
 }
 
@@ -100,7 +100,7 @@
     let inside = SocketAddr::new(world.machines[holder(world).await].ip, 7600);
     let pull =
         PullRequest { have: Default::default(), wait_ms: 0, office: None, lent: None, reports: Vec::new() };
-    let mut caller = Caller::to(inside, &world.network.at(operator(7)));
+    let mut caller = RpcClient::to(inside, &world.network.at(operator(7)));
     let mail: PullResponse = caller.ask("/pull", &pull, SILENCE).await.expect("answered");
     mail.register.expect("a register").evacuated
 }
@@ -169,7 +169,7 @@
             let holder = holder(&world).await;
             // A connection that is up, whose bytes are then held on their way.
             let (here, there) = (operator(0), world.machines[holder].ip);
-            let mut caller = Caller::to(world.office(holder), &world.network.at(here));
+            let mut caller = RpcClient::to(world.office(holder), &world.network.at(here));
             assert_eq!(caller.call("GET", "/-/Configuration.Read", "", SILENCE).await.expect("up").0, 200);
             world.network.cut(here, there);
             assert!(caller.call("POST", finish, "", SILENCE).await.is_err(), "nothing can be heard");
@@ -274,20 +274,20 @@
 /// that are made later are sound.
 #[derive(Clone)]
 struct Silencing {
-    net: Rc<dyn Net>,
+    net: Rc<dyn Network>,
     silent_until: Rc<Cell<u64>>,
     dialled: Rc<Cell<u64>>,
 }
 
-impl Net for Silencing {
-    fn dial(&self, to: SocketAddr) -> Later<'static, io::Result<Stream>> {
+impl Network for Silencing {
+    fn dial(&self, to: SocketAddr) -> BoxFuture<'static, io::Result<Stream>> {
         let (dialling, silent_until) = (self.net.dial(to), Rc::clone(&self.silent_until));
         self.dialled.set(self.dialled.get() + 1);
         let no = self.dialled.get();
         Box::pin(async move { Ok(Box::new(Line { stream: dialling.await?, no, silent_until }) as Stream) })
     }
 
-    fn listen(&self, at: SocketAddr) -> io::Result<Box<dyn Ear>> {
+    fn listen(&self, at: SocketAddr) -> io::Result<Box<dyn Listener>> {
         self.net.listen(at)
     }
 
@@ -356,7 +356,7 @@
     vanewharf_runtime::log::silence();
     let runtime = Builder::new_current_thread().enable_time().start_paused(true).build().expect("a runtime");
     runtime.block_on(LocalSet::new().run_until(async {
-        let network = Network::new(8);
+        let network = SimulatedNetwork::new(8);
         let mut controllers = Vec::new();
         for no in 0..3 {
             let place = Place { zone: "east-a".to_owned(), region: "east".to_owned() };
@@ -366,8 +366,8 @@
                 silent_until: Rc::default(),
                 dialled: Rc::default(),
             };
-            let folder = Rc::new(Disk::new(Duration::from_millis(2))) as Rc<dyn Folder>;
-            let premises = Premises::new(Rc::new(net.clone()), Some(folder), no.into());
+            let folder = Rc::new(Disk::new(Duration::from_millis(2))) as Rc<dyn Directory>;
+            let premises = Environment::new(Rc::new(net.clone()), Some(folder), no.into());
             let controller = vanewharf_controller::start(settings(no), premises).await.expect("it starts");
             controllers.push((controller, net));
         }
@@ -376,7 +376,7 @@
             let to = SocketAddr::new(ip(no as u8 + 1), 8200);
             async move {
                 let (begun, path) = (Instant::now(), format!("/-/Evacuation.Begin/{zone}"));
-                let answer = Caller::to(to, &net).call("POST", &path, "", ACKNOWLEDGE).await;
+                let answer = RpcClient::to(to, &net).call("POST", &path, "", ACKNOWLEDGE).await;
                 (answer.ok().map(|(status, _)| status), begun.elapsed())
             }
         };
--- a/crates/testkit/src/town.rs
+++ b/crates/testkit/src/town.rs
@@ -13,7 +13,7 @@
 use tokio::runtime::{Builder, LocalOptions};
 use tokio::sync::oneshot;
 use vanewharf_config::settings::Settings;
-use vanewharf_runtime::premises::Premises;
+use vanewharf_runtime::environment::Environment;
 use vanewharf_runtime::program::End;
 
 /// Longer than anything here takes.
@@ -75,7 +75,7 @@
 }
 
 async fn run(program: Program, settings: Settings, end: End) -> Result<(), String> {
-    let premises = Premises::here(settings.data.clone()).map_err(|error| error.to_string())?;
+    let premises = Environment::here(settings.data.clone()).map_err(|error| error.to_string())?;
     match program {
         Program::Carrier => vanewharf_proxy::run(settings, premises, end).await,
         Program::Sorter => vanewharf_agent::run(settings, premises, end).await,
--- a/programs/agent/src/lib.rs
+++ b/programs/agent/src/lib.rs
@@ -7,15 +7,15 @@
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::time::sleep;
-use vanewharf_clock::At;
+use vanewharf_clock::Timestamp;
 use vanewharf_config::settings::Settings;
 use vanewharf_discovery::source::{Next, Sources};
 use vanewharf_discovery::view::View;
 use vanewharf_http1::Request;
 use vanewharf_protocol::messages::{PeerEntry, ProxyReport, PullRequest};
-use vanewharf_rpc::call::{Caller, Said, serve_own};
-use vanewharf_rpc::feed::Feed;
-use vanewharf_runtime::premises::Premises;
+use vanewharf_rpc::Publisher;
+use vanewharf_rpc::{RpcClient, RpcResponse, serve_deduplicated};
+use vanewharf_runtime::environment::Environment;
 use vanewharf_runtime::program::End;
 
 const PAUSE: Duration = Duration::from_millis(60);
@@ -33,20 +33,20 @@
 const MOST_RELAYED: usize = 8;
 
 /// The carrier's last report, and when it was made.
-type Last = Rc<RefCell<Option<(ProxyReport, At)>>>;
+type Last = Rc<RefCell<Option<(ProxyReport, Timestamp)>>>;
 /// Reports of doors that reach no postmaster, by name.
-type Relayed = Rc<RefCell<BTreeMap<String, (ProxyReport, At)>>>;
+type Relayed = Rc<RefCell<BTreeMap<String, (ProxyReport, Timestamp)>>>;
 
-pub async fn run(settings: Settings, premises: Premises, end: End) -> Result<(), String> {
-    let (feed, last) = (Feed::new(premises.steady()), Last::default());
+pub async fn run(settings: Settings, premises: Environment, end: End) -> Result<(), String> {
+    let (feed, last) = (Publisher::new(premises.steady()), Last::default());
     let at = settings.loopback();
     let listener = premises.net.listen(at).map_err(|error| format!("cannot listen on {at}: {error}"))?;
     let (fed, reported) = (feed.clone(), Rc::clone(&last));
-    tokio::task::spawn_local(serve_own(listener, move |request| {
+    tokio::task::spawn_local(serve_deduplicated(listener, move |request| {
         let (feed, last) = (fed.clone(), Rc::clone(&reported));
         async move {
             if (request.method(), request.target()) != ("POST", "/pull") {
-                return Said::status(404, "there is no such call");
+                return RpcResponse::status(404, "there is no such call");
             }
             match serde_json::from_slice::<PullRequest>(request.body()) {
                 Ok(mut pull) => {
@@ -55,9 +55,9 @@
                         let made = now.before(Duration::from_millis(report.age_ms));
                         *last.borrow_mut() = Some((report, made));
                     }
-                    Said::json(&feed.answer(&pull).await)
+                    RpcResponse::json(&feed.answer(&pull).await)
                 }
-                Err(error) => Said::status(400, &error.to_string()),
+                Err(error) => RpcResponse::status(400, &error.to_string()),
             }
         }
     }));
@@ -67,7 +67,7 @@
         premises.net.listen(beside).map_err(|error| format!("cannot listen on {beside}: {error}"))?;
     let relayed = Relayed::default();
     let (fed, known, kept, here) = (feed.clone(), Rc::clone(&view), Rc::clone(&relayed), premises.clone());
-    tokio::task::spawn_local(serve_own(listener, move |request| {
+    tokio::task::spawn_local(serve_deduplicated(listener, move |request| {
         let (feed, view, relayed) = (fed.clone(), Rc::clone(&known), Rc::clone(&kept));
         let draw = here.draw(1 << 16) as usize;
         async move { beside_calls(&feed, &view, &relayed, draw, &request).await }
@@ -83,21 +83,21 @@
 
 /// Calls of other doors.
 async fn beside_calls(
-    feed: &Feed,
+    feed: &Publisher,
     view: &RefCell<View>,
     relayed: &Relayed,
     draw: usize,
     request: &Request,
-) -> Said {
+) -> RpcResponse {
     match (request.method(), request.target()) {
         ("POST", "/shuffle") => match serde_json::from_slice::<Vec<PeerEntry>>(request.body()) {
             Ok(told) => {
                 let now = feed.now();
                 let mine = view.borrow().told(draw, now);
                 view.borrow_mut().merge(&told, now);
-                Said::json(&mine)
+                RpcResponse::json(&mine)
             }
-            Err(error) => Said::status(400, &error.to_string()),
+            Err(error) => RpcResponse::status(400, &error.to_string()),
         },
         ("POST", "/pull") => match serde_json::from_slice::<PullRequest>(request.body()) {
             Ok(pull) => {
@@ -110,16 +110,16 @@
                         relayed.insert(report.door.name.clone(), (report.clone(), made));
                     }
                 }
-                Said::json(&feed.answer(&pull).await).packed(request)
+                RpcResponse::json(&feed.answer(&pull).await).packed(request)
             }
-            Err(error) => Said::status(400, &error.to_string()),
+            Err(error) => RpcResponse::status(400, &error.to_string()),
         },
-        _ => Said::status(404, "there is no such call"),
+        _ => RpcResponse::status(404, "there is no such call"),
     }
 }
 
 /// Now and then the view is told to one of the doors in it, and that one's view heard.
-async fn shuffle(settings: Rc<Settings>, premises: Premises, feed: Feed, view: Rc<RefCell<View>>) {
+async fn shuffle(settings: Rc<Settings>, premises: Environment, feed: Publisher, view: Rc<RefCell<View>>) {
     loop {
         let draw = premises.draw(1 << 16) as usize;
         sleep(SHUFFLED + Duration::from_millis(draw as u64 % 400)).await;
@@ -128,7 +128,7 @@
         match first {
             Some(ip) => {
                 let told = view.borrow().told(draw, now);
-                let mut there = Caller::to(settings.neighbour(ip), &premises.net);
+                let mut there = RpcClient::to(settings.neighbour(ip), &premises.net);
                 match there.ask::<_, Vec<PeerEntry>>("/shuffle", &told, BESIDE).await {
                     Ok(heard) => view.borrow_mut().merge(&heard, feed.now()),
                     Err(_) => view.borrow_mut().lost(ip),
@@ -137,7 +137,7 @@
             // It knows no door: a postmaster names some.
             None => {
                 for ip in known(&settings, &feed) {
-                    let mut there = Caller::to(settings.office(ip), &premises.net);
+                    let mut there = RpcClient::to(settings.office(ip), &premises.net);
                     if let Ok(heard) = there.fetch::<Vec<PeerEntry>>("/neighbours", BESIDE).await {
                         view.borrow_mut().merge(&heard, feed.now());
                         break;
@@ -151,13 +151,13 @@
 /// Hears through one source after the other, as `Sources` has it.
 async fn keep_pulling(
     settings: Rc<Settings>,
-    premises: Premises,
-    feed: Feed,
+    premises: Environment,
+    feed: Publisher,
     last: Last,
     view: Rc<RefCell<View>>,
     relayed: Relayed,
 ) {
-    let (mut callers, mut sources): (Vec<Caller>, Sources) = Default::default();
+    let (mut callers, mut sources): (Vec<RpcClient>, Sources) = Default::default();
     loop {
         let offices: Vec<_> = known(&settings, &feed).into_iter().map(|ip| settings.office(ip)).collect();
         let beside: Vec<_> = {
@@ -170,9 +170,9 @@
             continue;
         };
         let kept = callers.iter().position(|caller| caller.address == best).map(|at| callers.remove(at));
-        let mut caller = kept.unwrap_or_else(|| Caller::to(best, &premises.net));
+        let mut caller = kept.unwrap_or_else(|| RpcClient::to(best, &premises.net));
         let now = feed.now();
-        let aged = |(report, made): &(ProxyReport, At)| {
+        let aged = |(report, made): &(ProxyReport, Timestamp)| {
             let age = now.since(*made);
             (age < STALE).then(|| ProxyReport { age_ms: age.as_millis() as u64, ..report.clone() })
         };
@@ -206,7 +206,7 @@
 }
 
 /// The postmasters that are known, the nearest first.
-fn known(settings: &Settings, feed: &Feed) -> Vec<IpAddr> {
+fn known(settings: &Settings, feed: &Publisher) -> Vec<IpAddr> {
     let store = feed.store();
     let rows = store.ledger.iter().flat_map(|ledger| &ledger.offices);
     let place = |zone: &str| {
--- a/programs/controller/src/lib.rs
+++ b/programs/controller/src/lib.rs
@@ -21,9 +21,9 @@
 use vanewharf_discovery::summing::Summing;
 use vanewharf_protocol::messages::{Ballot, ControllerEntry, PullRequest, TokenCounts, VoteRequest};
 use vanewharf_quota::quota::Buckets;
-use vanewharf_rpc::call::{Said, serve, serve_own};
-use vanewharf_rpc::feed::Feed;
-use vanewharf_runtime::premises::Premises;
+use vanewharf_rpc::Publisher;
+use vanewharf_rpc::{RpcResponse, serve, serve_deduplicated};
+use vanewharf_runtime::environment::Environment;
 use vanewharf_runtime::program::End;
 
 /// Calls that are under way at the end are answered.
@@ -46,14 +46,14 @@
     }
 }
 
-pub async fn run(settings: Settings, premises: Premises, end: End) -> Result<(), String> {
+pub async fn run(settings: Settings, premises: Environment, end: End) -> Result<(), String> {
     let controller = start(settings, premises).await?;
     let _ = end.await;
     controller.shut_down().await;
     Ok(())
 }
 
-pub async fn start(settings: Settings, premises: Premises) -> Result<RunningController, String> {
+pub async fn start(settings: Settings, premises: Environment) -> Result<RunningController, String> {
     let because = |what: &str, error: std::io::Error| format!("{what}: {error}");
     let settings = Rc::new(settings);
     let (control, registry) = (settings.listens("control_plane"), settings.listens("directory_service"));
@@ -66,7 +66,7 @@
     let disk = Storage::start(folder, &found);
 
     let steady = premises.steady();
-    let feed = Feed::new(steady);
+    let feed = Publisher::new(steady);
     let me = settings.office(settings.ip);
     let promise: Option<Promise> = found.record(Record::Promise);
     let first = settings.initial_start && found.nothing();
@@ -110,7 +110,7 @@
     let inside =
         premises.net.listen(me).map_err(|error| because(&format!("cannot listen on {me}"), error))?;
     let within = Rc::clone(&state);
-    tokio::task::spawn_local(serve_own(inside, move |request| {
+    tokio::task::spawn_local(serve_deduplicated(inside, move |request| {
         let state = Rc::clone(&within);
         async move { internal(&state, &request).await }
     }));
@@ -129,27 +129,27 @@
 }
 
 /// The system's own calls.
-async fn internal(state: &ControllerState, request: &vanewharf_http1::Request) -> Said {
-    let unread = |error: serde_json::Error| Said::status(400, &error.to_string());
+async fn internal(state: &ControllerState, request: &vanewharf_http1::Request) -> RpcResponse {
+    let unread = |error: serde_json::Error| RpcResponse::status(400, &error.to_string());
     match (request.method(), request.target()) {
         ("POST", "/pull") => match serde_json::from_slice::<PullRequest>(request.body()) {
-            Ok(pull) => Said::json(&state.pulled(pull).await).packed(request),
+            Ok(pull) => RpcResponse::json(&state.pulled(pull).await).packed(request),
             Err(error) => unread(error),
         },
         ("POST", "/lend") => match serde_json::from_slice::<TokenCounts>(request.body()) {
-            Ok(wanted) => Said::json(&state.lend(wanted)),
+            Ok(wanted) => RpcResponse::json(&state.lend(wanted)),
             Err(error) => unread(error),
         },
         ("POST", "/vote") => match serde_json::from_slice::<VoteRequest>(request.body()) {
-            Ok(request) => Said::json(&state.replica.vote(request).await),
+            Ok(request) => RpcResponse::json(&state.replica.vote(request).await),
             Err(error) => unread(error),
         },
         ("POST", "/holds") => match serde_json::from_slice::<Ballot>(request.body()) {
-            Ok(ballot) => Said::json(&state.replica.holds_by(ballot)),
+            Ok(ballot) => RpcResponse::json(&state.replica.holds_by(ballot)),
             Err(error) => unread(error),
         },
-        ("GET", "/neighbours") => Said::json(&state.neighbours()),
-        ("GET", "/membership") => Said::json(&state.replica.membership()),
-        _ => Said::status(404, "there is no such call"),
+        ("GET", "/neighbours") => RpcResponse::json(&state.neighbours()),
+        ("GET", "/membership") => RpcResponse::json(&state.replica.membership()),
+        _ => RpcResponse::status(404, "there is no such call"),
     }
 }
--- a/programs/controller/src/platform.rs
+++ b/programs/controller/src/platform.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 use vanewharf_protocol::messages::Backend;
-use vanewharf_rpc::call::{Caller, Failed};
+use vanewharf_rpc::{RpcClient, RpcError};
 
 const WITHIN: Duration = Duration::from_millis(900);
 /// More pages than any deployment has: the list never ends by itself where the platform errs.
@@ -40,7 +40,7 @@
 }
 
 /// The whole list, in the order of the identifiers.
-pub async fn list(platform: &mut Caller) -> Result<Vec<Backend>, Failed> {
+pub async fn list(platform: &mut RpcClient) -> Result<Vec<Backend>, RpcError> {
     let (mut servers, mut token) = (Vec::new(), None);
     for _ in 0..MOST_PAGES {
         let path = match &token {
@@ -49,9 +49,9 @@
         };
         let page = match platform.call("GET", &path, "", WITHIN).await? {
             (200, body) => body,
-            (status, _) => return Err(Failed::Status(status)),
+            (status, _) => return Err(RpcError::Status(status)),
         };
-        let page: Page = serde_json::from_slice(&page).map_err(|_| Failed::Unread)?;
+        let page: Page = serde_json::from_slice(&page).map_err(|_| RpcError::Unread)?;
         for (zone, entries) in page.instances {
             servers.extend(entries.into_iter().map(|entry| Backend {
                 id: entry.identifier,
@@ -69,7 +69,7 @@
             return Ok(servers);
         }
     }
-    Err(Failed::Unread)
+    Err(RpcError::Unread)
 }
 
 /// Whether doors have to be told: what merely warms up on its way is known to them already.
--- a/programs/controller/src/public_api.rs
+++ b/programs/controller/src/public_api.rs
@@ -12,7 +12,7 @@
 use vanewharf_consensus::membership::sound;
 use vanewharf_discovery::summing::resolved;
 use vanewharf_http1::Request;
-use vanewharf_rpc::call::Said;
+use vanewharf_rpc::RpcResponse;
 
 /// The most doors that one answer names.
 const MOST_NAMED: usize = 64;
@@ -21,7 +21,7 @@
 /// How long clients hold on to an answer.
 const LIFETIME: Duration = Duration::from_millis(4000);
 
-pub async fn dispatch(state: &ControllerState, orders: &OrderQueue, request: &Request) -> Said {
+pub async fn dispatch(state: &ControllerState, orders: &OrderQueue, request: &Request) -> RpcResponse {
     let (path, query) = request.target().split_once('?').unwrap_or((request.target(), ""));
     let segments: Vec<_> = path.split('/').skip(1).collect();
     let order = match (request.method(), segments.as_slice()) {
@@ -31,8 +31,8 @@
         ("POST", ["-", "Evacuation.Begin", zone]) => evacuate(state, zone, true),
         ("POST", ["-", "Evacuation.Finish", zone]) => evacuate(state, zone, false),
         ("POST", ["-", "Voters.Replace", out, into]) => replace_voter(state, request, out, into),
-        (_, ["-", ..]) => Err(Said::status(404, "there is no such call")),
-        _ => Err(Said::status(404, "calls begin with /-/")),
+        (_, ["-", ..]) => Err(RpcResponse::status(404, "there is no such call")),
+        _ => Err(RpcResponse::status(404, "calls begin with /-/")),
     };
     match order {
         Ok(order) => said(state, request, orders.give(order).await),
@@ -40,57 +40,64 @@
     }
 }
 
-fn said(state: &ControllerState, request: &Request, done: OrderOutcome) -> Said {
+fn said(state: &ControllerState, request: &Request, done: OrderOutcome) -> RpcResponse {
     match done {
-        OrderOutcome::Acknowledged => Said::json(&json!({})),
+        OrderOutcome::Acknowledged => RpcResponse::json(&json!({})),
         // Looked at once more, as late as can be: a process that stood still since the order was carried out may
         // have lost the lease, and its word is old.
         OrderOutcome::Configuration(_) if !state.replica.holds() => elsewhere(state, request),
         OrderOutcome::Configuration(Some(config)) => {
-            Said { status: 200, fields: Vec::new(), body: config.get().as_bytes().to_vec() }
+            RpcResponse { status: 200, fields: Vec::new(), body: config.get().as_bytes().to_vec() }
         }
-        OrderOutcome::Configuration(None) => Said::status(404, "no configuration was sent yet"),
-        OrderOutcome::Conflict { held } => {
-            Said::status(409, &format!("another configuration was taken under its number; r{held} is held"))
-        }
-        OrderOutcome::Uncertain => Said::status(503, "not certain to hold; send it again"),
+        OrderOutcome::Configuration(None) => RpcResponse::status(404, "no configuration was sent yet"),
+        OrderOutcome::Conflict { held } => RpcResponse::status(
+            409,
+            &format!("another configuration was taken under its number; r{held} is held"),
+        ),
+        OrderOutcome::Uncertain => RpcResponse::status(503, "not certain to hold; send it again"),
         OrderOutcome::NotHere => elsewhere(state, request),
     }
 }
 
 /// To the door that takes orders now.
-fn elsewhere(state: &ControllerState, request: &Request) -> Said {
+fn elsewhere(state: &ControllerState, request: &Request) -> RpcResponse {
     let control = state.settings.listens("control_plane").ok();
     let holder = state.replica.holder().filter(|holder| *holder != state.replica.me);
     let Some((holder, control)) = holder.zip(control) else {
-        return Said::status(503, "nobody takes orders now; try again");
+        return RpcResponse::status(503, "nobody takes orders now; try again");
     };
     let there = SocketAddr::new(holder.ip(), control.port());
     let location = format!("http://{there}{}", request.target());
     let body = json!({ "location": location }).to_string().into_bytes();
-    Said { status: 307, fields: vec![("Location", location)], body }
+    RpcResponse { status: 307, fields: vec![("Location", location)], body }
 }
 
-fn replace(body: &[u8]) -> Result<Order, Said> {
-    let config = Config::of(body).map_err(|fault| Said::status(400, &fault.to_string()))?;
-    let text = String::from_utf8(body.to_vec()).map_err(|_| Said::status(400, "it is no text"))?;
-    let raw = RawValue::from_string(text).map_err(|error| Said::status(400, &error.to_string()))?;
+fn replace(body: &[u8]) -> Result<Order, RpcResponse> {
+    let config = Config::of(body).map_err(|fault| RpcResponse::status(400, &fault.to_string()))?;
+    let text = String::from_utf8(body.to_vec()).map_err(|_| RpcResponse::status(400, "it is no text"))?;
+    let raw = RawValue::from_string(text).map_err(|error| RpcResponse::status(400, &error.to_string()))?;
     Ok(Order::Change(Change::Replace { revision: config.revision, config: raw }))
 }
 
-fn evacuate(state: &ControllerState, zone: &str, begin: bool) -> Result<Order, Said> {
+fn evacuate(state: &ControllerState, zone: &str, begin: bool) -> Result<Order, RpcResponse> {
     if !state.settings.zones.contains_key(zone) {
-        return Err(Said::status(404, &format!("the zone {zone} is not known")));
+        return Err(RpcResponse::status(404, &format!("the zone {zone} is not known")));
     }
     Ok(Order::Change(Change::Evacuate { zone: zone.to_owned(), begin }))
 }
 
 /// By the addresses of machines. The one that takes orders knows who keeps up; no change is begun that these could not
 /// conclude.
-fn replace_voter(state: &ControllerState, request: &Request, out: &str, into: &str) -> Result<Order, Said> {
+fn replace_voter(
+    state: &ControllerState,
+    request: &Request,
+    out: &str,
+    into: &str,
+) -> Result<Order, RpcResponse> {
     let address = |text: &str| {
-        let ip =
-            text.parse().map_err(|_| Said::status(400, &format!("{text} is no address of a machine")))?;
+        let ip = text
+            .parse()
+            .map_err(|_| RpcResponse::status(400, &format!("{text} is no address of a machine")))?;
         Ok(state.settings.office(ip))
     };
     let (out, into) = (address(out)?, address(into)?);
@@ -101,9 +108,9 @@
     let mut voters: BTreeSet<_> = membership.voters.iter().copied().collect();
     let why = match (voters.contains(&out), voters.contains(&into)) {
         _ if !membership.outgoing.is_empty() => {
-            return Err(Said::status(503, "another change of the voters is under way; send it again"));
+            return Err(RpcResponse::status(503, "another change of the voters is under way; send it again"));
         }
-        (false, true) => return Err(Said::json(&json!({}))),
+        (false, true) => return Err(RpcResponse::json(&json!({}))),
         (false, false) => format!("{out} is no voter; they are {voters:?}"),
         (true, true) if out == into => format!("{out} cannot take its own place"),
         (true, true) => format!("{into} is a voter already; the set must not shrink"),
@@ -114,15 +121,15 @@
             voters.remove(&out);
             voters.insert(into);
             if !sound(&voters, &candidates) {
-                return Err(Said::status(503, "too few of the new voters keep up now; send it again"));
+                return Err(RpcResponse::status(503, "too few of the new voters keep up now; send it again"));
             }
             return Ok(Order::Reconfigure { epoch: membership.epoch, voters });
         }
     };
-    Err(Said::status(409, &why))
+    Err(RpcResponse::status(409, &why))
 }
 
-fn resolution(state: &ControllerState, query: &str) -> Said {
+fn resolution(state: &ControllerState, query: &str) -> RpcResponse {
     let field = |name: &str| {
         query.split('&').filter_map(|pair| pair.split_once('=')).find(|(known, _)| *known == name)
     };
@@ -143,8 +150,8 @@
     let addresses: Vec<_> =
         resolved(&doors, region, homes, MOST_NAMED).iter().map(|door| door.address).collect();
     if addresses.is_empty() {
-        return Said::status(503, "no doors are known yet");
+        return RpcResponse::status(503, "no doors are known yet");
     }
     let lifetime = LIFETIME.min(state.settings.bounds.ttl_max);
-    Said::json(&json!({ "addresses": addresses, "lifetime": format!("{}ms", lifetime.as_millis()) }))
+    RpcResponse::json(&json!({ "addresses": addresses, "lifetime": format!("{}ms", lifetime.as_millis()) }))
 }
--- a/programs/controller/src/replica.rs
+++ b/programs/controller/src/replica.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{sleep, timeout};
-use vanewharf_clock::{At, Steady};
+use vanewharf_clock::{MonotonicClock, Timestamp};
 use vanewharf_config::config::Config;
 use vanewharf_consensus::election::{
     Canvass, Claim, Election, Keeping, Outcome, Rank, Recovering, Renewal, Renewing, Term, Turn,
@@ -18,9 +18,9 @@
 use vanewharf_consensus::membership::{assents, carries, everyone, towards};
 use vanewharf_consensus::voter::{Promise, RENEWED, Save, TERM, Voter, above};
 use vanewharf_protocol::messages::{Ballot, Membership, Register, Revision, Vote, VoteRequest, VoteResponse};
-use vanewharf_rpc::call::Caller;
-use vanewharf_rpc::feed::Feed;
-use vanewharf_runtime::premises::Premises;
+use vanewharf_rpc::Publisher;
+use vanewharf_rpc::RpcClient;
+use vanewharf_runtime::environment::Environment;
 
 /// For an vote that needs no disk.
 const QUICK: Duration = Duration::from_millis(600);
@@ -48,9 +48,9 @@
 /// What all tasks of this process know of the replica.
 pub struct Replica {
     pub me: SocketAddr,
-    pub feed: Feed,
-    premises: Premises,
-    steady: Steady,
+    pub feed: Publisher,
+    premises: Environment,
+    steady: MonotonicClock,
     voter: RefCell<Voter>,
     /// Whom this process was told of at its start, to ask where nothing else is known.
     seeds: Vec<SocketAddr>,
@@ -59,7 +59,7 @@
     doors: Cell<u32>,
     term: Cell<Option<Term>>,
     claim: Cell<Claim>,
-    callers: RefCell<BTreeMap<SocketAddr, Vec<Caller>>>,
+    callers: RefCell<BTreeMap<SocketAddr, Vec<RpcClient>>>,
     /// No number is given twice under one ballot.
     next: Cell<Revision>,
     /// The last register that was proposed for the operator's orders, certain or not.
@@ -77,8 +77,8 @@
         seeds: Vec<SocketAddr>,
         voter: Voter,
         disk: Storage,
-        feed: Feed,
-        premises: Premises,
+        feed: Publisher,
+        premises: Environment,
     ) -> Rc<Replica> {
         let (commands, heard) = mpsc::unbounded_channel();
         let steady = feed.steady;
@@ -105,7 +105,7 @@
         replica
     }
 
-    fn now(&self) -> At {
+    fn now(&self) -> Timestamp {
         self.steady.now()
     }
 
@@ -317,7 +317,7 @@
             return timeout(within, self.vote(request.clone())).await.ok();
         }
         let kept = self.callers.borrow_mut().get_mut(&voter).and_then(Vec::pop);
-        let mut caller = kept.unwrap_or_else(|| Caller::to(voter, &self.premises.net));
+        let mut caller = kept.unwrap_or_else(|| RpcClient::to(voter, &self.premises.net));
         let cast = caller.ask("/vote", request, within).await.ok();
         if cast.is_some() {
             self.callers.borrow_mut().entry(voter).or_default().push(caller);
@@ -645,7 +645,10 @@
             let held = if holder == self.me {
                 Some(self.holds_by(promised.ballot))
             } else {
-                Caller::to(holder, &self.premises.net).ask("/holds", &promised.ballot, QUICK / 3).await.ok()
+                RpcClient::to(holder, &self.premises.net)
+                    .ask("/holds", &promised.ballot, QUICK / 3)
+                    .await
+                    .ok()
             };
             match held {
                 Some(false) => return self.voter.borrow_mut().released(promised.ballot, self.now()),
--- a/programs/controller/src/roles.rs
+++ b/programs/controller/src/roles.rs
@@ -19,9 +19,9 @@
     Revision, TokenCounts, TokenLeaseReport, Version,
 };
 use vanewharf_quota::quota::{Buckets, Quota};
-use vanewharf_rpc::call::{Caller, Failed};
-use vanewharf_rpc::feed::Feed;
-use vanewharf_runtime::premises::Premises;
+use vanewharf_rpc::Publisher;
+use vanewharf_rpc::{RpcClient, RpcError};
+use vanewharf_runtime::environment::Environment;
 
 /// A follower's pull, while nothing is new.
 const FOLLOW: Duration = Duration::from_millis(400);
@@ -45,8 +45,8 @@
 
 pub struct ControllerState {
     pub replica: Rc<Replica>,
-    pub feed: Feed,
-    pub premises: Premises,
+    pub feed: Publisher,
+    pub premises: Environment,
     pub sums: Rc<RefCell<Summing>>,
     pub row: ControllerEntry,
     pub settings: Rc<Settings>,
@@ -146,7 +146,7 @@
 
     /// Pulls from the holder, or from whichever voter knows it.
     pub async fn follow(self: Rc<Self>) {
-        let (mut callers, mut turn): (Vec<Caller>, usize) = (Vec::new(), 0);
+        let (mut callers, mut turn): (Vec<RpcClient>, usize) = (Vec::new(), 0);
         loop {
             if self.replica.holds() {
                 sleep(ALONE).await;
@@ -159,7 +159,7 @@
                 continue;
             };
             if !callers.iter().any(|caller| caller.address == from) {
-                callers.push(Caller::to(from, &self.premises.net));
+                callers.push(RpcClient::to(from, &self.premises.net));
             }
             let Some(caller) = callers.iter_mut().find(|caller| caller.address == from) else {
                 continue;
@@ -294,7 +294,7 @@
         let Some(api) = &self.settings.cloud else {
             return;
         };
-        let mut platform = Caller::to(api.address, &self.premises.net);
+        let mut platform = RpcClient::to(api.address, &self.premises.net);
         loop {
             if !self.replica.holds() {
                 sleep(ALERT).await;
@@ -318,7 +318,7 @@
                     }
                     sleep(LISTED).await;
                 }
-                Err(Failed::Status(429)) => sleep(LISTED_AGAIN).await,
+                Err(RpcError::Status(429)) => sleep(LISTED_AGAIN).await,
                 Err(failed) => {
                     spdlog::debug!("no list from the platform: {}", failed);
                     sleep(ALONE * 3).await;
--- a/programs/controller/src/storage.rs
+++ b/programs/controller/src/storage.rs
@@ -7,7 +7,7 @@
 use std::io;
 use std::rc::Rc;
 use tokio::sync::{mpsc, oneshot};
-use vanewharf_runtime::premises::{Deed, Folder};
+use vanewharf_runtime::environment::{Directory, FileOperation};
 
 /// A record by its name on disk.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -85,7 +85,7 @@
     sum.finalize()
 }
 
-pub fn find(folder: &dyn Folder) -> io::Result<StoredRecords> {
+pub fn find(folder: &dyn Directory) -> io::Result<StoredRecords> {
     let (mut found, mut files) = (StoredRecords::default(), folder.read()?);
     for record in RECORDS {
         for copy in 0..2 {
@@ -109,16 +109,19 @@
 }
 
 /// One copy, and not before it is on disk for good; a new file's name, too, which lasts with its folder's sync alone.
-fn copy(record: Record, write: u64, body: &[u8], named: bool) -> Vec<Deed> {
+fn copy(record: Record, write: u64, body: &[u8], named: bool) -> Vec<FileOperation> {
     let (file, number) = (record.file(write % 2), write.to_string());
     let head = format!("{:08x} {number} {}\n", checksum(&number, body), body.len());
     let bytes = [head.as_bytes(), body].concat();
-    let folder = (!named).then_some(Deed::SyncFolder);
-    [Deed::Write { file: file.clone(), bytes }, Deed::Sync { file }].into_iter().chain(folder).collect()
+    let folder = (!named).then_some(FileOperation::SyncFolder);
+    [FileOperation::Write { file: file.clone(), bytes }, FileOperation::Sync { file }]
+        .into_iter()
+        .chain(folder)
+        .collect()
 }
 
 impl Storage {
-    pub fn start(folder: Rc<dyn Folder>, found: &StoredRecords) -> Storage {
+    pub fn start(folder: Rc<dyn Directory>, found: &StoredRecords) -> Storage {
         let (jobs, mut taken) = mpsc::unbounded_channel::<Job>();
         let mut writes = found.writes;
         let aside: Vec<_> =
@@ -126,13 +129,15 @@
         tokio::task::spawn_local(async move {
             for (from, to) in aside {
                 // Left where it is, it is written over in its turn.
-                let _ = folder.carry_out(vec![Deed::Rename { from, to }, Deed::SyncFolder]).await;
+                let _ = folder
+                    .carry_out(vec![FileOperation::Rename { from, to }, FileOperation::SyncFolder])
+                    .await;
             }
             // Whose names are in the folder for good.
             let mut named = BTreeSet::new();
             while let Some(Job { work, done }) = taken.recv().await {
                 let carried_out = match work {
-                    Work::Confirm => folder.carry_out(vec![Deed::SyncFolder]).await,
+                    Work::Confirm => folder.carry_out(vec![FileOperation::SyncFolder]).await,
                     Work::Write { record, body } => {
                         // A write that failed is tried over the same copy, never over the one that stands.
                         let next = writes[record as usize] + 1;
--- a/programs/controller/src/storage/tests.rs
+++ b/programs/controller/src/storage/tests.rs
@@ -1,10 +1,10 @@
 use super::*;
 use std::fs;
 use std::path::Path;
-use vanewharf_runtime::premises::Premises;
+use vanewharf_runtime::environment::Environment;
 
-fn folder(dir: &Path) -> Rc<dyn Folder> {
-    Premises::here(Some(dir.to_owned())).expect("a folder").folder.expect("there is one")
+fn folder(dir: &Path) -> Rc<dyn Directory> {
+    Environment::here(Some(dir.to_owned())).expect("a folder").folder.expect("there is one")
 }
 
 fn bodies(dir: &Path) -> (Option<String>, usize) {
--- a/programs/proxy/src/gate.rs
+++ b/programs/proxy/src/gate.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use std::time::Duration;
-use vanewharf_clock::{At, Steady};
+use vanewharf_clock::{MonotonicClock, Timestamp};
 use vanewharf_gateway::gate::{Admitted, Gate, Judged, Speech};
 use vanewharf_health::allowance::lapsed;
 use vanewharf_http1::{Reply, Request};
@@ -36,8 +36,8 @@
     pub tables: RefCell<Option<Rc<Tables>>>,
     pub entries: RefCell<BTreeMap<TxnId, Entry>>,
     /// When the register in hand was certainly the newest acknowledged.
-    pub sure: Cell<Option<At>>,
-    pub steady: Steady,
+    pub sure: Cell<Option<Timestamp>>,
+    pub steady: MonotonicClock,
     pub revocation_global: bool,
     pub revocation: Duration,
 }
--- a/programs/proxy/src/lend.rs
+++ b/programs/proxy/src/lend.rs
@@ -9,24 +9,24 @@
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::sync::mpsc;
-use vanewharf_clock::At;
+use vanewharf_clock::Timestamp;
 use vanewharf_config::settings::Settings;
 use vanewharf_protocol::messages::TokenCounts;
-use vanewharf_rpc::call::Caller;
-use vanewharf_rpc::feed::Feed;
-use vanewharf_runtime::premises::Premises;
+use vanewharf_rpc::Publisher;
+use vanewharf_rpc::RpcClient;
+use vanewharf_runtime::environment::Environment;
 
 /// A postmaster that did not answer is not asked for so long.
 const SPARED: Duration = Duration::from_secs(2);
 const MOST_AT_ONCE: usize = 64;
 
 pub struct Lending {
-    pub feed: Feed,
+    pub feed: Publisher,
     pub settings: Rc<Settings>,
-    premises: Premises,
+    premises: Environment,
     pub news: mpsc::UnboundedSender<News>,
-    callers: RefCell<Vec<Caller>>,
-    spared: RefCell<BTreeMap<IpAddr, At>>,
+    callers: RefCell<Vec<RpcClient>>,
+    spared: RefCell<BTreeMap<IpAddr, Timestamp>>,
 }
 
 /// Requests that wait come first; what is left is for the lots.
@@ -50,9 +50,9 @@
 
 impl Lending {
     pub fn new(
-        feed: Feed,
+        feed: Publisher,
         settings: Rc<Settings>,
-        premises: Premises,
+        premises: Environment,
         news: mpsc::UnboundedSender<News>,
     ) -> Lending {
         Lending { feed, settings, premises, news, callers: RefCell::default(), spared: RefCell::default() }
@@ -83,7 +83,7 @@
                 let mut callers = self.callers.borrow_mut();
                 callers.iter().position(|caller| caller.address == address).map(|at| callers.swap_remove(at))
             };
-            let mut caller = kept.unwrap_or_else(|| Caller::to(address, &self.premises.net));
+            let mut caller = kept.unwrap_or_else(|| RpcClient::to(address, &self.premises.net));
             match caller.ask("/lend", &wanted, LENT_WITHIN).await {
                 Ok(given) => {
                     self.callers.borrow_mut().push(caller);
--- a/programs/proxy/src/lib.rs
+++ b/programs/proxy/src/lib.rs
@@ -31,9 +31,9 @@
 use vanewharf_gateway_settings::Lines;
 use vanewharf_policy::interface::Tenths;
 use vanewharf_protocol::messages::ProxyEntry;
-use vanewharf_rpc::call::{Caller, Said, serve};
-use vanewharf_rpc::feed::Feed;
-use vanewharf_runtime::premises::Premises;
+use vanewharf_rpc::Publisher;
+use vanewharf_rpc::{RpcClient, RpcResponse, serve};
+use vanewharf_runtime::environment::Environment;
 use vanewharf_runtime::program::End;
 
 const BACKLOG: u32 = 1024;
@@ -47,7 +47,7 @@
 pub struct Core {
     pub posted: Rc<Posted>,
     pub told: Rc<Told>,
-    pub feed: Feed,
+    pub feed: Publisher,
     pub rounds: Rounds,
     /// What comes from the control plane, for the rounds.
     pub heard: mpsc::UnboundedReceiver<News>,
@@ -55,9 +55,9 @@
 
 impl Core {
     /// With the link to the sorter and the loans running.
-    pub fn start(settings: &Rc<Settings>, premises: &Premises, frontend: SocketAddr) -> Core {
+    pub fn start(settings: &Rc<Settings>, premises: &Environment, frontend: SocketAddr) -> Core {
         let (steady, life) = (premises.steady(), premises.life());
-        let (feed, told) = (Feed::new(steady), Rc::<Told>::default());
+        let (feed, told) = (Publisher::new(steady), Rc::<Told>::default());
         let posted = Rc::new(Posted {
             tables: RefCell::default(),
             entries: RefCell::default(),
@@ -86,7 +86,7 @@
             region: settings.region.clone(),
             ready: false,
         };
-        let sorter = Caller::to(settings.loopback(), &premises.net);
+        let sorter = RpcClient::to(settings.loopback(), &premises.net);
         let (posting, telling) = (Rc::clone(&posted), Rc::clone(&told));
         let link = Link { feed: feed.clone(), sorter, row, life, posted: posting, told: telling, news };
         tokio::task::spawn_local(link.run());
@@ -94,7 +94,7 @@
     }
 }
 
-pub async fn run(settings: Settings, premises: Premises, end: End) -> Result<(), String> {
+pub async fn run(settings: Settings, premises: Environment, end: End) -> Result<(), String> {
     let settings = Rc::new(settings);
     let frontend = settings.listens("frontend").map_err(|fault| fault.to_string())?;
     let readiness = settings.listens("readiness").map_err(|fault| fault.to_string())?;
@@ -133,9 +133,9 @@
         let target = (request.method() == "GET" && request.target() == "/-/readiness").then_some(ready);
         async move {
             match target {
-                Some(true) => Said::status(200, ""),
-                Some(false) => Said::status(503, "not ready"),
-                None => Said::status(404, "there is no such call"),
+                Some(true) => RpcResponse::status(200, ""),
+                Some(false) => RpcResponse::status(503, "not ready"),
+                None => RpcResponse::status(404, "there is no such call"),
             }
         }
     }));
--- a/programs/proxy/src/link.rs
+++ b/programs/proxy/src/link.rs
@@ -7,15 +7,15 @@
 use tokio::sync::mpsc;
 use tokio::time::sleep;
 use vanewharf_protocol::messages::{ProxyEntry, ProxyReport, PullRequest};
-use vanewharf_rpc::call::Caller;
-use vanewharf_rpc::feed::Feed;
+use vanewharf_rpc::Publisher;
+use vanewharf_rpc::RpcClient;
 
 const WAIT: Duration = Duration::from_millis(300);
 const PAUSE: Duration = Duration::from_millis(50);
 
 pub struct Link {
-    pub feed: Feed,
-    pub sorter: Caller,
+    pub feed: Publisher,
+    pub sorter: RpcClient,
     pub row: ProxyEntry,
     pub life: u64,
     pub posted: Rc<Posted>,
@@ -25,7 +25,7 @@
 
 impl Link {
     /// Whether this door may be named to clients.
-    pub fn ready(posted: &Posted, told: &Told, feed: &Feed) -> bool {
+    pub fn ready(posted: &Posted, told: &Told, feed: &Publisher) -> bool {
         let known =
             posted.tables.borrow().is_some() && feed.store().list.is_some() && feed.store().ledger.is_some();
         known && !told.ending.get() && !posted.lapsed()
--- a/programs/proxy/src/news.rs
+++ b/programs/proxy/src/news.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use std::time::Duration;
-use vanewharf_clock::At;
+use vanewharf_clock::Timestamp;
 use vanewharf_policy::interface::TxnId;
 use vanewharf_protocol::messages::{AttemptCounts, BackendList, FleetSummary, Register};
 
@@ -15,7 +15,7 @@
 pub enum News {
     Register(Rc<Register>),
     /// With the time at which it was taken.
-    List(Rc<BackendList>, At),
+    List(Rc<BackendList>, Timestamp),
     Ledger(Rc<FleetSummary>),
     Lent(Loans),
 }
--- a/programs/proxy/src/rounds.rs
+++ b/programs/proxy/src/rounds.rs
@@ -13,7 +13,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::sync::mpsc;
-use vanewharf_clock::{At, Steady};
+use vanewharf_clock::{MonotonicClock, Timestamp};
 use vanewharf_config::config::RouteKind;
 use vanewharf_config::settings::Bounds;
 use vanewharf_gateway::note::Told;
@@ -37,14 +37,14 @@
     classes: Vec<(Duration, RouteKind, u64)>,
     /// What is out of it, and since when it refuses all though nothing is.
     out: usize,
-    stuck: Option<At>,
+    stuck: Option<Timestamp>,
 }
 
 struct PooledBackend {
     server: Backend,
     key: RoundKey,
     /// Cold until then.
-    cold_until: At,
+    cold_until: Timestamp,
     cold: Option<Cold>,
     shown: Option<Listed>,
 }
@@ -95,13 +95,13 @@
     place: Place,
     bounds: Bounds,
     posted: Rc<Posted>,
-    steady: Steady,
+    steady: MonotonicClock,
     first: bool,
     chance: SmallRng,
     /// What the tables were made from.
     register: Option<Rc<Register>>,
     tables: Option<Rc<Tables>>,
-    list: Option<(Rc<BackendList>, At)>,
+    list: Option<(Rc<BackendList>, Timestamp)>,
     rounds: BTreeMap<RoundKey, Round>,
     backends: BTreeMap<BackendId, PooledBackend>,
     ids: HashMap<String, BackendId>,
@@ -124,7 +124,7 @@
     /// What came of news, to be carried out with the next batch.
     pending: Vec<Action>,
     /// Cold from when their evacuation ended.
-    thawing: BTreeMap<String, At>,
+    thawing: BTreeMap<String, Timestamp>,
     /// What this door saw of backends, and what all doors together did.
     seen: Seen,
     ill: BTreeMap<String, f64>,
--- a/programs/proxy/src/rounds/tests.rs
+++ b/programs/proxy/src/rounds/tests.rs
@@ -53,7 +53,7 @@
 
 impl Stage {
     fn set(list: Vec<Backend>, lenders: Option<u32>) -> Stage {
-        let steady = Steady::start();
+        let steady = MonotonicClock::start();
         let posted = Rc::new(Posted {
             tables: RefCell::default(),
             entries: RefCell::default(),
