--- a/programs/controller/src/lib.rs
+++ b/programs/controller/src/lib.rs
@@ -1,16 +1,21 @@
 //! The control plane's program: keeps the operator's register, lists and sums what all doors need, and is the registry that
 //! clients ask where to go.
 
+mod internal_api;
+mod operator_api;
 mod orders;
 mod platform;
 mod public_api;
+mod registry_api;
 mod replica;
 mod roles;
+mod state;
 mod storage;
 
 use orders::OrderQueue;
 use replica::Replica;
-use roles::{ControllerState, TokenLender};
+use roles::token_lender::TokenLender;
+use state::ControllerState;
 use std::cell::RefCell;
 use std::rc::Rc;
 use std::time::Duration;
@@ -19,10 +24,10 @@
 use vanewharf_config::settings::Settings;
 use vanewharf_consensus::voter::{Promise, Voter};
 use vanewharf_discovery::summing::Summing;
-use vanewharf_protocol::messages::{Ballot, ControllerEntry, PullRequest, TokenCounts, VoteRequest};
+use vanewharf_protocol::messages::ControllerEntry;
 use vanewharf_quota::quota::Buckets;
 use vanewharf_rpc::Publisher;
-use vanewharf_rpc::{RpcResponse, serve, serve_deduplicated};
+use vanewharf_rpc::{serve, serve_deduplicated};
 use vanewharf_runtime::environment::Environment;
 use vanewharf_runtime::program::End;
 
@@ -112,7 +117,7 @@
     let within = Rc::clone(&state);
     tokio::task::spawn_local(serve_deduplicated(inside, move |request| {
         let state = Rc::clone(&within);
-        async move { internal(&state, &request).await }
+        async move { internal_api::dispatch(&state, &request).await }
     }));
     for address in [Some(control), registry.ok()].into_iter().flatten() {
         let outside = premises
@@ -127,29 +132,3 @@
     }
     Ok(RunningController { replica })
 }
-
-/// The system's own calls.
-async fn internal(state: &ControllerState, request: &vanewharf_http1::Request) -> RpcResponse {
-    let unread = |error: serde_json::Error| RpcResponse::status(400, &error.to_string());
-    match (request.method(), request.target()) {
-        ("POST", "/pull") => match serde_json::from_slice::<PullRequest>(request.body()) {
-            Ok(pull) => RpcResponse::json(&state.pulled(pull).await).packed(request),
-            Err(error) => unread(error),
-        },
-        ("POST", "/lend") => match serde_json::from_slice::<TokenCounts>(request.body()) {
-            Ok(wanted) => RpcResponse::json(&state.lend(wanted)),
-            Err(error) => unread(error),
-        },
-        ("POST", "/vote") => match serde_json::from_slice::<VoteRequest>(request.body()) {
-            Ok(request) => RpcResponse::json(&state.replica.vote(request).await),
-            Err(error) => unread(error),
-        },
-        ("POST", "/holds") => match serde_json::from_slice::<Ballot>(request.body()) {
-            Ok(ballot) => RpcResponse::json(&state.replica.holds_by(ballot)),
-            Err(error) => unread(error),
-        },
-        ("GET", "/neighbours") => RpcResponse::json(&state.neighbours()),
-        ("GET", "/membership") => RpcResponse::json(&state.replica.membership()),
-        _ => RpcResponse::status(404, "there is no such call"),
-    }
-}
--- a/programs/controller/src/public_api.rs
+++ b/programs/controller/src/public_api.rs
@@ -1,26 +1,12 @@
 //! Calls from outside: the operator's, and clients that ask where to go. One dispatch on method and path segments.
 
-use crate::orders::{Order, OrderOutcome, OrderQueue};
-use crate::roles::ControllerState;
-use serde_json::json;
-use serde_json::value::RawValue;
-use std::collections::BTreeSet;
-use std::net::SocketAddr;
-use std::time::Duration;
-use vanewharf_config::config::Config;
-use vanewharf_consensus::group::Change;
-use vanewharf_consensus::membership::sound;
-use vanewharf_discovery::summing::resolved;
+use crate::operator_api::{evacuate, replace, replace_voter, said};
+use crate::orders::OrderQueue;
+use crate::registry_api::resolution;
+use crate::state::ControllerState;
 use vanewharf_http1::Request;
 use vanewharf_rpc::RpcResponse;
 
-/// The most doors that one answer names.
-const MOST_NAMED: usize = 64;
-/// A ledger that is older was made by a holder that is gone.
-const CURRENT: Duration = Duration::from_millis(2200);
-/// How long clients hold on to an answer.
-const LIFETIME: Duration = Duration::from_millis(4000);
-
 pub async fn dispatch(state: &ControllerState, orders: &OrderQueue, request: &Request) -> RpcResponse {
     let (path, query) = request.target().split_once('?').unwrap_or((request.target(), ""));
     let segments: Vec<_> = path.split('/').skip(1).collect();
@@ -39,119 +25,3 @@
         Err(said) => said,
     }
 }
-
-fn said(state: &ControllerState, request: &Request, done: OrderOutcome) -> RpcResponse {
-    match done {
-        OrderOutcome::Acknowledged => RpcResponse::json(&json!({})),
-        // Looked at once more, as late as can be: a process that stood still since the order was carried out may
-        // have lost the lease, and its word is old.
-        OrderOutcome::Configuration(_) if !state.replica.holds() => elsewhere(state, request),
-        OrderOutcome::Configuration(Some(config)) => {
-            RpcResponse { status: 200, fields: Vec::new(), body: config.get().as_bytes().to_vec() }
-        }
-        OrderOutcome::Configuration(None) => RpcResponse::status(404, "no configuration was sent yet"),
-        OrderOutcome::Conflict { held } => RpcResponse::status(
-            409,
-            &format!("another configuration was taken under its number; r{held} is held"),
-        ),
-        OrderOutcome::Uncertain => RpcResponse::status(503, "not certain to hold; send it again"),
-        OrderOutcome::NotHere => elsewhere(state, request),
-    }
-}
-
-/// To the door that takes orders now.
-fn elsewhere(state: &ControllerState, request: &Request) -> RpcResponse {
-    let control = state.settings.listens("control_plane").ok();
-    let holder = state.replica.holder().filter(|holder| *holder != state.replica.me);
-    let Some((holder, control)) = holder.zip(control) else {
-        return RpcResponse::status(503, "nobody takes orders now; try again");
-    };
-    let there = SocketAddr::new(holder.ip(), control.port());
-    let location = format!("http://{there}{}", request.target());
-    let body = json!({ "location": location }).to_string().into_bytes();
-    RpcResponse { status: 307, fields: vec![("Location", location)], body }
-}
-
-fn replace(body: &[u8]) -> Result<Order, RpcResponse> {
-    let config = Config::of(body).map_err(|fault| RpcResponse::status(400, &fault.to_string()))?;
-    let text = String::from_utf8(body.to_vec()).map_err(|_| RpcResponse::status(400, "it is no text"))?;
-    let raw = RawValue::from_string(text).map_err(|error| RpcResponse::status(400, &error.to_string()))?;
-    Ok(Order::Change(Change::Replace { revision: config.revision, config: raw }))
-}
-
-fn evacuate(state: &ControllerState, zone: &str, begin: bool) -> Result<Order, RpcResponse> {
-    if !state.settings.zones.contains_key(zone) {
-        return Err(RpcResponse::status(404, &format!("the zone {zone} is not known")));
-    }
-    Ok(Order::Change(Change::Evacuate { zone: zone.to_owned(), begin }))
-}
-
-/// By the addresses of machines. The one that takes orders knows who keeps up; no change is begun that these could not
-/// conclude.
-fn replace_voter(
-    state: &ControllerState,
-    request: &Request,
-    out: &str,
-    into: &str,
-) -> Result<Order, RpcResponse> {
-    let address = |text: &str| {
-        let ip = text
-            .parse()
-            .map_err(|_| RpcResponse::status(400, &format!("{text} is no address of a machine")))?;
-        Ok(state.settings.office(ip))
-    };
-    let (out, into) = (address(out)?, address(into)?);
-    if !state.replica.holds() {
-        return Err(elsewhere(state, request));
-    }
-    let (membership, candidates) = state.candidates();
-    let mut voters: BTreeSet<_> = membership.voters.iter().copied().collect();
-    let why = match (voters.contains(&out), voters.contains(&into)) {
-        _ if !membership.outgoing.is_empty() => {
-            return Err(RpcResponse::status(503, "another change of the voters is under way; send it again"));
-        }
-        (false, true) => return Err(RpcResponse::json(&json!({}))),
-        (false, false) => format!("{out} is no voter; they are {voters:?}"),
-        (true, true) if out == into => format!("{out} cannot take its own place"),
-        (true, true) => format!("{into} is a voter already; the set must not shrink"),
-        (true, false) if !sound(&[into].into(), &candidates) => {
-            format!("no postmaster that keeps up is heard of at {into}")
-        }
-        (true, false) => {
-            voters.remove(&out);
-            voters.insert(into);
-            if !sound(&voters, &candidates) {
-                return Err(RpcResponse::status(503, "too few of the new voters keep up now; send it again"));
-            }
-            return Ok(Order::Reconfigure { epoch: membership.epoch, voters });
-        }
-    };
-    Err(RpcResponse::status(409, &why))
-}
-
-fn resolution(state: &ControllerState, query: &str) -> RpcResponse {
-    let field = |name: &str| {
-        query.split('&').filter_map(|pair| pair.split_once('=')).find(|(known, _)| *known == name)
-    };
-    let region = field("region").map_or("", |(_, region)| region);
-    let store = state.feed.store();
-    let host = field("name").map_or("", |(_, host)| host).to_ascii_lowercase();
-    let hosts = state.homes();
-    let homed = store.ledger.as_ref().is_some_and(|ledger| ledger.homed.contains(&host));
-    let homes = hosts.get(&host).filter(|_| homed);
-    let now = state.feed.now();
-    let sums = state.sums.borrow();
-    // A ledger that is old names doors that are gone; whoever is still there has come to this process by then.
-    let current = store.ledger.as_ref().filter(|_| now.since(store.ledger_at) < CURRENT);
-    let heard: Vec<_> = sums.heard(now).collect();
-    let told = current.iter().flat_map(|ledger| &ledger.doors);
-    let unheard = told.filter(|door| !heard.iter().any(|known| known.name == door.name));
-    let doors: Vec<_> = heard.iter().copied().chain(unheard).collect();
-    let addresses: Vec<_> =
-        resolved(&doors, region, homes, MOST_NAMED).iter().map(|door| door.address).collect();
-    if addresses.is_empty() {
-        return RpcResponse::status(503, "no doors are known yet");
-    }
-    let lifetime = LIFETIME.min(state.settings.bounds.ttl_max);
-    RpcResponse::json(&json!({ "addresses": addresses, "lifetime": format!("{}ms", lifetime.as_millis()) }))
-}
--- /dev/null
+++ b/programs/controller/src/replica/election.rs
@@ -0,0 +1,73 @@
+//! The election loop.
+
+use super::{Replica, WATCH};
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::time::sleep;
+use vanewharf_consensus::election::{Canvass, Claim, Election, Outcome, Term};
+use vanewharf_consensus::membership::everyone;
+use vanewharf_consensus::voter::above;
+use vanewharf_protocol::messages::VoteRequest;
+
+/// By how much later each voter tries than the one before it.
+const STAGGER: Duration = Duration::from_millis(120);
+
+impl Replica {
+    /// Tries for the lease whenever nobody holds it, or when a voter has promised more than the lease in hand.
+    pub(super) async fn seek(self: Rc<Self>) {
+        let mut again = false;
+        loop {
+            let place = self.membership().voters.iter().position(|voter| *voter == self.me);
+            let chance = self.premises.draw(60);
+            let Some(place) = place else {
+                sleep(WATCH * 5).await;
+                continue;
+            };
+            if !std::mem::take(&mut again) {
+                sleep(WATCH / 2).await;
+                if !self.voter.borrow().vacant(self.now()) || self.leaving.get() {
+                    continue;
+                }
+                sleep(STAGGER * place as u32 + Duration::from_millis(chance)).await;
+                if !self.voter.borrow().vacant(self.now()) {
+                    continue;
+                }
+            }
+            let (set, known) = self.newest_set();
+            let mut canvass = Canvass::begin(set.clone());
+            let request = VoteRequest::PreVote { holder: self.me };
+            let promised = self.poll(&everyone(&set), request, |voter, cast| canvass.hear(voter, cast)).await;
+            let Some(promised) = promised else {
+                sleep(Duration::from_millis(50 + self.premises.draw(200))).await;
+                continue;
+            };
+            let ballot = above(promised.max(self.barred.get()).max(self.voter.borrow().promised()), self.me);
+            let asked = self.now();
+            self.claim.set(Claim::on(ballot));
+            let request = VoteRequest::Lease { ballot, holder: self.me };
+            let mut ask = everyone(&set);
+            let mut election = Election::begin(self.me, set, known);
+            let found = loop {
+                let hear = |voter, cast| election.hear(voter, cast);
+                match self.poll(&ask, request.clone(), hear).await {
+                    Some(Outcome::Ask(others)) => ask = others,
+                    Some(Outcome::Won(found)) => break Some(*found),
+                    Some(Outcome::Left) | None => break None,
+                }
+            };
+            let Some(found) = found.filter(|_| self.claim.get().stands(ballot)) else {
+                self.release(election.set(), ballot).await;
+                sleep(Duration::from_millis(50 + self.premises.draw(200))).await;
+                continue;
+            };
+            self.doors.set(election.doors());
+            self.term.set(Some(Term::won(ballot, asked)));
+            again = self.hold(ballot, found).await;
+            self.term.set(None);
+            spdlog::info!("the lease under ballot {} has ended", ballot.0);
+            if !again {
+                self.release(&self.membership(), ballot).await;
+            }
+        }
+    }
+}
--- /dev/null
+++ b/programs/controller/src/replica/recovery.rs
@@ -0,0 +1,73 @@
+//! Recovery after a restart, with the disk or without.
+
+use super::{PERSIST_RETRY_INTERVAL, QUICK, Replica, WATCH};
+use crate::storage::{Record, Storage};
+use std::collections::BTreeSet;
+use std::ops::ControlFlow;
+use std::rc::Rc;
+use tokio::time::sleep;
+use vanewharf_consensus::election::{Recovering, Turn};
+use vanewharf_consensus::voter::{Promise, TERM};
+use vanewharf_protocol::messages::VoteRequest;
+use vanewharf_rpc::RpcClient;
+
+impl Replica {
+    /// After a restart the one that was promised to may still hold its lease; one that says otherwise need not be waited
+    /// for.
+    pub async fn inquire(self: Rc<Self>, promised: Promise) {
+        let Some(holder) = promised.holder else {
+            return;
+        };
+        let ends = self.now().after(TERM);
+        while self.now() < ends {
+            let held = if holder == self.me {
+                Some(self.holds_by(promised.ballot))
+            } else {
+                RpcClient::to(holder, &self.premises.net)
+                    .ask("/holds", &promised.ballot, QUICK / 3)
+                    .await
+                    .ok()
+            };
+            match held {
+                Some(false) => return self.voter.borrow_mut().released(promised.ballot, self.now()),
+                Some(true) => return,
+                None => sleep(WATCH / 2).await,
+            }
+        }
+    }
+
+    /// A voter with amnesia asks those who have a say what they promised and accepted, and promises that again: a machine
+    /// that lost its disk is a new member of its old name until then.
+    pub async fn recover(self: Rc<Self>, disk: Storage) {
+        let mut recovering = Recovering::begin(self.me, self.seeds.clone(), self.premises.life());
+        let mut hear: BTreeSet<_> = self.seeds.iter().copied().filter(|seed| *seed != self.me).collect();
+        while self.voter.borrow().amnesic() {
+            let incarnation = recovering.incarnation();
+            let request = VoteRequest::Recover { member: self.me, incarnation };
+            self.poll(&hear, request, |member, cast| {
+                recovering.hear(member, cast);
+                ControlFlow::<()>::Continue(())
+            })
+            .await;
+            match recovering.turn(self.premises.life()) {
+                Turn::Restore(promise, register) => {
+                    while !(disk.save(Record::Register, &*register).await.is_ok()
+                        && disk.save(Record::Promise, &*promise).await.is_ok())
+                    {
+                        sleep(PERSIST_RETRY_INTERVAL).await;
+                    }
+                    let no = register.no;
+                    self.voter.borrow_mut().restore(&promise, *register, self.now());
+                    spdlog::warn!("recovered register {} from {} others", no.0, recovering.known().len());
+                }
+                Turn::Ask(others) => {
+                    hear = others;
+                    // One that counts anew asks anew at once.
+                    if recovering.incarnation() == incarnation {
+                        sleep(PERSIST_RETRY_INTERVAL).await;
+                    }
+                }
+            }
+        }
+    }
+}
--- /dev/null
+++ b/programs/controller/src/roles/report_aggregation.rs
@@ -0,0 +1,45 @@
+//! Aggregates proxies' reports.
+
+use super::ALERT;
+use crate::state::ControllerState;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::time::sleep;
+
+/// By then all that start together have been heard.
+const GATHERED: Duration = Duration::from_millis(1500);
+/// About a meter period.
+const SUMMED: Duration = Duration::from_millis(700);
+
+impl ControllerState {
+    pub async fn sum(self: Rc<Self>) {
+        let mut held = false;
+        // Timestamp the first start of all, buckets are full: nobody may divide by fewer than there are.
+        if self.settings.initial_start {
+            sleep(GATHERED).await;
+        }
+        loop {
+            let holds = self.replica.holds();
+            if holds && !std::mem::replace(&mut held, holds) {
+                let (now, before) = (self.feed.now(), self.feed.store().ledger.clone());
+                self.sums.borrow_mut().begin(self.replica.doors(), now);
+                before.iter().for_each(|ledger| self.sums.borrow_mut().inherit(ledger, now));
+            }
+            held = holds;
+            let ready = self.sums.borrow().ready(self.feed.now());
+            if holds && ready {
+                let (now, last) = (self.feed.now(), self.feed.store().have().ledger);
+                let allowance = self.settings.bounds.rate_allowance;
+                let mut sums = self.sums.borrow_mut();
+                sums.office(self.row.clone(), now);
+                sums.lent(self.lent(), now);
+                let ledger = sums.ledger(self.version(last), allowance, now);
+                drop(sums);
+                self.feed.change(|store| store.set_ledger(ledger, now));
+                self.read_ledger();
+            }
+            // A new holder is waited for by all doors.
+            sleep(if holds && ready { SUMMED } else { ALERT }).await;
+        }
+    }
+}
--- a/programs/controller/src/storage/tests.rs
+++ b/programs/controller/src/storage/tests.rs
@@ -24,7 +24,7 @@
     }
     let path = dir.path().join(Record::Register.file(1));
     let text = fs::read(&path).expect("written");
-    // At every length that a loss of power may leave, and with any byte of it wrong.
+    // Timestamp every length that a loss of power may leave, and with any byte of it wrong.
     for length in 0..text.len() {
         fs::write(&path, &text[..length]).expect("torn");
         assert_eq!(bodies(dir.path()).0.as_deref(), Some("two"), "at {length}");
