--- a/crates/consensus/src/election.rs
+++ b/crates/consensus/src/election.rs
@@ -2,8 +2,11 @@
 //! told, one after the other. Whoever owns the network asks, feeds what comes back, and does what is said
 //! here; the model checker under `tests/` feeds the same code with every order of votes that there is.
 
-use crate::membership::{Recovery, assents, carries, everyone, hopeless, incarnations, newest, recovery};
-use crate::voter::{MARGIN, Promise, TERM, incarnation_above};
+use crate::membership::{
+    RecoveryDecision, all_voters, assenting_voters, has_quorum, incarnations, newest, quorum_is_impossible,
+    recovery,
+};
+use crate::voter::{LEASE_DURATION, LEASE_SAFETY_MARGIN, VoterRecord, next_incarnation};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::ops::ControlFlow;
@@ -15,76 +18,83 @@
 
 /// A lease in hand.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Term {
+pub struct HeldLease {
     pub ballot: Ballot,
-    pub until: Timestamp,
+    pub valid_until: Timestamp,
     /// What was kept before is kept under this ballot too, so that orders may be taken.
-    pub settled: bool,
+    pub register_committed: bool,
 }
 
-impl Term {
+impl HeldLease {
     /// Granted by a majority that was asked at that time or later.
-    pub fn won(ballot: Ballot, asked: Timestamp) -> Term {
-        Term { ballot, until: asked.after(TERM - MARGIN), settled: false }
+    pub fn granted(ballot: Ballot, asked: Timestamp) -> HeldLease {
+        HeldLease {
+            ballot,
+            valid_until: asked.after(LEASE_DURATION - LEASE_SAFETY_MARGIN),
+            register_committed: false,
+        }
     }
 
     /// Renewed by a majority that was asked then; answers may come out of turn.
-    pub fn renewed(self, asked: Timestamp) -> Term {
-        Term { until: asked.after(TERM - MARGIN).max(self.until), ..self }
+    pub fn renewed(self, asked: Timestamp) -> HeldLease {
+        HeldLease {
+            valid_until: asked.after(LEASE_DURATION - LEASE_SAFETY_MARGIN).max(self.valid_until),
+            ..self
+        }
     }
 
-    pub fn lasts(&self, now: Timestamp) -> bool {
-        self.until > now
+    pub fn is_valid(&self, now: Timestamp) -> bool {
+        self.valid_until > now
     }
 
     /// Whether its holder may act by it.
-    pub fn serves(&self, now: Timestamp) -> bool {
-        self.settled && self.lasts(now)
+    pub fn may_serve(&self, now: Timestamp) -> bool {
+        self.register_committed && self.is_valid(now)
     }
 }
 
 /// The ballot under which a machine tries for the lease or holds it. Who has said that it holds nothing under
 /// it, never will: votes for it may still be on their way.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Claim {
+pub struct BallotClaim {
     ballot: Ballot,
-    disowned: bool,
+    renounced: bool,
 }
 
-impl Claim {
-    pub fn on(ballot: Ballot) -> Claim {
-        Claim { ballot, disowned: false }
+impl BallotClaim {
+    pub fn new(ballot: Ballot) -> BallotClaim {
+        BallotClaim { ballot, renounced: false }
     }
 
     /// A voter that promised that ballot and was restarted asks whether it is still held.
-    pub fn asked(&mut self, ballot: Ballot, term: Option<Term>, now: Timestamp) -> bool {
-        let held = term.is_some_and(|term| term.ballot == ballot && term.lasts(now));
-        self.disowned |= !held && self.ballot == ballot;
+    pub fn answer_inquiry(&mut self, ballot: Ballot, term: Option<HeldLease>, now: Timestamp) -> bool {
+        let held = term.is_some_and(|term| term.ballot == ballot && term.is_valid(now));
+        self.renounced |= !held && self.ballot == ballot;
         held
     }
 
     /// Whether votes for that ballot may still be gone by.
-    pub fn stands(&self, ballot: Ballot) -> bool {
-        self.ballot == ballot && !self.disowned
+    pub fn is_valid_for(&self, ballot: Ballot) -> bool {
+        self.ballot == ballot && !self.renounced
     }
 }
 
 /// Asks whether a lease would be granted, before any ballot is promised.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Canvass {
+pub struct PreVoteRound {
     set: Membership,
     votes: Vec<(SocketAddr, VoteResponse)>,
 }
 
-impl Canvass {
-    pub fn begin(set: Membership) -> Canvass {
-        Canvass { set, votes: Vec::new() }
+impl PreVoteRound {
+    pub fn start(set: Membership) -> PreVoteRound {
+        PreVoteRound { set, votes: Vec::new() }
     }
 
     /// Ends where a majority is willing, with the highest ballot that any of those has promised who spoke.
-    pub fn hear(&mut self, voter: SocketAddr, cast: VoteResponse) -> ControlFlow<Ballot> {
+    pub fn record_response(&mut self, voter: SocketAddr, cast: VoteResponse) -> ControlFlow<Ballot> {
         self.votes.push((voter, cast));
-        if !carries(&self.set, &assents(&self.votes)) {
+        if !has_quorum(&self.set, &assenting_voters(&self.votes)) {
             return ControlFlow::Continue(());
         }
         let promised = self.votes.iter().filter_map(|(_, cast)| match cast.vote {
@@ -107,53 +117,53 @@
 
 /// Where an election stands once that is decided. One in which all have spoken before that is lost.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Outcome {
+pub enum ElectionOutcome {
     /// The register that was found has other voters: these have to be asked, too.
-    Ask(BTreeSet<SocketAddr>),
+    QueryAlso(BTreeSet<SocketAddr>),
     /// With the register to be kept under the new ballot before anything else.
     Won(Box<Register>),
     /// One that has left the set must not lead.
-    Left,
+    NotAVoter,
 }
 
 impl Election {
     /// By the newest set that the candidate knows.
-    pub fn begin(me: SocketAddr, set: Membership, known: Rank) -> Election {
+    pub fn start(me: SocketAddr, set: Membership, known: Rank) -> Election {
         Election { me, set, known, votes: Vec::new() }
     }
 
-    pub fn set(&self) -> &Membership {
+    pub fn membership(&self) -> &Membership {
         &self.set
     }
 
-    pub fn hear(&mut self, voter: SocketAddr, cast: VoteResponse) -> ControlFlow<Outcome> {
+    pub fn record_response(&mut self, voter: SocketAddr, cast: VoteResponse) -> ControlFlow<ElectionOutcome> {
         self.votes.push((voter, cast));
-        if !self.carried() {
+        if !self.has_quorum() {
             return ControlFlow::Continue(());
         }
         let found = newest(&self.votes);
         if found.rank() > self.known {
             // The register that is found may have other voters: their majority is needed, too.
             (self.set, self.known) = (found.membership.clone(), found.rank());
-            if !self.carried() {
+            if !self.has_quorum() {
                 let heard: BTreeSet<_> = self.votes.iter().map(|(voter, _)| *voter).collect();
-                let others = everyone(&self.set).difference(&heard).copied().collect();
-                return ControlFlow::Break(Outcome::Ask(others));
+                let others = all_voters(&self.set).difference(&heard).copied().collect();
+                return ControlFlow::Break(ElectionOutcome::QueryAlso(others));
             }
         }
         ControlFlow::Break(if self.set.voters.contains(&self.me) {
-            Outcome::Won(Box::new(found))
+            ElectionOutcome::Won(Box::new(found))
         } else {
-            Outcome::Left
+            ElectionOutcome::NotAVoter
         })
     }
 
-    fn carried(&self) -> bool {
-        carries(&self.set, &assents(&self.votes))
+    fn has_quorum(&self) -> bool {
+        has_quorum(&self.set, &assenting_voters(&self.votes))
     }
 
     /// The highest ballot that was promised to another, as far as those told who refused.
-    pub fn overtaken_by(&self) -> Ballot {
+    pub fn highest_refused_ballot(&self) -> Ballot {
         let refused = self.votes.iter().filter_map(|(_, cast)| match cast.vote {
             Vote::Refused { promised, .. } => Some(promised),
             _ => None,
@@ -162,7 +172,7 @@
     }
 
     /// By how many doors quotas are divided, as far as those know who granted the lease.
-    pub fn doors(&self) -> u32 {
+    pub fn proxy_count(&self) -> u32 {
         let doors = self.votes.iter().filter_map(|(_, cast)| match cast.vote {
             Vote::Granted { doors, .. } => Some(doors),
             _ => None,
@@ -173,24 +183,24 @@
 
 /// A round in which a register is to be kept by those that it names.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Keeping {
+pub struct AcceptRound {
     set: Membership,
     votes: Vec<(SocketAddr, VoteResponse)>,
 }
 
-impl Keeping {
-    pub fn begin(register: &Register) -> Keeping {
-        Keeping { set: register.membership.clone(), votes: Vec::new() }
+impl AcceptRound {
+    pub fn start(register: &Register) -> AcceptRound {
+        AcceptRound { set: register.membership.clone(), votes: Vec::new() }
     }
 
     /// Ends when a majority keeps it (true), or none can any more.
-    pub fn hear(&mut self, voter: SocketAddr, cast: VoteResponse) -> ControlFlow<bool> {
+    pub fn record_response(&mut self, voter: SocketAddr, cast: VoteResponse) -> ControlFlow<bool> {
         self.votes.push((voter, cast));
-        if carries(&self.set, &assents(&self.votes)) {
+        if has_quorum(&self.set, &assenting_voters(&self.votes)) {
             return ControlFlow::Break(true);
         }
         let against = self.votes.iter().filter(|(_, cast)| matches!(cast.vote, Vote::Refused { .. }));
-        match hopeless(&self.set, &against.map(|(voter, _)| *voter).collect()) {
+        match quorum_is_impossible(&self.set, &against.map(|(voter, _)| *voter).collect()) {
             true => ControlFlow::Break(false),
             false => ControlFlow::Continue(()),
         }
@@ -199,56 +209,56 @@
 
 /// What came of asking for another term.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Renewal {
-    Carried,
+pub enum RenewalOutcome {
+    Renewed,
     /// Too few answered, or assented.
-    Short,
+    Incomplete,
     /// A voter has promised a higher ballot.
-    Overtaken,
+    Superseded,
 }
 
 /// A round in which a lease is to be renewed.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Renewing {
+pub struct RenewalRound {
     ballot: Ballot,
     set: Membership,
     votes: Vec<(SocketAddr, VoteResponse)>,
 }
 
-impl Renewing {
-    pub fn begin(ballot: Ballot, set: Membership) -> Renewing {
-        Renewing { ballot, set, votes: Vec::new() }
+impl RenewalRound {
+    pub fn start(ballot: Ballot, set: Membership) -> RenewalRound {
+        RenewalRound { ballot, set, votes: Vec::new() }
     }
 
-    pub fn set(&self) -> &Membership {
+    pub fn membership(&self) -> &Membership {
         &self.set
     }
 
     /// Ends when a majority renews.
-    pub fn hear(&mut self, voter: SocketAddr, cast: VoteResponse) -> ControlFlow<()> {
+    pub fn record_response(&mut self, voter: SocketAddr, cast: VoteResponse) -> ControlFlow<()> {
         self.votes.push((voter, cast));
         match self.outcome() {
-            Renewal::Carried => ControlFlow::Break(()),
-            Renewal::Short | Renewal::Overtaken => ControlFlow::Continue(()),
+            RenewalOutcome::Renewed => ControlFlow::Break(()),
+            RenewalOutcome::Incomplete | RenewalOutcome::Superseded => ControlFlow::Continue(()),
         }
     }
 
     /// By those that have spoken.
-    pub fn outcome(&self) -> Renewal {
-        if carries(&self.set, &assents(&self.votes)) {
-            return Renewal::Carried;
+    pub fn outcome(&self) -> RenewalOutcome {
+        if has_quorum(&self.set, &assenting_voters(&self.votes)) {
+            return RenewalOutcome::Renewed;
         }
         let higher = |(_, cast): &(SocketAddr, VoteResponse)| match cast.vote {
             Vote::Refused { promised, .. } => promised > self.ballot,
             _ => false,
         };
-        if self.votes.iter().any(higher) { Renewal::Overtaken } else { Renewal::Short }
+        if self.votes.iter().any(higher) { RenewalOutcome::Superseded } else { RenewalOutcome::Incomplete }
     }
 }
 
 /// A member with amnesia on its way back.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Recovering {
+pub struct RecoveryRound {
     me: SocketAddr,
     seeds: Vec<SocketAddr>,
     incarnation: u64,
@@ -259,16 +269,16 @@
 
 /// What it does next.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Turn {
+pub enum RecoveryStep {
     /// It asks these, again and again.
-    Ask(BTreeSet<SocketAddr>),
+    Query(BTreeSet<SocketAddr>),
     /// Both to be on disk, the register first, before it votes.
-    Restore(Box<Promise>, Box<Register>),
+    Restore(Box<VoterRecord>, Box<Register>),
 }
 
-impl Recovering {
-    pub fn begin(me: SocketAddr, seeds: Vec<SocketAddr>, chance: u64) -> Recovering {
-        Recovering { me, seeds, incarnation: incarnation_above(0, chance), heard: 0, told: BTreeMap::new() }
+impl RecoveryRound {
+    pub fn start(me: SocketAddr, seeds: Vec<SocketAddr>, chance: u64) -> RecoveryRound {
+        RecoveryRound { me, seeds, incarnation: next_incarnation(0, chance), heard: 0, told: BTreeMap::new() }
     }
 
     /// As what it asks.
@@ -277,12 +287,12 @@
     }
 
     /// Who has told what it promised and accepted.
-    pub fn known(&self) -> BTreeSet<SocketAddr> {
+    pub fn respondents(&self) -> BTreeSet<SocketAddr> {
         let known = |cast: &VoteResponse| matches!(cast.vote, Vote::Known { .. });
         self.told.iter().filter(|(_, cast)| known(cast)).map(|(member, _)| *member).collect()
     }
 
-    pub fn hear(&mut self, member: SocketAddr, cast: VoteResponse) {
+    pub fn record_response(&mut self, member: SocketAddr, cast: VoteResponse) {
         if let Vote::Outlived { incarnation } = cast.vote {
             self.heard = incarnation.max(self.heard);
         }
@@ -290,29 +300,29 @@
     }
 
     /// By all that was told so far.
-    pub fn turn(&mut self, chance: u64) -> Turn {
+    pub fn next_step(&mut self, chance: u64) -> RecoveryStep {
         if self.heard > self.incarnation {
             // What was told counts only for an incarnation that is above all others.
-            self.incarnation = incarnation_above(self.heard, chance);
+            self.incarnation = next_incarnation(self.heard, chance);
             self.told.clear();
         }
         match recovery(self.me, &self.seeds, &self.told) {
-            Recovery::Done { promised, register } => {
-                let promise = Promise {
+            RecoveryDecision::Recover { promised, register } => {
+                let promise = VoterRecord {
                     ballot: promised,
-                    holder: None,
-                    founders: register.membership.voters.clone(),
-                    doors: 0,
+                    promised_to: None,
+                    initial_members: register.membership.voters.clone(),
+                    proxy_count: 0,
                     incarnation: self.incarnation,
                     incarnations: incarnations(self.told.iter().map(|(member, cast)| (*member, cast))),
                 };
-                Turn::Restore(Box::new(promise), register)
+                RecoveryStep::Restore(Box::new(promise), register)
             }
-            Recovery::Hear(missing) => {
+            RecoveryDecision::Query(missing) => {
                 // Seeds that were down may be up again, and what was told long ago may be no news.
                 let mut hear: BTreeSet<_> = missing.into_iter().chain(self.seeds.iter().copied()).collect();
                 hear.remove(&self.me);
-                Turn::Ask(hear)
+                RecoveryStep::Query(hear)
             }
         }
     }
--- a/crates/consensus/src/group.rs
+++ b/crates/consensus/src/group.rs
@@ -1,4 +1,4 @@
-//! Group commit: orders that wait are carried out together, as one register that a majority keeps in one round. What each
+//! GroupCommit commit: orders that wait are carried out together, as one register that a majority keeps in one round. What each
 //! of them does is worked out here, in order, on the newest register that was proposed; each has an outcome of its own.
 //!
 //! All orders of a group are under way at the same time, so that any order among them is a true one. Configurations are
@@ -10,18 +10,18 @@
 
 /// So many configurations that were taken are remembered: over 7 KB of the register at most, and more than the changes
 /// of the longest day that was seen.
-const REMEMBERED: usize = 256;
+const RETAINED_REVISIONS: usize = 256;
 
 /// What an operator's order changes.
 #[derive(Clone, Debug)]
-pub enum Change {
+pub enum OperatorChange {
     Replace { revision: ConfigRevision, config: Box<RawValue> },
     Evacuate { zone: String, begin: bool },
 }
 
 /// What becomes of an order once the register that it was worked out on is certain.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Outcome {
+pub enum ChangeOutcome {
     /// It is in force, or was, or is overtaken by a higher number.
     Acknowledged,
     /// Another configuration was taken under its number.
@@ -30,41 +30,41 @@
 
 /// What a group comes to.
 #[derive(Clone, Debug)]
-pub struct Group {
+pub struct GroupCommit {
     /// Under the ballot and the number that it was worked out on.
     pub register: Register,
     /// Whether it differs from that.
     pub changed: bool,
     /// In the order in which the changes were given.
-    pub outcomes: Vec<Outcome>,
+    pub outcomes: Vec<ChangeOutcome>,
 }
 
 /// Carries all of them out on a register.
-pub fn gathered(on: &Register, changes: &[Change]) -> Group {
+pub fn apply_changes(on: &Register, changes: &[OperatorChange]) -> GroupCommit {
     let mut register = on.clone();
     remember_held(&mut register);
-    let number = |change: &Change| match change {
-        Change::Replace { revision, .. } => Some(*revision),
-        Change::Evacuate { .. } => None,
+    let number = |change: &OperatorChange| match change {
+        OperatorChange::Replace { revision, .. } => Some(*revision),
+        OperatorChange::Evacuate { .. } => None,
     };
     let mut turns: Vec<usize> = (0..changes.len()).collect();
     // Of two under one number the one that came first is taken.
     turns.sort_by_key(|turn| number(&changes[*turn]));
-    let (mut changed, mut outcomes) = (false, vec![Outcome::Acknowledged; changes.len()]);
+    let (mut changed, mut outcomes) = (false, vec![ChangeOutcome::Acknowledged; changes.len()]);
     for turn in turns {
         let (outcome, news) = match &changes[turn] {
-            Change::Evacuate { zone, begin: true } => {
-                (Outcome::Acknowledged, register.evacuated.insert(zone.clone()))
+            OperatorChange::Evacuate { zone, begin: true } => {
+                (ChangeOutcome::Acknowledged, register.evacuated.insert(zone.clone()))
             }
-            Change::Evacuate { zone, begin: false } => {
-                (Outcome::Acknowledged, register.evacuated.remove(zone))
+            OperatorChange::Evacuate { zone, begin: false } => {
+                (ChangeOutcome::Acknowledged, register.evacuated.remove(zone))
             }
-            Change::Replace { revision, config } => replace(&mut register, *revision, config),
+            OperatorChange::Replace { revision, config } => replace(&mut register, *revision, config),
         };
         outcomes[turn] = outcome;
         changed |= news;
     }
-    Group { register, changed, outcomes }
+    GroupCommit { register, changed, outcomes }
 }
 
 /// A register of before this was remembered names the one that it holds.
@@ -75,19 +75,19 @@
     register.taken.extend(held);
 }
 
-fn replace(register: &mut Register, revision: ConfigRevision, config: &RawValue) -> (Outcome, bool) {
+fn replace(register: &mut Register, revision: ConfigRevision, config: &RawValue) -> (ChangeOutcome, bool) {
     let this = AcceptedConfig { revision: revision.0, digest: digest(config) };
     if register.taken.last().is_none_or(|held| held.revision < this.revision) {
         register.config = Some(config.to_owned());
         register.taken.push(this);
-        let over = register.taken.len().saturating_sub(REMEMBERED);
+        let over = register.taken.len().saturating_sub(RETAINED_REVISIONS);
         register.taken.drain(..over);
-        return (Outcome::Acknowledged, true);
+        return (ChangeOutcome::Acknowledged, true);
     }
     // What is not above the one held changes nothing; it is told so unless another one was taken under its number.
     let under = register.taken.iter().find(|taken| taken.revision == this.revision);
     let conflict = under.is_some_and(|taken| *taken != this);
-    (if conflict { Outcome::Conflict } else { Outcome::Acknowledged }, false)
+    (if conflict { ChangeOutcome::Conflict } else { ChangeOutcome::Acknowledged }, false)
 }
 
 /// The number of a configuration that was read whole before.
--- a/crates/consensus/src/membership.rs
+++ b/crates/consensus/src/membership.rs
@@ -8,11 +8,11 @@
 use vanewharf_protocol::messages::{Ballot, Follower, Membership, Register, Revision, Vote, VoteResponse};
 
 /// A voter that was not heard of, or did not keep up, for so long is lost, as long as one that keeps up stands by.
-pub const LOST: Duration = Duration::from_secs(3);
+pub const FAILURE_TIMEOUT: Duration = Duration::from_secs(3);
 /// So long must a machine have kept up before it takes a voter's place.
-pub const TRUSTED: Duration = Duration::from_millis(1000);
+pub const PROMOTION_DELAY: Duration = Duration::from_millis(1000);
 /// Voters are moved between zones only when all have kept up for so long.
-const CALM: Duration = Duration::from_secs(10);
+const REBALANCE_DELAY: Duration = Duration::from_secs(10);
 
 /// How many of so many voters are a majority.
 pub fn majority(voters: usize) -> usize {
@@ -20,54 +20,54 @@
 }
 
 /// How many voters there are to be, where so many may be lost at once: enough that the rest is a majority.
-pub fn wanted(losses: u64) -> usize {
+pub fn voter_count_for(losses: u64) -> usize {
     2 * losses.clamp(1, 4) as usize + 1
 }
 
 /// Those of the first start.
-pub fn founded(mut voters: Vec<SocketAddr>) -> Membership {
+pub fn initial_membership(mut voters: Vec<SocketAddr>) -> Membership {
     voters.sort_unstable();
     voters.dedup();
     Membership { epoch: 1, voters, outgoing: Vec::new() }
 }
 
 /// All who have a say, incoming and outgoing.
-pub fn everyone(membership: &Membership) -> BTreeSet<SocketAddr> {
+pub fn all_voters(membership: &Membership) -> BTreeSet<SocketAddr> {
     membership.voters.iter().chain(&membership.outgoing).copied().collect()
 }
 
 /// Whether those who assent carry it: a majority of the voters, and during a change one of the outgoing voters, too.
-pub fn carries(membership: &Membership, assents: &BTreeSet<SocketAddr>) -> bool {
+pub fn has_quorum(membership: &Membership, assenting: &BTreeSet<SocketAddr>) -> bool {
     let by =
-        |set: &[SocketAddr]| set.iter().filter(|one| assents.contains(one)).count() >= majority(set.len());
+        |set: &[SocketAddr]| set.iter().filter(|one| assenting.contains(one)).count() >= majority(set.len());
     by(&membership.voters) && (membership.outgoing.is_empty() || by(&membership.outgoing))
 }
 
 /// Whether nobody can carry it any more, as too many are against.
-pub fn hopeless(membership: &Membership, against: &BTreeSet<SocketAddr>) -> bool {
-    let all = everyone(membership);
-    !carries(membership, &all.difference(against).copied().collect())
+pub fn quorum_is_impossible(membership: &Membership, against: &BTreeSet<SocketAddr>) -> bool {
+    let all = all_voters(membership);
+    !has_quorum(membership, &all.difference(against).copied().collect())
 }
 
 /// The change that begins a new set: both sets decide until it is concluded.
-pub fn begun(membership: &Membership, voters: &BTreeSet<SocketAddr>) -> Membership {
+pub fn begin_change(membership: &Membership, voters: &BTreeSet<SocketAddr>) -> Membership {
     let outgoing = membership.voters.clone();
     Membership { epoch: membership.epoch + 1, voters: voters.iter().copied().collect(), outgoing }
 }
 
 /// The one that concludes it, once the change that began it is kept by both.
-pub fn concluded(membership: &Membership) -> Membership {
+pub fn finish_change(membership: &Membership) -> Membership {
     Membership { epoch: membership.epoch + 1, voters: membership.voters.clone(), outgoing: Vec::new() }
 }
 
 /// The next step towards a set of voters, or none where that is reached. It goes by what is settled: a change that was begun
 /// and is kept by the holder alone, perhaps, must not be concluded, as no majority of the set before it knows of it.
-pub fn towards(settled: &Membership, voters: &BTreeSet<SocketAddr>) -> Option<Membership> {
+pub fn next_membership(settled: &Membership, voters: &BTreeSet<SocketAddr>) -> Option<Membership> {
     if !settled.outgoing.is_empty() {
-        return Some(concluded(settled));
+        return Some(finish_change(settled));
     }
     let reached = settled.voters.iter().copied().collect::<BTreeSet<_>>() == *voters;
-    (!reached).then(|| begun(settled, voters))
+    (!reached).then(|| begin_change(settled, voters))
 }
 
 /// What each machine is known to have come back as, by all of these votes.
@@ -87,7 +87,7 @@
 }
 
 /// Who assents: without those whose vote was cast before they lost their disk, as far as another voter knows of that.
-pub fn assents(votes: &[(SocketAddr, VoteResponse)]) -> BTreeSet<SocketAddr> {
+pub fn assenting_voters(votes: &[(SocketAddr, VoteResponse)]) -> BTreeSet<SocketAddr> {
     let newest = incarnations(votes.iter().map(|(voter, cast)| (*voter, cast)));
     let yes = |cast: &VoteResponse| {
         matches!(cast.vote, Vote::Granted { .. } | Vote::Willing { .. } | Vote::Accepted)
@@ -110,11 +110,11 @@
 
 /// What a machine with amnesia may go by, or whom it has to hear besides.
 #[derive(Debug)]
-pub enum Recovery {
+pub enum RecoveryDecision {
     /// These have to be heard; empty where those that are known have to be heard again.
-    Hear(BTreeSet<SocketAddr>),
+    Query(BTreeSet<SocketAddr>),
     /// To be on disk before it votes.
-    Done { promised: Ballot, register: Box<Register> },
+    Recover { promised: Ballot, register: Box<Register> },
 }
 
 /// What those told who were asked to recover it, at the seeds and at all whom their answers name.
@@ -123,7 +123,11 @@
 /// says whose majority has to have told. A change is kept by a majority of the set before it, too, so that a majority of
 /// an old set cannot all be unaware of the next one. Where no register was ever kept (the power went in the first moments)
 /// there is no majority that remembers; then all have to be heard, and all must be blank.
-pub fn recovery(me: SocketAddr, seeds: &[SocketAddr], told: &BTreeMap<SocketAddr, VoteResponse>) -> Recovery {
+pub fn recovery(
+    me: SocketAddr,
+    seeds: &[SocketAddr],
+    told: &BTreeMap<SocketAddr, VoteResponse>,
+) -> RecoveryDecision {
     let mut known = BTreeMap::new();
     for (member, cast) in told.iter().filter(|(member, _)| **member != me) {
         if let Vote::Known { promised, register } = &cast.vote {
@@ -138,52 +142,57 @@
         _ => None,
     };
     let Some(newest) = known.values().map(|(_, register)| *register).max_by_key(by) else {
-        let founders = founded(seeds.to_vec());
-        let alike = |seed: &SocketAddr| amnesic(seed).is_some_and(|told| founded(told.clone()) == founders);
+        let founders = initial_membership(seeds.to_vec());
+        let alike = |seed: &SocketAddr| {
+            amnesic(seed).is_some_and(|told| initial_membership(told.clone()) == founders)
+        };
         let all = seeds.contains(&me) && seeds.iter().all(|seed| *seed == me || alike(seed));
         let register = Register { membership: founders, ..Register::none() };
         return match all {
-            true => Recovery::Done { promised, register: Box::new(register) },
-            false => Recovery::Hear(seeds.iter().copied().filter(|seed| *seed != me).collect()),
+            true => RecoveryDecision::Recover { promised, register: Box::new(register) },
+            false => RecoveryDecision::Query(seeds.iter().copied().filter(|seed| *seed != me).collect()),
         };
     };
-    let everyone: BTreeSet<_> = everyone(&newest.membership).into_iter().filter(|one| *one != me).collect();
-    let blank = newest.no.0 == 0 && everyone.iter().all(|one| heard.contains(one) || amnesic(one).is_some());
-    if carries(&newest.membership, &heard) || blank {
+    let all_voters: BTreeSet<_> =
+        all_voters(&newest.membership).into_iter().filter(|one| *one != me).collect();
+    let blank =
+        newest.no.0 == 0 && all_voters.iter().all(|one| heard.contains(one) || amnesic(one).is_some());
+    if has_quorum(&newest.membership, &heard) || blank {
         let promised = promised.max(newest.ballot);
-        return Recovery::Done { promised, register: Box::new(newest.clone()) };
+        return RecoveryDecision::Recover { promised, register: Box::new(newest.clone()) };
     }
-    Recovery::Hear(everyone.into_iter().filter(|one| !heard.contains(one)).collect())
+    RecoveryDecision::Query(all_voters.into_iter().filter(|one| !heard.contains(one)).collect())
 }
 
 /// A machine that may vote, as the holder sees it.
 #[derive(Clone, Debug)]
-pub struct Candidate {
-    pub office: SocketAddr,
+pub struct VoterCandidate {
+    pub address: SocketAddr,
     pub zone: String,
     /// How long it has not been heard of, or has not kept up.
-    pub missing: Duration,
+    pub out_of_sync_for: Duration,
     /// How long it has been heard of and has kept up.
-    pub keeping_up: Duration,
+    pub in_sync_for: Duration,
 }
 
 /// Whether a majority of these keeps up at this moment.
-pub fn sound(voters: &BTreeSet<SocketAddr>, candidates: &[Candidate]) -> bool {
-    let here = candidates.iter().filter(|one| voters.contains(&one.office) && one.missing < UNHEARD);
+pub fn majority_in_sync(voters: &BTreeSet<SocketAddr>, candidates: &[VoterCandidate]) -> bool {
+    let here =
+        candidates.iter().filter(|one| voters.contains(&one.address) && one.out_of_sync_for < SYNC_TIMEOUT);
     here.count() >= majority(voters.len())
 }
 
 /// The set that should follow, one step at a time, or nothing. Never an even number: a set of four bears no more losses
 /// than one of three. A lost voter gives way only to one that keeps up, so that what can be borne does not lessen on the
 /// way: by joint consensus the old set's majority is needed meanwhile, which is there already, and never the newcomer.
-pub fn next(
+pub fn plan_next_voters(
     membership: &Membership,
-    candidates: &[Candidate],
+    candidates: &[VoterCandidate],
     wanted: usize,
 ) -> Option<BTreeSet<SocketAddr>> {
     let voters: BTreeSet<_> = membership.voters.iter().copied().collect();
     let zone = |office: &SocketAddr| {
-        let known = candidates.iter().find(|one| one.office == *office);
+        let known = candidates.iter().find(|one| one.address == *office);
         known.map_or("", |one| one.zone.as_str())
     };
     // How many of a set the worst zone holds.
@@ -192,12 +201,13 @@
         set.iter().for_each(|office| *zones.entry(zone(office)).or_default() += 1);
         zones.into_values().max().unwrap_or(0)
     };
-    let lost =
-        |office: &SocketAddr| candidates.iter().any(|one| one.office == *office && one.missing >= LOST);
+    let lost = |office: &SocketAddr| {
+        candidates.iter().any(|one| one.address == *office && one.out_of_sync_for >= FAILURE_TIMEOUT)
+    };
     let mut spare: Vec<_> = candidates
         .iter()
-        .filter(|one| !voters.contains(&one.office) && one.keeping_up >= TRUSTED)
-        .map(|one| one.office)
+        .filter(|one| !voters.contains(&one.address) && one.in_sync_for >= PROMOTION_DELAY)
+        .map(|one| one.address)
         .collect();
     spare.sort_unstable();
     let with = |base: &BTreeSet<SocketAddr>, spare: &[SocketAddr]| {
@@ -221,7 +231,7 @@
             let last = set.iter().copied().filter(|one| !voters.contains(one)).max();
             set.retain(|one| Some(*one) != last);
         }
-        if set.len() > voters.len() && sound(&set, candidates) {
+        if set.len() > voters.len() && majority_in_sync(&set, candidates) {
             return Some(set);
         }
     }
@@ -229,11 +239,12 @@
         let rest: BTreeSet<_> = voters.iter().copied().filter(|office| *office != gone).collect();
         let one = with(&rest, &spare)?;
         // A set that could not conclude the change is not begun.
-        return Some(rest.into_iter().chain([one]).collect()).filter(|set| sound(set, candidates));
+        return Some(rest.into_iter().chain([one]).collect()).filter(|set| majority_in_sync(set, candidates));
     }
     // Where all is calm, no zone is to hold more voters than it must.
-    let calm =
-        |office: &SocketAddr| candidates.iter().any(|one| one.office == *office && one.keeping_up >= CALM);
+    let calm = |office: &SocketAddr| {
+        candidates.iter().any(|one| one.address == *office && one.in_sync_for >= REBALANCE_DELAY)
+    };
     if !voters.iter().all(calm) {
         return None;
     }
@@ -247,15 +258,15 @@
 
 /// What the holder knows of those that follow it. It knows nothing of before it took the lease.
 #[derive(Debug, Default)]
-pub struct Following {
+pub struct FollowerTracker {
     began: Timestamp,
     /// When the lease was lost, while it is.
     ended: Option<Timestamp>,
-    heard: BTreeMap<IpAddr, Heard>,
+    heard: BTreeMap<IpAddr, FollowerProgress>,
 }
 
 #[derive(Debug)]
-struct Heard {
+struct FollowerProgress {
     zone: String,
     /// When it was last heard of with all on its disk that it had to have by then.
     sound: Option<Timestamp>,
@@ -266,11 +277,11 @@
     set: Timestamp,
 }
 
-impl Following {
+impl FollowerTracker {
     /// The lease is had. Had again soon, what was known of others counts on, without the time between in which nobody
     /// followed: who was lost before is not waited for once more.
-    pub fn begin(&mut self, now: Timestamp) {
-        match self.ended.take().map(|ended| now.since(ended)).filter(|between| *between < RESUMED) {
+    pub fn lease_acquired(&mut self, now: Timestamp) {
+        match self.ended.take().map(|ended| now.since(ended)).filter(|between| *between < RESUME_WINDOW) {
             Some(between) => {
                 self.began = self.began.after(between);
                 for heard in self.heard.values_mut() {
@@ -286,29 +297,30 @@
     }
 
     /// The lease is lost.
-    pub fn end(&mut self, now: Timestamp) {
+    pub fn lease_lost(&mut self, now: Timestamp) {
         self.ended = Some(now);
     }
 
     /// It pulls, and says what is on its disk; `settled` is what it should have soon.
-    pub fn hear(&mut self, follower: &Follower, settled: Revision, now: Timestamp) {
+    pub fn record_pull(&mut self, follower: &Follower, settled: Revision, now: Timestamp) {
         let zone = follower.row.zone.clone();
-        let fresh = || Heard { zone, sound: None, since: now, goal: settled, set: now };
+        let fresh = || FollowerProgress { zone, sound: None, since: now, goal: settled, set: now };
         let heard = self.heard.entry(follower.row.ip).or_insert_with(fresh);
         let reached = follower.kept.is_some_and(|(_, no)| no >= heard.goal);
         // What was settled a moment ago is on its way to one that had all before.
-        let on_its_way = heard.sound.is_some() && follower.kept.is_some() && now.since(heard.set) < UNHEARD;
+        let on_its_way =
+            heard.sound.is_some() && follower.kept.is_some() && now.since(heard.set) < SYNC_TIMEOUT;
         if reached {
             (heard.goal, heard.set) = (settled, now);
         }
         if reached || on_its_way {
-            if heard.sound.is_none_or(|sound| now.since(sound) >= UNHEARD) {
+            if heard.sound.is_none_or(|sound| now.since(sound) >= SYNC_TIMEOUT) {
                 heard.since = now;
             }
             heard.sound = Some(now);
         }
-        let known = |heard: &Heard| heard.sound.unwrap_or(heard.set);
-        self.heard.retain(|_, heard| now.since(known(heard)) < FORGOTTEN);
+        let known = |heard: &FollowerProgress| heard.sound.unwrap_or(heard.set);
+        self.heard.retain(|_, heard| now.since(known(heard)) < FOLLOWER_RETENTION);
     }
 
     /// All that may vote: voters, heard of or not, the holder itself, and whoever follows it. Nobody is missed for longer
@@ -319,27 +331,37 @@
         (me, zone): (SocketAddr, &str),
         office: impl Fn(IpAddr) -> SocketAddr,
         now: Timestamp,
-    ) -> Vec<Candidate> {
+    ) -> Vec<VoterCandidate> {
         let held = now.since(self.began);
         let mut all: Vec<_> = self
             .heard
             .iter()
             .map(|(ip, heard)| {
                 // One that was never sound is no candidate, however new the lease is.
-                let never = held.max(UNHEARD);
-                let missing = heard.sound.map_or(never, |sound| now.since(sound.max(self.began)));
-                let sound = missing < UNHEARD;
-                let keeping_up = if sound { now.since(heard.since) } else { Duration::ZERO };
-                Candidate { office: office(*ip), zone: heard.zone.clone(), missing, keeping_up }
+                let never = held.max(SYNC_TIMEOUT);
+                let out_of_sync_for = heard.sound.map_or(never, |sound| now.since(sound.max(self.began)));
+                let sound = out_of_sync_for < SYNC_TIMEOUT;
+                let in_sync_for = if sound { now.since(heard.since) } else { Duration::ZERO };
+                VoterCandidate {
+                    address: office(*ip),
+                    zone: heard.zone.clone(),
+                    out_of_sync_for,
+                    in_sync_for,
+                }
             })
-            .filter(|one| one.office != me)
+            .filter(|one| one.address != me)
             .collect();
         let zone = zone.to_owned();
-        all.push(Candidate { office: me, zone, missing: Duration::ZERO, keeping_up: held });
+        all.push(VoterCandidate { address: me, zone, out_of_sync_for: Duration::ZERO, in_sync_for: held });
         for &office in voters {
-            if !all.iter().any(|one| one.office == office) {
-                let (zone, keeping_up) = (String::new(), Duration::ZERO);
-                all.push(Candidate { office, zone, missing: held.max(UNHEARD), keeping_up });
+            if !all.iter().any(|one| one.address == office) {
+                let (zone, in_sync_for) = (String::new(), Duration::ZERO);
+                all.push(VoterCandidate {
+                    address: office,
+                    zone,
+                    out_of_sync_for: held.max(SYNC_TIMEOUT),
+                    in_sync_for,
+                });
             }
         }
         all
@@ -347,10 +369,10 @@
 }
 
 /// A follower pulls more often than this.
-const UNHEARD: Duration = Duration::from_millis(1200);
-const FORGOTTEN: Duration = Duration::from_secs(60);
+const SYNC_TIMEOUT: Duration = Duration::from_millis(1200);
+const FOLLOWER_RETENTION: Duration = Duration::from_secs(60);
 /// A holder that has the lease again by then goes on where it stood.
-const RESUMED: Duration = Duration::from_secs(10);
+const RESUME_WINDOW: Duration = Duration::from_secs(10);
 
 #[cfg(test)]
 mod tests;
--- a/crates/consensus/src/membership/tests.rs
+++ b/crates/consensus/src/membership/tests.rs
@@ -40,15 +40,15 @@
 #[test]
 fn during_a_change_both_sets_decide_and_after_it_the_new_one() {
     let now = members(4, &[1, 2, 3], &[]);
-    let change = begun(&now, &set(&[2, 3, 4]));
+    let change = begin_change(&now, &set(&[2, 3, 4]));
     assert_eq!(change, members(5, &[2, 3, 4], &[1, 2, 3]));
-    assert!(carries(&change, &set(&[2, 3])), "the newcomer need not be there on the way");
-    assert!(!carries(&change, &set(&[1, 2])) && !carries(&change, &set(&[3, 4])));
-    let after = concluded(&change);
+    assert!(has_quorum(&change, &set(&[2, 3])), "the newcomer need not be there on the way");
+    assert!(!has_quorum(&change, &set(&[1, 2])) && !has_quorum(&change, &set(&[3, 4])));
+    let after = finish_change(&change);
     assert_eq!(after, members(6, &[2, 3, 4], &[]));
-    assert!(carries(&after, &set(&[3, 4])) && !carries(&after, &set(&[1, 2])));
-    assert!(!carries(&Membership::default(), &set(&[1, 2, 3])), "a set that is not known carries nothing");
-    assert!(hopeless(&change, &set(&[1, 2])) && !hopeless(&change, &set(&[1])));
+    assert!(has_quorum(&after, &set(&[3, 4])) && !has_quorum(&after, &set(&[1, 2])));
+    assert!(!has_quorum(&Membership::default(), &set(&[1, 2, 3])), "a set that is not known has no quorum");
+    assert!(quorum_is_impossible(&change, &set(&[1, 2])) && !quorum_is_impossible(&change, &set(&[1])));
 }
 
 #[test]
@@ -57,10 +57,14 @@
     let unaware = (addr(2), cast(Vote::Accepted));
     let aware = (addr(2), VoteResponse { incarnations: [(addr(1), 1)].into(), ..cast(Vote::Accepted) });
     let again = (addr(1), VoteResponse { incarnation: 1, ..cast(Vote::Accepted) });
-    assert_eq!(assents(&[old.clone(), unaware.clone()]), set(&[1, 2]));
-    assert_eq!(assents(&[old, aware.clone()]), set(&[2]));
-    assert_eq!(assents(&[again.clone(), aware]), set(&[1, 2]));
-    assert_eq!(assents(&[again, unaware]), set(&[1, 2]), "one that was not asked knows nothing of it");
+    assert_eq!(assenting_voters(&[old.clone(), unaware.clone()]), set(&[1, 2]));
+    assert_eq!(assenting_voters(&[old, aware.clone()]), set(&[2]));
+    assert_eq!(assenting_voters(&[again.clone(), aware]), set(&[1, 2]));
+    assert_eq!(
+        assenting_voters(&[again, unaware]),
+        set(&[1, 2]),
+        "one that was not asked knows nothing of it"
+    );
 }
 
 /// Each case: who told what, and what it may go by, as the number of a register; or whom it has to hear.
@@ -96,27 +100,29 @@
     for (what, told, expected) in cases {
         let told = told.into_iter().map(|(no, cast)| (addr(no), cast)).collect();
         match (recovery(addr(1), &list(&[1, 2, 3]), &told), expected) {
-            (Recovery::Done { register, .. }, Ok(no)) => assert_eq!(register.no, Revision(no), "{what}"),
-            (Recovery::Hear(missing), Err(whom)) => assert_eq!(missing, set(whom), "{what}"),
+            (RecoveryDecision::Recover { register, .. }, Ok(no)) => {
+                assert_eq!(register.no, Revision(no), "{what}")
+            }
+            (RecoveryDecision::Query(missing), Err(whom)) => assert_eq!(missing, set(whom), "{what}"),
             (came, expected) => panic!("{what}: {came:?}, not {expected:?}"),
         }
     }
 }
 
 /// `1a+` is machine 1 in zone a that keeps up, `-` one that is lost, `?` one that was away for a moment, `=` long calm.
-fn machines(text: &str) -> Vec<Candidate> {
+fn machines(text: &str) -> Vec<VoterCandidate> {
     let machine = |word: &str| {
         let mut letters = word.chars();
         let mut next = || letters.next().expect("three letters");
         let (no, zone, state) = (next(), next(), next());
-        let (missing, keeping_up) = match state {
-            '+' => (Duration::ZERO, TRUSTED),
-            '=' => (Duration::ZERO, CALM),
-            '?' => (LOST / 2, Duration::ZERO),
-            _ => (LOST, Duration::ZERO),
+        let (out_of_sync_for, in_sync_for) = match state {
+            '+' => (Duration::ZERO, PROMOTION_DELAY),
+            '=' => (Duration::ZERO, REBALANCE_DELAY),
+            '?' => (FAILURE_TIMEOUT / 2, Duration::ZERO),
+            _ => (FAILURE_TIMEOUT, Duration::ZERO),
         };
         let office = addr(no.to_digit(10).expect("a digit") as u8);
-        Candidate { office, zone: zone.to_string(), missing, keeping_up }
+        VoterCandidate { address: office, zone: zone.to_string(), out_of_sync_for, in_sync_for }
     };
     text.split(' ').map(machine).collect()
 }
@@ -136,13 +142,13 @@
 )]
 fn the_set_changes_one_step_at_a_time(text: &str, wanted: usize, expected: Option<&[u8]>) {
     let now = members(1, &[1, 2, 3], &[]);
-    assert_eq!(next(&now, &machines(text), wanted), expected.map(set));
+    assert_eq!(plan_next_voters(&now, &machines(text), wanted), expected.map(set));
 }
 
 #[test]
 fn whoever_keeps_up_may_vote_and_who_lags_or_has_amnesia_is_missed() {
-    let mut following = Following::default();
-    following.begin(START);
+    let mut following = FollowerTracker::default();
+    following.lease_acquired(START);
     let ip = |no: u8| IpAddr::from([10, 0, 0, no]);
     let follower = |no: u8, kept: Option<u64>| Follower {
         row: ControllerEntry { ip: ip(no), zone: "z".to_owned() },
@@ -152,58 +158,72 @@
     let mut now = START;
     for turn in 1..40u64 {
         now = now.after(Duration::from_millis(100));
-        following.hear(&follower(2, Some(turn - 1)), Revision(turn), now);
-        following.hear(&follower(3, Some(2)), Revision(turn), now);
-        following.hear(&follower(4, None), Revision(turn), now);
+        following.record_pull(&follower(2, Some(turn - 1)), Revision(turn), now);
+        following.record_pull(&follower(3, Some(2)), Revision(turn), now);
+        following.record_pull(&follower(4, None), Revision(turn), now);
     }
     let office = |ip| SocketAddr::new(ip, 7600);
     let all = following.candidates(&list(&[1, 2, 5]), (addr(1), "z"), office, now);
-    let of = |no: u8| all.iter().find(|one| one.office == addr(no)).expect("it is known");
-    assert!(of(2).missing.is_zero() && of(2).keeping_up > TRUSTED, "{:?}", of(2));
-    assert!(of(3).missing > Duration::from_secs(2) && of(3).keeping_up.is_zero(), "{:?}", of(3));
-    assert!(of(4).missing > LOST && of(5).missing > LOST, "as long as the lease is held");
-    assert!(of(1).missing.is_zero());
-    assert!(sound(&set(&[1, 2, 3]), &all) && !sound(&set(&[1, 3, 4]), &all) && !sound(&set(&[1, 5]), &all));
-    following.begin(now);
+    let of = |no: u8| all.iter().find(|one| one.address == addr(no)).expect("it is known");
+    assert!(of(2).out_of_sync_for.is_zero() && of(2).in_sync_for > PROMOTION_DELAY, "{:?}", of(2));
+    assert!(of(3).out_of_sync_for > Duration::from_secs(2) && of(3).in_sync_for.is_zero(), "{:?}", of(3));
+    assert!(
+        of(4).out_of_sync_for > FAILURE_TIMEOUT && of(5).out_of_sync_for > FAILURE_TIMEOUT,
+        "as long as the lease is held"
+    );
+    assert!(of(1).out_of_sync_for.is_zero());
+    assert!(
+        majority_in_sync(&set(&[1, 2, 3]), &all)
+            && !majority_in_sync(&set(&[1, 3, 4]), &all)
+            && !majority_in_sync(&set(&[1, 5]), &all)
+    );
+    following.lease_acquired(now);
     let all = following.candidates(&list(&[1, 2]), (addr(1), "z"), office, now);
-    assert!(!sound(&set(&[1, 2]), &all), "nor does it trust in one that it has not heard");
-    assert!(all.iter().all(|one| one.missing < LOST), "a new holder misses nobody yet");
+    assert!(!majority_in_sync(&set(&[1, 2]), &all), "nor does it trust in one that it has not heard");
+    assert!(all.iter().all(|one| one.out_of_sync_for < FAILURE_TIMEOUT), "a new holder misses nobody yet");
 }
 
 #[test]
 fn a_change_that_is_not_settled_is_begun_again_and_never_concluded() {
     let (old, wanted) = (members(1, &[1, 2, 3], &[]), set(&[1, 4, 5]));
-    let change = begun(&old, &wanted);
-    assert_eq!(towards(&old, &wanted), Some(change.clone()), "whatever the holder's own disk says");
-    assert_eq!(towards(&change, &wanted), Some(members(3, &[1, 4, 5], &[])));
-    assert_eq!(towards(&change, &set(&[2, 3, 4])), Some(concluded(&change)), "the one before comes first");
-    assert_eq!(towards(&concluded(&change), &wanted), None);
+    let change = begin_change(&old, &wanted);
+    assert_eq!(next_membership(&old, &wanted), Some(change.clone()), "whatever the holder's own disk says");
+    assert_eq!(next_membership(&change, &wanted), Some(members(3, &[1, 4, 5], &[])));
+    assert_eq!(
+        next_membership(&change, &set(&[2, 3, 4])),
+        Some(finish_change(&change)),
+        "the one before comes first"
+    );
+    assert_eq!(next_membership(&finish_change(&change), &wanted), None);
 }
 
 #[test]
 fn a_holder_that_has_the_lease_again_soon_misses_whom_it_missed_before() {
-    let (mut following, ip) = (Following::default(), |no: u8| IpAddr::from([10, 0, 0, no]));
+    let (mut following, ip) = (FollowerTracker::default(), |no: u8| IpAddr::from([10, 0, 0, no]));
     let office = |ip| SocketAddr::new(ip, 7600);
     let kept = Some((Ballot(1), Revision(1)));
-    let hear = |following: &mut Following, no: u8, now: Timestamp| {
+    let hear = |following: &mut FollowerTracker, no: u8, now: Timestamp| {
         let row = ControllerEntry { ip: ip(no), zone: "z".to_owned() };
-        following.hear(&Follower { row, kept }, Revision(1), now);
+        following.record_pull(&Follower { row, kept }, Revision(1), now);
     };
     let after = |span: u64| START.after(Duration::from_millis(span));
-    following.begin(START);
+    following.lease_acquired(START);
     (0..20).for_each(|turn| hear(&mut following, 2, after(turn * 100)));
-    following.end(after(2_000));
-    following.begin(after(7_000));
+    following.lease_lost(after(2_000));
+    following.lease_acquired(after(7_000));
     hear(&mut following, 2, after(7_100));
-    let missing = |following: &Following, no: u8, now: Timestamp| {
+    let missing = |following: &FollowerTracker, no: u8, now: Timestamp| {
         let all = following.candidates(&list(&[1, 2, 3]), (addr(1), "z"), office, now);
-        let one = all.into_iter().find(|one| one.office == addr(no)).expect("it is known");
-        (one.missing, one.keeping_up)
+        let one = all.into_iter().find(|one| one.address == addr(no)).expect("it is known");
+        (one.out_of_sync_for, one.in_sync_for)
     };
-    assert!(missing(&following, 3, after(8_100)).0 >= LOST, "2 s before and 1.1 s now");
-    let (absent, keeping_up) = missing(&following, 2, after(8_100));
-    assert!(absent < LOST && keeping_up > TRUSTED, "it was there all along: {absent:?} {keeping_up:?}");
-    following.end(after(8_200));
-    following.begin(after(8_200 + 11_000));
-    assert!(missing(&following, 3, after(8_200 + 11_100)).0 < LOST, "too long ago");
+    assert!(missing(&following, 3, after(8_100)).0 >= FAILURE_TIMEOUT, "2 s before and 1.1 s now");
+    let (absent, in_sync_for) = missing(&following, 2, after(8_100));
+    assert!(
+        absent < FAILURE_TIMEOUT && in_sync_for > PROMOTION_DELAY,
+        "it was there all along: {absent:?} {in_sync_for:?}"
+    );
+    following.lease_lost(after(8_200));
+    following.lease_acquired(after(8_200 + 11_000));
+    assert!(missing(&following, 3, after(8_200 + 11_100)).0 < FAILURE_TIMEOUT, "too long ago");
 }
--- a/crates/consensus/src/voter/tests.rs
+++ b/crates/consensus/src/voter/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::membership::{Recovery, majority, recovery};
+use crate::membership::{RecoveryDecision, majority, recovery};
 use vanewharf_protocol::messages::Revision;
 
 const START: Timestamp = Timestamp(1_000_000_000);
@@ -12,8 +12,8 @@
     VoteRequest::Lease { ballot: Ballot(ballot), holder: addr(no) }
 }
 
-fn promised(ballot: u64) -> Promise {
-    Promise { ballot: Ballot(ballot), ..Voter::start(None, None, &seeds(), true, START).record() }
+fn promised(ballot: u64) -> VoterRecord {
+    VoterRecord { ballot: Ballot(ballot), ..Voter::start(None, None, &seeds(), true, START).record() }
 }
 
 fn seeds() -> Vec<SocketAddr> {
@@ -21,66 +21,78 @@
 }
 
 /// What the others tell one with amnesia, as votes of theirs, and what it goes by then.
-fn recover(me: u8, others: &mut [(u8, &mut Voter)], incarnation: u64) -> Option<(Promise, Register)> {
+fn recover(me: u8, others: &mut [(u8, &mut Voter)], incarnation: u64) -> Option<(VoterRecord, Register)> {
     let request = VoteRequest::Recover { member: addr(me), incarnation };
     let mut told = BTreeMap::new();
     for (no, voter) in others {
-        let step = voter.hear(request.clone(), START);
-        told.insert(addr(*no), voter.cast(step.vote));
+        let step = voter.handle_vote_request(request.clone(), START);
+        told.insert(addr(*no), voter.response(step.vote));
     }
     match recovery(addr(me), &seeds(), &told) {
-        Recovery::Done { promised, register } => {
+        RecoveryDecision::Recover { promised, register } => {
             let blank = Voter::start(None, None, &seeds(), true, START).record();
-            Some((Promise { ballot: promised, incarnation, ..blank }, *register))
+            Some((VoterRecord { ballot: promised, incarnation, ..blank }, *register))
         }
-        Recovery::Hear(_) => None,
+        RecoveryDecision::Query(_) => None,
     }
 }
 
 fn register(ballot: u64, no: u64) -> Register {
-    let membership = founded(seeds());
+    let membership = initial_membership(seeds());
     Register { ballot: Ballot(ballot), no: Revision(no), membership, ..Register::none() }
 }
 
 fn keep(voter: &mut Voter, kept: Register, now: Timestamp) -> bool {
-    let step = voter.hear(VoteRequest::Accept { register: kept }, now);
-    step.save.into_iter().for_each(|save| voter.saved(save));
+    let step = voter.handle_vote_request(VoteRequest::Accept { register: kept }, now);
+    step.write.into_iter().for_each(|save| voter.mark_persisted(save));
     matches!(step.vote, Vote::Accepted)
 }
 
 #[test]
 fn one_holder_at_a_time_and_none_right_after_a_restart() {
     let mut voter = Voter::start(None, None, &seeds(), true, START);
-    assert!(matches!(voter.hear(lease(1 << 8, 1), START).vote, Vote::Granted { .. }));
-    let (soon, later) = (START.after(TERM / 2), START.after(TERM));
-    assert!(matches!(voter.hear(lease(2 << 8, 2), soon).vote, Vote::Refused { .. }), "it is held");
+    assert!(matches!(voter.handle_vote_request(lease(1 << 8, 1), START).vote, Vote::Granted { .. }));
+    let (soon, later) = (START.after(LEASE_DURATION / 2), START.after(LEASE_DURATION));
+    assert!(
+        matches!(voter.handle_vote_request(lease(2 << 8, 2), soon).vote, Vote::Refused { .. }),
+        "it is held"
+    );
     let renew = |ballot| VoteRequest::Renew { ballot: Ballot(ballot), holder: addr(1) };
-    assert!(matches!(voter.hear(renew(1 << 8), soon).vote, Vote::Accepted));
-    assert!(matches!(voter.hear(lease(2 << 8, 2), later).vote, Vote::Refused { .. }), "it was renewed");
-    assert!(matches!(voter.hear(lease(2 << 8, 2), soon.after(TERM)).vote, Vote::Granted { .. }));
-    assert!(matches!(voter.hear(renew(1 << 8), later.after(TERM)).vote, Vote::Refused { .. }));
+    assert!(matches!(voter.handle_vote_request(renew(1 << 8), soon).vote, Vote::Accepted));
+    assert!(
+        matches!(voter.handle_vote_request(lease(2 << 8, 2), later).vote, Vote::Refused { .. }),
+        "it was renewed"
+    );
+    assert!(matches!(
+        voter.handle_vote_request(lease(2 << 8, 2), soon.after(LEASE_DURATION)).vote,
+        Vote::Granted { .. }
+    ));
+    assert!(matches!(
+        voter.handle_vote_request(renew(1 << 8), later.after(LEASE_DURATION)).vote,
+        Vote::Refused { .. }
+    ));
     let mut back = Voter::start(Some(&promised(2 << 8)), None, &seeds(), false, START);
     assert!(
-        matches!(back.hear(lease(3 << 8, 1), soon).vote, Vote::Refused { .. }),
+        matches!(back.handle_vote_request(lease(3 << 8, 1), soon).vote, Vote::Refused { .. }),
         "granted before, perhaps"
     );
-    assert!(matches!(back.hear(lease(3 << 8, 1), later).vote, Vote::Granted { .. }));
+    assert!(matches!(back.handle_vote_request(lease(3 << 8, 1), later).vote, Vote::Granted { .. }));
 }
 
 #[test]
 fn a_restart_waits_no_longer_once_the_one_promised_to_disowns_the_lease() {
     let mut back = Voter::start(Some(&promised(2 << 8)), None, &seeds(), false, START);
-    back.released(Ballot(1 << 8), START);
-    assert!(!back.vacant(START), "that is another's");
-    back.released(Ballot(2 << 8), START);
-    assert!(back.vacant(START));
+    back.end_quiet_period(Ballot(1 << 8), START);
+    assert!(!back.may_campaign(START), "that is another's");
+    back.end_quiet_period(Ballot(2 << 8), START);
+    assert!(back.may_campaign(START));
 }
 
 #[test]
 fn what_was_kept_under_an_older_ballot_gives_way_and_nothing_older_is_kept() {
     let mut voter = Voter::start(None, None, &seeds(), true, START);
     assert!(keep(&mut voter, register(1 << 8, 3), START));
-    assert!(matches!(voter.hear(lease(2 << 8, 2), START).vote, Vote::Granted { .. }));
+    assert!(matches!(voter.handle_vote_request(lease(2 << 8, 2), START).vote, Vote::Granted { .. }));
     assert!(!keep(&mut voter, register(1 << 8, 4), START), "promised to another since");
     assert!(keep(&mut voter, register(2 << 8, 3), START));
     assert!(!keep(&mut voter, register(2 << 8, 2), START), "older");
@@ -90,19 +102,19 @@
 #[test]
 fn the_count_of_doors_outlasts_a_restart_and_is_told_with_the_grant() {
     let mut voter = Voter::start(None, None, &seeds(), true, START);
-    let saved = voter.count(8);
-    assert!(voter.count(8).is_none() && voter.count(0).is_none(), "no news");
-    let Some(Save::Promise(record)) = saved else { panic!("{saved:?}") };
+    let saved = voter.update_proxy_count(8);
+    assert!(voter.update_proxy_count(8).is_none() && voter.update_proxy_count(0).is_none(), "no news");
+    let Some(DurableWrite::VoterRecord(record)) = saved else { panic!("{saved:?}") };
     let mut back = Voter::start(Some(&record), None, &seeds(), false, START);
-    let granted = back.hear(lease(1 << 8, 1), START.after(TERM)).vote;
+    let granted = back.handle_vote_request(lease(1 << 8, 1), START.after(LEASE_DURATION)).vote;
     assert!(matches!(granted, Vote::Granted { doors: 8, .. }), "{granted:?}");
 }
 
 #[test]
 fn what_was_not_saved_is_not_held() {
     let mut voter = Voter::start(None, None, &seeds(), true, START);
-    let step = voter.hear(VoteRequest::Accept { register: register(1 << 8, 1) }, START);
-    assert!(step.save.is_some(), "the disk then refuses it");
+    let step = voter.handle_vote_request(VoteRequest::Accept { register: register(1 << 8, 1) }, START);
+    assert!(step.write.is_some(), "the disk then refuses it");
     assert_eq!(voter.register().no, Revision(0));
 }
 
@@ -111,19 +123,19 @@
     let mut voter = Voter::start(None, None, &seeds(), false, START);
     let asked = VoteRequest::Recover { member: addr(2), incarnation: 1 };
     for request in [lease(1 << 8, 1), VoteRequest::Accept { register: register(1 << 8, 1) }, asked] {
-        let vote = voter.hear(request, START.after(TERM)).vote;
+        let vote = voter.handle_vote_request(request, START.after(LEASE_DURATION)).vote;
         assert!(matches!(&vote, Vote::Amnesic { seeds: told } if *told == seeds()), "{vote:?}");
     }
     let (mut one, mut other) = (Voter::start(None, None, &seeds(), true, START), voter_at(4 << 8, 6));
-    one.saved(Save::Register(Box::new(register(3 << 8, 7))));
-    assert!(matches!(one.hear(lease(5 << 8, 1), START).vote, Vote::Granted { .. }));
+    one.mark_persisted(DurableWrite::Register(Box::new(register(3 << 8, 7))));
+    assert!(matches!(one.handle_vote_request(lease(5 << 8, 1), START).vote, Vote::Granted { .. }));
     let (promise, register) = recover(1, &mut [(2, &mut one), (3, &mut other)], 1 << 32).expect("both told");
     assert_eq!((promise.ballot, register.rank()), (Ballot(5 << 8), (Ballot(4 << 8), Revision(6))));
-    voter.restore(&promise, register, START);
+    voter.complete_recovery(&promise, register, START);
     assert!(!keep(&mut voter, self::register(4 << 8, 9), START), "the others have promised to 5");
     assert!(keep(&mut voter, self::register(5 << 8, 9), START));
     assert!(
-        matches!(voter.hear(lease(6 << 8, 1), START).vote, Vote::Refused { .. }),
+        matches!(voter.handle_vote_request(lease(6 << 8, 1), START).vote, Vote::Refused { .. }),
         "it may have granted one"
     );
 }
@@ -138,16 +150,16 @@
 fn a_later_incarnation_is_kept_on_disk_and_an_earlier_one_is_told_so() {
     let mut voter = voter_at(4 << 8, 6);
     let recover = |incarnation| VoteRequest::Recover { member: addr(2), incarnation };
-    let step = voter.hear(recover(7 << 32), START);
-    let Some(Save::Promise(record)) = step.save else { panic!("nothing to save") };
+    let step = voter.handle_vote_request(recover(7 << 32), START);
+    let Some(DurableWrite::VoterRecord(record)) = step.write else { panic!("nothing to save") };
     let mut back = Voter::start(Some(&record), None, &seeds(), false, START);
     assert!(
-        matches!(back.hear(recover(6 << 32), START).vote, Vote::Outlived { incarnation } if incarnation == 7 << 32)
+        matches!(back.handle_vote_request(recover(6 << 32), START).vote, Vote::Outlived { incarnation } if incarnation == 7 << 32)
     );
-    let again = back.hear(recover(7 << 32), START);
-    assert!(matches!(again.vote, Vote::Known { .. }) && again.save.is_none(), "the answer was lost");
-    assert_eq!(back.cast(Vote::Unable).incarnations, BTreeMap::from([(addr(2), 7 << 32)]));
-    let (one, other) = (incarnation_above(7 << 32 | 9, 1), incarnation_above(7 << 32 | 9, u64::MAX));
+    let again = back.handle_vote_request(recover(7 << 32), START);
+    assert!(matches!(again.vote, Vote::Known { .. }) && again.write.is_none(), "the answer was lost");
+    assert_eq!(back.response(Vote::Unable).incarnations, BTreeMap::from([(addr(2), 7 << 32)]));
+    let (one, other) = (next_incarnation(7 << 32 | 9, 1), next_incarnation(7 << 32 | 9, u64::MAX));
     assert!(one > 7 << 32 | 9 && other > one && other < 9 << 32);
 }
 
@@ -157,21 +169,24 @@
     let renewed = VoteRequest::Renew { ballot: Ballot(5 << 8), holder: addr(1) };
     for request in [asked, renewed] {
         let mut voter = voter_at(4 << 8, 6);
-        assert!(voter.hear(request.clone(), START).save.is_some(), "the disk then refuses it");
-        let Some(save) = voter.hear(request.clone(), START).save else {
+        assert!(
+            voter.handle_vote_request(request.clone(), START).write.is_some(),
+            "the disk then refuses it"
+        );
+        let Some(save) = voter.handle_vote_request(request.clone(), START).write else {
             panic!("said without being on disk")
         };
-        voter.saved(save);
-        assert!(voter.hear(request, START).save.is_none(), "it is on disk");
+        voter.mark_persisted(save);
+        assert!(voter.handle_vote_request(request, START).write.is_none(), "it is on disk");
     }
 }
 
 #[test]
 fn ballots_of_two_machines_differ_wherever_they_are() {
     let at = |ip: [u8; 4]| SocketAddr::from((ip, 7600));
-    assert_ne!(above(Ballot(0), at([10, 1, 2, 3])), above(Ballot(0), at([11, 1, 2, 3])));
-    let mine = above(Ballot(0), at([10, 1, 2, 3]));
-    assert!(above(mine, at([0, 0, 0, 1])) > mine);
+    assert_ne!(next_ballot(Ballot(0), at([10, 1, 2, 3])), next_ballot(Ballot(0), at([11, 1, 2, 3])));
+    let mine = next_ballot(Ballot(0), at([10, 1, 2, 3]));
+    assert!(next_ballot(mine, at([0, 0, 0, 1])) > mine);
 }
 
 /// All histories of three voters and two holders of a fixed length, by a seeded walk: no two registers are ever kept by
@@ -185,7 +200,7 @@
         let mut now = START;
         let mut acknowledged: Option<Register> = None;
         for turn in 1..60u64 {
-            now = now.after(TERM);
+            now = now.after(LEASE_DURATION);
             let ballot = Ballot(turn << 8);
             // Some of the voters hear, in any order; one may have lost its disk since, and recovered.
             if walk.draw(6) == 0 {
@@ -195,15 +210,16 @@
                 let mut others: Vec<_> = others.map(|(no, voter)| (no as u8 + 1, voter)).collect();
                 let recovered = recover(lost as u8 + 1, &mut others, turn << 32);
                 let (promise, register) = recovered.expect("both others were heard");
-                fresh.restore(&promise, register, now);
+                fresh.complete_recovery(&promise, register, now);
                 voters[lost] = fresh;
-                now = now.after(TERM);
+                now = now.after(LEASE_DURATION);
             }
             let heard: Vec<_> = (0..3).filter(|_| walk.draw(3) > 0).collect();
             let mut granted = Vec::new();
             for &no in &heard {
                 let vote_request = VoteRequest::Lease { ballot, holder: addr(1) };
-                if let Vote::Granted { register, .. } = voters[no].hear(vote_request, now).vote {
+                if let Vote::Granted { register, .. } = voters[no].handle_vote_request(vote_request, now).vote
+                {
                     granted.push(register);
                 }
             }
--- a/crates/consensus/tests/model/drift.rs
+++ b/crates/consensus/tests/model/drift.rs
@@ -3,8 +3,8 @@
 use crate::machine::addr;
 use std::time::Duration;
 use vanewharf_clock::Timestamp;
-use vanewharf_consensus::election::Term;
-use vanewharf_consensus::voter::{MARGIN, TERM, Voter};
+use vanewharf_consensus::HeldLease;
+use vanewharf_consensus::{LEASE_DURATION, LEASE_SAFETY_MARGIN, Voter};
 use vanewharf_protocol::messages::{Ballot, Vote, VoteRequest};
 use yare::parameterized;
 
@@ -24,13 +24,14 @@
         let truly = Duration::from_micros(tenths * 100);
         let mut one = Voter::start(None, None, &seeds, true, Timestamp(START));
         // Asked and granted at one moment: the worst for the holder.
-        assert!(matches!(one.hear(lease(1, 0), Timestamp(START)).vote, Vote::Granted { .. }));
-        let granted = matches!(one.hear(lease(2, 1), at(truly, voter)).vote, Vote::Granted { .. });
-        granted && Term::won(Ballot(1), Timestamp(START)).lasts(at(truly, holder))
+        assert!(matches!(one.handle_vote_request(lease(1, 0), Timestamp(START)).vote, Vote::Granted { .. }));
+        let granted =
+            matches!(one.handle_vote_request(lease(2, 1), at(truly, voter)).vote, Vote::Granted { .. });
+        granted && HeldLease::granted(Ballot(1), Timestamp(START)).is_valid(at(truly, holder))
     })
 }
 
-/// The voter's clock may run faster than the holder's by TERM / (TERM - MARGIN) = 1.2: a fifth, or 9% each.
+/// The voter's clock may run faster than the holder's by LEASE_DURATION / (LEASE_DURATION - LEASE_SAFETY_MARGIN) = 1.2: a fifth, or 9% each.
 #[parameterized(
     alike = { 0, 0, false },
     both_by_nine_in_a_hundred = { -90_000, 90_000, false },
@@ -40,6 +41,6 @@
     the_other_way_nothing_happens = { 500_000, -300_000, false },
 )]
 fn a_fifth_of_drift_is_borne(holder: i64, voter: i64, two: bool) {
-    assert_eq!(TERM.as_secs_f64() / (TERM - MARGIN).as_secs_f64(), 1.2);
+    assert_eq!(LEASE_DURATION.as_secs_f64() / (LEASE_DURATION - LEASE_SAFETY_MARGIN).as_secs_f64(), 1.2);
     assert_eq!(two_at_once(holder, voter), two);
 }
--- a/crates/consensus/tests/model/liveness.rs
+++ b/crates/consensus/tests/model/liveness.rs
@@ -30,7 +30,7 @@
             let serving = |state: &State, place: usize| {
                 let (member, values) = (&state.members[place], state.values());
                 let has = |store: &Register| values.is_subset(&store.evacuated);
-                let serves = member.term.is_some_and(|term| term.serves(self.now(state, place)));
+                let serves = member.term.is_some_and(|term| term.may_serve(self.now(state, place)));
                 serves && (values.is_empty() || member.store.as_ref().is_some_and(has))
             };
             if (0..self.members).any(|place| serving(&state, place)) {
@@ -38,8 +38,8 @@
             }
             let tries = |place: &usize| {
                 let (member, now) = (&state.members[*place], self.now(&state, *place));
-                let lapsed = member.term.is_none_or(|term| !term.lasts(now));
-                lapsed && member.membership().voters.contains(&addr(*place)) && member.voter.vacant(now)
+                let lapsed = member.term.is_none_or(|term| !term.is_valid(now));
+                lapsed && member.membership().voters.contains(&addr(*place)) && member.voter.may_campaign(now)
             };
             let next = (0..self.members).find(|place| tries(place)).map_or(Action::Tick, Action::Try);
             let tried = matches!(next, Action::Try(_));
--- a/crates/consensus/tests/model/machine.rs
+++ b/crates/consensus/tests/model/machine.rs
@@ -8,9 +8,9 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use vanewharf_clock::Timestamp;
-use vanewharf_consensus::election::{Claim, Election, Keeping, Recovering, Renewing, Term};
-use vanewharf_consensus::membership::{carries, everyone};
-use vanewharf_consensus::voter::{Promise, Voter};
+use vanewharf_consensus::{AcceptRound, BallotClaim, Election, HeldLease, RecoveryRound, RenewalRound};
+use vanewharf_consensus::{Voter, VoterRecord};
+use vanewharf_consensus::{all_voters, has_quorum};
 use vanewharf_protocol::messages::{Ballot, Membership, Register, Revision, VoteRequest, VoteResponse};
 
 /// What a member's clock goes on in one tick of true time, in tenths of a millisecond. Two slow ticks are a
@@ -168,25 +168,25 @@
 pub struct Member {
     pub up: bool,
     pub voter: Voter,
-    pub promise: Option<Promise>,
+    pub promise: Option<VoterRecord>,
     pub register: Option<Register>,
     /// The rounds it ever began, so that votes of those that are over are told apart.
     pub rounds: u8,
     pub seen: Ballot,
-    pub claim: Claim,
+    pub claim: BallotClaim,
     pub election: Option<(u8, Ballot, Timestamp, Election)>,
-    pub term: Option<Term>,
+    pub term: Option<HeldLease>,
     pub next: Revision,
     /// The last that was proposed for the operator's orders, certain or not: the next one holds what it
     /// changed.
     pub proposed: Option<Register>,
-    pub renewing: Option<(u8, Timestamp, Renewing)>,
-    pub keeping: Option<(u8, Purpose, Register, Keeping)>,
+    pub renewing: Option<(u8, Timestamp, RenewalRound)>,
+    pub keeping: Option<(u8, Purpose, Register, AcceptRound)>,
     /// What it makes known: settled.
     pub store: Option<Register>,
     /// It began a change, and both sets have not renewed its lease since.
     pub unrenewed: bool,
-    pub recovering: Option<(u8, Recovering)>,
+    pub recovering: Option<(u8, RecoveryRound)>,
 }
 
 impl Member {
@@ -206,8 +206,8 @@
     }
 
     /// Whether it has its say.
-    pub fn sound(&self) -> bool {
-        self.up && !self.voter.amnesic()
+    pub fn votes(&self) -> bool {
+        self.up && !self.voter.is_amnesic()
     }
 }
 
@@ -283,7 +283,7 @@
 impl Lease {
     fn one_holder(&self, state: &State) -> bool {
         let holds = |(place, member): &(usize, &Member)| {
-            member.up && member.term.is_some_and(|term| term.lasts(self.now(state, *place)))
+            member.up && member.term.is_some_and(|term| term.is_valid(self.now(state, *place)))
         };
         state.members.iter().enumerate().filter(holds).count() <= 1
     }
@@ -298,11 +298,11 @@
         let lacks = |member: &SocketAddr| {
             let member = &state.members[place(*member)];
             let has = |register: &Register| values.is_subset(&register.evacuated);
-            let forgot = if member.up { member.voter.amnesic() } else { member.promise.is_none() };
+            let forgot = if member.up { member.voter.is_amnesic() } else { member.promise.is_none() };
             !forgot && !member.register.as_ref().is_some_and(has)
         };
-        let lacking: BTreeSet<_> = everyone(membership).into_iter().filter(lacks).collect();
-        values.is_empty() || !carries(membership, &lacking)
+        let lacking: BTreeSet<_> = all_voters(membership).into_iter().filter(lacks).collect();
+        values.is_empty() || !has_quorum(membership, &lacking)
     }
 
     /// Of the founders, who are the only set that is left here.
@@ -316,18 +316,18 @@
         }
         let unaware = |founder: &SocketAddr| {
             let member = &state.members[place(*founder)];
-            let forgot = if member.up { member.voter.amnesic() } else { member.promise.is_none() };
+            let forgot = if member.up { member.voter.is_amnesic() } else { member.promise.is_none() };
             let knows = |register: &Register| register.membership.epoch > 1;
             !forgot && !member.register.as_ref().is_some_and(knows)
         };
         let unaware = founders.iter().copied().filter(unaware).collect();
-        !carries(&Membership { epoch: 1, voters: founders, outgoing: Vec::new() }, &unaware)
+        !has_quorum(&Membership { epoch: 1, voters: founders, outgoing: Vec::new() }, &unaware)
     }
 
     fn read(&self, state: &State) -> bool {
         let values = state.values();
         state.members.iter().enumerate().all(|(place, member)| {
-            let serves = member.up && member.term.is_some_and(|term| term.serves(self.now(state, place)));
+            let serves = member.up && member.term.is_some_and(|term| term.may_serve(self.now(state, place)));
             let has = |register: &Register| values.is_subset(&register.evacuated);
             !serves || values.is_empty() || member.store.as_ref().is_some_and(has)
         })
@@ -346,7 +346,7 @@
             let founded = Voter::start(None, None, &founders, true, Timestamp(ORIGIN));
             let (promise, seeds) = (founded.record(), self.seeds());
             let mut voter = Voter::start(Some(&promise), None, &seeds, first, Timestamp(ORIGIN));
-            voter.released(Ballot(0), Timestamp(ORIGIN));
+            voter.end_quiet_period(Ballot(0), Timestamp(ORIGIN));
             Member {
                 up: true,
                 voter,
@@ -354,7 +354,7 @@
                 register: None,
                 rounds: 0,
                 seen: Ballot(0),
-                claim: Claim::default(),
+                claim: BallotClaim::default(),
                 election: None,
                 term: None,
                 next: Revision(0),
@@ -400,7 +400,10 @@
             state.net.clear();
         }
         if self.held {
-            assert!(state.members[0].term.is_some_and(|term| term.settled), "member 0 holds the lease");
+            assert!(
+                state.members[0].term.is_some_and(|term| term.register_committed),
+                "member 0 holds the lease"
+            );
         }
         (state.left, state.tick) = (self.budget, self.since);
         vec![state]
--- a/crates/consensus/tests/model/steps.rs
+++ b/crates/consensus/tests/model/steps.rs
@@ -5,12 +5,12 @@
 use std::net::SocketAddr;
 use std::ops::ControlFlow;
 use vanewharf_clock::Timestamp;
-use vanewharf_consensus::election::{Claim, Election, Keeping, Recovering, Renewing, Term};
-use vanewharf_consensus::election::{Outcome, Renewal, Turn};
-use vanewharf_consensus::membership::everyone;
-use vanewharf_consensus::membership::towards;
-use vanewharf_consensus::voter::{Promise, Voter};
-use vanewharf_consensus::voter::{Save, TERM, above};
+use vanewharf_consensus::all_voters;
+use vanewharf_consensus::next_membership;
+use vanewharf_consensus::{AcceptRound, BallotClaim, Election, HeldLease, RecoveryRound, RenewalRound};
+use vanewharf_consensus::{DurableWrite, LEASE_DURATION, next_ballot};
+use vanewharf_consensus::{ElectionOutcome, RecoveryStep, RenewalOutcome};
+use vanewharf_consensus::{Voter, VoterRecord};
 use vanewharf_protocol::messages::Vote;
 use vanewharf_protocol::messages::{Ballot, Register, Revision, VoteRequest, VoteResponse};
 
@@ -20,7 +20,7 @@
         if left.ticks > 0 {
             actions.push(Action::Tick);
         }
-        let lost = state.members.iter().filter(|member| !member.sound()).count();
+        let lost = state.members.iter().filter(|member| !member.votes()).count();
         for (place, member) in state.members.iter().enumerate() {
             if !member.up {
                 actions.push(Action::Restart(place));
@@ -28,7 +28,7 @@
             }
             let now = self.now(state, place);
             // Whoever comes next is lost only when those before are back.
-            if lost < self.losses || lost == self.losses && !member.sound() {
+            if lost < self.losses || lost == self.losses && !member.votes() {
                 if left.crashes > 0 {
                     actions.push(Action::Crash(place));
                 }
@@ -36,24 +36,24 @@
                     actions.push(Action::Wipe(place));
                 }
             }
-            let lapsed = member.term.is_none_or(|term| !term.lasts(now));
+            let lapsed = member.term.is_none_or(|term| !term.is_valid(now));
             let voter = member.membership().voters.contains(&addr(place));
             // A holder may want its own lease anew, under a higher ballot.
-            let may = member.voter.vacant(now) || member.term.is_some() && !lapsed;
+            let may = member.voter.may_campaign(now) || member.term.is_some() && !lapsed;
             if left.tries > 0 && voter && may {
                 actions.push(Action::Try(place));
             }
             if left.inquiries > 0
-                && member.promise.as_ref().is_some_and(|promise| promise.holder.is_some())
-                && member.voter.holder(now).is_none()
-                && !member.voter.vacant(now)
+                && member.promise.as_ref().is_some_and(|promise| promise.promised_to.is_some())
+                && member.voter.leaseholder(now).is_none()
+                && !member.voter.may_campaign(now)
             {
                 actions.push(Action::Inquire(place));
             }
             if left.timeouts > 0 && (member.keeping.is_some() || member.election.is_some()) {
                 actions.push(Action::TimeOut(place));
             }
-            if left.learns > 0 && !member.voter.amnesic() {
+            if left.learns > 0 && !member.voter.is_amnesic() {
                 let known = |(_, other): &(usize, &Member)| other.up && other.store.is_some();
                 let others = state.members.iter().enumerate().filter(known);
                 let others = others.filter(|(other, _)| *other != place);
@@ -68,7 +68,7 @@
             if left.leaves > 0 {
                 actions.push(Action::Leave(place));
             }
-            if member.keeping.is_some() || !term.serves(now) {
+            if member.keeping.is_some() || !term.may_serve(now) {
                 continue;
             }
             if left.values > 0 {
@@ -159,9 +159,9 @@
                 next.left.learns -= 1;
                 let register = next.members[from].store.clone()?;
                 let member = &mut next.members[place];
-                if let Some(save) = member.voter.learn(&register) {
+                if let Some(save) = member.voter.adopt_committed_register(&register) {
                     member.register = Some(register.clone());
-                    member.voter.saved(save);
+                    member.voter.mark_persisted(save);
                 }
                 // As `Store::set_register`.
                 if member.store.as_ref().is_none_or(|mine| register.no > mine.no) {
@@ -254,12 +254,12 @@
         let now = self.now(state, place);
         let member = &mut state.members[place];
         let name = if self.has(Planted::BallotsNotUnique) { addr(9) } else { addr(place) };
-        let ballot = above(member.seen.max(member.voter.promised()), name);
-        member.claim = Claim::on(ballot);
+        let ballot = next_ballot(member.seen.max(member.voter.promised_ballot()), name);
+        member.claim = BallotClaim::new(ballot);
         let (set, known) = member.newest_set();
         (member.term, member.keeping, member.renewing, member.unrenewed) = (None, None, None, false);
-        let voters = everyone(&set);
-        let election = Election::begin(addr(place), set, known);
+        let voters = all_voters(&set);
+        let election = Election::start(addr(place), set, known);
         let request = VoteRequest::Lease { ballot, holder: addr(place) };
         let round = self.ask(state, place, &voters, request);
         state.members[place].election = Some((round, ballot, now, election));
@@ -272,8 +272,8 @@
         };
         let (asked, set) = (self.now(state, place), state.members[place].membership());
         let request = VoteRequest::Renew { ballot: term.ballot, holder: addr(place) };
-        let round = self.ask(state, place, &everyone(&set), request);
-        state.members[place].renewing = Some((round, asked, Renewing::begin(term.ballot, set)));
+        let round = self.ask(state, place, &all_voters(&set), request);
+        state.members[place].renewing = Some((round, asked, RenewalRound::start(term.ballot, set)));
     }
 
     /// As `Office::newest`, `propose` and `acknowledge`.
@@ -298,7 +298,7 @@
         let newest = self.has(Planted::ConcludedUnkept);
         let settled = if newest { member.membership() } else { member.settled_set() };
         let voters = self.change.iter().map(|place| addr(*place)).collect();
-        let Some(mut membership) = towards(&settled, &voters) else {
+        let Some(mut membership) = next_membership(&settled, &voters) else {
             return;
         };
         if self.has(Planted::ChangeWithoutOutgoing) {
@@ -309,15 +309,15 @@
 
     /// As `Office::kept`.
     fn keep(&self, state: &mut State, place: usize, purpose: Purpose, register: Register) {
-        let keeping = Keeping::begin(&register);
-        let mut voters = everyone(&state.members[place].membership());
-        voters.extend(everyone(&register.membership));
+        let keeping = AcceptRound::start(&register);
+        let mut voters = all_voters(&state.members[place].membership());
+        voters.extend(all_voters(&register.membership));
         let round = self.ask(state, place, &voters, VoteRequest::Accept { register: register.clone() });
         state.members[place].keeping = Some((round, purpose, register, keeping));
     }
 
     fn release(&self, state: &mut State, place: usize, ballot: Ballot) {
-        let voters = everyone(&state.members[place].membership());
+        let voters = all_voters(&state.members[place].membership());
         self.ask(state, place, &voters, VoteRequest::Release { ballot });
     }
 
@@ -325,7 +325,7 @@
     fn lose(&self, state: &mut State, place: usize, ballot: Ballot, election: &Election) {
         if state.left.releases > 0 {
             state.left.releases -= 1;
-            self.ask(state, place, &everyone(election.set()), VoteRequest::Release { ballot });
+            self.ask(state, place, &all_voters(election.membership()), VoteRequest::Release { ballot });
         }
     }
 
@@ -335,7 +335,7 @@
         (member.election, member.term, member.renewing, member.keeping) = (None, None, None, None);
         (member.store, member.recovering, member.unrenewed) = (None, None, false);
         member.proposed = None;
-        (member.seen, member.claim, member.next) = (Ballot(0), Claim::default(), Revision(0));
+        (member.seen, member.claim, member.next) = (Ballot(0), BallotClaim::default(), Revision(0));
         state.net.retain(|one| !(one.owner == place && (one.vote.is_some() || one.voter == place)));
     }
 
@@ -347,15 +347,15 @@
         member.up = true;
         member.voter = Voter::start(member.promise.as_ref(), member.register.clone(), &seeds, false, now);
         if self.has(Planted::NoQuietTerm) {
-            member.voter.released(member.voter.promised(), now);
+            member.voter.end_quiet_period(member.voter.promised_ballot(), now);
         }
-        if member.voter.amnesic() {
+        if member.voter.is_amnesic() {
             self.recover(state, place, wiped);
         }
     }
 
     pub fn recover(&self, state: &mut State, place: usize, chance: u64) {
-        let recovering = Recovering::begin(addr(place), self.seeds(), chance);
+        let recovering = RecoveryRound::start(addr(place), self.seeds(), chance);
         let request = VoteRequest::Recover { member: addr(place), incarnation: recovering.incarnation() };
         let others = self.seeds().into_iter().filter(|seed| *seed != addr(place)).collect();
         let round = self.ask(state, place, &others, request);
@@ -364,19 +364,21 @@
 
     /// As `Office::inquire` and `Office::holds_by`; asked and answered at once.
     fn inquire(&self, state: &mut State, asker: usize) {
-        let Some(Promise { ballot, holder: Some(holder), .. }) = state.members[asker].promise.clone() else {
+        let Some(VoterRecord { ballot, promised_to: Some(holder), .. }) =
+            state.members[asker].promise.clone()
+        else {
             return;
         };
         let (now, then) = (self.now(state, asker), self.now(state, place(holder)));
         let holder = &mut state.members[place(holder)];
         let mut claim = holder.claim;
-        if !holder.up || claim.asked(ballot, holder.term, then) {
+        if !holder.up || claim.answer_inquiry(ballot, holder.term, then) {
             return;
         }
         if !self.has(Planted::NotDisowned) {
             holder.claim = claim;
         }
-        state.members[asker].voter.released(ballot, now);
+        state.members[asker].voter.end_quiet_period(ballot, now);
     }
 
     fn deliver(&self, state: &mut State, envelope: Envelope, refused: bool) {
@@ -411,27 +413,27 @@
         let forgets = self.has(Planted::RefusalForgotten);
         let early = self.has(Planted::PromiseBeforeDisk) && state.tick > 0;
         let member = &mut state.members[envelope.voter];
-        let step = member.voter.hear(envelope.request.clone(), now);
+        let step = member.voter.handle_vote_request(envelope.request.clone(), now);
         let mut vote = step.vote;
-        match step.save {
+        match step.write {
             Some(_) if refused => {
                 vote = Vote::Unable;
                 if forgets {
                     // What the voter did before it kept in mind that its disk lacks something.
-                    member.voter.saved(Save::Promise(member.voter.record()));
+                    member.voter.mark_persisted(DurableWrite::VoterRecord(member.voter.record()));
                 }
             }
             Some(save) => {
                 match &save {
-                    Save::Promise(_) if early => {}
-                    Save::Promise(promise) => member.promise = Some(promise.clone()),
-                    Save::Register(register) => member.register = Some(Register::clone(register)),
+                    DurableWrite::VoterRecord(_) if early => {}
+                    DurableWrite::VoterRecord(promise) => member.promise = Some(promise.clone()),
+                    DurableWrite::Register(register) => member.register = Some(Register::clone(register)),
                 }
-                member.voter.saved(save);
+                member.voter.mark_persisted(save);
             }
             None => {}
         }
-        member.voter.cast(vote)
+        member.voter.response(vote)
     }
 
     fn owner_hears(&self, state: &mut State, envelope: Envelope, cast: VoteResponse) {
@@ -439,8 +441,8 @@
         let (me, from) = (owner, addr(voter));
         let member = &mut state.members[me];
         if let Some((_, ballot, asked, mut election)) = member.election.take_if(|now| now.0 == round) {
-            let outcome = election.hear(from, cast);
-            member.seen = member.seen.max(election.overtaken_by());
+            let outcome = election.record_response(from, cast);
+            member.seen = member.seen.max(election.highest_refused_ballot());
             match outcome {
                 ControlFlow::Continue(()) => {
                     // One in which all have spoken is lost, and its votes with it.
@@ -451,26 +453,26 @@
                         self.lose(state, me, ballot, &election);
                     }
                 }
-                ControlFlow::Break(Outcome::Ask(others)) => {
+                ControlFlow::Break(ElectionOutcome::QueryAlso(others)) => {
                     // Those that have not spoken are asked again; what they say to the first time is not
                     // heard.
                     state.net.retain(|one| !(one.owner == me && one.round == round && one.vote.is_some()));
                     let again = self.ask(state, me, &others, request);
                     state.members[me].election = Some((again, ballot, asked, election));
                 }
-                ControlFlow::Break(Outcome::Won(found)) if member.claim.stands(ballot) => {
+                ControlFlow::Break(ElectionOutcome::Won(found)) if member.claim.is_valid_for(ballot) => {
                     self.win(state, me, ballot, asked, *found);
                 }
-                ControlFlow::Break(Outcome::Won(_) | Outcome::Left) => {
+                ControlFlow::Break(ElectionOutcome::Won(_) | ElectionOutcome::NotAVoter) => {
                     self.lose(state, me, ballot, &election)
                 }
             }
         } else if let Some((_, asked, mut renewing)) = member.renewing.take_if(|now| now.0 == round) {
-            match renewing.hear(from, cast) {
+            match renewing.record_response(from, cast) {
                 ControlFlow::Break(()) => {
-                    let both = renewing.set() == &member.settled_set();
+                    let both = renewing.membership() == &member.settled_set();
                     let claim = member.claim;
-                    if let Some(term) = member.term.filter(|term| claim.stands(term.ballot)) {
+                    if let Some(term) = member.term.filter(|term| claim.is_valid_for(term.ballot)) {
                         member.term = Some(self.lasting(term.renewed(asked), asked));
                         member.unrenewed &= !both;
                     }
@@ -479,7 +481,7 @@
                     let waits = state.net.iter().any(|one| one.owner == me && one.round == round);
                     if waits {
                         member.renewing = Some((round, asked, renewing));
-                    } else if renewing.outcome() == Renewal::Overtaken {
+                    } else if renewing.outcome() == RenewalOutcome::Superseded {
                         member.term = None;
                     }
                 }
@@ -491,7 +493,7 @@
                 state.net.push(Envelope { owner, round, voter, request, vote: None });
                 return;
             }
-            match keeping.hear(from, cast) {
+            match keeping.record_response(from, cast) {
                 ControlFlow::Continue(()) => member.keeping = Some((round, purpose, register, keeping)),
                 ControlFlow::Break(true) => self.carried(state, me, purpose, register),
                 ControlFlow::Break(false) => {}
@@ -501,8 +503,12 @@
         }
     }
 
-    fn lasting(&self, term: Term, asked: Timestamp) -> Term {
-        if self.has(Planted::NoMargin) { Term { until: asked.after(TERM), ..term } } else { term }
+    fn lasting(&self, term: HeldLease, asked: Timestamp) -> HeldLease {
+        if self.has(Planted::NoMargin) {
+            HeldLease { valid_until: asked.after(LEASE_DURATION), ..term }
+        } else {
+            term
+        }
     }
 
     fn win(&self, state: &mut State, me: usize, ballot: Ballot, asked: Timestamp, found: Register) {
@@ -512,7 +518,7 @@
         }
         state.won.insert(ballot, found.evacuated.clone());
         let member = &mut state.members[me];
-        member.term = Some(self.lasting(Term::won(ballot, asked), asked));
+        member.term = Some(self.lasting(HeldLease::granted(ballot, asked), asked));
         member.next = Revision(found.no.0 + 1);
         let register = Register { ballot, ..found };
         if register.no == Revision(0) {
@@ -530,8 +536,8 @@
             return;
         };
         match purpose {
-            Purpose::Settle => member.term = Some(Term { settled: true, ..term }),
-            _ if !term.serves(now) => return,
+            Purpose::Settle => member.term = Some(HeldLease { register_committed: true, ..term }),
+            _ if !term.may_serve(now) => return,
             Purpose::Begin => member.unrenewed = true,
             Purpose::Value | Purpose::Conclude => {}
         }
@@ -556,7 +562,7 @@
         state: &mut State,
         (me, round): (usize, u8),
         (voter, request): (usize, VoteRequest),
-        recovering: &mut Recovering,
+        recovering: &mut RecoveryRound,
         cast: VoteResponse,
     ) {
         let now = self.now(state, me);
@@ -565,25 +571,25 @@
                 let membership = register.membership.clone();
                 let incarnation = recovering.incarnation();
                 let blank = Voter::start(None, None, &membership.voters, true, now).record();
-                let promise = Promise { ballot: *promised, incarnation, ..blank };
-                Some(Turn::Restore(Box::new(promise), Box::new(register.clone())))
+                let promise = VoterRecord { ballot: *promised, incarnation, ..blank };
+                Some(RecoveryStep::Restore(Box::new(promise), Box::new(register.clone())))
             }
             _ => None,
         };
         let known = matches!(cast.vote, Vote::Known { .. });
         let before = recovering.incarnation();
-        recovering.hear(addr(voter), cast);
+        recovering.record_response(addr(voter), cast);
         let chance = u64::from(self.budget.wipes - state.left.wipes);
-        match believed.unwrap_or_else(|| recovering.turn(chance)) {
-            Turn::Restore(promise, register) => {
+        match believed.unwrap_or_else(|| recovering.next_step(chance)) {
+            RecoveryStep::Restore(promise, register) => {
                 let member = &mut state.members[me];
                 (member.promise, member.register) = (Some(*promise.clone()), Some(*register.clone()));
-                member.voter.restore(&promise, *register, now);
+                member.voter.complete_recovery(&promise, *register, now);
                 if self.has(Planted::NoQuietTerm) {
-                    member.voter.released(member.voter.promised(), now);
+                    member.voter.end_quiet_period(member.voter.promised_ballot(), now);
                 }
             }
-            Turn::Ask(others) => {
+            RecoveryStep::Query(others) => {
                 let member = addr(me);
                 if recovering.incarnation() != before {
                     // What others say to the incarnation before is heard no more.
@@ -596,7 +602,7 @@
                 let asked = |other: &SocketAddr| {
                     state.net.iter().any(|one| one.owner == me && one.voter == place(*other))
                 };
-                let spoke = recovering.known();
+                let spoke = recovering.respondents();
                 let others: BTreeSet<_> = others
                     .into_iter()
                     .filter(|other| !asked(other) && !spoke.contains(other))
--- a/programs/controller/src/internal_api.rs
+++ b/programs/controller/src/internal_api.rs
@@ -58,7 +58,7 @@
         }
         if let Some(follower) = &pull.office {
             let settled = self.feed.store().register.as_ref().map_or(Revision(0), |register| register.no);
-            self.following.borrow_mut().hear(follower, settled, now);
+            self.following.borrow_mut().record_pull(follower, settled, now);
         }
         let mut mail = self.feed.answer(&pull).await;
         mail.holder = self.replica.holder();
--- a/programs/controller/src/lib.rs
+++ b/programs/controller/src/lib.rs
@@ -22,7 +22,7 @@
 use storage::{Record, Storage};
 use tokio::time::sleep;
 use vanewharf_config::settings::Settings;
-use vanewharf_consensus::voter::{Promise, Voter};
+use vanewharf_consensus::{Voter, VoterRecord};
 use vanewharf_discovery::summing::Summing;
 use vanewharf_protocol::messages::ControllerEntry;
 use vanewharf_quota::quota::Buckets;
@@ -73,14 +73,14 @@
     let steady = premises.steady();
     let feed = Publisher::new(steady);
     let me = settings.office(settings.ip);
-    let promise: Option<Promise> = found.record(Record::Promise);
+    let promise: Option<VoterRecord> = found.record(Record::Promise);
     let first = settings.initial_start && found.nothing();
     let seeds: Vec<_> = settings.seeds.iter().map(|seed| settings.office(seed.ip())).collect();
     let voter = Voter::start(promise.as_ref(), found.record(Record::Register), &seeds, first, steady.now());
     if first && let Err(error) = disk.save(Record::Promise, &voter.record()).await {
         spdlog::warn!("the set of voters is not on disk: {}", error);
     }
-    let amnesic = voter.amnesic();
+    let amnesic = voter.is_amnesic();
     let replica = Replica::start(me, seeds, voter, disk.clone(), feed.clone(), premises.clone());
     if let Some(promise) = promise {
         tokio::task::spawn_local(Rc::clone(&replica).inquire(promise));
--- a/programs/controller/src/operator_api.rs
+++ b/programs/controller/src/operator_api.rs
@@ -7,8 +7,8 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use vanewharf_config::config::Config;
-use vanewharf_consensus::group::Change;
-use vanewharf_consensus::membership::sound;
+use vanewharf_consensus::OperatorChange;
+use vanewharf_consensus::majority_in_sync;
 use vanewharf_http1::Request;
 use vanewharf_rpc::RpcResponse;
 
@@ -48,14 +48,14 @@
     let config = Config::of(body).map_err(|fault| RpcResponse::status(400, &fault.to_string()))?;
     let text = String::from_utf8(body.to_vec()).map_err(|_| RpcResponse::status(400, "it is no text"))?;
     let raw = RawValue::from_string(text).map_err(|error| RpcResponse::status(400, &error.to_string()))?;
-    Ok(Order::Change(Change::Replace { revision: config.revision, config: raw }))
+    Ok(Order::Change(OperatorChange::Replace { revision: config.revision, config: raw }))
 }
 
 pub fn evacuate(state: &ControllerState, zone: &str, begin: bool) -> Result<Order, RpcResponse> {
     if !state.settings.zones.contains_key(zone) {
         return Err(RpcResponse::status(404, &format!("the zone {zone} is not known")));
     }
-    Ok(Order::Change(Change::Evacuate { zone: zone.to_owned(), begin }))
+    Ok(Order::Change(OperatorChange::Evacuate { zone: zone.to_owned(), begin }))
 }
 
 /// By the addresses of machines. The one that takes orders knows who keeps up; no change is begun that these could not
@@ -86,13 +86,13 @@
         (false, false) => format!("{out} is no voter; they are {voters:?}"),
         (true, true) if out == into => format!("{out} cannot take its own place"),
         (true, true) => format!("{into} is a voter already; the set must not shrink"),
-        (true, false) if !sound(&[into].into(), &candidates) => {
+        (true, false) if !majority_in_sync(&[into].into(), &candidates) => {
             format!("no postmaster that keeps up is heard of at {into}")
         }
         (true, false) => {
             voters.remove(&out);
             voters.insert(into);
-            if !sound(&voters, &candidates) {
+            if !majority_in_sync(&voters, &candidates) {
                 return Err(RpcResponse::status(503, "too few of the new voters keep up now; send it again"));
             }
             return Ok(Order::Reconfigure { epoch: membership.epoch, voters });
--- a/programs/controller/src/orders.rs
+++ b/programs/controller/src/orders.rs
@@ -13,7 +13,7 @@
 use std::time::Duration;
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{Instant, timeout};
-use vanewharf_consensus::group::{Change, Outcome, gathered};
+use vanewharf_consensus::{ChangeOutcome, OperatorChange, apply_changes};
 use vanewharf_protocol::messages::{Ballot, Register, Revision};
 
 #[derive(Debug)]
@@ -23,7 +23,7 @@
         epoch: u64,
         voters: BTreeSet<SocketAddr>,
     },
-    Change(Change),
+    Change(OperatorChange),
 }
 
 /// What became of an order.
@@ -210,17 +210,17 @@
         }
     }
 
-    fn begin(&mut self, changes: &[Change], replies: Vec<oneshot::Sender<OrderOutcome>>) {
+    fn begin(&mut self, changes: &[OperatorChange], replies: Vec<oneshot::Sender<OrderOutcome>>) {
         let newest = self.replica.newest();
-        let group = gathered(&newest, changes);
+        let group = apply_changes(&newest, changes);
         let held = group.register.taken.last().map_or(0, |taken| taken.revision);
-        let conflicts = group.outcomes.iter().filter(|outcome| **outcome == Outcome::Conflict).count();
+        let conflicts = group.outcomes.iter().filter(|outcome| **outcome == ChangeOutcome::Conflict).count();
         if conflicts > 0 {
             spdlog::warn!("{} refused: another was taken under the number; r{} is held", conflicts, held);
         }
         let done = |outcome| match outcome {
-            Outcome::Acknowledged => OrderOutcome::Acknowledged,
-            Outcome::Conflict => OrderOutcome::Conflict { held },
+            ChangeOutcome::Acknowledged => OrderOutcome::Acknowledged,
+            ChangeOutcome::Conflict => OrderOutcome::Conflict { held },
         };
         let told = group.outcomes.into_iter().map(done).zip(replies).collect();
         if !group.changed && self.replica.certain(&newest) {
--- a/programs/controller/src/replica.rs
+++ b/programs/controller/src/replica.rs
@@ -18,9 +18,9 @@
 use tokio::sync::mpsc;
 use vanewharf_clock::{MonotonicClock, Timestamp};
 use vanewharf_config::config::Config;
-use vanewharf_consensus::election::{Claim, Rank, Term};
-use vanewharf_consensus::membership::everyone;
-use vanewharf_consensus::voter::Voter;
+use vanewharf_consensus::Voter;
+use vanewharf_consensus::all_voters;
+use vanewharf_consensus::{BallotClaim, HeldLease, Rank};
 use vanewharf_protocol::messages::{Ballot, Membership, Register, Revision};
 use vanewharf_rpc::Publisher;
 use vanewharf_rpc::RpcClient;
@@ -45,8 +45,8 @@
     commands: Commands,
     /// By how many doors, as far as those know who granted the lease in hand.
     doors: Cell<u32>,
-    term: Cell<Option<Term>>,
-    claim: Cell<Claim>,
+    term: Cell<Option<HeldLease>>,
+    claim: Cell<BallotClaim>,
     callers: RefCell<BTreeMap<SocketAddr, Vec<RpcClient>>>,
     /// No number is given twice under one ballot.
     next: Cell<Revision>,
@@ -111,7 +111,7 @@
     /// Other control machines to hear from: those who have a say as far as is known here, and the seeds: all who had a say
     /// when this machine was last up may be gone.
     pub fn peers(&self) -> Vec<SocketAddr> {
-        let mut all = everyone(&self.membership());
+        let mut all = all_voters(&self.membership());
         all.extend(&self.seeds);
         all.remove(&self.me);
         all.into_iter().collect()
@@ -120,13 +120,13 @@
     /// The register on this machine's disk, where it may vote.
     pub fn kept_here(&self) -> Option<(Ballot, Revision)> {
         let voter = self.voter.borrow();
-        (!voter.amnesic()).then(|| voter.register().rank())
+        (!voter.is_amnesic()).then(|| voter.register().rank())
     }
 
     /// Whether this process holds the lease now and may act by it.
     pub fn holds(&self) -> bool {
         let now = self.now();
-        self.term.get().is_some_and(|term| term.serves(now))
+        self.term.get().is_some_and(|term| term.may_serve(now))
     }
 
     /// What the register in hand says.
@@ -151,7 +151,7 @@
             return Some(self.me);
         }
         let other = |holder: &SocketAddr| *holder != self.me;
-        self.voter.borrow().holder(now).filter(other).or(self.feed.store().holder.filter(other))
+        self.voter.borrow().leaseholder(now).filter(other).or(self.feed.store().holder.filter(other))
     }
 
     /// By how many doors, as far as those know who granted the lease in hand.
@@ -170,7 +170,7 @@
     /// Whether this process still holds what was promised to it under that ballot; where not, it never will.
     pub fn holds_by(&self, ballot: Ballot) -> bool {
         let mut claim = self.claim.get();
-        let held = claim.asked(ballot, self.term.get(), self.now());
+        let held = claim.answer_inquiry(ballot, self.term.get(), self.now());
         self.claim.set(claim);
         held
     }
--- a/programs/controller/src/replica/election.rs
+++ b/programs/controller/src/replica/election.rs
@@ -4,9 +4,9 @@
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::time::sleep;
-use vanewharf_consensus::election::{Canvass, Claim, Election, Outcome, Term};
-use vanewharf_consensus::membership::everyone;
-use vanewharf_consensus::voter::above;
+use vanewharf_consensus::all_voters;
+use vanewharf_consensus::next_ballot;
+use vanewharf_consensus::{BallotClaim, Election, ElectionOutcome, HeldLease, PreVoteRound};
 use vanewharf_protocol::messages::VoteRequest;
 
 /// By how much later each voter tries than the one before it.
@@ -25,43 +25,48 @@
             };
             if !std::mem::take(&mut again) {
                 sleep(WATCH / 2).await;
-                if !self.voter.borrow().vacant(self.now()) || self.leaving.get() {
+                if !self.voter.borrow().may_campaign(self.now()) || self.leaving.get() {
                     continue;
                 }
                 sleep(STAGGER * place as u32 + Duration::from_millis(chance)).await;
-                if !self.voter.borrow().vacant(self.now()) {
+                if !self.voter.borrow().may_campaign(self.now()) {
                     continue;
                 }
             }
             let (set, known) = self.newest_set();
-            let mut canvass = Canvass::begin(set.clone());
+            let mut canvass = PreVoteRound::start(set.clone());
             let request = VoteRequest::PreVote { holder: self.me };
-            let promised = self.poll(&everyone(&set), request, |voter, cast| canvass.hear(voter, cast)).await;
+            let promised = self
+                .poll(&all_voters(&set), request, |voter, cast| canvass.record_response(voter, cast))
+                .await;
             let Some(promised) = promised else {
                 sleep(Duration::from_millis(50 + self.premises.draw(200))).await;
                 continue;
             };
-            let ballot = above(promised.max(self.barred.get()).max(self.voter.borrow().promised()), self.me);
+            let ballot = next_ballot(
+                promised.max(self.barred.get()).max(self.voter.borrow().promised_ballot()),
+                self.me,
+            );
             let asked = self.now();
-            self.claim.set(Claim::on(ballot));
+            self.claim.set(BallotClaim::new(ballot));
             let request = VoteRequest::Lease { ballot, holder: self.me };
-            let mut ask = everyone(&set);
-            let mut election = Election::begin(self.me, set, known);
+            let mut ask = all_voters(&set);
+            let mut election = Election::start(self.me, set, known);
             let found = loop {
-                let hear = |voter, cast| election.hear(voter, cast);
+                let hear = |voter, cast| election.record_response(voter, cast);
                 match self.poll(&ask, request.clone(), hear).await {
-                    Some(Outcome::Ask(others)) => ask = others,
-                    Some(Outcome::Won(found)) => break Some(*found),
-                    Some(Outcome::Left) | None => break None,
+                    Some(ElectionOutcome::QueryAlso(others)) => ask = others,
+                    Some(ElectionOutcome::Won(found)) => break Some(*found),
+                    Some(ElectionOutcome::NotAVoter) | None => break None,
                 }
             };
-            let Some(found) = found.filter(|_| self.claim.get().stands(ballot)) else {
-                self.release(election.set(), ballot).await;
+            let Some(found) = found.filter(|_| self.claim.get().is_valid_for(ballot)) else {
+                self.release(election.membership(), ballot).await;
                 sleep(Duration::from_millis(50 + self.premises.draw(200))).await;
                 continue;
             };
-            self.doors.set(election.doors());
-            self.term.set(Some(Term::won(ballot, asked)));
+            self.doors.set(election.proxy_count());
+            self.term.set(Some(HeldLease::granted(ballot, asked)));
             again = self.hold(ballot, found).await;
             self.term.set(None);
             spdlog::info!("the lease under ballot {} has ended", ballot.0);
--- a/programs/controller/src/replica/reconfiguration.rs
+++ b/programs/controller/src/replica/reconfiguration.rs
@@ -4,8 +4,8 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use std::rc::Rc;
-use vanewharf_consensus::election::Renewal;
-use vanewharf_consensus::membership::towards;
+use vanewharf_consensus::RenewalOutcome;
+use vanewharf_consensus::next_membership;
 use vanewharf_protocol::messages::{Membership, Register};
 
 impl Replica {
@@ -18,11 +18,11 @@
     /// majority of the new set has all that was kept.
     pub async fn reconfigure(self: &Rc<Self>, voters: BTreeSet<SocketAddr>) -> bool {
         // One that a holder before this one began is concluded first.
-        while let Some(membership) = towards(&self.settled_set(), &voters) {
+        while let Some(membership) = next_membership(&self.settled_set(), &voters) {
             // Between the two the lease is renewed by both sets: a holder that went by votes of the old one alone could
             // be overtaken by one whom the new one elects.
             let concludes = membership.outgoing.is_empty();
-            if concludes && self.renew(self.ballot()).await != Renewal::Carried {
+            if concludes && self.renew(self.ballot()).await != RenewalOutcome::Renewed {
                 return false;
             }
             if !self.acknowledge(|register| Register { membership, ..register.clone() }).await {
--- a/programs/controller/src/replica/renewal.rs
+++ b/programs/controller/src/replica/renewal.rs
@@ -3,9 +3,9 @@
 use super::Replica;
 use std::rc::Rc;
 use tokio::time::sleep;
-use vanewharf_consensus::election::{Renewal, Renewing, Term};
-use vanewharf_consensus::membership::everyone;
-use vanewharf_consensus::voter::RENEWED;
+use vanewharf_consensus::RENEWAL_INTERVAL;
+use vanewharf_consensus::all_voters;
+use vanewharf_consensus::{HeldLease, RenewalOutcome, RenewalRound};
 use vanewharf_protocol::messages::{Ballot, Register, Revision, VoteRequest};
 
 impl Replica {
@@ -24,15 +24,15 @@
             })
         };
         let again = loop {
-            sleep(RENEWED).await;
+            sleep(RENEWAL_INTERVAL).await;
             // One that has left the set hands the lease over.
             if self.leaving.get() || !self.membership().voters.contains(&self.me) {
                 break false;
             }
-            if self.renew(ballot).await == Renewal::Overtaken {
+            if self.renew(ballot).await == RenewalOutcome::Superseded {
                 break false;
             }
-            if self.term.get().is_none_or(|term| !term.lasts(self.now())) {
+            if self.term.get().is_none_or(|term| !term.is_valid(self.now())) {
                 break false;
             }
             if self.barred.get() > ballot {
@@ -45,17 +45,17 @@
     }
 
     /// For another term, by all who have a say now.
-    pub(super) async fn renew(self: &Rc<Self>, ballot: Ballot) -> Renewal {
+    pub(super) async fn renew(self: &Rc<Self>, ballot: Ballot) -> RenewalOutcome {
         let (asked, set) = (self.now(), self.membership());
         let request = VoteRequest::Renew { ballot, holder: self.me };
-        let mut renewing = Renewing::begin(ballot, set);
-        let voters = everyone(renewing.set());
-        self.poll(&voters, request, |voter, cast| renewing.hear(voter, cast)).await;
-        if !self.claim.get().stands(ballot) {
-            return Renewal::Overtaken;
+        let mut renewing = RenewalRound::start(ballot, set);
+        let voters = all_voters(renewing.membership());
+        self.poll(&voters, request, |voter, cast| renewing.record_response(voter, cast)).await;
+        if !self.claim.get().is_valid_for(ballot) {
+            return RenewalOutcome::Superseded;
         }
         let outcome = renewing.outcome();
-        if outcome == Renewal::Carried
+        if outcome == RenewalOutcome::Renewed
             && let Some(term) = self.term.get().filter(|term| term.ballot == ballot)
         {
             self.term.set(Some(term.renewed(asked)));
@@ -67,7 +67,7 @@
         let Some(term) = self.term.get().filter(|term| term.ballot == register.ballot) else {
             return;
         };
-        self.term.set(Some(Term { settled: true, ..term }));
+        self.term.set(Some(HeldLease { register_committed: true, ..term }));
         let me = self.me;
         self.feed.change(|store| {
             store.holder = Some(me);
--- a/programs/controller/src/replica/replication.rs
+++ b/programs/controller/src/replica/replication.rs
@@ -7,8 +7,8 @@
 use std::time::Duration;
 use tokio::sync::mpsc;
 use tokio::time::{sleep, timeout};
-use vanewharf_consensus::election::Keeping;
-use vanewharf_consensus::membership::everyone;
+use vanewharf_consensus::AcceptRound;
+use vanewharf_consensus::all_voters;
 use vanewharf_protocol::messages::{Ballot, Register, Revision, Vote, VoteRequest};
 
 /// For one that does, once.
@@ -19,8 +19,8 @@
 impl Replica {
     /// Whether a majority of those that it names has it on disk; tried again and again until then, or the lease ends.
     pub(super) async fn kept(self: &Rc<Self>, register: &Register) -> bool {
-        let named = everyone(&register.membership);
-        let voters: BTreeSet<_> = everyone(&self.membership()).union(&named).copied().collect();
+        let named = all_voters(&register.membership);
+        let voters: BTreeSet<_> = all_voters(&self.membership()).union(&named).copied().collect();
         let no = register.no;
         let (said, mut votes) = mpsc::unbounded_channel();
         let mut trying = Vec::new();
@@ -42,10 +42,10 @@
             }));
         }
         drop(said);
-        let mut keeping = Keeping::begin(register);
+        let mut keeping = AcceptRound::start(register);
         let counting = async {
             while let Some((voter, cast)) = votes.recv().await {
-                if let ControlFlow::Break(carried) = keeping.hear(voter, cast) {
+                if let ControlFlow::Break(carried) = keeping.record_response(voter, cast) {
                     return carried;
                 }
             }
--- a/programs/controller/src/replica/vote_rpc.rs
+++ b/programs/controller/src/replica/vote_rpc.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 use tokio::sync::mpsc;
 use tokio::time::timeout;
-use vanewharf_consensus::membership::{assents, carries, everyone};
+use vanewharf_consensus::{all_voters, assenting_voters, has_quorum};
 use vanewharf_protocol::messages::{Ballot, Membership, Vote, VoteRequest, VoteResponse};
 use vanewharf_rpc::RpcClient;
 
@@ -70,9 +70,13 @@
     pub(super) async fn release(self: &Rc<Self>, set: &Membership, ballot: Ballot) {
         let mut votes = Vec::new();
         let request = VoteRequest::Release { ballot };
-        self.poll(&everyone(set), request, |voter, cast| {
+        self.poll(&all_voters(set), request, |voter, cast| {
             votes.push((voter, cast));
-            if carries(set, &assents(&votes)) { ControlFlow::Break(()) } else { ControlFlow::Continue(()) }
+            if has_quorum(set, &assenting_voters(&votes)) {
+                ControlFlow::Break(())
+            } else {
+                ControlFlow::Continue(())
+            }
         })
         .await;
     }
--- a/programs/controller/src/replica/voter_task.rs
+++ b/programs/controller/src/replica/voter_task.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::sleep;
-use vanewharf_consensus::voter::Save;
+use vanewharf_consensus::DurableWrite;
 use vanewharf_protocol::messages::{Register, Vote, VoteRequest, VoteResponse};
 
 /// What the voter's owner works through.
@@ -40,31 +40,31 @@
             let (vote_request, reply) = match command {
                 Command::Hear(vote_request, reply) => (vote_request, reply),
                 Command::Count(doors) => {
-                    let save = self.voter.borrow_mut().count(doors);
+                    let save = self.voter.borrow_mut().update_proxy_count(doors);
                     self.note(&disk, save, "the count of doors");
                     continue;
                 }
                 Command::Learn(register) => {
-                    let save = self.voter.borrow().learn(&register);
+                    let save = self.voter.borrow().adopt_committed_register(&register);
                     self.note(&disk, save, "a register that is in force");
                     continue;
                 }
             };
             let recovers = matches!(vote_request, VoteRequest::Recover { .. });
-            let step = self.voter.borrow_mut().hear(vote_request, self.now());
+            let step = self.voter.borrow_mut().handle_vote_request(vote_request, self.now());
             let mut vote = step.vote;
             // Nobody's lease waits until a slow disk has taken what another one's recovery wants written down: what is
             // known counts at once, and is told when it is on disk.
-            if let Some(save) = step.save.as_ref().filter(|_| recovers).cloned() {
+            if let Some(save) = step.write.as_ref().filter(|_| recovers).cloned() {
                 let (replica, disk) = (Rc::clone(&self), disk.clone());
                 tokio::task::spawn_local(async move {
                     let kept = replica.kept_on(&disk, save).await;
-                    let cast = replica.voter.borrow().cast(if kept { vote } else { Vote::Unable });
+                    let cast = replica.voter.borrow().response(if kept { vote } else { Vote::Unable });
                     let _ = reply.send(cast);
                 });
                 continue;
             }
-            if let Some(save) = step.save {
+            if let Some(save) = step.write {
                 let saving = self.kept_on(&disk, save);
                 tokio::pin!(saving);
                 // A lease that is renewed needs no disk.
@@ -79,15 +79,15 @@
                     vote = Vote::Unable;
                 }
             }
-            let cast = self.voter.borrow().cast(vote);
+            let cast = self.voter.borrow().response(vote);
             let _ = reply.send(cast);
         }
     }
 
     /// Whether the disk has it now.
-    async fn kept_on(&self, disk: &Storage, save: Save) -> bool {
+    async fn kept_on(&self, disk: &Storage, save: DurableWrite) -> bool {
         match self.save(disk, &save).await {
-            Ok(()) => self.voter.borrow_mut().saved(save),
+            Ok(()) => self.voter.borrow_mut().mark_persisted(save),
             Err(error) => {
                 spdlog::warn!("nothing is promised, as the disk takes nothing: {}", error);
                 return false;
@@ -98,12 +98,12 @@
 
     /// Answers what asks for another term of a lease that is promised; whatever else it is has to wait.
     fn renewed(&self, command: Command) -> Option<Command> {
-        let promised = self.voter.borrow().promised_on_disk();
+        let promised = self.voter.borrow().persisted_ballot();
         match command {
             Command::Hear(request @ VoteRequest::Renew { .. }, reply) if matches!(request, VoteRequest::Renew { ballot, .. } if Some(ballot) == promised) =>
             {
-                let step = self.voter.borrow_mut().hear(request, self.now());
-                let _ = reply.send(self.voter.borrow().cast(step.vote));
+                let step = self.voter.borrow_mut().handle_vote_request(request, self.now());
+                let _ = reply.send(self.voter.borrow().response(step.vote));
                 None
             }
             command => Some(command),
@@ -111,23 +111,23 @@
     }
 
     /// What nobody waits for.
-    fn note(self: &Rc<Self>, disk: &Storage, save: Option<Save>, what: &'static str) {
+    fn note(self: &Rc<Self>, disk: &Storage, save: Option<DurableWrite>, what: &'static str) {
         let Some(save) = save else {
             return;
         };
         let (replica, disk) = (Rc::clone(self), disk.clone());
         tokio::task::spawn_local(async move {
             match replica.save(&disk, &save).await {
-                Ok(()) => replica.voter.borrow_mut().saved(save),
+                Ok(()) => replica.voter.borrow_mut().mark_persisted(save),
                 Err(error) => spdlog::warn!("{} is not on disk: {}", what, error),
             }
         });
     }
 
-    async fn save(&self, disk: &Storage, save: &Save) -> std::io::Result<()> {
+    async fn save(&self, disk: &Storage, save: &DurableWrite) -> std::io::Result<()> {
         match save {
-            Save::Promise(promise) => disk.save(Record::Promise, promise).await,
-            Save::Register(register) => disk.save(Record::Register, register).await,
+            DurableWrite::VoterRecord(promise) => disk.save(Record::Promise, promise).await,
+            DurableWrite::Register(register) => disk.save(Record::Register, register).await,
         }
     }
 
@@ -135,14 +135,14 @@
     pub async fn vote(&self, request: VoteRequest) -> VoteResponse {
         let (reply, cast) = oneshot::channel();
         if self.commands.send(Command::Hear(request, reply)).is_err() {
-            return self.voter.borrow().cast(Vote::Unable);
+            return self.voter.borrow().response(Vote::Unable);
         }
-        cast.await.unwrap_or_else(|_| self.voter.borrow().cast(Vote::Unable))
+        cast.await.unwrap_or_else(|_| self.voter.borrow().response(Vote::Unable))
     }
 
     /// Quotas are divided by so many doors: kept, so that a holder after the loss of all processes knows.
     pub fn count(&self, doors: u32) {
-        if doors != self.voter.borrow().doors() {
+        if doors != self.voter.borrow().proxy_count() {
             // The owner ends with the program only.
             let _ = self.commands.send(Command::Count(doors));
         }
--- a/programs/controller/src/roles/membership_management.rs
+++ b/programs/controller/src/roles/membership_management.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::time::sleep;
-use vanewharf_consensus::membership::{Candidate, next, wanted};
+use vanewharf_consensus::{VoterCandidate, plan_next_voters, voter_count_for};
 use vanewharf_protocol::messages::Membership;
 
 /// How often it is seen whether a voter is missing.
@@ -15,7 +15,7 @@
 
 impl ControllerState {
     /// Who votes, and who may, as the holder sees it.
-    pub fn candidates(&self) -> (Membership, Vec<Candidate>) {
+    pub fn candidates(&self) -> (Membership, Vec<VoterCandidate>) {
         let membership = self.replica.membership();
         let me = (self.replica.me, self.settings.zone.as_str());
         let (address, now) = (|ip| self.settings.office(ip), self.feed.now());
@@ -31,8 +31,8 @@
             sleep(TENDED).await;
             let (holds, now) = (self.replica.holds(), self.feed.now());
             match (std::mem::replace(&mut held, holds), holds) {
-                (false, true) => self.following.borrow_mut().begin(now),
-                (true, false) => self.following.borrow_mut().end(now),
+                (false, true) => self.following.borrow_mut().lease_acquired(now),
+                (true, false) => self.following.borrow_mut().lease_lost(now),
                 _ => {}
             }
             if !holds {
@@ -42,7 +42,7 @@
             let voters = match membership.outgoing.is_empty() {
                 // What another holder began.
                 false => Some(membership.voters.iter().copied().collect()),
-                true => next(&membership, &known, wanted(self.settings.losses)),
+                true => plan_next_voters(&membership, &known, voter_count_for(self.settings.losses)),
             };
             if let Some(voters) = voters {
                 spdlog::info!("the voters are to be {:?} after epoch {}", voters, membership.epoch);
--- a/programs/controller/src/state.rs
+++ b/programs/controller/src/state.rs
@@ -6,7 +6,7 @@
 use std::cell::RefCell;
 use std::rc::Rc;
 use vanewharf_config::settings::Settings;
-use vanewharf_consensus::membership::Following;
+use vanewharf_consensus::FollowerTracker;
 use vanewharf_discovery::summing::Summing;
 use vanewharf_protocol::messages::{ControllerEntry, Revision, Version};
 use vanewharf_rpc::Publisher;
@@ -24,7 +24,7 @@
     /// The tokens that this process lends, and by which quotas.
     pub lending: RefCell<TokenLender>,
     /// Who follows this process, and keeps up.
-    pub following: RefCell<Following>,
+    pub following: RefCell<FollowerTracker>,
 }
 
 impl ControllerState {
