--- a/crates/discovery/src/summing.rs
+++ b/crates/discovery/src/aggregator.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 use vanewharf_clock::Timestamp;
 use vanewharf_config::config::Config;
-use vanewharf_health::evidence::Weighed;
+use vanewharf_health::OutlierDetector;
 use vanewharf_protocol::messages::{
     AttemptCounts, ControllerEntry, FleetSummary, ProxyEntry, ProxyReport, TenantUsage, TokenLeaseReport,
     Version,
@@ -124,10 +124,10 @@
 }
 
 #[derive(Clone, Debug, Default)]
-pub struct Summing {
+pub struct FleetAggregator {
     doors: BTreeMap<String, Heard>,
     lenders: BTreeMap<IpAddr, Counts>,
-    weighed: Weighed,
+    outliers: OutlierDetector,
     /// When this process began to sum for all.
     begun: Option<Timestamp>,
     known: u32,
@@ -136,8 +136,8 @@
     offices: BTreeMap<ControllerEntry, Timestamp>,
 }
 
-impl Summing {
-    pub fn report(&mut self, report: ProxyReport, now: Timestamp) {
+impl FleetAggregator {
+    pub fn record_report(&mut self, report: ProxyReport, now: Timestamp) {
         let made = now.before(Duration::from_millis(report.age_ms));
         self.first.get_or_insert(now);
         let ProxyReport { door: row, life, let_through, slices, hosts, counted, tried, .. } = report;
@@ -155,7 +155,7 @@
         }
     }
 
-    pub fn lent(&mut self, lent: TokenLeaseReport, now: Timestamp) {
+    pub fn record_lease_report(&mut self, lent: TokenLeaseReport, now: Timestamp) {
         let TokenLeaseReport { ip, life, let_through, slices } = lent;
         match self.lenders.get_mut(&ip) {
             Some(counts) => counts.hear(life, let_through, slices, now),
@@ -164,12 +164,12 @@
     }
 
     /// This process sums for all from now on; so many doors there were, as far as anybody knows (0: nobody does).
-    pub fn begin(&mut self, known: u32, now: Timestamp) {
+    pub fn start_aggregating(&mut self, known: u32, now: Timestamp) {
         (self.begun, self.known) = (Some(now), known);
     }
 
     /// What the holder before knew of the doors: those that nothing is heard of are counted all the same.
-    pub fn inherit(&mut self, ledger: &FleetSummary, now: Timestamp) {
+    pub fn inherit_summary(&mut self, ledger: &FleetSummary, now: Timestamp) {
         for row in &ledger.doors {
             let row = ProxyEntry { ready: false, ..row.clone() };
             let counts = Counts::new(UNHEARD, BTreeMap::new(), BTreeMap::new(), now);
@@ -177,7 +177,7 @@
             let heard = Heard { row, counted: 0, counts, hosts, tried };
             self.doors.entry(heard.row.name.clone()).or_insert(heard);
         }
-        self.weighed.inherit(&ledger.ill, now);
+        self.outliers.inherit(&ledger.ill, now);
         // Their slices are even until they say otherwise.
         for office in ledger.offices.iter().filter(|_| ledger.lenders.is_some()) {
             let counts = Counts::new(UNHEARD, BTreeMap::new(), BTreeMap::new(), now);
@@ -192,23 +192,23 @@
 
     /// Whether there is anything to divide by: with no door heard there is not, and the first of doors that have
     /// all forgotten must not be told that it is the only one.
-    pub fn ready(&self, now: Timestamp) -> bool {
+    pub fn is_ready(&self, now: Timestamp) -> bool {
         let gathered = self.first.is_some_and(|first| now.since(first) >= GATHERING);
         let inherited = self.doors.values().any(|heard| heard.counts.life == UNHEARD);
         !self.doors.is_empty() && (gathered || inherited || self.told() > 0)
     }
 
     /// The doors that this process itself hears of, as they are now.
-    pub fn heard(&self, now: Timestamp) -> impl Iterator<Item = &ProxyEntry> {
+    pub fn live_proxies(&self, now: Timestamp) -> impl Iterator<Item = &ProxyEntry> {
         self.doors.values().filter(move |heard| now.since(heard.counts.made) < NAMED).map(|heard| &heard.row)
     }
 
-    pub fn office(&mut self, office: ControllerEntry, now: Timestamp) {
+    pub fn record_controller(&mut self, office: ControllerEntry, now: Timestamp) {
         self.offices.insert(office, now);
     }
 
     /// What this process heard itself, for the one who sums.
-    pub fn reports(&self, now: Timestamp) -> Vec<ProxyReport> {
+    pub fn recent_reports(&self, now: Timestamp) -> Vec<ProxyReport> {
         let fresh = self.doors.values().filter(|heard| now.since(heard.counts.made) < NAMED);
         let told = |heard: &Heard| ProxyReport {
             door: heard.row.clone(),
@@ -223,7 +223,7 @@
         fresh.map(told).collect()
     }
 
-    pub fn ledger(&mut self, version: Version, allowance: f64, now: Timestamp) -> FleetSummary {
+    pub fn summarize(&mut self, version: Version, allowance: f64, now: Timestamp) -> FleetSummary {
         self.doors.retain(|_, heard| now.since(heard.counts.made) < COUNTED);
         self.offices.retain(|_, heard| now.since(*heard) < OFFICES_KNOWN);
         self.lenders.retain(|_, counts| now.since(counts.made) < COUNTED);
@@ -248,7 +248,7 @@
         let mostly = hosts.into_iter().filter(|(_, (all, homed))| *homed as f64 > MOSTLY * *all as f64);
         let homed = mostly.map(|(name, _)| name.clone()).collect();
         let told = self.doors.values().filter(|heard| now.since(heard.counts.made) < NAMED);
-        let ill = self.weighed.weigh(told.map(|heard| &heard.tried), counted, now);
+        let ill = self.outliers.update(told.map(|heard| &heard.tried), counted, now);
         let row = |heard: &Heard| ProxyEntry {
             ready: heard.row.ready && now.since(heard.counts.made) < NAMED,
             ..heard.row.clone()
@@ -268,7 +268,7 @@
 
 /// The doors that a client is sent to: ready ones in its region where all that its host serves may be served there,
 /// else in a region where it may, else any that are ready, else all.
-pub fn resolved<'a>(
+pub fn proxies_for_client<'a>(
     doors: &[&'a ProxyEntry],
     region: &str,
     homes: Option<&BTreeSet<String>>,
@@ -291,14 +291,14 @@
 }
 
 /// What of a ledger a door goes by; the rest is for postmasters.
-pub fn for_doors(ledger: FleetSummary) -> FleetSummary {
+pub fn summary_for_proxies(ledger: FleetSummary) -> FleetSummary {
     let tenants = if ledger.lenders.is_some() { BTreeMap::new() } else { ledger.tenants };
     FleetSummary { doors: Vec::new(), homed: BTreeSet::new(), tenants, ..ledger }
 }
 
 /// For each host with routes that have homes, the regions in which all of its routes may be served. A host whose routes
 /// have no region in common is left out: its clients go to their own region.
-pub fn homes(config: &Config) -> BTreeMap<String, BTreeSet<String>> {
+pub fn home_regions_by_host(config: &Config) -> BTreeMap<String, BTreeSet<String>> {
     let mut hosts: BTreeMap<String, BTreeSet<String>> = BTreeMap::new();
     for route in config.routes.values().filter(|route| !route.home_regions.is_empty()) {
         let home: BTreeSet<_> = route.home_regions.iter().cloned().collect();
--- a/crates/discovery/src/view.rs
+++ b/crates/discovery/src/peer_view.rs
@@ -9,7 +9,7 @@
 use vanewharf_protocol::messages::PeerEntry;
 
 /// How many doors a view holds, and how many of them may be of other regions.
-pub const MOST: usize = 8;
+const MOST: usize = 8;
 const ELSEWHERE: usize = 3;
 /// How many are told in one shuffle, beside the door itself.
 const TOLD: usize = 4;
@@ -23,15 +23,15 @@
 }
 
 #[derive(Clone, Debug)]
-pub struct View {
+pub struct PeerView {
     me: IpAddr,
     region: String,
     known: BTreeMap<IpAddr, Known>,
 }
 
-impl View {
-    pub fn of(me: IpAddr, region: &str) -> View {
-        View { me, region: region.to_owned(), known: BTreeMap::new() }
+impl PeerView {
+    pub fn new(me: IpAddr, region: &str) -> PeerView {
+        PeerView { me, region: region.to_owned(), known: BTreeMap::new() }
     }
 
     pub fn len(&self) -> usize {
@@ -52,7 +52,7 @@
             known.heard = known.heard.max(heard);
         }
         self.known.retain(|_, known| now.since(known.heard) < GONE);
-        let elsewhere = |view: &View, known: &Known| known.region != view.region;
+        let elsewhere = |view: &PeerView, known: &Known| known.region != view.region;
         while self.known.values().filter(|known| elsewhere(self, known)).count() > ELSEWHERE {
             self.drop_one(now, |view, known| elsewhere(view, known));
         }
@@ -61,7 +61,7 @@
         }
     }
 
-    fn drop_one(&mut self, now: Timestamp, of: impl Fn(&View, &Known) -> bool) {
+    fn drop_one(&mut self, now: Timestamp, of: impl Fn(&PeerView, &Known) -> bool) {
         let lot = |ip: &IpAddr| {
             let mut hasher = DefaultHasher::new();
             (self.me, ip, now.0).hash(&mut hasher);
@@ -73,12 +73,12 @@
     }
 
     /// One that did not answer.
-    pub fn lost(&mut self, ip: IpAddr) {
+    pub fn remove(&mut self, ip: IpAddr) {
         self.known.remove(&ip);
     }
 
     /// Some of the view, from one drawn on, and this door itself: what is told in a shuffle.
-    pub fn told(&self, draw: usize, now: Timestamp) -> Vec<PeerEntry> {
+    pub fn sample(&self, draw: usize, now: Timestamp) -> Vec<PeerEntry> {
         let me = PeerEntry { ip: self.me, region: self.region.clone(), heard_ms: 0 };
         let some =
             self.known.iter().cycle().skip(draw % self.known.len().max(1)).take(TOLD.min(self.known.len()));
@@ -91,7 +91,7 @@
     }
 
     /// The doors to turn to, from one drawn on: those of this door's region first.
-    pub fn order(&self, draw: usize) -> Vec<IpAddr> {
+    pub fn contact_order(&self, draw: usize) -> Vec<IpAddr> {
         let mut all: Vec<_> = self.known.iter().collect();
         let turn = draw % all.len().max(1);
         all.rotate_left(turn);
--- a/crates/discovery/src/view/tests.rs
+++ b/crates/discovery/src/peer_view/tests.rs
@@ -12,8 +12,8 @@
 }
 
 /// Shuffles of so many doors, each of which first knows the one before it alone; every second each turns to one.
-fn shuffled(doors: usize, seconds: u64, dead: usize) -> Vec<View> {
-    let mut views: Vec<_> = (0..doors).map(|no| View::of(ip(no), region(no))).collect();
+fn shuffled(doors: usize, seconds: u64, dead: usize) -> Vec<PeerView> {
+    let mut views: Vec<_> = (0..doors).map(|no| PeerView::new(ip(no), region(no))).collect();
     for (no, view) in views.iter_mut().enumerate() {
         let before = (no + doors - 1) % doors;
         view.merge(&[PeerEntry { ip: ip(before), region: region(before).to_owned(), heard_ms: 0 }], START);
@@ -26,16 +26,17 @@
             if no < dead && second > seconds / 2 {
                 continue;
             }
-            let Some(to) = views[no].order(draw >> 33).get((draw >> 40) % views[no].len().max(1)).copied()
+            let Some(to) =
+                views[no].contact_order(draw >> 33).get((draw >> 40) % views[no].len().max(1)).copied()
             else {
                 continue;
             };
             let at = (0..doors).find(|at| ip(*at) == to).expect("one of them");
             if at < dead && second > seconds / 2 {
-                views[no].lost(to);
+                views[no].remove(to);
                 continue;
             }
-            let (mine, theirs) = (views[no].told(draw >> 35, now), views[at].told(draw >> 37, now));
+            let (mine, theirs) = (views[no].sample(draw >> 35, now), views[at].sample(draw >> 37, now));
             views[at].merge(&mine, now);
             views[no].merge(&theirs, now);
         }
@@ -44,7 +45,7 @@
 }
 
 /// How many doors hang together with one, whichever of two knows the other: a shuffle tells both.
-fn reached(views: &[View], from: usize) -> usize {
+fn reached(views: &[PeerView], from: usize) -> usize {
     let (mut seen, mut next) = (BTreeSet::from([ip(from)]), vec![ip(from)]);
     while let Some(at) = next.pop() {
         for view in views {
--- a/crates/discovery/src/source.rs
+++ b/crates/discovery/src/source_selector.rs
@@ -9,10 +9,10 @@
 use vanewharf_clock::Timestamp;
 
 /// How long a pull waits for news.
-pub const WAIT: Duration = Duration::from_millis(300);
+const WAIT: Duration = Duration::from_millis(300);
 /// A source that is further behind than this is left for another. A lease that passes from one holder to the
 /// next leaves all of them behind for about as long.
-pub const BEHIND: Duration = Duration::from_millis(2000);
+const BEHIND: Duration = Duration::from_millis(2000);
 /// How long one that failed, or was behind, is not asked again while others are left: longer each time, as
 /// each try is time in which the door hears nothing.
 const SPARED: Duration = Duration::from_secs(3);
@@ -45,13 +45,13 @@
 
 /// Who is asked next, and how long the answer may be held back.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Next {
+pub struct SourceChoice {
     pub source: SocketAddr,
     pub wait: Duration,
 }
 
 #[derive(Clone, Debug, Default)]
-pub struct Sources {
+pub struct SourceSelector {
     spared: BTreeMap<SocketAddr, Spared>,
     /// When each was last asked, of those that are or were spared.
     asked: BTreeMap<SocketAddr, Timestamp>,
@@ -60,11 +60,16 @@
     in_vain: bool,
 }
 
-impl Sources {
+impl SourceSelector {
     /// From the nearest postmaster that answers and is up to date; where there is none, from a neighbour that
     /// is; else from the postmaster behind that was asked longest ago: one of them may be up to date by now,
     /// and clients hear of this door through it. None where nobody is left: all may be asked again.
-    pub fn next(&mut self, offices: &[SocketAddr], beside: &[SocketAddr], now: Timestamp) -> Option<Next> {
+    pub fn choose_next(
+        &mut self,
+        offices: &[SocketAddr],
+        beside: &[SocketAddr],
+        now: Timestamp,
+    ) -> Option<SourceChoice> {
         let known = |source: &SocketAddr| offices.contains(source) || beside.contains(source);
         self.spared.retain(|source, _| known(source));
         self.asked.retain(|source, _| known(source));
@@ -93,11 +98,11 @@
         };
         self.last = Some(source);
         self.asked.insert(source, now);
-        Some(Next { source, wait })
+        Some(SourceChoice { source, wait })
     }
 
     /// It answered, and was itself up to date then; whether it is of use.
-    pub fn answered(
+    pub fn record_answer(
         &mut self,
         source: SocketAddr,
         sure: Option<Timestamp>,
@@ -116,7 +121,7 @@
         false
     }
 
-    pub fn failed(&mut self, source: SocketAddr, beside: &[SocketAddr], now: Timestamp) {
+    pub fn record_failure(&mut self, source: SocketAddr, beside: &[SocketAddr], now: Timestamp) {
         self.last = None;
         self.spare(source, Fault::Failed, beside, now);
     }
--- a/crates/discovery/src/source/tests.rs
+++ b/crates/discovery/src/source_selector/tests.rs
@@ -14,7 +14,7 @@
 /// Postmasters, the nearest first, some of which are cut off or silent, and what is heard through them.
 /// Beside them are neighbours, from the address 100 on.
 struct Field {
-    sources: Sources,
+    sources: SourceSelector,
     offices: Vec<SocketAddr>,
     beside: Vec<SocketAddr>,
     now: Timestamp,
@@ -30,7 +30,7 @@
 impl Field {
     fn of(offices: u8, beside: u8) -> Field {
         Field {
-            sources: Sources::default(),
+            sources: SourceSelector::default(),
             offices: (1..=offices).map(address).collect(),
             beside: (100..100 + beside).map(address).collect(),
             now: START,
@@ -45,14 +45,16 @@
     /// One pull, or the pause where nobody is left. A source that is up to date has news at once: the worst
     /// is what others take of the time.
     fn step(&mut self) {
-        let Some(Next { source, wait }) = self.sources.next(&self.offices, &self.beside, self.now) else {
+        let Some(SourceChoice { source, wait }) =
+            self.sources.choose_next(&self.offices, &self.beside, self.now)
+        else {
             self.now = self.now.after(ms(60));
             return;
         };
         self.asked.push(source);
         if self.silent.contains(&source) {
             self.now = self.now.after(ms(400));
-            self.sources.failed(source, &self.beside, self.now);
+            self.sources.record_failure(source, &self.beside, self.now);
             self.now = self.now.after(ms(60));
             return;
         }
@@ -65,7 +67,7 @@
             self.longest = self.longest.max(self.now.since(self.heard));
             self.heard = self.now;
         }
-        if !self.sources.answered(source, sure, &self.beside, self.now) {
+        if !self.sources.record_answer(source, sure, &self.beside, self.now) {
             self.now = self.now.after(ms(60));
         }
     }
--- a/crates/health/src/allowance.rs
+++ b/crates/health/src/allowance.rs
@@ -10,32 +10,32 @@
 
 /// A door's part of what a cold backend bears.
 #[derive(Clone, Copy, Debug)]
-pub struct Cold {
+pub struct SlowStart {
     tokens: f64,
     last: Timestamp,
 }
 
 /// What a door may send to one cold backend.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct ColdPart {
+pub struct SlowStartShare {
     pub per_s: f64,
     pub depth: f64,
 }
 
 /// In any second all doors send at most doors × (depth + per_s): no more than the rules' bound.
-pub fn cold_part(per_s: f64, overshoot: f64, allowance: f64, doors: f64) -> ColdPart {
+pub fn slow_start_share(per_s: f64, overshoot: f64, allowance: f64, doors: f64) -> SlowStartShare {
     let part = COLD_USED * (per_s * overshoot + allowance) / doors;
     // What it bears for long is less than what it bears in one second; below a depth of one nothing is ever sent.
     let rate = (per_s / doors).min((part - 1.0).max(0.0));
-    ColdPart { per_s: rate, depth: (part - rate).min(2.0) }
+    SlowStartShare { per_s: rate, depth: (part - rate).min(2.0) }
 }
 
-impl Cold {
-    pub fn new(part: ColdPart, now: Timestamp) -> Cold {
-        Cold { tokens: part.depth, last: now }
+impl SlowStart {
+    pub fn new(part: SlowStartShare, now: Timestamp) -> SlowStart {
+        SlowStart { tokens: part.depth, last: now }
     }
 
-    pub fn spend(&mut self, part: ColdPart, now: Timestamp) -> bool {
+    pub fn try_spend(&mut self, part: SlowStartShare, now: Timestamp) -> bool {
         let gap = now.since(self.last).as_secs_f64();
         self.tokens = (self.tokens + part.per_s * gap).min(part.depth);
         self.last = now;
@@ -47,36 +47,36 @@
 
 /// A door's part of the repeats that a service may get.
 #[derive(Clone, Copy, Debug)]
-pub struct Repeats {
+pub struct RetryBudget {
     tokens: f64,
 }
 
 /// The figures of the rule: repeats for each request, and how many more in a window.
 #[derive(Clone, Copy, Debug)]
-pub struct RepeatRule {
+pub struct RetryPolicy {
     pub ratio: f64,
     pub allowance: f64,
-    pub doors: f64,
+    pub proxies: f64,
 }
 
-impl RepeatRule {
+impl RetryPolicy {
     fn most(&self) -> f64 {
         // Against a door's part below one repeat: it saves up for a whole one.
-        (USED * 0.8 * self.allowance / self.doors).max(1.0)
+        (USED * 0.8 * self.allowance / self.proxies).max(1.0)
     }
 }
 
-impl Repeats {
+impl RetryBudget {
     /// A restarted door may have spent its part just before.
-    pub fn start(rule: &RepeatRule, full: bool) -> Repeats {
-        Repeats { tokens: if full { rule.most() } else { 0.0 } }
+    pub fn new(rule: &RetryPolicy, full: bool) -> RetryBudget {
+        RetryBudget { tokens: if full { rule.most() } else { 0.0 } }
     }
 
-    pub fn request(&mut self, rule: &RepeatRule) {
+    pub fn record_request(&mut self, rule: &RetryPolicy) {
         self.tokens = (self.tokens + USED * 0.8 * rule.ratio).min(rule.most());
     }
 
-    pub fn spend(&mut self) -> bool {
+    pub fn try_spend(&mut self) -> bool {
         let may = self.tokens >= 1.0;
         self.tokens -= f64::from(u8::from(may));
         may
@@ -84,7 +84,7 @@
 }
 
 /// Of services with weights, the one that a draw from 0 to 1 falls on.
-pub fn weighted(weights: impl Iterator<Item = f64> + Clone, draw: f64) -> usize {
+pub fn pick_weighted(weights: impl Iterator<Item = f64> + Clone, draw: f64) -> usize {
     let mut left = draw * weights.clone().sum::<f64>();
     let mut last = 0;
     for (no, weight) in weights.enumerate() {
@@ -101,7 +101,12 @@
 }
 
 /// When a request may no longer be let in by its key: the right lapses where nothing was heard in time.
-pub fn lapsed(global: bool, revocation: Duration, sure: Option<Timestamp>, now: Timestamp) -> bool {
+pub fn key_authorization_lapsed(
+    global: bool,
+    revocation: Duration,
+    sure: Option<Timestamp>,
+    now: Timestamp,
+) -> bool {
     const KEPT_BACK: Duration = Duration::from_millis(600);
     global && sure.is_none_or(|sure| now.since(sure) + KEPT_BACK >= revocation)
 }
--- a/crates/health/src/evidence.rs
+++ b/crates/health/src/outlier.rs
@@ -1,5 +1,5 @@
 //! What many doors saw of one backend. A door that sends it a request every few seconds cannot tell one that fails a part of
-//! them from chance; all doors together can. It is evidence, weighed: it lowers odds, bars nothing, and fades.
+//! them from chance; all doors together can. It is evidence, detector: it lowers odds, bars nothing, and fades.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -23,12 +23,12 @@
 
 /// One door's own counts.
 #[derive(Clone, Debug, Default)]
-pub struct Seen {
+pub struct AttemptHistory {
     steps: VecDeque<(Timestamp, BTreeMap<String, AttemptCounts>)>,
 }
 
-impl Seen {
-    pub fn ended(&mut self, backend: &str, failed: bool, now: Timestamp) {
+impl AttemptHistory {
+    pub fn record_attempt(&mut self, backend: &str, failed: bool, now: Timestamp) {
         if self.steps.back().is_none_or(|(begun, _)| now.since(*begun) >= STEP) {
             self.steps.push_back((now, BTreeMap::new()));
         }
@@ -48,7 +48,7 @@
     }
 
     /// Of the backends that failed it lately.
-    pub fn told(&self, now: Timestamp) -> BTreeMap<String, AttemptCounts> {
+    pub fn failing_backends(&self, now: Timestamp) -> BTreeMap<String, AttemptCounts> {
         let mut sums: BTreeMap<&String, AttemptCounts> = BTreeMap::new();
         let fresh = self.steps.iter().filter(|(begun, _)| now.since(*begun) <= SPAN);
         for (backend, tried) in fresh.flat_map(|(_, step)| step) {
@@ -63,19 +63,19 @@
 
 /// All doors' evidence, as the holder weighs it.
 #[derive(Clone, Debug, Default)]
-pub struct Weighed {
+pub struct OutlierDetector {
     shares: BTreeMap<String, f64>,
     at: Timestamp,
 }
 
-impl Weighed {
-    /// What the holder before had weighed.
+impl OutlierDetector {
+    /// What the holder before had detector.
     pub fn inherit(&mut self, ill: &BTreeMap<String, f64>, now: Timestamp) {
         (self.shares, self.at) = (ill.clone(), now);
     }
 
     /// The part of its requests that each backend fails, of those that are ill, out of so many doors' words.
-    pub fn weigh<'a>(
+    pub fn update<'a>(
         &mut self,
         told: impl Iterator<Item = &'a BTreeMap<String, AttemptCounts>>,
         doors: usize,
@@ -108,12 +108,12 @@
 
 /// The part of its size that a backend is counted with, which fails that part of its requests; never nothing, so that
 /// it is seen to be well again.
-pub fn worth_of(share: f64) -> f64 {
+pub fn weight_for_failure_share(share: f64) -> f64 {
     (1.0 - share.clamp(0.0, 1.0)).powi(2).max(0.04)
 }
 
 /// Where more than half of those that could serve are ill, the cause is shared and none is spared.
-pub fn shared_cause(ill: usize, all: usize) -> bool {
+pub fn is_shared_cause(ill: usize, all: usize) -> bool {
     ill * 2 > all
 }
 
--- a/crates/maintenance/src/lib.rs
+++ b/crates/maintenance/src/lib.rs
@@ -15,7 +15,7 @@
 
 /// Which nodes a contract covers; what names none covers all of its kind.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Nodes {
+pub struct CoveredNodes {
     pub zones: Vec<String>,
     pub services: Vec<String>,
     pub backends: Vec<String>,
@@ -23,12 +23,12 @@
 
 /// What becomes of a drain that is under way when its hours end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum AtTheEnd {
+pub enum WindowEndPolicy {
     Finish,
     /// It stays where it stands until the hours open again.
     Hold,
     /// The node is taken back.
-    GiveBack,
+    ReturnToService,
 }
 
 #[derive(Clone, Debug)]
@@ -40,50 +40,50 @@
 
 #[derive(Clone, Debug)]
 pub struct Contract {
-    pub nodes: Nodes,
+    pub nodes: CoveredNodes,
     zone: TimeZone,
     hours: Vec<Hours>,
     /// More hours, on one date each.
     open: Vec<(Date, Time, Time)>,
     /// Both dates are closed, and all between.
     closed: Vec<(Date, Date, String)>,
-    pub longest_drain: Duration,
-    pub most_out: u64,
-    pub at_the_end: AtTheEnd,
+    pub max_drain_duration: Duration,
+    pub max_nodes_out: u64,
+    pub on_window_end: WindowEndPolicy,
     /// By how much the clock that judges may be off.
     pub margin: Duration,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum WindowState {
     Open { until: Timestamp },
     Closed { opens: Option<Timestamp> },
 }
 
 /// All contracts by name.
 #[derive(Clone, Debug)]
-pub struct Timetable {
+pub struct MaintenanceSchedule {
     pub contracts: BTreeMap<String, Contract>,
 }
 
-impl Timetable {
-    pub fn of(text: &[u8]) -> Checked<Timetable> {
+impl MaintenanceSchedule {
+    pub fn parse(text: &[u8]) -> Checked<MaintenanceSchedule> {
         let value = doc::read(text)?;
         let mut contracts = BTreeMap::new();
         for (name, doc) in Doc::whole(&value).at("contracts")?.table()? {
             contracts.insert(name.to_owned(), contract(&doc)?);
         }
-        Ok(Timetable { contracts })
+        Ok(MaintenanceSchedule { contracts })
     }
 
     /// The contracts that cover a backend: each of them must be open for it to be drained.
-    pub fn covering<'a>(
+    pub fn contracts_covering<'a>(
         &'a self,
         zone: &'a str,
         service: &'a str,
         backend: &'a str,
     ) -> impl Iterator<Item = (&'a str, &'a Contract)> {
-        let covers = move |nodes: &Nodes| {
+        let covers = move |nodes: &CoveredNodes| {
             let within =
                 |named: &[String], one: &str| named.is_empty() || named.iter().any(|name| name == one);
             within(&nodes.zones, zone) && within(&nodes.services, service) && within(&nodes.backends, backend)
@@ -93,33 +93,34 @@
     }
 
     /// All that cover it together: open while each is, and opening when the last of them does.
-    pub fn standing(&self, (zone, service, backend): (&str, &str, &str), now: Timestamp) -> Standing {
-        let contracts: Vec<_> = self.covering(zone, service, backend).map(|(_, contract)| contract).collect();
+    pub fn window_state(&self, (zone, service, backend): (&str, &str, &str), now: Timestamp) -> WindowState {
+        let contracts: Vec<_> =
+            self.contracts_covering(zone, service, backend).map(|(_, contract)| contract).collect();
         let Some((first, others)) = contracts.split_first() else {
             // No contract names it: nobody approved any hour.
-            return Standing::Closed { opens: None };
+            return WindowState::Closed { opens: None };
         };
         found(|ahead| {
             let common = first.spans(now, ahead);
             let common = others.iter().fold(common, |common, other| both(&common, &other.spans(now, ahead)));
-            standing(&common, now)
+            window_state(&common, now)
         })
     }
 }
 
 type Spans = Vec<(Timestamp, Timestamp)>;
 
-fn standing(spans: &Spans, now: Timestamp) -> Standing {
+fn window_state(spans: &Spans, now: Timestamp) -> WindowState {
     match spans.iter().find(|(_, to)| *to > now) {
-        Some((from, to)) if *from <= now => Standing::Open { until: *to },
-        next => Standing::Closed { opens: next.map(|(from, _)| *from) },
+        Some((from, to)) if *from <= now => WindowState::Open { until: *to },
+        next => WindowState::Closed { opens: next.map(|(from, _)| *from) },
     }
 }
 
 /// Near at first: most openings are.
-fn found(look: impl Fn(i64) -> Standing) -> Standing {
+fn found(look: impl Fn(i64) -> WindowState) -> WindowState {
     match look(AHEAD[0]) {
-        Standing::Closed { opens: None } => look(AHEAD[1]),
+        WindowState::Closed { opens: None } => look(AHEAD[1]),
         standing => standing,
     }
 }
@@ -143,8 +144,8 @@
 }
 
 impl Contract {
-    pub fn standing(&self, now: Timestamp) -> Standing {
-        found(|ahead| standing(&self.spans(now, ahead), now))
+    pub fn window_state(&self, now: Timestamp) -> WindowState {
+        found(|ahead| window_state(&self.spans(now, ahead), now))
     }
 
     /// A civil time that daylight saving skips or repeats is the later one where hours begin.
@@ -194,7 +195,7 @@
     }
 
     /// Why a date is closed, where it is.
-    pub fn why_closed(&self, now: Timestamp) -> Option<&str> {
+    pub fn closure_reason(&self, now: Timestamp) -> Option<&str> {
         let today = now.to_zoned(self.zone.clone()).date();
         let closed = self.closed.iter().find(|(first, last, _)| (*first..=*last).contains(&today));
         closed.map(|(_, _, why)| why.as_str())
@@ -228,18 +229,19 @@
     }
     let nodes = doc.at("nodes")?;
     let named = |name| nodes.may(name)?.map_or(Ok(Vec::new()), |doc| doc.texts());
-    let nodes = Nodes { zones: named("zones")?, services: named("services")?, backends: named("backends")? };
+    let nodes =
+        CoveredNodes { zones: named("zones")?, services: named("services")?, backends: named("backends")? };
     let end = doc.at("when_hours_end")?;
-    let at_the_end = match end.text()? {
-        "finish" => AtTheEnd::Finish,
-        "hold" => AtTheEnd::Hold,
-        "give_back" => AtTheEnd::GiveBack,
+    let on_window_end = match end.text()? {
+        "finish" => WindowEndPolicy::Finish,
+        "hold" => WindowEndPolicy::Hold,
+        "give_back" => WindowEndPolicy::ReturnToService,
         _ => return Err(end.unsound("none of finish, hold, give_back")),
     };
-    let most_out = doc.at("most_out")?;
-    let most = most_out.count()?;
+    let max_nodes_out = doc.at("most_out")?;
+    let most = max_nodes_out.count()?;
     if most == 0 {
-        return Err(most_out.unsound("with 0 nothing could ever be drained"));
+        return Err(max_nodes_out.unsound("with 0 nothing could ever be drained"));
     }
     Ok(Contract {
         nodes,
@@ -247,9 +249,9 @@
         hours,
         open,
         closed,
-        longest_drain: doc.at("longest_drain")?.span()?,
-        most_out: most,
-        at_the_end,
+        max_drain_duration: doc.at("longest_drain")?.span()?,
+        max_nodes_out: most,
+        on_window_end,
         margin: doc.at("clock_margin")?.span()?,
     })
 }
--- a/crates/maintenance/src/tests.rs
+++ b/crates/maintenance/src/tests.rs
@@ -11,8 +11,8 @@
 const NIGHTS: &str =
     r#"{"days": ["mon", "tue", "wed", "thu", "fri", "sat", "sun"], "from": "22:30", "to": "02:30"}"#;
 
-fn table(zone: &str, hours: &str, more: &str) -> Timetable {
-    Timetable::of(file(zone, hours, more).as_bytes()).expect("it can be read")
+fn table(zone: &str, hours: &str, more: &str) -> MaintenanceSchedule {
+    MaintenanceSchedule::parse(file(zone, hours, more).as_bytes()).expect("it can be read")
 }
 
 fn at(text: &str) -> Timestamp {
@@ -34,15 +34,15 @@
         "open": [{"date": "2026-12-28", "from": "09:30", "to": "12:00"}],"#;
     let table = table("Europe/Ljubljana", NIGHTS, more);
     let expected = match until {
-        Some(until) => Standing::Open { until: at(until) },
-        None => Standing::Closed { opens: opens.map(at) },
+        Some(until) => WindowState::Open { until: at(until) },
+        None => WindowState::Closed { opens: opens.map(at) },
     };
     let expected = match now {
         // Closed to the end of the 27th in Ljubljana; that evening's hours go on after midnight.
-        "2026-12-24T22:00:00Z" => Standing::Closed { opens: Some(at("2026-12-27T23:00:05Z")) },
+        "2026-12-24T22:00:00Z" => WindowState::Closed { opens: Some(at("2026-12-27T23:00:05Z")) },
         _ => expected,
     };
-    assert_eq!(table.contracts["c"].standing(at(now)), expected);
+    assert_eq!(table.contracts["c"].window_state(at(now)), expected);
 }
 
 /// Every five minutes through the nights on which clocks change: never open at a time that is outside by the wall clock, and on
@@ -68,7 +68,7 @@
             let wall = civil.time();
             let inside =
                 if begins < ends { (begins..ends).contains(&wall) } else { wall >= begins || wall < ends };
-            let is = matches!(contract.standing(now), Standing::Open { .. });
+            let is = matches!(contract.window_state(now), WindowState::Open { .. });
             let near = [civil.date(), civil.date().tomorrow().expect("soon")].map(|date| date.to_string());
             if near.contains(&changes.to_owned()) {
                 assert!(inside || !is, "{hours:?} at {civil}");
@@ -88,21 +88,24 @@
             "hours": [{"days": ["wed"], "from": "20:00", "to": "23:00"}], "when_hours_end": "hold", "clock_margin": "0s"},
         "service": {"nodes": {"services": ["objava"]}, "time_zone": "Africa/Accra", "most_out": 2, "longest_drain": "60s",
             "hours": [{"days": ["wed"], "from": "20:30", "to": "23:30"}], "when_hours_end": "finish", "clock_margin": "0s"}}}"#;
-    let table = Timetable::of(text.as_bytes()).expect("it can be read");
+    let table = MaintenanceSchedule::parse(text.as_bytes()).expect("it can be read");
     let now = at("2026-12-02T19:30:00Z");
     assert_eq!(
-        table.standing(("lj-a", "lastnistvo", "i"), now),
-        Standing::Open { until: at("2026-12-02T22:00:00Z") }
+        table.window_state(("lj-a", "lastnistvo", "i"), now),
+        WindowState::Open { until: at("2026-12-02T22:00:00Z") }
     );
     let both = ("lj-a", "objava", "i");
-    assert_eq!(table.standing(both, now), Standing::Closed { opens: Some(at("2026-12-02T20:30:00Z")) });
     assert_eq!(
-        table.standing(both, at("2026-12-02T21:00:00Z")),
-        Standing::Open { until: at("2026-12-02T22:00:00Z") }
+        table.window_state(both, now),
+        WindowState::Closed { opens: Some(at("2026-12-02T20:30:00Z")) }
     );
     assert_eq!(
-        table.standing(("mb-a", "lastnistvo", "i"), now),
-        Standing::Closed { opens: None },
+        table.window_state(both, at("2026-12-02T21:00:00Z")),
+        WindowState::Open { until: at("2026-12-02T22:00:00Z") }
+    );
+    assert_eq!(
+        table.window_state(("mb-a", "lastnistvo", "i"), now),
+        WindowState::Closed { opens: None },
         "no contract"
     );
 }
@@ -119,8 +122,8 @@
 fn what_is_wrong_is_named_by_its_place(from: &str, to: &str, why: &str) {
     let more = r#""closed": [{"from": "2026-12-24", "to": "2026-12-27", "why": "release days"}],"#;
     let good = file("Europe/Ljubljana", NIGHTS, more);
-    assert!(Timetable::of(good.as_bytes()).is_ok());
+    assert!(MaintenanceSchedule::parse(good.as_bytes()).is_ok());
     let spoilt = good.replace(from, to);
     assert_ne!(spoilt, good);
-    assert_eq!(Timetable::of(spoilt.as_bytes()).expect_err("spoilt").to_string(), why);
+    assert_eq!(MaintenanceSchedule::parse(spoilt.as_bytes()).expect_err("spoilt").to_string(), why);
 }
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -1,4 +1,7 @@
-//! Token buckets and slices of tenants' quotas: pure, told the time.
+//! Token buckets and slices of tenants' quotas. Nothing here does input or output; callers pass the current time.
 
-pub mod pocket;
-pub mod quota;
+mod token_buckets;
+mod token_reserve;
+
+pub use self::token_buckets::{Quota, TokenBuckets};
+pub use self::token_reserve::TokenReserve;
--- a/crates/quota/src/quota.rs
+++ b/crates/quota/src/token_buckets.rs
@@ -28,7 +28,7 @@
 /// Seconds that a client is told to wait at most.
 const LONGEST: f64 = 30.0;
 /// A door that hears nothing for so long counts itself as cut off: the others are told of its slice no more.
-pub const SILENT: Duration = Duration::from_secs(50);
+const SILENT: Duration = Duration::from_secs(50);
 
 /// A tenant's quota over all doors. A rate of 0 is no limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -57,7 +57,7 @@
 
 /// All tenants' buckets at one door, or at one lender.
 #[derive(Clone, Debug)]
-pub struct Buckets {
+pub struct TokenBuckets {
     /// Where postmasters lend, a door's own buckets are for when none answers: so much of the quota is left to them.
     reserve: Option<f64>,
     /// When a lender last answered: what doors have of their own for when none does fills from then on. Filled before, a
@@ -76,10 +76,10 @@
     told: bool,
 }
 
-impl Buckets {
-    pub fn start(allowance: f64, full: bool, now: Timestamp) -> Buckets {
+impl TokenBuckets {
+    pub fn new(allowance: f64, full: bool, now: Timestamp) -> TokenBuckets {
         let buckets = BTreeMap::new();
-        Buckets {
+        TokenBuckets {
             reserve: None,
             answered: now,
             doors: 1.0,
@@ -115,7 +115,7 @@
     }
 
     /// Whether postmasters lend: the door's own buckets then hold a small part, by whole requests and never in debt.
-    pub fn keep_reserve(&mut self, lent: bool) {
+    pub fn set_token_leasing(&mut self, lent: bool) {
         if lent != self.reserve.is_some() {
             self.reserve = lent.then_some(RESERVE);
             self.buckets.clear();
@@ -124,17 +124,17 @@
     }
 
     /// A lender answered, whatever it said.
-    pub fn answered(&mut self, now: Timestamp) {
+    pub fn record_lender_answer(&mut self, now: Timestamp) {
         self.answered = now;
     }
 
     /// Tokens for another, as far as they go.
-    pub fn lend(&mut self, tenant: &str, wanted: u32, quota: Quota, now: Timestamp) -> u32 {
-        (0..wanted).take_while(|_| self.ask(tenant, quota, now).is_ok()).count() as u32
+    pub fn lease_tokens(&mut self, tenant: &str, wanted: u32, quota: Quota, now: Timestamp) -> u32 {
+        (0..wanted).take_while(|_| self.try_admit(tenant, quota, now).is_ok()).count() as u32
     }
 
     /// One request: spent, or when the next try is worth its while.
-    pub fn ask(&mut self, tenant: &str, quota: Quota, now: Timestamp) -> Result<(), Duration> {
+    pub fn try_admit(&mut self, tenant: &str, quota: Quota, now: Timestamp) -> Result<(), Duration> {
         if quota.rate <= 0.0 {
             return Ok(());
         }
@@ -171,7 +171,7 @@
     }
 
     /// What was let in and never sent on gives its token back.
-    pub fn give_back(&mut self, tenant: &str) {
+    pub fn refund(&mut self, tenant: &str) {
         if let Some(bucket) = self.buckets.get_mut(tenant) {
             bucket.tokens += 1.0;
             bucket.let_through = bucket.let_through.saturating_sub(1);
@@ -179,7 +179,7 @@
     }
 
     /// A new ledger: how many doors there are, and each tenant's use and the slices that the doors hold together.
-    pub fn read(
+    pub fn apply_usage(
         &mut self,
         doors: u32,
         uses: &BTreeMap<String, TenantUsage>,
@@ -237,7 +237,7 @@
     }
 
     /// A door that nobody hears of keeps the floor alone: by now the others' slices take up the rest.
-    pub fn tick(&mut self, now: Timestamp) {
+    pub fn shrink_when_cut_off(&mut self, now: Timestamp) {
         if now.since(self.read_at) < SILENT {
             return;
         }
@@ -247,7 +247,7 @@
         }
     }
 
-    pub fn let_through(&self) -> BTreeMap<String, u64> {
+    pub fn admitted_counts(&self) -> BTreeMap<String, u64> {
         // What is lent is counted where it is lent.
         if self.reserve.is_some() {
             return BTreeMap::new();
--- a/crates/quota/src/quota/tests.rs
+++ b/crates/quota/src/token_buckets/tests.rs
@@ -10,11 +10,11 @@
 /// Doors that are asked at the given rates; ledgers come each second, late by one; those of `cut` hear nothing and
 /// nobody hears of them.
 fn played(rates: &[f64], cut: &[usize], seconds: u64) -> Vec<(f64, usize)> {
-    let mut doors: Vec<_> = rates.iter().map(|_| Buckets::start(20.0, true, START)).collect();
+    let mut doors: Vec<_> = rates.iter().map(|_| TokenBuckets::new(20.0, true, START)).collect();
     let (mut let_in, mut credit) = (Vec::new(), vec![0.0; rates.len()]);
     let (mut before, mut reported) = (vec![0; rates.len()], TenantUsage::default());
     for door in &mut doors {
-        door.read(rates.len() as u32, &BTreeMap::new(), |_| QUOTA, START);
+        door.apply_usage(rates.len() as u32, &BTreeMap::new(), |_| QUOTA, START);
     }
     for step in 0..seconds * 100 {
         let now = at(step as f64 / 100.0);
@@ -22,11 +22,11 @@
             credit[no] += rates[no] / 100.0;
             while credit[no] >= 1.0 {
                 credit[no] -= 1.0;
-                if door.ask("t", QUOTA, now).is_ok() {
+                if door.try_admit("t", QUOTA, now).is_ok() {
                     let_in.push((step as f64 / 100.0, no));
                 }
             }
-            door.tick(now);
+            door.shrink_when_cut_off(now);
         }
         if step % 100 == 99 {
             let uses = BTreeMap::from([("t".to_owned(), reported)]);
@@ -35,10 +35,10 @@
                 if cut.contains(&no) && step > 300 {
                     continue;
                 }
-                let through = door.let_through().get("t").copied().unwrap_or(0);
+                let through = door.admitted_counts().get("t").copied().unwrap_or(0);
                 sum.per_s += (through - before[no]) as f64;
                 before[no] = through;
-                door.read(rates.len() as u32, &uses, |_| QUOTA, now);
+                door.apply_usage(rates.len() as u32, &uses, |_| QUOTA, now);
                 sum.slices += door.slices().get("t").copied().unwrap_or(0.0);
             }
             reported = sum;
@@ -80,12 +80,12 @@
 
 #[test]
 fn a_restarted_door_has_only_what_has_refilled_since() {
-    let mut door = Buckets::start(20.0, false, START);
-    door.read(8, &BTreeMap::new(), |_| QUOTA, START);
-    let wait = door.ask("t", QUOTA, START).expect_err("nothing has refilled");
+    let mut door = TokenBuckets::new(20.0, false, START);
+    door.apply_usage(8, &BTreeMap::new(), |_| QUOTA, START);
+    let wait = door.try_admit("t", QUOTA, START).expect_err("nothing has refilled");
     assert!(wait > Duration::ZERO && wait <= Duration::from_millis(200));
-    assert!(door.ask("t", QUOTA, START.after(wait + Duration::from_millis(1))).is_ok());
-    assert!(door.ask("free", Quota { rate: 0.0, burst: 0.0 }, START).is_ok(), "no limit");
+    assert!(door.try_admit("t", QUOTA, START.after(wait + Duration::from_millis(1))).is_ok());
+    assert!(door.try_admit("free", Quota { rate: 0.0, burst: 0.0 }, START).is_ok(), "no limit");
 }
 
 /// A hot tenant, ninety doors, a lender that dies: what it lent in the five seconds before and what the doors let in by
@@ -93,12 +93,12 @@
 #[test]
 fn doors_own_reserves_add_little_to_what_a_dead_lender_had_lent() {
     let quota = Quota { rate: 60.0, burst: 60.0 };
-    let mut lender = Buckets::start(20.0, true, START);
-    lender.read(1, &BTreeMap::new(), |_| quota, START);
-    let mut doors = vec![Buckets::start(20.0, false, START); 90];
+    let mut lender = TokenBuckets::new(20.0, true, START);
+    lender.apply_usage(1, &BTreeMap::new(), |_| quota, START);
+    let mut doors = vec![TokenBuckets::new(20.0, false, START); 90];
     for door in &mut doors {
-        door.keep_reserve(true);
-        door.read(90, &BTreeMap::new(), |_| quota, START);
+        door.set_token_leasing(true);
+        door.apply_usage(90, &BTreeMap::new(), |_| quota, START);
     }
     let mut let_in = Vec::new();
     for step in 0..6000usize {
@@ -107,10 +107,10 @@
         // Calm for long, then hot for five seconds; dead from the fiftieth on.
         if step % 10 == 0 || seconds >= 45.0 {
             let lent = if seconds < 50.0 {
-                doors[door].answered(now);
-                lender.lend("t", 2, quota, now)
+                doors[door].record_lender_answer(now);
+                lender.lease_tokens("t", 2, quota, now)
             } else {
-                u32::from(doors[door].ask("t", quota, now).is_ok())
+                u32::from(doors[door].try_admit("t", quota, now).is_ok())
             };
             (0..lent).for_each(|_| let_in.push((seconds, door)));
         }
@@ -123,23 +123,23 @@
 
 #[test]
 fn what_was_never_sent_on_costs_nothing() {
-    let mut door = Buckets::start(0.0, true, START);
+    let mut door = TokenBuckets::new(0.0, true, START);
     let small = Quota { rate: 2.0, burst: 16.0 };
-    door.read(8, &BTreeMap::new(), |_| small, START);
+    door.apply_usage(8, &BTreeMap::new(), |_| small, START);
     for _ in 0..20 {
-        assert!(door.ask("s", small, START).is_ok());
-        door.give_back("s");
+        assert!(door.try_admit("s", small, START).is_ok());
+        door.refund("s");
     }
-    assert!(door.ask("s", small, START).is_ok() && door.ask("s", small, START).is_ok());
-    assert!(door.ask("s", small, START).is_err());
+    assert!(door.try_admit("s", small, START).is_ok() && door.try_admit("s", small, START).is_ok());
+    assert!(door.try_admit("s", small, START).is_err());
 }
 
 #[test]
 fn a_slice_below_one_request_lets_it_in_by_debt() {
-    let mut door = Buckets::start(0.0, true, START);
+    let mut door = TokenBuckets::new(0.0, true, START);
     let small = Quota { rate: 2.0, burst: 2.0 };
-    door.read(8, &BTreeMap::new(), |_| small, START);
-    assert!(door.ask("s", small, START).is_ok());
-    let wait = door.ask("s", small, START).expect_err("in debt");
+    door.apply_usage(8, &BTreeMap::new(), |_| small, START);
+    assert!(door.try_admit("s", small, START).is_ok());
+    let wait = door.try_admit("s", small, START).expect_err("in debt");
     assert!((wait.as_secs_f64() - 3.5).abs() < 0.1, "{wait:?}");
 }
--- a/crates/quota/src/pocket.rs
+++ b/crates/quota/src/token_reserve.rs
@@ -29,25 +29,25 @@
 }
 
 #[derive(Clone, Debug, Default)]
-pub struct Pocket {
+pub struct TokenReserve {
     purses: BTreeMap<Rc<str>, Purse>,
 }
 
-impl Pocket {
+impl TokenReserve {
     fn purse(&mut self, tenant: &Rc<str>, now: Timestamp) -> &mut Purse {
         let new = || Purse { tokens: 0, until: now, rate: 0.0, last: now, asked: false };
         self.purses.entry(Rc::clone(tenant)).or_insert_with(new)
     }
 
     /// A request came.
-    pub fn wanted(&mut self, tenant: &Rc<str>, now: Timestamp) {
+    pub fn record_request(&mut self, tenant: &Rc<str>, now: Timestamp) {
         let purse = self.purse(tenant, now);
         purse.rate = purse.rate * (-now.since(purse.last).as_secs_f64() / SPAN).exp() + 1.0 / SPAN;
         purse.last = now;
     }
 
     /// A token that is still good.
-    pub fn take(&mut self, tenant: &Rc<str>, now: Timestamp) -> bool {
+    pub fn take_token(&mut self, tenant: &Rc<str>, now: Timestamp) -> bool {
         let purse = self.purse(tenant, now);
         if purse.until <= now {
             purse.tokens = 0;
@@ -57,7 +57,7 @@
         good
     }
 
-    pub fn put(&mut self, tenant: &Rc<str>, tokens: u32, now: Timestamp) {
+    pub fn add_tokens(&mut self, tenant: &Rc<str>, tokens: u32, now: Timestamp) {
         let purse = self.purse(tenant, now);
         purse.tokens += tokens;
         if tokens > 0 {
@@ -66,7 +66,7 @@
     }
 
     /// How many to ask for ahead; nothing while a lot is under way, or half of one is left.
-    pub fn ahead(&mut self, tenant: &Rc<str>, now: Timestamp) -> u32 {
+    pub fn tokens_to_request(&mut self, tenant: &Rc<str>, now: Timestamp) -> u32 {
         let purse = self.purse(tenant, now);
         let lot = ((purse.rate * LOT_SPAN) as u32).min(MOST_AHEAD);
         let tokens = if purse.until > now { purse.tokens } else { 0 };
@@ -78,13 +78,13 @@
     }
 
     /// The lot that was asked for has come, as far as it was lent.
-    pub fn came(&mut self, tenant: &Rc<str>, tokens: u32, now: Timestamp) {
-        self.put(tenant, tokens, now);
+    pub fn record_lease(&mut self, tenant: &Rc<str>, tokens: u32, now: Timestamp) {
+        self.add_tokens(tenant, tokens, now);
         self.purse(tenant, now).asked = false;
     }
 
     /// Those who have not sent for long are dropped.
-    pub fn tidy(&mut self, now: Timestamp) {
+    pub fn drop_idle_tenants(&mut self, now: Timestamp) {
         self.purses.retain(|_, purse| {
             let rate = purse.rate * (-now.since(purse.last).as_secs_f64() / SPAN).exp();
             purse.asked || rate > SELDOM || purse.tokens > 0 && purse.until > now
--- a/crates/quota/src/pocket/tests.rs
+++ b/crates/quota/src/token_reserve/tests.rs
@@ -9,26 +9,26 @@
 #[test]
 fn one_who_sends_steadily_waits_seldom_and_one_who_does_not_is_never_lent_ahead() {
     let (steady, seldom): (Rc<str>, Rc<str>) = (Rc::from("steady"), Rc::from("seldom"));
-    let (mut pocket, mut under_way) = (Pocket::default(), None);
+    let (mut reserve, mut under_way) = (TokenReserve::default(), None);
     let (mut waited, mut lent, mut requests) = (0, 0, 0);
     for ms in (0..10_000).step_by(10) {
         if let Some((due, tokens)) = under_way.filter(|(due, _)| *due <= ms) {
             let _: u64 = due;
-            pocket.came(&steady, tokens, at(ms));
+            reserve.record_lease(&steady, tokens, at(ms));
             under_way = None;
         }
         if ms % 3_000 == 0 {
-            pocket.wanted(&seldom, at(ms));
-            assert!(!pocket.take(&seldom, at(ms)) && pocket.ahead(&seldom, at(ms)) == 0);
+            reserve.record_request(&seldom, at(ms));
+            assert!(!reserve.take_token(&seldom, at(ms)) && reserve.tokens_to_request(&seldom, at(ms)) == 0);
         }
         // Eight a second.
         if ms % 120 == 0 {
             requests += 1;
-            pocket.wanted(&steady, at(ms));
-            if !pocket.take(&steady, at(ms)) {
+            reserve.record_request(&steady, at(ms));
+            if !reserve.take_token(&steady, at(ms)) {
                 (waited, lent) = (waited + 1, lent + 1);
             }
-            let more = pocket.ahead(&steady, at(ms));
+            let more = reserve.tokens_to_request(&steady, at(ms));
             if more > 0 {
                 (under_way, lent) = (Some((ms + 70, more)), lent + more);
             }
@@ -36,14 +36,14 @@
     }
     assert!(waited <= 8, "{waited} of {requests} waited");
     assert!(lent <= requests + 8, "{lent} lent for {requests}");
-    pocket.tidy(at(40_000));
-    assert!(pocket.purses.is_empty());
+    reserve.drop_idle_tenants(at(40_000));
+    assert!(reserve.purses.is_empty());
 }
 
 #[test]
 fn a_token_is_good_for_a_second() {
-    let (mut pocket, tenant): (_, Rc<str>) = (Pocket::default(), Rc::from("t"));
-    pocket.put(&tenant, 2, START);
-    assert!(pocket.take(&tenant, at(900)));
-    assert!(!pocket.take(&tenant, at(1_000)), "the other one is too old");
+    let (mut reserve, tenant): (_, Rc<str>) = (TokenReserve::default(), Rc::from("t"));
+    reserve.add_tokens(&tenant, 2, START);
+    assert!(reserve.take_token(&tenant, at(900)));
+    assert!(!reserve.take_token(&tenant, at(1_000)), "the other one is too old");
 }
--- a/crates/simulator/src/experiment.rs
+++ b/crates/simulator/src/experiment.rs
@@ -756,7 +756,7 @@
         shares("weights", sum)?;
         if let Some(Trace { mapping, .. }) = &self.trace {
             least("trace.mapping.time_unit_s", mapping.time_unit_s, 1e-9)?;
-            least("trace.mapping.faster", mapping.faster, 1e-6)?;
+            least("trace.mapping.faster", mapping.speedup, 1e-6)?;
             least("trace.mapping.units", mapping.units, 1e-9)?;
             let product = |name: &String| self.product.iter().any(|known| known.name == *name);
             for (word, name) in &mapping.kinds {
--- a/crates/system-simulator/examples/capacity.rs
+++ b/crates/system-simulator/examples/capacity.rs
@@ -21,7 +21,7 @@
 use vanewharf_clock::{MonotonicClock, Timestamp};
 use vanewharf_config::config::Config;
 use vanewharf_config::settings::Bounds;
-use vanewharf_discovery::summing::{Summing, for_doors};
+use vanewharf_discovery::{FleetAggregator, summary_for_proxies};
 use vanewharf_gateway::router::RoutingPolicy;
 use vanewharf_http1::Request;
 use vanewharf_policy::interface::Tenths;
@@ -33,7 +33,7 @@
 use vanewharf_proxy::gate::Posted;
 use vanewharf_proxy::rounds::{News, Place, Rounds, Start};
 use vanewharf_proxy::tables::Tables;
-use vanewharf_quota::quota::{Buckets, Quota};
+use vanewharf_quota::{Quota, TokenBuckets};
 use vanewharf_rpc::{RpcClient, RpcResponse, serve};
 use vanewharf_runtime::environment::Environment;
 
@@ -363,24 +363,25 @@
             if doors * pool.min(doors * tenants) > 60_000_000 {
                 continue;
             }
-            let mut sums = Summing::default();
-            let taken = |sums: &mut Summing, round: u64| {
-                (0..doors).for_each(|door| sums.report(report(door, tenants, pool, round), at(round)));
+            let mut sums = FleetAggregator::default();
+            let taken = |sums: &mut FleetAggregator, round: u64| {
+                (0..doors).for_each(|door| sums.record_report(report(door, tenants, pool, round), at(round)));
             };
             let held = took(|| taken(&mut sums, 1)).held;
             let reports: Vec<_> = (0..doors).map(|door| report(door, tenants, pool, 2)).collect();
             let size = bytes(&reports[0]).len();
-            let heard = took(|| reports.into_iter().for_each(|report| sums.report(report, at(2))));
-            (0..OFFICES).for_each(|no| sums.office(office(no), at(2)));
-            let made = took(|| sums.ledger(Version { ballot: Ballot(1), no: 1 }, 1e9, at(2)));
+            let heard = took(|| reports.into_iter().for_each(|report| sums.record_report(report, at(2))));
+            (0..OFFICES).for_each(|no| sums.record_controller(office(no), at(2)));
+            let made = took(|| sums.summarize(Version { ballot: Ballot(1), no: 1 }, 1e9, at(2)));
             let copied = took(|| FleetSummary::clone(&made.out));
             let written = took(|| bytes(&made.out));
             let read = took(|| serde_json::from_slice::<FleetSummary>(&written.out).expect("a ledger"));
-            let to_doors = bytes(&for_doors(copied.out)).len();
+            let to_doors = bytes(&summary_for_proxies(copied.out)).len();
             // One postmaster's part of them, as it tells the holder.
-            let mut part = Summing::default();
-            (0..doors.div_ceil(OFFICES)).for_each(|door| part.report(report(door, tenants, pool, 1), at(1)));
-            let told = took(|| bytes(&part.reports(at(1))));
+            let mut part = FleetAggregator::default();
+            (0..doors.div_ceil(OFFICES))
+                .for_each(|door| part.record_report(report(door, tenants, pool, 1), at(1)));
+            let told = took(|| bytes(&part.recent_reports(at(1))));
             println!(
                 "| {doors} | {tenants}, {pool} | {size} | {:.1} | {held:.1} | {:.1} | {}, {} | {to_doors} | {:.2} | {:.1}, {:.1} | {:.1}, {} |",
                 heard.ms,
@@ -408,13 +409,13 @@
         let one = |door: usize| ProxyReport { hosts: told.clone(), ..report(door, 0, 1, 1) };
         let size = bytes(&one(0)).len();
         let reports: Vec<_> = (0..DOORS).map(one).collect();
-        let mut sums = Summing::default();
+        let mut sums = FleetAggregator::default();
         let heard = took(|| bytes(&reports).len());
         let read = took(|| serde_json::from_slice::<Vec<ProxyReport>>(&bytes(&reports)).expect("reports"));
         drop(reports);
         let held = read.held;
-        read.out.into_iter().for_each(|report| sums.report(report, at(1)));
-        let made = took(|| sums.ledger(Version::default(), 1e9, at(1)));
+        read.out.into_iter().for_each(|report| sums.record_report(report, at(1)));
+        let made = took(|| sums.summarize(Version::default(), 1e9, at(1)));
         println!("| {DOORS} | {hosts} | {size} | {:.1} | {held:.1} | {:.1} |", read.ms - heard.ms, made.ms);
     }
 }
@@ -430,27 +431,27 @@
         let name = |no: usize| format!("tenant-{no:06}");
         let names: Vec<_> = (0..tenants).map(name).collect();
         let filled = took(|| {
-            let mut buckets = Buckets::start(100.0, false, at(0));
-            buckets.read(OFFICES as u32, &BTreeMap::new(), |_| quota, at(1));
+            let mut buckets = TokenBuckets::new(100.0, false, at(0));
+            buckets.apply_usage(OFFICES as u32, &BTreeMap::new(), |_| quota, at(1));
             for name in &names {
-                buckets.lend(name, 1, quota, at(5));
+                buckets.lease_tokens(name, 1, quota, at(5));
             }
             buckets
         });
         let (held, mut buckets) = (filled.held, filled.out);
-        let lent = took(|| names.iter().map(|name| buckets.lend(name, 1, quota, at(9))).sum::<u32>());
+        let lent = took(|| names.iter().map(|name| buckets.lease_tokens(name, 1, quota, at(9))).sum::<u32>());
         let tell = |no: usize| {
-            let (let_through, slices) = (buckets.let_through(), buckets.slices());
+            let (let_through, slices) = (buckets.admitted_counts(), buckets.slices());
             TokenLeaseReport { ip: office(no).ip, life: 1, let_through, slices }
         };
         let told = took(|| bytes(&tell(0)));
-        let mut sums = Summing::default();
-        sums.report(report(0, 0, 1, 1), at(10));
-        (0..OFFICES).for_each(|no| sums.lent(tell(no), at(10)));
-        let made = took(|| sums.ledger(Version::default(), 1.0, at(10)));
+        let mut sums = FleetAggregator::default();
+        sums.record_report(report(0, 0, 1, 1), at(10));
+        (0..OFFICES).for_each(|no| sums.record_lease_report(tell(no), at(10)));
+        let made = took(|| sums.summarize(Version::default(), 1.0, at(10)));
         let ledger = bytes(&made.out);
-        let copied = took(|| for_doors(FleetSummary::clone(&made.out)));
-        let read = took(|| buckets.read(OFFICES as u32, &made.out.tenants, |_| quota, at(10)));
+        let copied = took(|| summary_for_proxies(FleetSummary::clone(&made.out)));
+        let read = took(|| buckets.apply_usage(OFFICES as u32, &made.out.tenants, |_| quota, at(10)));
         println!(
             "| {tenants} | {held:.1} | {:.0} | {:.2} | {:.0}, {}, {} | {:.0}, {}, {} | {:.1} | {:.0} |",
             held * 1e6 / tenants as f64,
--- a/crates/traces/src/lib.rs
+++ b/crates/traces/src/lib.rs
@@ -27,8 +27,8 @@
     #[serde(default = "one")]
     pub time_unit_s: f64,
     /// The trace's seconds pass so many times faster.
-    #[serde(default = "one")]
-    pub faster: f64,
+    #[serde(rename = "faster", default = "one")]
+    pub speedup: f64,
     /// The product of each word in the kind column.
     #[serde(default)]
     pub kinds: BTreeMap<String, String>,
@@ -38,8 +38,8 @@
     #[serde(default = "one")]
     pub units: f64,
     /// The most that a row may say.
-    #[serde(default = "most")]
-    pub most_units: f64,
+    #[serde(rename = "most_units", default = "most")]
+    pub max_units: f64,
     /// Where no column has it.
     pub product: Option<String>,
 }
@@ -64,7 +64,7 @@
 
 /// What is wrong with a row that was left out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Wrong {
+pub enum RowDefect {
     /// Not as many fields as the header, or bytes that are no text.
     Form,
     Time,
@@ -75,72 +75,72 @@
     Plan,
 }
 
-impl fmt::Display for Wrong {
+impl fmt::Display for RowDefect {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Wrong::Form => "not the header's fields",
-            Wrong::Time => "no time",
-            Wrong::OutOfOrder => "earlier than the row before",
-            Wrong::Customer => "no customer",
-            Wrong::Kind => "a kind that is not mapped",
-            Wrong::Units => "no units, or out of range",
-            Wrong::Plan => "a plan that is not known",
+            RowDefect::Form => "not the header's fields",
+            RowDefect::Time => "no time",
+            RowDefect::OutOfOrder => "earlier than the row before",
+            RowDefect::Customer => "no customer",
+            RowDefect::Kind => "a kind that is not mapped",
+            RowDefect::Units => "no units, or out of range",
+            RowDefect::Plan => "a plan that is not known",
         })
     }
 }
 
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Taken {
+pub struct ImportedTrace {
     pub rows: Vec<Row>,
     /// How many were left out by what is wrong with them, and the line of the first of each.
-    pub wrong: BTreeMap<Wrong, (u64, u64)>,
+    pub rejected: BTreeMap<RowDefect, (u64, u64)>,
 }
 
-impl Taken {
-    pub fn left_out(&self) -> u64 {
-        self.wrong.values().map(|(count, _)| count).sum()
+impl ImportedTrace {
+    pub fn rejected_count(&self) -> u64 {
+        self.rejected.values().map(|(count, _)| count).sum()
     }
 }
 
 #[derive(Debug)]
-pub enum Refused {
+pub enum TraceError {
     Column(String),
     Unreadable(String),
     Mapping(String),
 }
 
-impl fmt::Display for Refused {
+impl fmt::Display for TraceError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Refused::Column(name) => write!(f, "the trace has no column '{name}'"),
-            Refused::Unreadable(why) => write!(f, "the trace cannot be read: {why}"),
-            Refused::Mapping(why) => write!(f, "the mapping: {why}"),
+            TraceError::Column(name) => write!(f, "the trace has no column '{name}'"),
+            TraceError::Unreadable(why) => write!(f, "the trace cannot be read: {why}"),
+            TraceError::Mapping(why) => write!(f, "the mapping: {why}"),
         }
     }
 }
 
-impl std::error::Error for Refused {}
+impl std::error::Error for TraceError {}
 
 /// Reads a trace; `plans` are those that a row may name.
-pub fn read(from: impl Read, mapping: &Mapping, plans: &[String]) -> Result<Taken, Refused> {
-    if !(mapping.time_unit_s > 0.0 && mapping.faster > 0.0 && mapping.units > 0.0) {
-        return Err(Refused::Mapping("time_unit_s, faster and units must be above 0".to_owned()));
+pub fn read_trace(from: impl Read, mapping: &Mapping, plans: &[String]) -> Result<ImportedTrace, TraceError> {
+    if !(mapping.time_unit_s > 0.0 && mapping.speedup > 0.0 && mapping.units > 0.0) {
+        return Err(TraceError::Mapping("time_unit_s, faster and units must be above 0".to_owned()));
     }
     if mapping.columns.plan.is_none() && mapping.plan.is_none() {
-        return Err(Refused::Mapping("neither plan nor columns.plan is given".to_owned()));
+        return Err(TraceError::Mapping("neither plan nor columns.plan is given".to_owned()));
     }
     if mapping.columns.kind.is_none() && mapping.product.is_none() {
-        return Err(Refused::Mapping("neither product nor columns.kind is given".to_owned()));
+        return Err(TraceError::Mapping("neither product nor columns.kind is given".to_owned()));
     }
     let mut reader = csv::ReaderBuilder::new().flexible(true).trim(csv::Trim::All).from_reader(from);
-    let unreadable = |error: csv::Error| Refused::Unreadable(error.to_string());
+    let unreadable = |error: csv::Error| TraceError::Unreadable(error.to_string());
     let header = reader.headers().map_err(unreadable)?.clone();
     let place = |name: &String| {
         let places: Vec<_> = header.iter().enumerate().filter(|(_, known)| known == name).collect();
         match places.as_slice() {
             [(place, _)] => Ok(*place),
-            [] => Err(Refused::Column(name.clone())),
-            _ => Err(Refused::Unreadable(format!("column '{name}' comes twice"))),
+            [] => Err(TraceError::Column(name.clone())),
+            _ => Err(TraceError::Unreadable(format!("column '{name}' comes twice"))),
         }
     };
     let time = place(&mapping.columns.time)?;
@@ -148,13 +148,13 @@
     let kind = mapping.columns.kind.as_ref().map(place).transpose()?;
     let units = mapping.columns.units.as_ref().map(place).transpose()?;
     let plan = mapping.columns.plan.as_ref().map(place).transpose()?;
-    let mut all = Taken::default();
+    let mut all = ImportedTrace::default();
     let (mut began, mut latest) = (None, f64::MIN);
     let mut record = csv::StringRecord::new();
     loop {
         let line = reader.position().line();
-        let mut wrong = |what: Wrong| {
-            let entry = all.wrong.entry(what).or_insert((0, line));
+        let mut wrong = |what: RowDefect| {
+            let entry = all.rejected.entry(what).or_insert((0, line));
             entry.0 += 1;
         };
         match reader.read_record(&mut record) {
@@ -165,21 +165,21 @@
                 return Err(unreadable(error));
             }
             _ => {
-                wrong(Wrong::Form);
+                wrong(RowDefect::Form);
                 continue;
             }
         }
         let field = |place: usize| record.get(place).unwrap_or_default();
         let Some(at) = field(time).parse::<f64>().ok().filter(|at| at.is_finite()) else {
-            wrong(Wrong::Time);
+            wrong(RowDefect::Time);
             continue;
         };
         if at < latest {
-            wrong(Wrong::OutOfOrder);
+            wrong(RowDefect::OutOfOrder);
             continue;
         }
         if field(customer).is_empty() {
-            wrong(Wrong::Customer);
+            wrong(RowDefect::Customer);
             continue;
         }
         let product = match kind {
@@ -187,26 +187,26 @@
             None => mapping.product.as_ref(),
         };
         let Some(product) = product else {
-            wrong(Wrong::Kind);
+            wrong(RowDefect::Kind);
             continue;
         };
         let units = match units {
             Some(place) => field(place).parse::<f64>().ok(),
             None => Some(mapping.units),
         };
-        let Some(units) = units.filter(|units| *units > 0.0 && *units <= mapping.most_units) else {
-            wrong(Wrong::Units);
+        let Some(units) = units.filter(|units| *units > 0.0 && *units <= mapping.max_units) else {
+            wrong(RowDefect::Units);
             continue;
         };
         let plan = plan.map_or_else(|| mapping.plan.as_deref().unwrap_or_default(), field);
         if !plans.iter().any(|known| known == plan) {
-            wrong(Wrong::Plan);
+            wrong(RowDefect::Plan);
             continue;
         }
         latest = at;
         let began = *began.get_or_insert(at);
         all.rows.push(Row {
-            time_s: (at - began) * mapping.time_unit_s / mapping.faster,
+            time_s: (at - began) * mapping.time_unit_s / mapping.speedup,
             customer: field(customer).to_owned(),
             product: product.clone(),
             plan: plan.to_owned(),
@@ -217,15 +217,15 @@
 }
 
 /// Writes what was read in the project's own form, which `own` maps.
-pub fn write(to: impl Write, rows: &[Row]) -> Result<(), Refused> {
+pub fn write_trace(to: impl Write, rows: &[Row]) -> Result<(), TraceError> {
     let mut writer = csv::Writer::from_writer(to);
-    let unreadable = |error: csv::Error| Refused::Unreadable(error.to_string());
+    let unreadable = |error: csv::Error| TraceError::Unreadable(error.to_string());
     rows.iter().try_for_each(|row| writer.serialize(row)).map_err(unreadable)?;
-    writer.flush().map_err(|error| Refused::Unreadable(error.to_string()))
+    writer.flush().map_err(|error| TraceError::Unreadable(error.to_string()))
 }
 
 /// The mapping of what `write` writes.
-pub fn own(products: &[String]) -> Mapping {
+pub fn canonical_mapping(products: &[String]) -> Mapping {
     let column = |name: &str| name.to_owned();
     Mapping {
         columns: Columns {
@@ -236,27 +236,27 @@
             plan: Some(column("plan")),
         },
         time_unit_s: 1.0,
-        faster: 1.0,
+        speedup: 1.0,
         kinds: products.iter().map(|name| (name.clone(), name.clone())).collect(),
         plan: None,
         units: 1.0,
-        most_units: most(),
+        max_units: most(),
         product: None,
     }
 }
 
 /// A trace at a glance.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Glance {
+pub struct TraceSummary {
     pub rows: u64,
     pub seconds: f64,
     pub customers: u64,
     pub by_product: BTreeMap<String, (u64, f64)>,
     /// The most rows in one second, and the mean.
-    pub busiest: u64,
+    pub peak_rows_per_second: u64,
 }
 
-pub fn glance(rows: &[Row]) -> Glance {
+pub fn summarize_trace(rows: &[Row]) -> TraceSummary {
     let mut customers: Vec<&str> = rows.iter().map(|row| row.customer.as_str()).collect();
     customers.sort_unstable();
     customers.dedup();
@@ -268,12 +268,12 @@
         entry.1 += row.units;
         *seconds.entry(row.time_s as u64).or_default() += 1;
     }
-    Glance {
+    TraceSummary {
         rows: rows.len() as u64,
         seconds: rows.last().map_or(0.0, |row| row.time_s),
         customers: customers.len() as u64,
         by_product,
-        busiest: seconds.values().copied().max().unwrap_or_default(),
+        peak_rows_per_second: seconds.values().copied().max().unwrap_or_default(),
     }
 }
 
@@ -292,14 +292,14 @@
                 plan: None,
             },
             time_unit_s: 0.001,
-            faster: 2.0,
+            speedup: 2.0,
             kinds: BTreeMap::from([
                 ("get".to_owned(), "resolve".to_owned()),
                 ("put".to_owned(), "publish".to_owned()),
             ]),
             plan: Some("basic".to_owned()),
             units: 1.0,
-            most_units: 100.0,
+            max_units: 100.0,
             product: None,
         }
     }
@@ -311,8 +311,8 @@
     #[test]
     fn rows_become_txns_by_the_columns_named() {
         let text = "user,ts,op,cpu,extra\na,5000,get,2,x\nb,7000,put,8,y\n";
-        let read = read(text.as_bytes(), &mapping(), &plans()).expect("readable");
-        assert!(read.wrong.is_empty());
+        let read = read_trace(text.as_bytes(), &mapping(), &plans()).expect("readable");
+        assert!(read.rejected.is_empty());
         assert_eq!(read.rows[1].time_s, 1.0, "two seconds, twice as fast, from the first row on");
         assert_eq!((read.rows[1].product.as_str(), read.rows[1].units), ("publish", 8.0));
     }
@@ -321,47 +321,52 @@
     fn what_is_wrong_is_counted_by_its_kind_and_left_out() {
         let text = "user,ts,op,cpu\na,5000,get,2\na,x,get,2\na,4999,get,2\n,5001,get,2\na,5002,move,2\na,5003,get,-1\n\
                     a,5004,get,1e9\na,5005,get\na,5006,get,2,9\na,nan,get,2\na,5000,get,2\na,5007,put,1\n";
-        let read = read(text.as_bytes(), &mapping(), &plans()).expect("readable");
+        let read = read_trace(text.as_bytes(), &mapping(), &plans()).expect("readable");
         assert_eq!(read.rows.len(), 3);
         let counts: Vec<_> =
-            read.wrong.iter().map(|(wrong, (count, line))| (*wrong, *count, *line)).collect();
-        use Wrong::*;
+            read.rejected.iter().map(|(wrong, (count, line))| (*wrong, *count, *line)).collect();
+        use RowDefect::*;
         assert_eq!(
             counts,
             [(Form, 2, 9), (Time, 2, 3), (OutOfOrder, 1, 4), (Customer, 1, 5), (Kind, 1, 6), (Units, 2, 7)]
         );
-        assert_eq!(read.left_out(), 9);
+        assert_eq!(read.rejected_count(), 9);
     }
 
     #[test]
     fn bytes_that_are_no_text_are_one_row_left_out() {
         let text = b"user,ts,op,cpu\na,5000,get,2\n\xff\xfe,5001,get,2\na,5002,get,2\n";
-        let read = read(&text[..], &mapping(), &plans()).expect("readable");
-        assert_eq!((read.rows.len(), read.wrong[&Wrong::Form].0), (2, 1));
+        let read = read_trace(&text[..], &mapping(), &plans()).expect("readable");
+        assert_eq!((read.rows.len(), read.rejected[&RowDefect::Form].0), (2, 1));
     }
 
     #[test]
     fn a_trace_without_a_named_column_is_refused_by_its_name() {
         let refused =
-            |text: &str| read(text.as_bytes(), &mapping(), &plans()).expect_err("refused").to_string();
+            |text: &str| read_trace(text.as_bytes(), &mapping(), &plans()).expect_err("refused").to_string();
         assert_eq!(refused("user,time,op,cpu\na,1,get,2\n"), "the trace has no column 'ts'");
         assert_eq!(refused(""), "the trace has no column 'ts'");
         assert!(refused("user,ts,op,cpu,ts\n").contains("twice"));
         let none = Mapping { plan: None, ..mapping() };
-        assert!(read("".as_bytes(), &none, &plans()).expect_err("refused").to_string().contains("plan"));
+        assert!(
+            read_trace("".as_bytes(), &none, &plans()).expect_err("refused").to_string().contains("plan")
+        );
     }
 
     #[test]
     fn what_is_written_is_read_again() {
         let text = "user,ts,op,cpu\na,5000,get,2\nb,7000,put,8\n";
-        let once = read(text.as_bytes(), &mapping(), &plans()).expect("readable");
+        let once = read_trace(text.as_bytes(), &mapping(), &plans()).expect("readable");
         let mut written = Vec::new();
-        write(&mut written, &once.rows).expect("written");
+        write_trace(&mut written, &once.rows).expect("written");
         let products = ["resolve".to_owned(), "publish".to_owned()];
-        let again = read(&written[..], &own(&products), &plans()).expect("readable");
+        let again = read_trace(&written[..], &canonical_mapping(&products), &plans()).expect("readable");
         assert_eq!(again, once);
-        let glance = glance(&once.rows);
-        assert_eq!((glance.rows, glance.customers, glance.seconds, glance.busiest), (2, 2, 1.0, 1));
+        let glance = summarize_trace(&once.rows);
+        assert_eq!(
+            (glance.rows, glance.customers, glance.seconds, glance.peak_rows_per_second),
+            (2, 2, 1.0, 1)
+        );
     }
 
     #[test]
@@ -372,7 +377,7 @@
             text +=
                 &format!("u{},{},{},{}\n", no % 50, 5_000 + no, if bad { "?" } else { "get" }, 1 + no % 4);
         }
-        let read = read(text.as_bytes(), &mapping(), &plans()).expect("readable");
-        assert_eq!((read.rows.len(), read.wrong[&Wrong::Kind].0), (1_900, 100));
+        let read = read_trace(text.as_bytes(), &mapping(), &plans()).expect("readable");
+        assert_eq!((read.rows.len(), read.rejected[&RowDefect::Kind].0), (1_900, 100));
     }
 }
--- a/programs/agent/src/lib.rs
+++ b/programs/agent/src/lib.rs
@@ -9,8 +9,8 @@
 use tokio::time::sleep;
 use vanewharf_clock::Timestamp;
 use vanewharf_config::settings::Settings;
-use vanewharf_discovery::source::{Next, Sources};
-use vanewharf_discovery::view::View;
+use vanewharf_discovery::PeerView;
+use vanewharf_discovery::{SourceChoice, SourceSelector};
 use vanewharf_http1::Request;
 use vanewharf_protocol::messages::{PeerEntry, ProxyReport, PullRequest};
 use vanewharf_rpc::Publisher;
@@ -61,7 +61,7 @@
             }
         }
     }));
-    let view = Rc::new(RefCell::new(View::of(settings.ip, &settings.region)));
+    let view = Rc::new(RefCell::new(PeerView::new(settings.ip, &settings.region)));
     let beside = settings.neighbour(settings.ip);
     let listener =
         premises.net.listen(beside).map_err(|error| format!("cannot listen on {beside}: {error}"))?;
@@ -84,7 +84,7 @@
 /// Calls of other doors.
 async fn beside_calls(
     feed: &Publisher,
-    view: &RefCell<View>,
+    view: &RefCell<PeerView>,
     relayed: &Relayed,
     draw: usize,
     request: &Request,
@@ -93,7 +93,7 @@
         ("POST", "/shuffle") => match serde_json::from_slice::<Vec<PeerEntry>>(request.body()) {
             Ok(told) => {
                 let now = feed.now();
-                let mine = view.borrow().told(draw, now);
+                let mine = view.borrow().sample(draw, now);
                 view.borrow_mut().merge(&told, now);
                 RpcResponse::json(&mine)
             }
@@ -119,19 +119,24 @@
 }
 
 /// Now and then the view is told to one of the doors in it, and that one's view heard.
-async fn shuffle(settings: Rc<Settings>, premises: Environment, feed: Publisher, view: Rc<RefCell<View>>) {
+async fn shuffle(
+    settings: Rc<Settings>,
+    premises: Environment,
+    feed: Publisher,
+    view: Rc<RefCell<PeerView>>,
+) {
     loop {
         let draw = premises.draw(1 << 16) as usize;
         sleep(SHUFFLED + Duration::from_millis(draw as u64 % 400)).await;
-        let first = view.borrow().order(draw).first().copied();
+        let first = view.borrow().contact_order(draw).first().copied();
         let now = feed.now();
         match first {
             Some(ip) => {
-                let told = view.borrow().told(draw, now);
+                let told = view.borrow().sample(draw, now);
                 let mut there = RpcClient::to(settings.neighbour(ip), &premises.net);
                 match there.ask::<_, Vec<PeerEntry>>("/shuffle", &told, BESIDE).await {
                     Ok(heard) => view.borrow_mut().merge(&heard, feed.now()),
-                    Err(_) => view.borrow_mut().lost(ip),
+                    Err(_) => view.borrow_mut().remove(ip),
                 }
             }
             // It knows no door: a postmaster names some.
@@ -148,24 +153,26 @@
     }
 }
 
-/// Hears through one source after the other, as `Sources` has it.
+/// Hears through one source after the other, as `SourceSelector` has it.
 async fn keep_pulling(
     settings: Rc<Settings>,
     premises: Environment,
     feed: Publisher,
     last: Last,
-    view: Rc<RefCell<View>>,
+    view: Rc<RefCell<PeerView>>,
     relayed: Relayed,
 ) {
-    let (mut callers, mut sources): (Vec<RpcClient>, Sources) = Default::default();
+    let (mut callers, mut sources): (Vec<RpcClient>, SourceSelector) = Default::default();
     loop {
         let offices: Vec<_> = known(&settings, &feed).into_iter().map(|ip| settings.office(ip)).collect();
         let beside: Vec<_> = {
             // From one on that is this door's own, so that not all turn to the same.
-            let order = view.borrow().order(usize::from(u8::try_from(settings.name.len()).unwrap_or(0)));
+            let order =
+                view.borrow().contact_order(usize::from(u8::try_from(settings.name.len()).unwrap_or(0)));
             order.into_iter().map(|ip| settings.neighbour(ip)).collect()
         };
-        let Some(Next { source: best, wait }) = sources.next(&offices, &beside, feed.now()) else {
+        let Some(SourceChoice { source: best, wait }) = sources.choose_next(&offices, &beside, feed.now())
+        else {
             sleep(PAUSE).await;
             continue;
         };
@@ -192,13 +199,13 @@
             Ok(news) => {
                 callers.insert(0, caller);
                 callers.truncate(MOST_CALLERS);
-                if !sources.answered(best, news.sure, &beside, feed.now()) {
+                if !sources.record_answer(best, news.sure, &beside, feed.now()) {
                     sleep(PAUSE).await;
                 }
             }
             Err(why) => {
                 spdlog::debug!("nothing from {}: {}", best, why);
-                sources.failed(best, &beside, feed.now());
+                sources.record_failure(best, &beside, feed.now());
                 sleep(PAUSE).await;
             }
         }
--- a/programs/cli/src/main.rs
+++ b/programs/cli/src/main.rs
@@ -10,7 +10,7 @@
 use vanewharf_config::config::Config as SystemConfig;
 use vanewharf_config::settings::Settings;
 use vanewharf_gateway_settings::Options;
-use vanewharf_maintenance::{Standing, Timestamp, Timetable};
+use vanewharf_maintenance::{MaintenanceSchedule, Timestamp, WindowState};
 use vanewharf_simulator::arrivals::traced;
 use vanewharf_simulator::experiment::Experiment;
 use vanewharf_simulator::run::{Outcome, run, run_with};
@@ -395,12 +395,12 @@
     let mapping = mapping.ok_or("the experiment has no trace.mapping")?;
     let plans: Vec<_> = experiment.plan.iter().map(|plan| plan.name.clone()).collect();
     let file = fs::File::open(path).map_err(|error| format!("{}: {error}", path.display()))?;
-    let taken = traces::read(std::io::BufReader::new(file), mapping, &plans);
+    let taken = traces::read_trace(std::io::BufReader::new(file), mapping, &plans);
     let taken = taken.map_err(|refused| format!("{}: {refused}", path.display()))?;
-    for (wrong, (count, line)) in &taken.wrong {
+    for (wrong, (count, line)) in &taken.rejected {
         tracing::warn!(count, first_line = line, "left out: {wrong}");
     }
-    tracing::info!(rows = taken.rows.len(), left_out = taken.left_out(), "trace read");
+    tracing::info!(rows = taken.rows.len(), left_out = taken.rejected_count(), "trace read");
     if taken.rows.is_empty() {
         Err(format!("{}: no row can be used", path.display()))
     } else {
@@ -412,43 +412,44 @@
     let (_, experiment) = experiment(of)?;
     let rows = rows(&experiment, trace)?;
     let Some(out) = out else {
-        let glance = traces::glance(&rows);
+        let glance = traces::summarize_trace(&rows);
         println!("{} txns of {} customers in {:.1} s", glance.rows, glance.customers, glance.seconds);
-        println!("{} in the busiest second", glance.busiest);
+        println!("{} in the busiest second", glance.peak_rows_per_second);
         for (product, (count, units)) in &glance.by_product {
             println!("{product}: {count} txns, {units:.0} units");
         }
         return Ok(());
     };
     let file = fs::File::create(out).map_err(|error| format!("{}: {error}", out.display()))?;
-    traces::write(std::io::BufWriter::new(file), &rows).map_err(|refused| refused.to_string())
+    traces::write_trace(std::io::BufWriter::new(file), &rows).map_err(|refused| refused.to_string())
 }
 
 fn hours(file: &Path, at: Option<&str>, node: Option<&str>) -> Result<(), String> {
     let named = |why: String| format!("{}: {why}", file.display());
-    let table = Timetable::of(text(file)?.as_bytes()).map_err(|fault| named(fault.to_string()))?;
+    let table =
+        MaintenanceSchedule::parse(text(file)?.as_bytes()).map_err(|fault| named(fault.to_string()))?;
     let now = match at {
         Some(at) => at.parse().map_err(|why| format!("--at {at}: {why}"))?,
         None => Timestamp::now(),
     };
-    let told = |name: &str, standing: Standing| match standing {
-        Standing::Open { until } => println!("{name}: open until {until}"),
-        Standing::Closed { opens: Some(opens) } => println!("{name}: closed, opens {opens}"),
-        Standing::Closed { opens: None } => println!("{name}: closed, and no opening is in sight"),
+    let told = |name: &str, standing: WindowState| match standing {
+        WindowState::Open { until } => println!("{name}: open until {until}"),
+        WindowState::Closed { opens: Some(opens) } => println!("{name}: closed, opens {opens}"),
+        WindowState::Closed { opens: None } => println!("{name}: closed, and no opening is in sight"),
     };
     if let Some(node) = node {
         let parts: Vec<_> = node.split('/').collect();
         let [zone, service, id] = parts.as_slice() else {
             return Err(format!("--node {node}: ZONE/SERVICE/ID is wanted"));
         };
-        let covering: Vec<_> = table.covering(zone, service, id).map(|(name, _)| name).collect();
+        let covering: Vec<_> = table.contracts_covering(zone, service, id).map(|(name, _)| name).collect();
         println!("{node}: {} contracts: {}", covering.len(), covering.join(", "));
-        told(node, table.standing((zone, service, id), now));
+        told(node, table.window_state((zone, service, id), now));
         return Ok(());
     }
     for (name, contract) in &table.contracts {
-        told(name, contract.standing(now));
-        contract.why_closed(now).into_iter().for_each(|why| println!("    {why}"));
+        told(name, contract.window_state(now));
+        contract.closure_reason(now).into_iter().for_each(|why| println!("    {why}"));
     }
     Ok(())
 }
@@ -467,7 +468,8 @@
         .map_err(|error| named(format!("line {}: {error}", error.line())))?;
     // What it is shows by what only it has.
     if whole.get("contracts").is_some() {
-        let table = Timetable::of(text(file)?.as_bytes()).map_err(|fault| named(fault.to_string()))?;
+        let table =
+            MaintenanceSchedule::parse(text(file)?.as_bytes()).map_err(|fault| named(fault.to_string()))?;
         println!("{}: {} contracts", file.display(), table.contracts.len());
         return Ok(());
     }
--- a/programs/controller/src/internal_api.rs
+++ b/programs/controller/src/internal_api.rs
@@ -1,7 +1,7 @@
 //! The system's own calls.
 
 use crate::state::ControllerState;
-use vanewharf_discovery::summing::for_doors;
+use vanewharf_discovery::summary_for_proxies;
 use vanewharf_protocol::messages::{
     Ballot, PeerEntry, ProxyEntry, PullRequest, PullResponse, Revision, TokenCounts, VoteRequest,
 };
@@ -40,7 +40,7 @@
     /// A few of the doors that this process hears, for one that knows no other.
     pub fn neighbours(&self) -> Vec<PeerEntry> {
         let (now, sums) = (self.feed.now(), self.sums.borrow());
-        let mut heard: Vec<_> = sums.heard(now).collect();
+        let mut heard: Vec<_> = sums.live_proxies(now).collect();
         self.premises.shuffle(&mut heard);
         let of =
             |door: &ProxyEntry| PeerEntry { ip: door.address.ip(), region: door.region.clone(), heard_ms: 0 };
@@ -52,9 +52,9 @@
         let now = self.feed.now();
         {
             let mut sums = self.sums.borrow_mut();
-            pull.office.iter().for_each(|follower| sums.office(follower.row.clone(), now));
-            pull.lent.iter().for_each(|lent| sums.lent(lent.clone(), now));
-            pull.reports.iter().for_each(|report| sums.report(report.clone(), now));
+            pull.office.iter().for_each(|follower| sums.record_controller(follower.row.clone(), now));
+            pull.lent.iter().for_each(|lent| sums.record_lease_report(lent.clone(), now));
+            pull.reports.iter().for_each(|report| sums.record_report(report.clone(), now));
         }
         if let Some(follower) = &pull.office {
             let settled = self.feed.store().register.as_ref().map_or(Revision(0), |register| register.no);
@@ -63,7 +63,7 @@
         let mut mail = self.feed.answer(&pull).await;
         mail.holder = self.replica.holder();
         if pull.office.is_none() {
-            mail.ledger = mail.ledger.map(for_doors);
+            mail.ledger = mail.ledger.map(summary_for_proxies);
         }
         mail
     }
--- a/programs/controller/src/lib.rs
+++ b/programs/controller/src/lib.rs
@@ -23,9 +23,9 @@
 use tokio::time::sleep;
 use vanewharf_config::settings::Settings;
 use vanewharf_consensus::{Voter, VoterRecord};
-use vanewharf_discovery::summing::Summing;
+use vanewharf_discovery::FleetAggregator;
 use vanewharf_protocol::messages::ControllerEntry;
-use vanewharf_quota::quota::Buckets;
+use vanewharf_quota::TokenBuckets;
 use vanewharf_rpc::Publisher;
 use vanewharf_rpc::{serve, serve_deduplicated};
 use vanewharf_runtime::environment::Environment;
@@ -89,7 +89,7 @@
         tokio::task::spawn_local(Rc::clone(&replica).recover(disk));
     }
 
-    let sums = Rc::new(RefCell::new(Summing::default()));
+    let sums = Rc::new(RefCell::new(FleetAggregator::default()));
     let row = ControllerEntry { ip: settings.ip, zone: settings.zone.clone() };
     let state = Rc::new(ControllerState {
         replica: Rc::clone(&replica),
@@ -100,7 +100,7 @@
         settings: Rc::clone(&settings),
         hosts: RefCell::default(),
         lending: RefCell::new(TokenLender {
-            buckets: Buckets::start(settings.bounds.rate_allowance, settings.initial_start, steady.now()),
+            buckets: TokenBuckets::new(settings.bounds.rate_allowance, settings.initial_start, steady.now()),
             life: premises.life(),
         }),
         following: RefCell::default(),
--- a/programs/controller/src/registry_api.rs
+++ b/programs/controller/src/registry_api.rs
@@ -5,7 +5,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 use std::time::Duration;
-use vanewharf_discovery::summing::{homes, resolved};
+use vanewharf_discovery::{home_regions_by_host, proxies_for_client};
 use vanewharf_rpc::RpcResponse;
 
 /// The most doors that one answer names.
@@ -31,12 +31,12 @@
     let sums = state.sums.borrow();
     // A ledger that is old names doors that are gone; whoever is still there has come to this process by then.
     let current = store.ledger.as_ref().filter(|_| now.since(store.ledger_at) < CURRENT);
-    let heard: Vec<_> = sums.heard(now).collect();
+    let heard: Vec<_> = sums.live_proxies(now).collect();
     let told = current.iter().flat_map(|ledger| &ledger.doors);
     let unheard = told.filter(|door| !heard.iter().any(|known| known.name == door.name));
     let doors: Vec<_> = heard.iter().copied().chain(unheard).collect();
     let addresses: Vec<_> =
-        resolved(&doors, region, homes, MOST_NAMED).iter().map(|door| door.address).collect();
+        proxies_for_client(&doors, region, homes, MOST_NAMED).iter().map(|door| door.address).collect();
     if addresses.is_empty() {
         return RpcResponse::status(503, "no doors are known yet");
     }
@@ -49,7 +49,7 @@
     pub fn homes(&self) -> Rc<Homes> {
         let register = self.feed.store().register.clone();
         if let Some(register) = register.filter(|register| register.no != self.hosts.borrow().0) {
-            let hosts = self.replica.config().as_deref().map(homes).unwrap_or_default();
+            let hosts = self.replica.config().as_deref().map(home_regions_by_host).unwrap_or_default();
             *self.hosts.borrow_mut() = (register.no, Rc::new(hosts));
         }
         Rc::clone(&self.hosts.borrow().1)
--- a/programs/controller/src/roles/leaseholder_follower.rs
+++ b/programs/controller/src/roles/leaseholder_follower.rs
@@ -38,7 +38,7 @@
                 wait_ms: FOLLOW.as_millis() as u64,
                 office: Some(Follower { row: self.row.clone(), kept: self.replica.kept_here() }),
                 lent: Some(self.lent()),
-                reports: self.sums.borrow().reports(self.feed.now()),
+                reports: self.sums.borrow().recent_reports(self.feed.now()),
             };
             match self.feed.pull(caller, &pull).await {
                 Ok(news) => {
--- a/programs/controller/src/roles/report_aggregation.rs
+++ b/programs/controller/src/roles/report_aggregation.rs
@@ -22,18 +22,18 @@
             let holds = self.replica.holds();
             if holds && !std::mem::replace(&mut held, holds) {
                 let (now, before) = (self.feed.now(), self.feed.store().ledger.clone());
-                self.sums.borrow_mut().begin(self.replica.doors(), now);
-                before.iter().for_each(|ledger| self.sums.borrow_mut().inherit(ledger, now));
+                self.sums.borrow_mut().start_aggregating(self.replica.doors(), now);
+                before.iter().for_each(|ledger| self.sums.borrow_mut().inherit_summary(ledger, now));
             }
             held = holds;
-            let ready = self.sums.borrow().ready(self.feed.now());
+            let ready = self.sums.borrow().is_ready(self.feed.now());
             if holds && ready {
                 let (now, last) = (self.feed.now(), self.feed.store().have().ledger);
                 let allowance = self.settings.bounds.rate_allowance;
                 let mut sums = self.sums.borrow_mut();
-                sums.office(self.row.clone(), now);
-                sums.lent(self.lent(), now);
-                let ledger = sums.ledger(self.version(last), allowance, now);
+                sums.record_controller(self.row.clone(), now);
+                sums.record_lease_report(self.lent(), now);
+                let ledger = sums.summarize(self.version(last), allowance, now);
                 drop(sums);
                 self.feed.change(|store| store.set_ledger(ledger, now));
                 self.read_ledger();
--- a/programs/controller/src/roles/token_lender.rs
+++ b/programs/controller/src/roles/token_lender.rs
@@ -3,10 +3,10 @@
 use crate::state::ControllerState;
 use vanewharf_config::config::Config;
 use vanewharf_protocol::messages::{TokenCounts, TokenLeaseReport};
-use vanewharf_quota::quota::{Buckets, Quota};
+use vanewharf_quota::{Quota, TokenBuckets};
 
 pub struct TokenLender {
-    pub buckets: Buckets,
+    pub buckets: TokenBuckets,
     pub life: u64,
 }
 
@@ -23,7 +23,7 @@
         let config = self.replica.config();
         let lent = |(tenant, wanted): (String, u32)| {
             let quota = quota_of(config.as_deref(), &tenant)?;
-            let lent = lending.buckets.lend(&tenant, wanted, quota, now);
+            let lent = lending.buckets.lease_tokens(&tenant, wanted, quota, now);
             Some((tenant, lent))
         };
         wanted.into_iter().filter_map(lent).collect()
@@ -38,13 +38,13 @@
         let quota = |tenant: &str| quota_of(config.as_deref(), tenant).unwrap_or(none);
         ledger.iter().for_each(|ledger| self.replica.count(ledger.counted));
         if let Some((ledger, lenders)) = ledger.as_ref().and_then(|ledger| Some((ledger, ledger.lenders?))) {
-            lending.buckets.read(lenders, &ledger.tenants, quota, now);
+            lending.buckets.apply_usage(lenders, &ledger.tenants, quota, now);
         }
     }
 
     pub fn lent(&self) -> TokenLeaseReport {
         let lending = self.lending.borrow();
-        let (let_through, slices) = (lending.buckets.let_through(), lending.buckets.slices());
+        let (let_through, slices) = (lending.buckets.admitted_counts(), lending.buckets.slices());
         TokenLeaseReport { ip: self.row.ip, life: lending.life, let_through, slices }
     }
 }
--- a/programs/controller/src/state.rs
+++ b/programs/controller/src/state.rs
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 use vanewharf_config::settings::Settings;
 use vanewharf_consensus::FollowerTracker;
-use vanewharf_discovery::summing::Summing;
+use vanewharf_discovery::FleetAggregator;
 use vanewharf_protocol::messages::{ControllerEntry, Revision, Version};
 use vanewharf_rpc::Publisher;
 use vanewharf_runtime::environment::Environment;
@@ -16,7 +16,7 @@
     pub replica: Rc<Replica>,
     pub feed: Publisher,
     pub premises: Environment,
-    pub sums: Rc<RefCell<Summing>>,
+    pub sums: Rc<RefCell<FleetAggregator>>,
     pub row: ControllerEntry,
     pub settings: Rc<Settings>,
     /// The homes of hosts, by the register that they were taken from.
--- a/programs/proxy/src/gate.rs
+++ b/programs/proxy/src/gate.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 use vanewharf_clock::{MonotonicClock, Timestamp};
 use vanewharf_gateway::dialect::{Admission, ForwardingOptions, HttpDialect, ReplyMatch};
-use vanewharf_health::allowance::lapsed;
+use vanewharf_health::key_authorization_lapsed;
 use vanewharf_http1::{Reply, Request};
 use vanewharf_policy::interface::{Arrival, Outcome, Tenths, TxnId};
 
@@ -44,7 +44,7 @@
 
 impl Posted {
     pub fn lapsed(&self) -> bool {
-        lapsed(self.revocation_global, self.revocation, self.sure.get(), self.steady.now())
+        key_authorization_lapsed(self.revocation_global, self.revocation, self.sure.get(), self.steady.now())
     }
 }
 
--- a/programs/proxy/src/rounds.rs
+++ b/programs/proxy/src/rounds.rs
@@ -19,14 +19,14 @@
 use vanewharf_gateway::answer::FinalAnswer;
 use vanewharf_gateway::messages::{BackendEntry, BackendUpdate};
 use vanewharf_gateway::router::RoutingPolicy;
-use vanewharf_health::allowance::{Cold, RepeatRule, Repeats, cold_part, weighted};
-use vanewharf_health::evidence::{Seen, shared_cause, worth_of};
+use vanewharf_health::{AttemptHistory, is_shared_cause, weight_for_failure_share};
+use vanewharf_health::{RetryBudget, RetryPolicy, SlowStart, pick_weighted, slow_start_share};
 use vanewharf_http1::Reply;
 use vanewharf_policy::decide::Door;
 use vanewharf_policy::interface::{self as told, *};
 use vanewharf_protocol::messages::{Backend, BackendList, Register};
-use vanewharf_quota::pocket::Pocket;
-use vanewharf_quota::quota::Buckets;
+use vanewharf_quota::TokenBuckets;
+use vanewharf_quota::TokenReserve;
 
 /// One service in one region.
 type RoundKey = (Rc<str>, Rc<str>);
@@ -45,7 +45,7 @@
     key: RoundKey,
     /// Cold until then.
     cold_until: Timestamp,
-    cold: Option<Cold>,
+    cold: Option<SlowStart>,
     shown: Option<Listed>,
 }
 
@@ -108,9 +108,9 @@
     named: u32,
     ways: BTreeMap<TxnId, Way>,
     over: Vec<TxnId>,
-    buckets: Buckets,
+    buckets: TokenBuckets,
     reported: Rc<Reported>,
-    repeats: BTreeMap<Rc<str>, Repeats>,
+    repeats: BTreeMap<Rc<str>, RetryBudget>,
     doors: f64,
     /// Where postmasters lend: their number, and the asks to them.
     lenders: Option<u32>,
@@ -118,7 +118,7 @@
     /// Requests that wait for a token.
     waiting: BTreeMap<TxnId, Entry>,
     /// Tokens that were lent and wait for their requests.
-    pocket: Pocket,
+    pocket: TokenReserve,
     /// No lender is in this door's region.
     lenders_far: bool,
     /// What came of news, to be carried out with the next batch.
@@ -126,7 +126,7 @@
     /// Cold from when their evacuation ended.
     thawing: BTreeMap<String, Timestamp>,
     /// What this door saw of backends, and what all doors together did.
-    seen: Seen,
+    seen: AttemptHistory,
     ill: BTreeMap<String, f64>,
 }
 
@@ -147,7 +147,7 @@
     ) -> Rounds {
         let Start { place, bounds, first, seed } = start;
         let steady = posted.steady;
-        let buckets = Buckets::start(bounds.rate_allowance, first, steady.now());
+        let buckets = TokenBuckets::new(bounds.rate_allowance, first, steady.now());
         Rounds {
             place,
             bounds,
@@ -171,11 +171,11 @@
             lenders: None,
             asks,
             waiting: BTreeMap::new(),
-            pocket: Pocket::default(),
+            pocket: TokenReserve::default(),
             lenders_far: false,
             pending: Vec::new(),
             thawing: BTreeMap::new(),
-            seen: Seen::default(),
+            seen: AttemptHistory::default(),
             ill: BTreeMap::new(),
         }
     }
@@ -184,9 +184,9 @@
         Rc::from(self.place.zones.get(zone).map_or("", String::as_str))
     }
 
-    fn repeat_rule(&self) -> RepeatRule {
+    fn repeat_rule(&self) -> RetryPolicy {
         let Bounds { retry_ratio: ratio, retry_allowance: allowance, .. } = self.bounds;
-        RepeatRule { ratio, allowance, doors: self.doors }
+        RetryPolicy { ratio, allowance, proxies: self.doors }
     }
 
     /// Backends anew by list and register: who is there, in which round, and who may get something.
@@ -239,7 +239,7 @@
         }
         let shared: BTreeSet<RoundKey> = parts
             .iter()
-            .filter(|(_, (ill, all))| shared_cause(*ill, *all))
+            .filter(|(_, (ill, all))| is_shared_cause(*ill, *all))
             .map(|(key, _)| (*key).clone())
             .collect();
         let mut entries = Vec::new();
@@ -261,7 +261,8 @@
             let entry = Listed {
                 backend: id,
                 standing: if shut { Standing::Draining } else { Standing::Ready },
-                size: f64::from(backend.server.capacity) * share.map_or(1.0, |share| worth_of(*share)),
+                size: f64::from(backend.server.capacity)
+                    * share.map_or(1.0, |share| weight_for_failure_share(*share)),
                 near: backend.server.zone == self.place.zone,
                 booted,
             };
@@ -320,11 +321,11 @@
         let limited = entry.tenant.as_ref().filter(|tenant| tenant.quota.rate > 0.0).cloned();
         if let (Some(tenant), Some(_)) = (limited, self.lenders) {
             let tenant = Rc::clone(&tenant.name);
-            self.pocket.wanted(&tenant, at);
-            let pocketed = self.pocket.take(&tenant, at);
+            self.pocket.record_request(&tenant, at);
+            let pocketed = self.pocket.take_token(&tenant, at);
             // One that has hardly time to wait for an answer goes by what this door has itself.
             let waits = !pocketed && arrival.expiry - now > tenths(LENT_WITHIN * 2);
-            let more = if self.lenders_far { self.pocket.ahead(&tenant, at) } else { 0 };
+            let more = if self.lenders_far { self.pocket.tokens_to_request(&tenant, at) } else { 0 };
             if waits || more > 0 {
                 // The asks end with the program only.
                 let _ = self.asks.send(Ask { txn: waits.then_some(id), tenant, more });
@@ -341,7 +342,7 @@
     }
 
     fn pocket_one(&mut self, tenant: &Rc<str>) {
-        self.pocket.put(tenant, 1, self.steady.now());
+        self.pocket.add_tokens(tenant, 1, self.steady.now());
     }
 
     /// What came of asks for tokens.
@@ -349,9 +350,9 @@
         let (mut actions, at) = (Vec::new(), self.steady.now());
         if loans.asked.iter().any(|(_, lent)| lent.is_some()) || loans.ahead.iter().any(|(_, lent)| *lent > 0)
         {
-            self.buckets.answered(at);
+            self.buckets.record_lender_answer(at);
         }
-        loans.ahead.iter().for_each(|(tenant, tokens)| self.pocket.came(tenant, *tokens, at));
+        loans.ahead.iter().for_each(|(tenant, tokens)| self.pocket.record_lease(tenant, *tokens, at));
         for (id, lent) in loans.asked {
             let Some(entry) = self.waiting.remove(&id) else {
                 continue;
@@ -385,7 +386,7 @@
         let (id, at) = (arrival.txn, self.steady.now());
         let Entry { tenant, .. } = &entry;
         if let Some(tenant) = tenant
-            && let Err(wait) = self.buckets.ask(&tenant.name, tenant.quota, at)
+            && let Err(wait) = self.buckets.try_admit(&tenant.name, tenant.quota, at)
         {
             let retry_after = Some(tenths(wait.max(LEAST_WAIT)));
             return actions.push(Action::Decline { txn: id, retry_after });
@@ -396,7 +397,7 @@
     fn let_in(&mut self, arrival: Arrival, entry: Entry, now: Tenths, actions: &mut Vec<Action>) {
         let (id, Entry { rule, tenant, .. }) = (arrival.txn, entry);
         let draw = self.chance.random::<f64>();
-        let service = weighted(rule.services.iter().map(|(_, weight)| *weight), draw);
+        let service = pick_weighted(rule.services.iter().map(|(_, weight)| *weight), draw);
         let service = Rc::clone(&rule.services[service].0);
         let homes = |region: &str| {
             let within = |homes: &[String]| homes.is_empty() || homes.iter().any(|home| home == region);
@@ -412,8 +413,8 @@
         regions.sort_by_key(|region| **region == *self.place.region);
         let rule_now = self.repeat_rule();
         let first = self.first;
-        let start = || Repeats::start(&rule_now, first);
-        self.repeats.entry(Rc::clone(&service)).or_insert_with(start).request(&rule_now);
+        let start = || RetryBudget::new(&rule_now, first);
+        self.repeats.entry(Rc::clone(&service)).or_insert_with(start).record_request(&rule_now);
         let way = Way {
             rule,
             tenant,
@@ -455,7 +456,7 @@
             if let Some(tenant) = way.tenant.clone().filter(|_| !way.arrived) {
                 match self.lenders {
                     Some(_) => self.pocket_one(&tenant.name),
-                    None => self.buckets.give_back(&tenant.name),
+                    None => self.buckets.refund(&tenant.name),
                 }
             }
             self.conclude(id);
@@ -569,8 +570,8 @@
             let service = self.tables.as_ref().and_then(|tables| tables.services.get(&known.server.service));
             let per_s = service.map_or(0.0, |service| service.warmup_per_s);
             let Bounds { warmup_overshoot, warmup_allowance, .. } = self.bounds;
-            let part = cold_part(per_s, warmup_overshoot, warmup_allowance, self.doors);
-            if !known.cold.get_or_insert_with(|| Cold::new(part, at)).spend(part, at) {
+            let part = slow_start_share(per_s, warmup_overshoot, warmup_allowance, self.doors);
+            if !known.cold.get_or_insert_with(|| SlowStart::new(part, at)).try_spend(part, at) {
                 return false;
             }
         }
@@ -578,7 +579,7 @@
             return true;
         }
         // The request itself has filled it when it was let in.
-        self.repeats.get_mut(&way.service).is_some_and(Repeats::spend)
+        self.repeats.get_mut(&way.service).is_some_and(RetryBudget::try_spend)
     }
 
     fn ended(&mut self, ending: Ending, now: Tenths, actions: &mut Vec<Action>) {
@@ -597,7 +598,7 @@
         if !matches!(ending.outcome, Outcome::TurnedAway | Outcome::Cancelled | Outcome::Moot)
             && let Some(known) = self.backends.get(&backend)
         {
-            self.seen.ended(&known.server.id, ending.outcome != Outcome::Settled, self.steady.now());
+            self.seen.record_attempt(&known.server.id, ending.outcome != Outcome::Settled, self.steady.now());
         }
         if way.concluded || ending.complete || ending.outcome == Outcome::Settled {
             self.conclude(id);
@@ -622,7 +623,7 @@
                 self.ways.remove(&id);
             }
         }
-        self.buckets.tick(self.steady.now());
+        self.buckets.shrink_when_cut_off(self.steady.now());
         let mut actions = std::mem::take(&mut self.pending);
         for event in events {
             match event {
@@ -683,18 +684,18 @@
                 let region = |zone: &str| self.place.zones.get(zone);
                 self.lenders_far =
                     !ledger.offices.iter().any(|row| region(&row.zone) == Some(&self.place.region));
-                self.pocket.tidy(self.steady.now());
-                self.buckets.keep_reserve(ledger.lenders.is_some());
+                self.pocket.drop_idle_tenants(self.steady.now());
+                self.buckets.set_token_leasing(ledger.lenders.is_some());
                 self.doors = f64::from(ledger.counted);
                 let tables = self.tables.clone();
                 let quota = |tenant: &str| {
-                    let none = vanewharf_quota::quota::Quota { rate: 0.0, burst: 0.0 };
+                    let none = vanewharf_quota::Quota { rate: 0.0, burst: 0.0 };
                     tables.as_ref().map_or(none, |tables| tables.quota(tenant))
                 };
-                self.buckets.read(ledger.counted, &ledger.tenants, quota, self.steady.now());
-                *self.reported.let_through.borrow_mut() = self.buckets.let_through();
+                self.buckets.apply_usage(ledger.counted, &ledger.tenants, quota, self.steady.now());
+                *self.reported.let_through.borrow_mut() = self.buckets.admitted_counts();
                 *self.reported.slices.borrow_mut() = self.buckets.slices();
-                *self.reported.tried.borrow_mut() = self.seen.told(self.steady.now());
+                *self.reported.tried.borrow_mut() = self.seen.failing_backends(self.steady.now());
                 if ledger.ill == self.ill {
                     return None;
                 }
--- a/programs/proxy/src/rounds/tests.rs
+++ b/programs/proxy/src/rounds/tests.rs
@@ -173,7 +173,7 @@
 fn a_repeat_needs_room_in_the_budget_that_requests_fill() {
     let mut stage = Stage::set(servers(), None);
     // Not one repeat is allowed at once; seven requests make room for one.
-    stage.rounds.repeats.insert(Rc::from("s"), Repeats::start(&stage.rounds.repeat_rule(), false));
+    stage.rounds.repeats.insert(Rc::from("s"), RetryBudget::new(&stage.rounds.repeat_rule(), false));
     let mut repeated = 0;
     for _ in 0..8 {
         let (txn, _) = stage.arrives("/read/x");
@@ -289,7 +289,7 @@
         News::Ledger(Rc::new(FleetSummary { version, counted: 1, tenants, ill, ..FleetSummary::default() }))
     };
     let to_first = |stage: &mut Stage| {
-        stage.rounds.buckets = Buckets::start(10_000.0, true, stage.posted.steady.now());
+        stage.rounds.buckets = TokenBuckets::new(10_000.0, true, stage.posted.steady.now());
         stage.hears(ledger(None));
         let mut first = 0;
         for _ in 0..60 {
@@ -337,7 +337,7 @@
             stage.rounds.decide(SECOND, vec![Event::Ended(ending)]);
         }
     }
-    stage.rounds.buckets = Buckets::start(1000.0, true, stage.posted.steady.now());
+    stage.rounds.buckets = TokenBuckets::new(1000.0, true, stage.posted.steady.now());
     stage.hears(ledger(None));
     let served = |stage: &mut Stage| {
         let (_, actions) = stage.arrives("/write/x");
--- a/programs/proxy/src/tables.rs
+++ b/programs/proxy/src/tables.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 use vanewharf_config::config::{Config, Customer, Limits, RouteKind, Service};
 use vanewharf_protocol::messages::Register;
-use vanewharf_quota::quota::Quota;
+use vanewharf_quota::Quota;
 
 /// One route, as a request under way goes by it.
 #[derive(Debug, PartialEq)]
