--- /dev/null
+++ b/compatibility/tests/messages.rs
@@ -0,0 +1,391 @@
+//! Every message between the system's own processes, as bytes.
+
+mod support;
+
+use serde::Serialize;
+use serde::de::DeserializeOwned;
+use serde_json::value::RawValue;
+use std::collections::{BTreeMap, BTreeSet};
+use std::net::{IpAddr, SocketAddr};
+use support::{assert_golden, read_golden};
+use vanewharf_mailroom::messages::{
+    Ballot, Cast, DoorRow, Edit, Follower, Ledger, Lent, List, ListChange, Mail, Membership, Neighbour,
+    OfficeRow, Pull, Register, RegisterChange, RegisterNo, Report, Server, Taken, Tokens, Tried, Use, Vector,
+    Version, Vote, VoteRequest,
+};
+
+fn golden_name(name: &str) -> String {
+    format!("messages/{name}.json")
+}
+
+/// The value is written as the golden file, and what is read from that file is written as the same bytes.
+#[track_caller]
+fn assert_message<T: Serialize + DeserializeOwned>(name: &str, value: &T) {
+    let name = golden_name(name);
+    assert_golden(&name, &serde_json::to_vec(value).expect("a message can be written"));
+    let read: T = serde_json::from_slice(&read_golden(&name)).expect("the golden file can be read");
+    assert_golden(&name, &serde_json::to_vec(&read).expect("a message can be written"));
+}
+
+/// The text of an older build is read as the message whose present form is the golden file.
+#[track_caller]
+fn assert_older_form<T: Serialize + DeserializeOwned>(name: &str, older: &str) {
+    let read: T = serde_json::from_str(older).expect("the older form can be read");
+    assert_golden(&golden_name(name), &serde_json::to_vec(&read).expect("a message can be written"));
+}
+
+fn socket_address(host: u8) -> SocketAddr {
+    SocketAddr::new(ip_address(host), 7600)
+}
+
+fn ip_address(host: u8) -> IpAddr {
+    IpAddr::from([10, 0, 0, host])
+}
+
+fn raw_json(text: &str) -> Box<RawValue> {
+    RawValue::from_string(text.to_owned()).expect("JSON")
+}
+
+fn text_set(texts: &[&str]) -> BTreeSet<String> {
+    texts.iter().map(|text| text.to_string()).collect()
+}
+
+fn settled_membership() -> Membership {
+    Membership { epoch: 3, voters: vec![socket_address(1), socket_address(2)], outgoing: Vec::new() }
+}
+
+fn joint_membership() -> Membership {
+    Membership { outgoing: vec![socket_address(3)], ..settled_membership() }
+}
+
+/// The configuration is kept as it was sent, spaces and key order included.
+fn full_register() -> Register {
+    Register {
+        ballot: Ballot(0x0102_0304),
+        no: RegisterNo(17),
+        config: Some(raw_json(r#"{ "revision":"r5",  "b":1.50, "a":[ ]}"#)),
+        evacuated: text_set(&["east-a", "west-a"]),
+        membership: joint_membership(),
+        taken: vec![Taken { revision: 4, digest: u64::MAX }, Taken { revision: 5, digest: 7 }],
+    }
+}
+
+fn list_version() -> Version {
+    Version { ballot: Ballot(9), no: 4 }
+}
+
+fn vector() -> Vector {
+    Vector {
+        register: RegisterNo(17),
+        list: list_version(),
+        ledger: Version { ballot: Ballot(9), no: u64::MAX },
+    }
+}
+
+fn server() -> Server {
+    Server {
+        id: "i-1".to_owned(),
+        service: "reads".to_owned(),
+        address: "10.0.1.1:8080".parse().expect("an address"),
+        zone: "east-a".to_owned(),
+        capacity: 250,
+        draining: true,
+        cold_ms: 1200,
+    }
+}
+
+fn list() -> List {
+    List { version: list_version(), age_ms: 35, servers: vec![server()] }
+}
+
+fn door_row() -> DoorRow {
+    DoorRow {
+        name: "frontend-0".to_owned(),
+        address: "10.0.0.9:8206".parse().expect("an address"),
+        zone: "east-a".to_owned(),
+        region: "east".to_owned(),
+        ready: true,
+    }
+}
+
+fn office_row() -> OfficeRow {
+    OfficeRow { ip: ip_address(1), zone: "east-a".to_owned() }
+}
+
+fn let_through() -> BTreeMap<String, u64> {
+    [("ana".to_owned(), 12), ("bor".to_owned(), 0)].into()
+}
+
+fn slices() -> BTreeMap<String, f64> {
+    [("ana".to_owned(), 83.25), ("bor".to_owned(), 1.0)].into()
+}
+
+fn empty_ledger() -> Ledger {
+    Ledger { version: list_version(), ..Ledger::default() }
+}
+
+fn full_ledger() -> Ledger {
+    Ledger {
+        version: list_version(),
+        doors: vec![door_row()],
+        counted: 6,
+        tenants: [("ana".to_owned(), Use { per_s: 412.5, slices: 500.0 })].into(),
+        lenders: Some(3),
+        homed: text_set(&["shop.example"]),
+        offices: [office_row()].into(),
+        ill: [("i-1".to_owned(), 0.125)].into(),
+    }
+}
+
+fn plain_report() -> Report {
+    Report {
+        door: door_row(),
+        life: 77,
+        age_ms: 0,
+        counted: 0,
+        let_through: BTreeMap::new(),
+        slices: BTreeMap::new(),
+        hosts: BTreeMap::new(),
+        tried: BTreeMap::new(),
+    }
+}
+
+fn full_report() -> Report {
+    Report {
+        age_ms: 15,
+        counted: 6,
+        let_through: let_through(),
+        slices: slices(),
+        hosts: [("shop.example".to_owned(), (100, 40))].into(),
+        tried: [("i-1".to_owned(), Tried { tried: 20, failed: 3 })].into(),
+        ..plain_report()
+    }
+}
+
+fn lent() -> Lent {
+    Lent { ip: ip_address(1), life: 5, let_through: let_through(), slices: slices() }
+}
+
+fn follower() -> Follower {
+    Follower { row: office_row(), kept: Some((Ballot(9), RegisterNo(17))) }
+}
+
+fn edits() -> Vec<Edit> {
+    vec![
+        Edit {
+            part: "customers".to_owned(),
+            entry: Some("ana".to_owned()),
+            value: Some(raw_json(r#"{"rate_per_s": 2.0}"#)),
+        },
+        Edit { part: "routes".to_owned(), entry: Some("r-old".to_owned()), value: None },
+        Edit { part: "revision".to_owned(), entry: None, value: Some(raw_json(r#""r6""#)) },
+    ]
+}
+
+fn register_change(membership: Membership) -> RegisterChange {
+    RegisterChange {
+        from: RegisterNo(16),
+        no: RegisterNo(17),
+        ballot: Ballot(9),
+        evacuated: text_set(&["west-a"]),
+        membership,
+        edits: edits(),
+        sum: 0xdead_beef,
+    }
+}
+
+fn list_change() -> ListChange {
+    ListChange {
+        from: Version { ballot: Ballot(9), no: 3 },
+        version: list_version(),
+        age_ms: 12,
+        set: vec![server()],
+        gone: vec!["i-0".to_owned()],
+    }
+}
+
+fn full_mail() -> Mail {
+    Mail {
+        register: Some(full_register()),
+        register_changes: vec![register_change(joint_membership())],
+        list: Some(list()),
+        list_changes: vec![list_change()],
+        ledger: Some(full_ledger()),
+        sure_ms: Some(180),
+        held_ms: 90,
+        holder: Some(socket_address(2)),
+    }
+}
+
+#[test]
+fn single_values() {
+    assert_message("ballot", &Ballot(u64::MAX));
+    assert_message("register_no", &RegisterNo(17));
+    assert_message("version", &list_version());
+    assert_message("vector", &vector());
+    assert_message("vector_empty", &Vector::default());
+    assert_message("holds_answer", &true);
+}
+
+#[test]
+fn membership() {
+    assert_message("membership_unknown", &Membership::default());
+    assert_message("membership_settled", &settled_membership());
+    assert_message("membership_joint", &joint_membership());
+}
+
+#[test]
+fn register() {
+    assert_message("register_none", &Register::none());
+    assert_message("register_full", &full_register());
+    assert_message("taken", &Taken { revision: 4, digest: u64::MAX });
+}
+
+#[test]
+fn list_of_backends() {
+    assert_message("server", &server());
+    assert_message("list", &list());
+    assert_message("list_empty", &List::default());
+}
+
+#[test]
+fn ledger() {
+    assert_message("door_row", &door_row());
+    assert_message("office_row", &office_row());
+    assert_message("use", &Use { per_s: 412.5, slices: 500.0 });
+    assert_message("ledger_empty", &empty_ledger());
+    assert_message("ledger_full", &full_ledger());
+}
+
+#[test]
+fn reports() {
+    assert_message("report_plain", &plain_report());
+    assert_message("report_full", &full_report());
+    assert_message("tried", &Tried { tried: 20, failed: 3 });
+    assert_message("lent", &lent());
+    assert_message("follower_kept", &follower());
+    assert_message("follower_amnesic", &Follower { kept: None, ..follower() });
+}
+
+#[test]
+fn neighbours() {
+    let row = Neighbour { ip: ip_address(9), region: "east".to_owned(), heard_ms: 400 };
+    let over_ipv6 = Neighbour { ip: "2001:db8::9".parse().expect("an address"), ..row.clone() };
+    assert_message("neighbour", &row);
+    assert_message("neighbours", &vec![row, over_ipv6]);
+    assert_message("neighbours_none", &Vec::<Neighbour>::new());
+}
+
+#[test]
+fn tokens() {
+    assert_message("tokens", &Tokens::from([("ana".to_owned(), 20), ("bor".to_owned(), 0)]));
+    assert_message("tokens_none", &Tokens::new());
+}
+
+#[test]
+fn pull() {
+    let by_nobody =
+        Pull { have: Vector::default(), wait_ms: 0, office: None, lent: None, reports: Vec::new() };
+    let by_door = Pull { have: vector(), wait_ms: 300, reports: vec![full_report()], ..by_nobody.clone() };
+    let by_office = Pull { office: Some(follower()), lent: Some(lent()), ..by_door.clone() };
+    assert_message("pull_empty", &by_nobody);
+    assert_message("pull_door", &by_door);
+    assert_message("pull_office", &by_office);
+}
+
+#[test]
+fn mail() {
+    assert_message("mail_empty", &Mail::default());
+    assert_message("mail_full", &full_mail());
+    let register = Mail { register: Some(full_register()), ..Mail::default() };
+    assert_message("mail_register", &register);
+    let changes = vec![register_change(settled_membership())];
+    assert_message("mail_register_changes", &Mail { register_changes: changes, ..Mail::default() });
+    assert_message("mail_list", &Mail { list: Some(list()), ..Mail::default() });
+    assert_message("mail_list_changes", &Mail { list_changes: vec![list_change()], ..Mail::default() });
+    assert_message("mail_ledger", &Mail { ledger: Some(full_ledger()), ..Mail::default() });
+    assert_message("mail_sure", &Mail { sure_ms: Some(0), held_ms: 2000, ..Mail::default() });
+    assert_message("mail_holder", &Mail { holder: Some(socket_address(2)), ..Mail::default() });
+}
+
+#[test]
+fn changes() {
+    assert_message("register_change", &register_change(joint_membership()));
+    assert_message("list_change", &list_change());
+    for (name, edit) in ["edit_set", "edit_gone", "edit_whole_part"].iter().zip(edits()) {
+        assert_message(name, &edit);
+    }
+}
+
+#[test]
+fn vote_requests() {
+    let (ballot, holder) = (Ballot(9), socket_address(2));
+    assert_message("vote_request_pre_vote", &VoteRequest::PreVote { holder });
+    assert_message("vote_request_lease", &VoteRequest::Lease { ballot, holder });
+    assert_message("vote_request_renew", &VoteRequest::Renew { ballot, holder });
+    assert_message("vote_request_accept", &VoteRequest::Accept { register: full_register() });
+    assert_message("vote_request_release", &VoteRequest::Release { ballot });
+    let recover = VoteRequest::Recover { member: socket_address(3), incarnation: 2 };
+    assert_message("vote_request_recover", &recover);
+}
+
+#[test]
+fn votes() {
+    let promised = Ballot(9);
+    assert_message("vote_granted", &Vote::Granted { register: full_register(), doors: 6 });
+    assert_message("vote_willing", &Vote::Willing { promised });
+    assert_message("vote_accepted", &Vote::Accepted);
+    assert_message("vote_known", &Vote::Known { promised, register: full_register() });
+    assert_message("vote_refused", &Vote::Refused { promised, holder: Some(socket_address(2)) });
+    assert_message("vote_refused_vacant", &Vote::Refused { promised, holder: None });
+    assert_message("vote_outlived", &Vote::Outlived { incarnation: 4 });
+    assert_message("vote_amnesic", &Vote::Amnesic { seeds: vec![socket_address(1), socket_address(2)] });
+    assert_message("vote_unable", &Vote::Unable);
+}
+
+#[test]
+fn casts() {
+    let plain = Cast { incarnation: 0, incarnations: BTreeMap::new(), vote: Vote::Accepted };
+    let full = Cast {
+        incarnation: 2,
+        incarnations: [(socket_address(3), 5)].into(),
+        vote: Vote::Granted { register: Register::none(), doors: 0 },
+    };
+    assert_message("cast_plain", &plain);
+    assert_message("cast_full", &full);
+}
+
+/// What older builds left out has its default.
+#[test]
+fn older_forms() {
+    let door =
+        r#"{"name":"frontend-0","address":"10.0.0.9:8206","zone":"east-a","region":"east","ready":true}"#;
+    let report =
+        format!(r#"{{"door":{door},"life":77,"age_ms":0,"let_through":{{}},"slices":{{}},"hosts":{{}}}}"#);
+    assert_older_form::<Report>("report_plain", &report);
+    let register = r#"{"ballot":0,"no":0,"config":null,"evacuated":[],"membership":{"epoch":0,"voters":[]}}"#;
+    assert_older_form::<Register>("register_none", register);
+    let granted = format!(r#"{{"Granted":{{"register":{register}}}}}"#);
+    assert_older_form::<Vote>("vote_granted_older", &granted);
+    assert_older_form::<Cast>("cast_plain", r#"{"incarnation":0,"vote":"Accepted"}"#);
+    assert_older_form::<Edit>("edit_gone", r#"{"part":"routes","entry":"r-old"}"#);
+    assert_older_form::<Mail>("mail_empty", r#"{"held_ms":0}"#);
+    assert_older_form::<Pull>(
+        "pull_empty",
+        r#"{"have":{"register":0,"list":{"ballot":0,"no":0},"ledger":{"ballot":0,"no":0}},"wait_ms":0,"reports":[]}"#,
+    );
+    assert_older_form::<Ledger>(
+        "ledger_empty",
+        r#"{"version":{"ballot":9,"no":4},"doors":[],"counted":0,"tenants":{},"homed":[],"offices":[]}"#,
+    );
+}
+
+/// What a newer build adds is passed over.
+#[test]
+fn newer_fields() {
+    assert_older_form::<Ballot>("ballot", "18446744073709551615");
+    let newer = r#"{"incarnation":0,"vote":"Accepted","a_field_of_tomorrow":[1]}"#;
+    assert_older_form::<Cast>("cast_plain", newer);
+    let newer = r#"{"held_ms":0,"a_field_of_tomorrow":{"a":null}}"#;
+    assert_older_form::<Mail>("mail_empty", newer);
+}
