--- a/compatibility/tests/support/mod.rs
+++ b/compatibility/tests/support/mod.rs
@@ -6,6 +6,9 @@
 use std::fs;
 use std::path::{Path, PathBuf};
 
+pub mod programs;
+pub mod wire;
+
 /// Set to `1`, the tests rewrite the golden files in place of comparing with them.
 const BLESS: &str = "VANEWHARF_BLESS";
 
