--- a/compatibility/tests/calls.rs
+++ b/compatibility/tests/calls.rs
@@ -233,8 +233,10 @@
         let answer = raw_call(subnet.socket(SELF, CONTROL_OUTSIDE), &order);
         answer.filter(|answer| status(answer) == 200)
     });
-    let register = until("the register is served", || {
-        call("POST", "/pull", NOTHING_KNOWN).filter(|mail| body(mail).contains(r#""register":{"#))
+    let register = until("the register is served and known to be the newest", || {
+        let mail = call("POST", "/pull", NOTHING_KNOWN)?;
+        let text = body(&mail);
+        (text.contains(r#""register":{"#) && !text.contains(r#""sure_ms":null"#)).then_some(mail)
     });
     assert_call("answer_pull", subnet, &register);
     let answered = |method: &str, path: &str, body: &str| call(method, path, body).expect("an answer");
