--- /dev/null
+++ b/compatibility/tests/documents.rs
@@ -0,0 +1,279 @@
+//! The documents that others write: an operator's configuration, the platform's settings file and `deploy/*.toml`.
+
+mod support;
+
+use serde_json::{Value, json};
+use std::collections::BTreeSet;
+use std::fmt::Debug;
+use std::path::{Path, PathBuf};
+use support::{assert_golden, read_golden};
+use vanewharf_mailroom::config::{Config, RouteKind};
+use vanewharf_mailroom::settings::Settings;
+
+const CONFIGURATION: &str = "configuration/valid.json";
+const SETTINGS: &str = "configuration/settings.json";
+
+/// A place in a document, and what stands there in place of what is right; null leaves it out.
+type Fault = (&'static str, Value);
+
+/// The valid document with each fault alone, and the exact text of what is said to it.
+fn refusals<T: Debug>(golden: &str, faults: Vec<Fault>, read: impl Fn(&[u8]) -> Result<T, String>) -> String {
+    let valid: Value = serde_json::from_slice(&read_golden(golden)).expect("JSON");
+    let refusal = |(place, value): Fault| {
+        let mut document = valid.clone();
+        let text = value.to_string();
+        let (parent, name) = place.rsplit_once('/').expect("a place begins with a slash");
+        document.pointer_mut(parent).expect("its parent is there")[name] = value;
+        let error = read(document.to_string().as_bytes()).expect_err(place);
+        format!("{place} = {text}: {error}\n")
+    };
+    faults.into_iter().map(refusal).collect()
+}
+
+fn read_configuration(text: &[u8]) -> Result<Config, String> {
+    Config::of(text).map_err(|error| error.to_string())
+}
+
+fn read_settings(text: &[u8]) -> Result<Settings, String> {
+    Settings::of(text).map_err(|error| error.to_string())
+}
+
+#[test]
+fn valid_configuration() {
+    let config = read_configuration(&read_golden(CONFIGURATION)).expect("it is valid");
+    assert_eq!(config.revision.0, 7);
+    let (read, split) = (&config.routes["r-read"], &config.routes["r-split"]);
+    assert_eq!((read.hostname.as_str(), read.path_prefix.as_str()), ("shop.example", "/read/"));
+    assert_eq!((read.kind, split.kind), (RouteKind::ReadOnly, RouteKind::Mutating));
+    assert_eq!((read.deadline.as_millis(), read.target.as_millis()), (2000, 500));
+    assert_eq!((read.precedence, read.tries, read.public), (1, 2, false));
+    assert_eq!((split.precedence, split.tries, split.public), (0, 1, false));
+    assert_eq!(read.home_regions, ["east"]);
+    assert_eq!(read.services, [("reads".to_owned(), 1.0)]);
+    assert_eq!(split.services, [("reads".to_owned(), 1.0), ("writes".to_owned(), 2.5)]);
+    let (reads, writes) = (&config.services["reads"], &config.services["writes"]);
+    assert_eq!((reads.health_path.as_str(), reads.connection_limit), ("/health", 100));
+    assert_eq!((reads.warmup.as_millis(), reads.warmup_per_s), (3000, 20.0));
+    assert_eq!((writes.warmup.as_millis(), writes.warmup_per_s), (0, 0.0));
+    let limits = &config.limits;
+    assert_eq!((limits.max_header_bytes, limits.max_body_bytes), (16384, 1_048_576));
+    assert_eq!((limits.header_deadline.as_millis(), limits.idle_timeout.as_millis()), (3000, 15000));
+    let customers = config.customers.expect("keys are asked for");
+    let (ana, bor) = (&customers["ana"], &customers["bor"]);
+    assert_eq!(ana.access_keys, ["key-a", "key-b"]);
+    assert_eq!((ana.rate_per_s, ana.burst_allowance), (500.0, 500.0));
+    assert_eq!((bor.rate_per_s, bor.burst_allowance, bor.precedence), (0.0, 0.0, 0));
+}
+
+#[test]
+fn refused_configurations() {
+    let faults = vec![
+        ("/revision", json!(null)),
+        ("/revision", json!(7)),
+        ("/revision", json!("7")),
+        ("/revision", json!("r-7")),
+        ("/routes", json!(null)),
+        ("/routes", json!([])),
+        ("/routes/r-read", json!(1)),
+        ("/routes/r-read/hostname", json!(null)),
+        ("/routes/r-read/path_prefix", json!("read/")),
+        ("/routes/r-read/path_prefix", json!("/read")),
+        ("/routes/r-read/route_kind", json!("any")),
+        ("/routes/r-read/deadline", json!("0ms")),
+        ("/routes/r-read/deadline", json!("2 s")),
+        ("/routes/r-read/deadline", json!(2000)),
+        ("/routes/r-read/deadline", json!("2000000000s")),
+        ("/routes/r-read/target", json!("62s")),
+        ("/routes/r-read/precedence", json!(-1)),
+        ("/routes/r-read/precedence", json!(0.5)),
+        ("/routes/r-read/service", json!("nowhere")),
+        ("/routes/r-read/service", json!(null)),
+        ("/routes/r-read/tries", json!(0)),
+        ("/routes/r-read/public", json!("yes")),
+        ("/routes/r-read/home_regions", json!("east")),
+        ("/routes/r-read/home_regions", json!([1])),
+        ("/routes/r-split/weighted_split", json!([])),
+        ("/routes/r-split/weighted_split", json!([{"service": "reads"}])),
+        ("/services", json!(null)),
+        ("/services/reads/health_path", json!(null)),
+        ("/services/reads/connection_limit", json!("many")),
+        ("/services/reads/warmup", json!("soon")),
+        ("/limits", json!(null)),
+        ("/limits/max_header_bytes", json!(null)),
+        ("/limits/max_body_bytes", json!(1.5)),
+        ("/limits/header_deadline", json!(null)),
+        ("/limits/idle_timeout", json!("ms")),
+        ("/customers/ana/access_keys", json!(null)),
+        ("/customers/bor/access_keys", json!(["key-a"])),
+        ("/customers/ana/rate_per_s", json!(-1)),
+        ("/customers", json!([])),
+    ];
+    let mut told = refusals(CONFIGURATION, faults, read_configuration);
+    for text in ["", "{", "[]", "{} {}"] {
+        let error = read_configuration(text.as_bytes()).expect_err(text);
+        told.push_str(&format!("{text}: {error}\n"));
+    }
+    assert_golden("configuration/refused_configurations.txt", told.as_bytes());
+}
+
+#[test]
+fn valid_settings() {
+    let settings = read_settings(&read_golden(SETTINGS)).expect("they are valid");
+    assert_eq!((settings.name.as_str(), settings.ip.to_string().as_str()), ("central-0", "10.0.0.1"));
+    assert_eq!((settings.zone.as_str(), settings.region.as_str()), ("east-a", "east"));
+    assert_eq!(settings.zones["west-a"], "west");
+    let listens = |kind| settings.listens(kind).expect("it listens there").to_string();
+    assert_eq!(listens("control_plane"), "10.0.0.1:8200");
+    assert_eq!(listens("directory_service"), "10.0.0.1:8201");
+    assert_eq!(listens("frontend"), "10.0.0.1:8206");
+    assert_eq!(listens("readiness"), "10.0.0.1:8207");
+    assert_eq!(settings.internal, (7600, 7615));
+    let peer = "10.0.0.2".parse().expect("an address");
+    assert_eq!(settings.office(peer).to_string(), "10.0.0.2:7600");
+    assert_eq!(settings.neighbour(peer).to_string(), "10.0.0.2:7601");
+    assert_eq!(settings.loopback().to_string(), "127.0.0.1:7602");
+    assert_eq!(settings.seeds[1].to_string(), "10.0.0.2:8200");
+    assert_eq!((settings.initial_start, settings.memory_mb, settings.descriptors), (true, 200, 1024));
+    assert_eq!(settings.data.as_deref(), Some(Path::new("/var/lib/vanewharf")));
+    assert_eq!(settings.losses, 2);
+    let bounds = &settings.bounds;
+    assert!(!bounds.revocation_global);
+    let spans = [bounds.revocation, bounds.grace, bounds.ttl_max, bounds.retry_window];
+    assert_eq!(spans.map(|span| span.as_millis()), [5000, 2000, 5000, 10000]);
+    assert_eq!((bounds.rate_allowance, bounds.retry_ratio, bounds.retry_allowance), (20.0, 0.2, 50.0));
+    assert_eq!((bounds.warmup_overshoot, bounds.warmup_allowance), (1.5, 5.0));
+    let cloud = settings.cloud.expect("a platform");
+    assert_eq!((cloud.address.to_string().as_str(), cloud.rate_per_s), ("10.0.0.9:80", 20.0));
+    assert_eq!(cloud.lag.as_millis(), 500);
+}
+
+#[test]
+fn refused_settings() {
+    let needed = [
+        "/node_name",
+        "/ip_address",
+        "/zone",
+        "/region",
+        "/zones",
+        "/listen_addresses",
+        "/internal_ports",
+        "/seed_nodes",
+        "/initial_start",
+        "/limits",
+        "/limits/memory_mb",
+        "/limits/file_descriptors",
+        "/limits_table",
+        "/limits_table/revocation_global",
+        "/limits_table/revocation",
+        "/limits_table/grace_period",
+        "/limits_table/ttl_max",
+        "/limits_table/rate_allowance",
+        "/limits_table/retry_ratio",
+        "/limits_table/retry_window",
+        "/limits_table/retry_allowance",
+        "/limits_table/warmup_overshoot",
+        "/limits_table/warmup_allowance",
+        "/fault_tolerance/machine_losses",
+        "/cloud_api/address",
+        "/cloud_api/rate_per_s",
+        "/cloud_api/allowed_lag",
+    ];
+    let mut faults: Vec<Fault> = needed.into_iter().map(|place| (place, json!(null))).collect();
+    faults.extend([
+        ("/ip_address", json!("nowhere")),
+        ("/internal_ports", json!([7600])),
+        ("/internal_ports", json!([7600, 7601])),
+        ("/internal_ports", json!([7600, 70000])),
+        ("/seed_nodes", json!(["10.0.0.1"])),
+        ("/listen_addresses/frontend", json!(8206)),
+        ("/initial_start", json!("yes")),
+        ("/data_directory", json!(1)),
+        ("/limits_table/grace_period", json!("2")),
+    ]);
+    let told = refusals(SETTINGS, faults, read_settings);
+    assert_golden("configuration/refused_settings.txt", told.as_bytes());
+}
+
+/// Left out, these have their defaults.
+#[test]
+fn optional_settings() {
+    let mut document: Value = serde_json::from_slice(&read_golden(SETTINGS)).expect("JSON");
+    for name in ["data_directory", "fault_tolerance", "cloud_api", "a_field_of_tomorrow"] {
+        document.as_object_mut().expect("an object").remove(name);
+    }
+    let settings = read_settings(document.to_string().as_bytes()).expect("they are valid");
+    assert_eq!((settings.data, settings.losses, settings.cloud.is_none()), (None, 1, true));
+    let readiness = |settings: &Settings| settings.listens("readiness").map_err(|error| error.to_string());
+    document["listen_addresses"] = json!({});
+    let settings = read_settings(document.to_string().as_bytes()).expect("they are valid");
+    assert_eq!(readiness(&settings), Err("listen_addresses.readiness is missing".to_owned()));
+}
+
+/// The folder of the workspace: the nearest one above that has `deploy`.
+fn workspace() -> PathBuf {
+    let above = Path::new(env!("CARGO_MANIFEST_DIR")).ancestors();
+    above.into_iter().find(|folder| folder.join("deploy").is_dir()).expect("the workspace").to_owned()
+}
+
+fn deployed(file: &str) -> toml::Table {
+    let text = std::fs::read_to_string(workspace().join("deploy").join(file)).expect("a file");
+    text.parse().expect("TOML")
+}
+
+/// The keys of a table, each with the type of its value.
+fn forms(table: &toml::Table) -> BTreeSet<String> {
+    table.iter().map(|(key, value)| format!("{key}: {}", value.type_str())).collect()
+}
+
+fn form_set(expected: &[&str]) -> BTreeSet<String> {
+    expected.iter().map(|form| form.to_string()).collect()
+}
+
+#[track_caller]
+fn assert_names_program(command: &toml::Value) {
+    let words: Vec<_> = command.as_str().expect("text").split(' ').collect();
+    let program = words.strip_prefix(&["exec"]).unwrap_or(&words);
+    assert!(matches!(program, [path] if path.starts_with("target/release/")), "{words:?}");
+}
+
+#[test]
+fn deployed_balancer() {
+    let table = deployed("balancer.toml");
+    let expected =
+        ["build: string", "run: string", "sim: string", "policy: array", "node: array", "packages: array"];
+    assert_eq!(forms(&table), form_set(&expected));
+    assert_names_program(&table["run"]);
+    assert_names_program(&table["sim"]);
+}
+
+#[test]
+fn deployed_door() {
+    let table = deployed("door.toml");
+    assert_eq!(forms(&table), form_set(&["settings: table", "peers: table"]));
+    let part = |name: &str| table[name].as_table().expect("a table");
+    assert_eq!(forms(part("peers")), form_set(&["listen: string", "doors: array"]));
+    let expected =
+        ["me: integer", "balancers: integer", "locality: string", "allowed: table", "family_info: table"];
+    assert_eq!(forms(part("settings")), form_set(&expected));
+    let below = |name: &str| forms(part("settings")[name].as_table().expect("a table"));
+    assert_eq!(below("allowed"), form_set(&["peer_messages: boolean"]));
+    assert_eq!(below("family_info"), form_set(&["most_units: integer", "peer_in_per_s: integer"]));
+}
+
+#[test]
+fn deployed_system() {
+    let table = deployed("system.toml");
+    assert_eq!(forms(&table), form_set(&["build: string", "roles: table"]));
+    let mut places = Vec::new();
+    for (name, role) in table["roles"].as_table().expect("a table") {
+        let role = role.as_table().expect("a table");
+        let expected = ["run: string", "on: string", "share: float", "serves: array"];
+        assert_eq!(forms(role), form_set(&expected), "{name}");
+        assert_names_program(&role["run"]);
+        let serves = role["serves"].as_array().expect("a list");
+        let serves: Vec<_> = serves.iter().map(|kind| kind.as_str().expect("text")).collect();
+        places.push(format!("{} {}", role["on"].as_str().expect("text"), serves.join(" ")));
+    }
+    places.sort_unstable();
+    assert_eq!(places, ["central controller registry", "frontend ", "frontend frontend"]);
+}
