--- a/cli/tests/command_line.rs
+++ b/cli/tests/command_line.rs
@@ -273,3 +273,35 @@
     let wrong = vanewharf(&["hours", path(&file), "--at", "tomorrow"]);
     assert!(!wrong.status.success() && said(&wrong).contains("--at tomorrow"));
 }
+
+/// What is told of each kind of file, byte for byte but for its path.
+#[test]
+fn a_check_tells_what_a_file_is() {
+    let folder = Folder::new();
+    let told = |name: &str, text: &str| {
+        let file = folder.file(name, text);
+        let run = vanewharf(&["config", "check", path(&file)]);
+        let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).replace(path(&file), "<file>");
+        format!("{:?} {}{}", run.status.code(), text(&run.stdout), text(&run.stderr))
+    };
+    assert_eq!(told("small.toml", SMALL), "Some(0) small: an experiment of 4 doors and 6 backends\n");
+    let door = r#"{"settings": {"balancers": 2, "classes": [{"name": "look", "aim": 400.0}],
+        "tiers_of_service": [{"name": "basic", "rate": 2.0}]}}"#;
+    assert_eq!(told("door.json", door), "Some(0) <file>: a door would start by these settings\n");
+    let config = r#"{"revision": "r1", "routes": {}, "services": {}, "limits": {"max_header_bytes": 1,
+        "max_body_bytes": 1, "header_deadline": "1s", "idle_timeout": "1s"}, "customers": {}}"#;
+    let taken = "Some(0) <file>: r1 with 0 routes to 0 services and 0 tenants would be taken\n";
+    assert_eq!(told("config.json", config), taken);
+    let settings = r#"{"node_name": "node-0", "ip_address": "10.0.0.1", "zone": "east-a", "region": "east",
+        "zones": {"east-a": "east"}, "listen_addresses": {}, "internal_ports": [7600, 7615], "seed_nodes": [],
+        "initial_start": true, "limits": {"memory_mb": 200, "file_descriptors": 1024},
+        "limits_table": {"revocation_global": false, "revocation": "5000ms", "grace_period": "2s", "ttl_max": "5s",
+        "rate_allowance": 20, "retry_ratio": 0.2, "retry_window": "10s", "retry_allowance": 50,
+        "warmup_overshoot": 1.5, "warmup_allowance": 5}}"#;
+    let starts = "Some(0) <file>: node-0 of east-a would start by these settings\n";
+    assert_eq!(told("settings.json", settings), starts);
+    let refused = told("bad.json", &config.replace("r1", "1"));
+    let (time, line) = refused.split_once("Z ").expect("a time first");
+    assert!(time.starts_with("Some(1) 20"), "{refused}");
+    assert_eq!(line, "ERROR <file>: revision: a version is r and a number\n");
+}
--- /dev/null
+++ b/frontdoor/tests/command_line.rs
@@ -0,0 +1,90 @@
+//! The program as a user starts it: what it prints and refuses, byte for byte but for its name, paths and the time.
+
+use std::path::{Path, PathBuf};
+use std::process::{Command, Output};
+
+const PROGRAM: &str = env!("CARGO_BIN_EXE_vanewharf-door");
+const VALID: &str = r#"{"name": "n0", "listen": "127.0.0.1:7001", "discovery": "127.0.0.1:1", "seed": "8c1f",
+    "limits": {"cores": 1.0, "memory_mb": 64, "sockets": 1024},
+    "known": {"index": 4, "snapshot": true, "endpoints": []},
+    "settings": {"balancers": 2, "classes": [{"name": "look", "aim": 400.0, "gain": 1.0,
+    "idempotency": "retryable", "hard_limit": 3000}], "family_info": {"most_units": 8},
+    "tiers_of_service": [{"name": "basic", "rate": 1.0, "store_size": 2.0}]}}"#;
+const HELP: &str = "One front door; the platform's file is named by ROUTER_CONFIG
+
+Usage: <program> [OPTIONS]
+
+Options:
+      --operator <OPERATOR>      The operator's own file; without one the door is as the platform's file alone says [env: VANEWHARF_OPERATOR=]
+      --log-format <LOG_FORMAT>  How the log is written to standard error [env: VANEWHARF_LOG_FORMAT=] [default: text] [possible values: text, json]
+      --check                    Only tell whether a door would start by these files
+  -h, --help                     Print help
+  -V, --version                  Print version
+";
+
+/// With this file in place of the platform's, where one is given.
+fn run(words: &[&str], platform: Option<&Path>) -> Output {
+    let mut command = Command::new(PROGRAM);
+    for name in ["ROUTER_CONFIG", "VANEWHARF_OPERATOR", "VANEWHARF_LOG_FORMAT", "VANEWHARF_LOG"] {
+        command.env_remove(name);
+    }
+    command.envs(platform.map(|path| ("ROUTER_CONFIG", path)));
+    command.args(words).output().expect("the program runs")
+}
+
+fn file(name: &str, text: &str) -> PathBuf {
+    let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
+    std::fs::write(&path, text).expect("a file of our own");
+    path
+}
+
+/// With the program's name replaced.
+fn printed(output: &Output) -> String {
+    let name = Path::new(PROGRAM).file_name().and_then(|name| name.to_str()).expect("a name");
+    String::from_utf8(output.stdout.clone()).expect("text").replace(name, "<program>")
+}
+
+/// The only line of the log: its level and its words, without the time and the module.
+fn logged(output: &Output) -> (String, String) {
+    let text = String::from_utf8(output.stderr.clone()).expect("text");
+    assert_eq!(text.lines().count(), 1, "{text}");
+    let mut words = text.trim_end().splitn(2, "Z ").nth(1).expect("a time first").trim_start().splitn(3, ' ');
+    let mut word = || words.next().expect("a level, a module and a message").to_owned();
+    let (level, module, message) = (word(), word(), word());
+    assert!(module.ends_with(':'), "{text}");
+    (level, message)
+}
+
+#[test]
+fn help_and_version() {
+    assert_eq!(printed(&run(&["--help"], None)), HELP);
+    let version = format!("<program> {}\n", env!("CARGO_PKG_VERSION"));
+    assert_eq!(printed(&run(&["--version"], None)), version);
+    assert_eq!(run(&["--unknown"], None).status.code(), Some(2));
+}
+
+#[test]
+fn check() {
+    let path = file("door-valid.json", VALID);
+    let output = run(&["--check"], Some(&path));
+    assert_eq!((printed(&output).as_str(), output.status.code()), ("", Some(0)));
+    let told = "a door would start name=\"n0\" peers=false counter=false";
+    assert_eq!(logged(&output), ("INFO".to_owned(), told.to_owned()));
+}
+
+#[test]
+fn refusals() {
+    let refused = |platform: Option<&Path>, why: &str| {
+        let output = run(&["--check"], platform);
+        assert_eq!((printed(&output).as_str(), output.status.code()), ("", Some(1)));
+        assert_eq!(logged(&output), ("ERROR".to_owned(), format!("cannot serve: {why}")));
+    };
+    refused(None, "ROUTER_CONFIG is not set");
+    let absent = "cannot read /nowhere/at-all.json: No such file or directory (os error 2)";
+    refused(Some(Path::new("/nowhere/at-all.json")), absent);
+    let path = file("door-seed.json", &VALID.replace("8c1f", "seed"));
+    refused(Some(&path), "seed is not hex: 'seed'");
+    let path = file("door-text.json", "{");
+    let why = format!("cannot read {}: EOF while parsing an object at line 1 column 1", path.display());
+    refused(Some(&path), &why);
+}
