--- a/frontdoor/tests/command_line.rs
+++ b/frontdoor/tests/command_line.rs
@@ -48,7 +48,7 @@
 fn logged(output: &Output) -> (String, String) {
     let text = String::from_utf8(output.stderr.clone()).expect("text");
     assert_eq!(text.lines().count(), 1, "{text}");
-    let mut words = text.trim_end().splitn(2, "Z ").nth(1).expect("a time first").trim_start().splitn(3, ' ');
+    let mut words = text.trim_end().split_once("Z ").expect("a time first").1.trim_start().splitn(3, ' ');
     let mut word = || words.next().expect("a level, a module and a message").to_owned();
     let (level, module, message) = (word(), word(), word());
     assert!(module.ends_with(':'), "{text}");
