--- a/programs/controller/src/lib.rs
+++ b/programs/controller/src/lib.rs
@@ -10,7 +10,7 @@
 mod replica;
 mod roles;
 mod state;
-mod storage;
+pub mod storage;
 
 use orders::OrderQueue;
 use replica::Replica;
