--- /dev/null
+++ b/crates/gateway-settings/src/tests.rs
@@ -0,0 +1,44 @@
+use super::*;
+use serde_json::json;
+use vanewharf_policy::interface::{PlanId, Repeat, Tenths};
+
+#[test]
+fn flat_and_nested_tell_the_same() {
+    let nested = json!({
+        "balancers": 3,
+        "family_info": {"most_units": 8},
+        "allowed": {"cancel": true, "most_tries": 3, "conn_idle": 15000.0, "dial_timeout": 250.0},
+        "classes": [{"name": "look", "aim": 400.0, "gain": 1.5, "idempotency": "dedup", "group": "all",
+            "window": 5000.25, "hard_limit": 1500.4}],
+        "tiers_of_service": [{"name": "basic", "rate": 2, "store_size": 16.0}, {"name": "gold"}],
+        "odd": null
+    });
+    let flat = "balancers=3 allowed.cancel=true allowed.most_tries=3 allowed.conn_idle=15000.0 \
+        allowed.dial_timeout=250.0 classes.count=1 classes.0.name=look classes.0.aim=400.0 \
+        classes.0.gain=1.5 classes.0.idempotency=dedup classes.0.group=all classes.0.window=5000.25 \
+        classes.0.hard_limit=1500.4 family_info.most_units=8 \
+        tiers_of_service.count=2 tiers_of_service.0.name=basic tiers_of_service.0.rate=2 \
+        tiers_of_service.0.store_size=16 tiers_of_service.1.name=gold";
+    let flat = Options::flat(flat.split(' ').filter_map(|pair| pair.split_once('=')));
+    let nested = Options::nested(&nested);
+    let (one, names) = policy_start(&flat, 7, Tenths(5)).expect("readable");
+    let (other, _) = policy_start(&nested, 7, Tenths(5)).expect("readable");
+    assert_eq!(one, other);
+    assert_eq!(names.plans["gold"], PlanId(1));
+    let repeat = Repeat::Referenced { window: Tenths(50_002) };
+    assert_eq!((one.products[0].repeat, one.plans[0].rate), (repeat, 2.0));
+    let told = ConnectionTimeouts { idle: Tenths(150_000), dial: Tenths(2_500) };
+    assert_eq!(connection_timeouts(&nested).expect("readable"), told);
+    assert_eq!(connection_timeouts(&flat).expect("readable"), told);
+    let told = RequestBounds { max_cost: 8.0, gateways: 3, max_expiries: vec![Tenths(15_010)] };
+    assert_eq!(request_bounds(&nested).expect("readable"), told);
+    assert_eq!(request_bounds(&flat).expect("readable"), told);
+}
+
+#[test]
+fn what_cannot_be_read_is_named() {
+    let odd = Options::nested(&json!({"classes": [{"gain": "much"}]}));
+    let fault = policy_start(&odd, 7, Tenths(5)).expect_err("no number");
+    assert_eq!(fault.to_string(), "option classes.0.gain cannot be read: 'much'");
+    assert!(policy_start(&Options::flat([("rules.cold_from", "inf")]), 7, Tenths(5)).is_err());
+}
--- a/programs/gateway/src/connection_pool.rs
+++ b/programs/gateway/src/connection_pool.rs
@@ -24,7 +24,7 @@
 impl ConnectionPool {
     /// `closes`: when a backend closes an idle connection, at the latest.
     pub fn new(closes: Tenths) -> ConnectionPool {
-        let most_idle = vanewharf_gateway_settings::kept(closes);
+        let most_idle = vanewharf_gateway_settings::idle_reuse_limit(closes);
         ConnectionPool { peers: BTreeMap::new(), most_idle, told_idle: most_idle }
     }
 
--- a/programs/gateway/src/main.rs
+++ b/programs/gateway/src/main.rs
@@ -86,13 +86,15 @@
     let PlatformConfig { name, listen, discovery, seed, limits, known, counter, options } = commission;
     let operator = OperatorConfig::read(call.operator.as_deref())?;
     let options = operator.complete(options)?;
-    let (mut start, named) =
-        vanewharf_gateway_settings::start(&options, seed, clock.now()).map_err(|error| error.to_string())?;
+    let (mut start, named) = vanewharf_gateway_settings::policy_start(&options, seed, clock.now())
+        .map_err(|error| error.to_string())?;
     let timeouts =
         vanewharf_gateway_settings::connection_timeouts(&options).map_err(|error| error.to_string())?;
-    let ask_within = vanewharf_gateway_settings::ask_within(&options).map_err(|error| error.to_string())?;
-    let bounds = vanewharf_gateway_settings::bounds(&options).map_err(|error| error.to_string())?;
-    let intake = vanewharf_gateway_settings::peer_in_per_s(&options).map_err(|error| error.to_string())?;
+    let ask_within =
+        vanewharf_gateway_settings::discovery_poll_interval(&options).map_err(|error| error.to_string())?;
+    let bounds = vanewharf_gateway_settings::request_bounds(&options).map_err(|error| error.to_string())?;
+    let intake =
+        vanewharf_gateway_settings::peer_messages_per_s(&options).map_err(|error| error.to_string())?;
     if call.check {
         tracing::info!(name, peers = start.peers, counter = start.counter.is_some(), "a door would start");
         return Ok(());
@@ -100,7 +102,7 @@
     let repeats = start.products.iter().map(|product| product.repeat).collect();
     let resources = Rc::new(Resources::new(ResourceLimits::within(limits.sockets, limits.memory_mb)));
     let (notes, told) = mpsc::unbounded_channel();
-    let place = named.place.clone();
+    let place = named.locality.clone();
     let dialect = Box::new(PlatformDialect { named, bounds });
     let shared = Rc::new(Shared::new(clock, Rc::clone(&resources), dialect, timeouts, notes));
 
--- a/programs/gateway/src/operator_config.rs
+++ b/programs/gateway/src/operator_config.rs
@@ -40,7 +40,7 @@
     /// The platform's settings with this file's beside them, checked as a whole.
     pub fn complete(&self, platform: Options) -> Result<Options, String> {
         let options =
-            platform.beside(Options::nested(&self.settings)).map_err(|refused| refused.to_string())?;
+            platform.merged_with(Options::nested(&self.settings)).map_err(|refused| refused.to_string())?;
         let counts = self.peers.as_ref().map(|peers| peers.doors.len());
         vanewharf_gateway_settings::check(&options, counts).map_err(|refused| refused.to_string())?;
         if let Some(peers) = &self.peers {
@@ -50,7 +50,7 @@
             if others.len() < peers.doors.len() {
                 return Err("peers.doors is refused: an address stands there twice".to_owned());
             }
-            let me: usize = options.whole("me").map_err(|refused| refused.to_string())?;
+            let me: usize = options.required("me").map_err(|refused| refused.to_string())?;
             if peers.doors.get(me) != Some(&peers.listen) {
                 return Err(format!("peers.listen is refused: not the address of door {me} in peers.doors"));
             }
--- a/programs/gateway/src/platform_dialect.rs
+++ b/programs/gateway/src/platform_dialect.rs
@@ -2,7 +2,7 @@
 
 use crate::dialect::{Admission, ForwardingOptions, HttpDialect, ReplyMatch, ReportedUsage};
 use std::time::Duration;
-use vanewharf_gateway_settings::{Bounds, Named};
+use vanewharf_gateway_settings::{RequestBounds, SettingNames};
 use vanewharf_http1::{Reply, Request};
 use vanewharf_policy::interface::{Arrival, CustomerId, Outcome, PlanId, ProductId, Tenths, TxnId, Want};
 
@@ -16,8 +16,8 @@
 
 /// What the door was told that a request is held to.
 pub struct PlatformDialect {
-    pub named: Named,
-    pub bounds: Bounds,
+    pub named: SettingNames,
+    pub bounds: RequestBounds,
 }
 
 fn customer(query: &str) -> Option<CustomerId> {
@@ -28,7 +28,7 @@
 }
 
 /// The cost, the number of the customer's doors and which is the first of them.
-fn quota(field: &str, bounds: &Bounds) -> Option<(f64, u32, u32)> {
+fn quota(field: &str, bounds: &RequestBounds) -> Option<(f64, u32, u32)> {
     let (mut cost, mut width, mut first) = (None, None, Some(0));
     for pair in field.split(',') {
         match pair.trim().split_once('=') {
@@ -39,9 +39,9 @@
         }
     }
     // What no customer can owe would keep its bucket in debt for good.
-    let cost = cost.filter(|cost| *cost > 0.0 && *cost <= bounds.cost)?;
-    let width = width.filter(|width| (1..=bounds.doors).contains(width))?;
-    first.filter(|first| *first < bounds.doors).map(|first| (cost, width, first))
+    let cost = cost.filter(|cost| *cost > 0.0 && *cost <= bounds.max_cost)?;
+    let width = width.filter(|width| (1..=bounds.gateways).contains(width))?;
+    first.filter(|first| *first < bounds.gateways).map(|first| (cost, width, first))
 }
 
 fn arrival(
@@ -66,7 +66,7 @@
         .ok_or("X-Quota cannot be read or is out of range")?;
     let left: Option<u32> = request.unique_field(TIME_LEFT).and_then(|text| text.parse().ok());
     let left = Tenths(i64::from(left.ok_or("X-Time-Left-Ms cannot be read")?) * 10);
-    if left > bounds.expiries[product.0] {
+    if left > bounds.max_expiries[product.0] {
         return Err("X-Time-Left-Ms is longer than the product's expiry");
     }
     if id(request).is_none() {
@@ -129,7 +129,7 @@
             text.trim().parse::<f64>().ok().filter(|figure| figure.is_finite())
         };
         let metered = figure("X-Quota-Used").filter(|&used| used >= 0.0).map(|used| used / 100.0);
-        let true_cost = figure("X-Units-Charged").filter(|&cost| cost > 0.0 && cost <= self.bounds.cost);
+        let true_cost = figure("X-Units-Charged").filter(|&cost| cost > 0.0 && cost <= self.bounds.max_cost);
         ReportedUsage { metered, true_cost }
     }
 }
--- a/programs/simulator-adapter/src/door.rs
+++ b/programs/simulator-adapter/src/door.rs
@@ -5,7 +5,7 @@
 use std::collections::hash_map::DefaultHasher;
 use std::fmt::Write;
 use std::hash::{Hash, Hasher};
-use vanewharf_gateway_settings::Named;
+use vanewharf_gateway_settings::SettingNames;
 use vanewharf_policy::decide::Door;
 use vanewharf_policy::interface::{
     Action, Arrival, BackendId, CountName, Counted, CustomerId, DoorId, Ending, Event, Listed, Outcome,
@@ -34,7 +34,7 @@
 pub struct Host {
     pub door: Door,
     pub events: Vec<Event>,
-    named: Named,
+    named: SettingNames,
     backends: Names,
 }
 
@@ -76,7 +76,7 @@
 }
 
 impl Host {
-    pub fn new(door: Door, named: Named) -> Host {
+    pub fn new(door: Door, named: SettingNames) -> Host {
         Host { door, named, events: Vec::new(), backends: Names::default() }
     }
 
@@ -91,7 +91,7 @@
             backend: BackendId(self.backends.id(line.need("backend")?)),
             standing,
             size: line.number("scale")?.unwrap_or(1.0),
-            near: line.text("hall").unwrap_or_default() == self.named.place,
+            near: line.text("hall").unwrap_or_default() == self.named.locality,
             booted: line.time("boot_time")?.filter(|at| at.0 > 0),
         })
     }
--- a/programs/simulator-adapter/src/link.rs
+++ b/programs/simulator-adapter/src/link.rs
@@ -87,7 +87,7 @@
             "LAUNCH" => {
                 let options = Options::flat(line.pairs().iter().copied());
                 let (start, named) =
-                    vanewharf_gateway_settings::start(&options, line.whole("init_seed")?, now)
+                    vanewharf_gateway_settings::policy_start(&options, line.whole("init_seed")?, now)
                         .map_err(|unreadable| line.fault(unreadable.to_string()))?;
                 self.hosts.insert(name.clone(), Host::new(Door::start(start), named));
                 return Ok(());
--- a/programs/simulator-adapter/src/wire.rs
+++ b/programs/simulator-adapter/src/wire.rs
@@ -3,7 +3,7 @@
 use std::error::Error;
 use std::fmt;
 use std::str::FromStr;
-use vanewharf_gateway_settings::tenths;
+use vanewharf_gateway_settings::tenths_from_ms;
 use vanewharf_policy::interface::Tenths;
 
 /// What is wrong with the input, and where.
@@ -85,7 +85,7 @@
     }
 
     pub fn time(&self, name: &str) -> Result<Option<Tenths>, Malformed> {
-        Ok(self.number(name)?.map(tenths))
+        Ok(self.number(name)?.map(tenths_from_ms))
     }
 
     pub fn need_time(&self, name: &str) -> Result<Tenths, Malformed> {
