--- a/crates/consensus/src/election.rs
+++ b/crates/consensus/src/election.rs
@@ -11,10 +11,7 @@
 use std::net::SocketAddr;
 use std::ops::ControlFlow;
 use vanewharf_clock::Timestamp;
-use vanewharf_protocol::messages::{Ballot, Membership, Register, Revision, Vote, VoteResponse};
-
-/// By which registers are told apart.
-pub type Rank = (Ballot, Revision);
+use vanewharf_protocol::messages::{Ballot, Membership, Register, RegisterRank, Vote, VoteResponse};
 
 /// A lease in hand.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -111,7 +108,7 @@
     me: SocketAddr,
     /// Whose majority it needs, and which register names these.
     set: Membership,
-    known: Rank,
+    known: RegisterRank,
     votes: Vec<(SocketAddr, VoteResponse)>,
 }
 
@@ -128,7 +125,7 @@
 
 impl Election {
     /// By the newest set that the candidate knows.
-    pub fn start(me: SocketAddr, set: Membership, known: Rank) -> Election {
+    pub fn start(me: SocketAddr, set: Membership, known: RegisterRank) -> Election {
         Election { me, set, known, votes: Vec::new() }
     }
 
@@ -174,7 +171,7 @@
     /// By how many doors quotas are divided, as far as those know who granted the lease.
     pub fn proxy_count(&self) -> u32 {
         let doors = self.votes.iter().filter_map(|(_, cast)| match cast.vote {
-            Vote::Granted { doors, .. } => Some(doors),
+            Vote::Granted { quota_divisor: doors, .. } => Some(doors),
             _ => None,
         });
         doors.max().unwrap_or(0)
@@ -288,12 +285,12 @@
 
     /// Who has told what it promised and accepted.
     pub fn respondents(&self) -> BTreeSet<SocketAddr> {
-        let known = |cast: &VoteResponse| matches!(cast.vote, Vote::Known { .. });
+        let known = |cast: &VoteResponse| matches!(cast.vote, Vote::Recovered { .. });
         self.told.iter().filter(|(_, cast)| known(cast)).map(|(member, _)| *member).collect()
     }
 
     pub fn record_response(&mut self, member: SocketAddr, cast: VoteResponse) {
-        if let Vote::Outlived { incarnation } = cast.vote {
+        if let Vote::Superseded { incarnation } = cast.vote {
             self.heard = incarnation.max(self.heard);
         }
         self.told.insert(member, cast);
--- a/crates/consensus/src/election/tests.rs
+++ b/crates/consensus/src/election/tests.rs
@@ -1,6 +1,7 @@
 use super::*;
 use crate::membership::{begin_change, initial_membership};
 use std::time::Duration;
+use vanewharf_protocol::messages::Revision;
 
 const START: Timestamp = Timestamp(1_000_000_000);
 
@@ -17,19 +18,19 @@
 }
 
 fn register(ballot: u64, no: u64, membership: Membership) -> Register {
-    Register { ballot: Ballot(ballot), no: Revision(no), membership, ..Register::none() }
+    Register { ballot: Ballot(ballot), revision: Revision(no), membership, ..Register::empty() }
 }
 
 fn granted(register: Register) -> VoteResponse {
-    cast(Vote::Granted { register, doors: 8 })
+    cast(Vote::Granted { register, quota_divisor: 8 })
 }
 
 fn refused(promised: u64) -> VoteResponse {
-    cast(Vote::Refused { promised: Ballot(promised), holder: None })
+    cast(Vote::Refused { promised: Ballot(promised), leaseholder: None })
 }
 
-fn rank(ballot: u64, no: u64) -> Rank {
-    (Ballot(ballot), Revision(no))
+fn rank(ballot: u64, no: u64) -> RegisterRank {
+    RegisterRank { ballot: Ballot(ballot), revision: Revision(no) }
 }
 
 #[test]
@@ -133,9 +134,9 @@
     let seeds = vec![addr(1), addr(2), addr(3)];
     let mut recovering = RecoveryRound::start(addr(1), seeds, 0);
     let first = recovering.incarnation();
-    let known = || cast(Vote::Known { promised: Ballot(5), register: register(4, 6, set(1..4)) });
+    let known = || cast(Vote::Recovered { promised: Ballot(5), register: register(4, 6, set(1..4)) });
     recovering.record_response(addr(2), known());
-    recovering.record_response(addr(3), cast(Vote::Outlived { incarnation: first + 1 }));
+    recovering.record_response(addr(3), cast(Vote::Superseded { incarnation: first + 1 }));
     assert_eq!(recovering.next_step(0), RecoveryStep::Query([2, 3].map(addr).into()));
     assert!(recovering.incarnation() > first + 1 && recovering.respondents().is_empty());
     recovering.record_response(addr(2), known());
--- a/crates/consensus/src/group.rs
+++ b/crates/consensus/src/group.rs
@@ -69,23 +69,23 @@
 
 /// A register of before this was remembered names the one that it holds.
 fn remember_held(register: &mut Register) {
-    let held = register.config.as_deref().filter(|_| register.taken.is_empty());
+    let held = register.config.as_deref().filter(|_| register.accepted_configs.is_empty());
     let held =
         held.and_then(|held| Some(AcceptedConfig { revision: revision(held)?.0, digest: digest(held) }));
-    register.taken.extend(held);
+    register.accepted_configs.extend(held);
 }
 
 fn replace(register: &mut Register, revision: ConfigRevision, config: &RawValue) -> (ChangeOutcome, bool) {
     let this = AcceptedConfig { revision: revision.0, digest: digest(config) };
-    if register.taken.last().is_none_or(|held| held.revision < this.revision) {
+    if register.accepted_configs.last().is_none_or(|held| held.revision < this.revision) {
         register.config = Some(config.to_owned());
-        register.taken.push(this);
-        let over = register.taken.len().saturating_sub(RETAINED_REVISIONS);
-        register.taken.drain(..over);
+        register.accepted_configs.push(this);
+        let over = register.accepted_configs.len().saturating_sub(RETAINED_REVISIONS);
+        register.accepted_configs.drain(..over);
         return (ChangeOutcome::Acknowledged, true);
     }
     // What is not above the one held changes nothing; it is told so unless another one was taken under its number.
-    let under = register.taken.iter().find(|taken| taken.revision == this.revision);
+    let under = register.accepted_configs.iter().find(|taken| taken.revision == this.revision);
     let conflict = under.is_some_and(|taken| *taken != this);
     (if conflict { ChangeOutcome::Conflict } else { ChangeOutcome::Acknowledged }, false)
 }
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -6,7 +6,7 @@
 mod voter;
 
 pub use election::{
-    AcceptRound, BallotClaim, Election, ElectionOutcome, HeldLease, PreVoteRound, Rank, RecoveryRound,
+    AcceptRound, BallotClaim, Election, ElectionOutcome, HeldLease, PreVoteRound, RecoveryRound,
     RecoveryStep, RenewalOutcome, RenewalRound,
 };
 pub use group::{ChangeOutcome, GroupCommit, OperatorChange, apply_changes};
--- a/crates/consensus/src/membership.rs
+++ b/crates/consensus/src/membership.rs
@@ -105,7 +105,7 @@
         _ => None,
     });
     let by = |register: &&Register| (register.rank(), register.membership.epoch);
-    registers.max_by_key(by).cloned().unwrap_or_else(Register::none)
+    registers.max_by_key(by).cloned().unwrap_or_else(Register::empty)
 }
 
 /// What a machine with amnesia may go by, or whom it has to hear besides.
@@ -130,7 +130,7 @@
 ) -> RecoveryDecision {
     let mut known = BTreeMap::new();
     for (member, cast) in told.iter().filter(|(member, _)| **member != me) {
-        if let Vote::Known { promised, register } = &cast.vote {
+        if let Vote::Recovered { promised, register } = &cast.vote {
             known.insert(*member, (*promised, register));
         }
     }
@@ -147,7 +147,7 @@
             amnesic(seed).is_some_and(|told| initial_membership(told.clone()) == founders)
         };
         let all = seeds.contains(&me) && seeds.iter().all(|seed| *seed == me || alike(seed));
-        let register = Register { membership: founders, ..Register::none() };
+        let register = Register { membership: founders, ..Register::empty() };
         return match all {
             true => RecoveryDecision::Recover { promised, register: Box::new(register) },
             false => RecoveryDecision::Query(seeds.iter().copied().filter(|seed| *seed != me).collect()),
@@ -156,7 +156,7 @@
     let all_voters: BTreeSet<_> =
         all_voters(&newest.membership).into_iter().filter(|one| *one != me).collect();
     let blank =
-        newest.no.0 == 0 && all_voters.iter().all(|one| heard.contains(one) || amnesic(one).is_some());
+        newest.revision.0 == 0 && all_voters.iter().all(|one| heard.contains(one) || amnesic(one).is_some());
     if has_quorum(&newest.membership, &heard) || blank {
         let promised = promised.max(newest.ballot);
         return RecoveryDecision::Recover { promised, register: Box::new(newest.clone()) };
@@ -303,13 +303,13 @@
 
     /// It pulls, and says what is on its disk; `settled` is what it should have soon.
     pub fn record_pull(&mut self, follower: &Follower, settled: Revision, now: Timestamp) {
-        let zone = follower.row.zone.clone();
+        let zone = follower.controller.zone.clone();
         let fresh = || FollowerProgress { zone, sound: None, since: now, goal: settled, set: now };
-        let heard = self.heard.entry(follower.row.ip).or_insert_with(fresh);
-        let reached = follower.kept.is_some_and(|(_, no)| no >= heard.goal);
+        let heard = self.heard.entry(follower.controller.ip).or_insert_with(fresh);
+        let reached = follower.persisted.is_some_and(|rank| rank.revision >= heard.goal);
         // What was settled a moment ago is on its way to one that had all before.
         let on_its_way =
-            heard.sound.is_some() && follower.kept.is_some() && now.since(heard.set) < SYNC_TIMEOUT;
+            heard.sound.is_some() && follower.persisted.is_some() && now.since(heard.set) < SYNC_TIMEOUT;
         if reached {
             (heard.goal, heard.set) = (settled, now);
         }
--- a/crates/consensus/src/membership/tests.rs
+++ b/crates/consensus/src/membership/tests.rs
@@ -1,6 +1,7 @@
 use super::*;
 use std::net::IpAddr;
 use vanewharf_protocol::messages::ControllerEntry;
+use vanewharf_protocol::messages::RegisterRank;
 use yare::parameterized;
 
 const START: Timestamp = Timestamp(1_000_000_000);
@@ -22,7 +23,7 @@
 }
 
 fn register(no: u64, membership: Membership) -> Register {
-    Register { ballot: Ballot(no << 8), no: Revision(no), membership, ..Register::none() }
+    Register { ballot: Ballot(no << 8), revision: Revision(no), membership, ..Register::empty() }
 }
 
 fn cast(vote: Vote) -> VoteResponse {
@@ -30,7 +31,7 @@
 }
 
 fn known(no: u64, membership: &Membership) -> VoteResponse {
-    cast(Vote::Known { promised: Ballot(no << 8), register: register(no, membership.clone()) })
+    cast(Vote::Recovered { promised: Ballot(no << 8), register: register(no, membership.clone()) })
 }
 
 fn amnesic(seeds: &[u8]) -> VoteResponse {
@@ -101,7 +102,7 @@
         let told = told.into_iter().map(|(no, cast)| (addr(no), cast)).collect();
         match (recovery(addr(1), &list(&[1, 2, 3]), &told), expected) {
             (RecoveryDecision::Recover { register, .. }, Ok(no)) => {
-                assert_eq!(register.no, Revision(no), "{what}")
+                assert_eq!(register.revision, Revision(no), "{what}")
             }
             (RecoveryDecision::Query(missing), Err(whom)) => assert_eq!(missing, set(whom), "{what}"),
             (came, expected) => panic!("{what}: {came:?}, not {expected:?}"),
@@ -151,8 +152,8 @@
     following.lease_acquired(START);
     let ip = |no: u8| IpAddr::from([10, 0, 0, no]);
     let follower = |no: u8, kept: Option<u64>| Follower {
-        row: ControllerEntry { ip: ip(no), zone: "z".to_owned() },
-        kept: kept.map(|no| (Ballot(1), Revision(no))),
+        controller: ControllerEntry { ip: ip(no), zone: "z".to_owned() },
+        persisted: kept.map(|no| RegisterRank { ballot: Ballot(1), revision: Revision(no) }),
     };
     // Changes come faster than they are kept: 2 is one behind each time, 3 stays where it was, 4 has amnesia.
     let mut now = START;
@@ -201,10 +202,10 @@
 fn a_holder_that_has_the_lease_again_soon_misses_whom_it_missed_before() {
     let (mut following, ip) = (FollowerTracker::default(), |no: u8| IpAddr::from([10, 0, 0, no]));
     let office = |ip| SocketAddr::new(ip, 7600);
-    let kept = Some((Ballot(1), Revision(1)));
+    let kept = Some(RegisterRank { ballot: Ballot(1), revision: Revision(1) });
     let hear = |following: &mut FollowerTracker, no: u8, now: Timestamp| {
         let row = ControllerEntry { ip: ip(no), zone: "z".to_owned() };
-        following.record_pull(&Follower { row, kept }, Revision(1), now);
+        following.record_pull(&Follower { controller: row, persisted: kept }, Revision(1), now);
     };
     let after = |span: u64| START.after(Duration::from_millis(span));
     following.lease_acquired(START);
--- a/crates/consensus/src/voter.rs
+++ b/crates/consensus/src/voter.rs
@@ -118,7 +118,7 @@
             } else {
                 initial_membership(initial_members.to_vec())
             };
-            Register { membership, ..Register::none() }
+            Register { membership, ..Register::empty() }
         };
         let register = register.unwrap_or_else(|| blank(&promise.initial_members));
         Voter {
@@ -201,9 +201,9 @@
         if self.amnesic {
             return VoterOutput::say(Vote::Amnesic { seeds: self.seeds.clone() });
         }
-        let refused = Vote::Refused { promised: self.promised, holder: self.leaseholder(now) };
+        let refused = Vote::Refused { promised: self.promised, leaseholder: self.leaseholder(now) };
         match vote_request {
-            VoteRequest::PreVote { holder } => {
+            VoteRequest::PreVote { candidate: holder } => {
                 let willing = Vote::Willing { promised: self.promised };
                 VoterOutput::say(if self.leased_to_other(holder, now) || now < self.grants_suspended_until {
                     refused
@@ -211,7 +211,7 @@
                     willing
                 })
             }
-            VoteRequest::Lease { ballot, holder } => {
+            VoteRequest::Lease { ballot, candidate: holder } => {
                 if ballot <= self.promised
                     || self.leased_to_other(holder, now)
                     || now < self.grants_suspended_until
@@ -220,11 +220,11 @@
                 }
                 (self.promised, self.promised_to) = (ballot, Some(holder));
                 self.lease = Some(Lease { ballot, holder, until: now.after(LEASE_DURATION) });
-                let vote = Vote::Granted { register: self.register.clone(), doors: self.proxy_count };
+                let vote = Vote::Granted { register: self.register.clone(), quota_divisor: self.proxy_count };
                 self.unsaved.ballot = true;
                 VoterOutput { vote, write: Some(DurableWrite::VoterRecord(self.record())) }
             }
-            VoteRequest::Renew { ballot, holder } => {
+            VoteRequest::Renew { ballot, leaseholder: holder } => {
                 let barred = self.leased_to_other(holder, now) || now < self.grants_suspended_until;
                 if ballot < self.promised || ballot > self.promised && barred {
                     return VoterOutput::say(refused);
@@ -260,10 +260,10 @@
             VoteRequest::Recover { member, incarnation } => {
                 let known = self.incarnations.get(&member).copied().unwrap_or(0);
                 if incarnation < known {
-                    return VoterOutput::say(Vote::Outlived { incarnation: known });
+                    return VoterOutput::say(Vote::Superseded { incarnation: known });
                 }
                 self.incarnations.insert(member, incarnation);
-                let vote = Vote::Known { promised: self.promised, register: self.register.clone() };
+                let vote = Vote::Recovered { promised: self.promised, register: self.register.clone() };
                 self.unsaved.incarnations |= incarnation > known;
                 let unsaved = self.unsaved.incarnations || self.unsaved.ballot;
                 VoterOutput { vote, write: unsaved.then(|| DurableWrite::VoterRecord(self.record())) }
--- a/crates/consensus/src/voter/tests.rs
+++ b/crates/consensus/src/voter/tests.rs
@@ -1,5 +1,6 @@
 use super::*;
 use crate::membership::{RecoveryDecision, majority, recovery};
+use vanewharf_protocol::messages::RegisterRank;
 use vanewharf_protocol::messages::Revision;
 
 const START: Timestamp = Timestamp(1_000_000_000);
@@ -9,7 +10,7 @@
 }
 
 fn lease(ballot: u64, no: u8) -> VoteRequest {
-    VoteRequest::Lease { ballot: Ballot(ballot), holder: addr(no) }
+    VoteRequest::Lease { ballot: Ballot(ballot), candidate: addr(no) }
 }
 
 fn promised(ballot: u64) -> VoterRecord {
@@ -39,7 +40,7 @@
 
 fn register(ballot: u64, no: u64) -> Register {
     let membership = initial_membership(seeds());
-    Register { ballot: Ballot(ballot), no: Revision(no), membership, ..Register::none() }
+    Register { ballot: Ballot(ballot), revision: Revision(no), membership, ..Register::empty() }
 }
 
 fn keep(voter: &mut Voter, kept: Register, now: Timestamp) -> bool {
@@ -57,7 +58,7 @@
         matches!(voter.handle_vote_request(lease(2 << 8, 2), soon).vote, Vote::Refused { .. }),
         "it is held"
     );
-    let renew = |ballot| VoteRequest::Renew { ballot: Ballot(ballot), holder: addr(1) };
+    let renew = |ballot| VoteRequest::Renew { ballot: Ballot(ballot), leaseholder: addr(1) };
     assert!(matches!(voter.handle_vote_request(renew(1 << 8), soon).vote, Vote::Accepted));
     assert!(
         matches!(voter.handle_vote_request(lease(2 << 8, 2), later).vote, Vote::Refused { .. }),
@@ -96,7 +97,7 @@
     assert!(!keep(&mut voter, register(1 << 8, 4), START), "promised to another since");
     assert!(keep(&mut voter, register(2 << 8, 3), START));
     assert!(!keep(&mut voter, register(2 << 8, 2), START), "older");
-    assert_eq!(voter.register().rank(), (Ballot(2 << 8), Revision(3)));
+    assert_eq!(voter.register().rank(), RegisterRank { ballot: Ballot(2 << 8), revision: Revision(3) });
 }
 
 #[test]
@@ -107,7 +108,7 @@
     let Some(DurableWrite::VoterRecord(record)) = saved else { panic!("{saved:?}") };
     let mut back = Voter::start(Some(&record), None, &seeds(), false, START);
     let granted = back.handle_vote_request(lease(1 << 8, 1), START.after(LEASE_DURATION)).vote;
-    assert!(matches!(granted, Vote::Granted { doors: 8, .. }), "{granted:?}");
+    assert!(matches!(granted, Vote::Granted { quota_divisor: 8, .. }), "{granted:?}");
 }
 
 #[test]
@@ -115,7 +116,7 @@
     let mut voter = Voter::start(None, None, &seeds(), true, START);
     let step = voter.handle_vote_request(VoteRequest::Accept { register: register(1 << 8, 1) }, START);
     assert!(step.write.is_some(), "the disk then refuses it");
-    assert_eq!(voter.register().no, Revision(0));
+    assert_eq!(voter.register().revision, Revision(0));
 }
 
 #[test]
@@ -130,7 +131,10 @@
     one.mark_persisted(DurableWrite::Register(Box::new(register(3 << 8, 7))));
     assert!(matches!(one.handle_vote_request(lease(5 << 8, 1), START).vote, Vote::Granted { .. }));
     let (promise, register) = recover(1, &mut [(2, &mut one), (3, &mut other)], 1 << 32).expect("both told");
-    assert_eq!((promise.ballot, register.rank()), (Ballot(5 << 8), (Ballot(4 << 8), Revision(6))));
+    assert_eq!(
+        (promise.ballot, register.rank()),
+        (Ballot(5 << 8), RegisterRank { ballot: Ballot(4 << 8), revision: Revision(6) })
+    );
     voter.complete_recovery(&promise, register, START);
     assert!(!keep(&mut voter, self::register(4 << 8, 9), START), "the others have promised to 5");
     assert!(keep(&mut voter, self::register(5 << 8, 9), START));
@@ -154,11 +158,11 @@
     let Some(DurableWrite::VoterRecord(record)) = step.write else { panic!("nothing to save") };
     let mut back = Voter::start(Some(&record), None, &seeds(), false, START);
     assert!(
-        matches!(back.handle_vote_request(recover(6 << 32), START).vote, Vote::Outlived { incarnation } if incarnation == 7 << 32)
+        matches!(back.handle_vote_request(recover(6 << 32), START).vote, Vote::Superseded { incarnation } if incarnation == 7 << 32)
     );
     let again = back.handle_vote_request(recover(7 << 32), START);
-    assert!(matches!(again.vote, Vote::Known { .. }) && again.write.is_none(), "the answer was lost");
-    assert_eq!(back.response(Vote::Unable).incarnations, BTreeMap::from([(addr(2), 7 << 32)]));
+    assert!(matches!(again.vote, Vote::Recovered { .. }) && again.write.is_none(), "the answer was lost");
+    assert_eq!(back.response(Vote::StorageFailed).incarnations, BTreeMap::from([(addr(2), 7 << 32)]));
     let (one, other) = (next_incarnation(7 << 32 | 9, 1), next_incarnation(7 << 32 | 9, u64::MAX));
     assert!(one > 7 << 32 | 9 && other > one && other < 9 << 32);
 }
@@ -166,7 +170,7 @@
 #[test]
 fn a_promise_that_the_disk_refused_is_saved_with_the_next_vote_that_goes_by_it() {
     let asked = VoteRequest::Recover { member: addr(2), incarnation: 7 << 32 };
-    let renewed = VoteRequest::Renew { ballot: Ballot(5 << 8), holder: addr(1) };
+    let renewed = VoteRequest::Renew { ballot: Ballot(5 << 8), leaseholder: addr(1) };
     for request in [asked, renewed] {
         let mut voter = voter_at(4 << 8, 6);
         assert!(
@@ -217,7 +221,7 @@
             let heard: Vec<_> = (0..3).filter(|_| walk.draw(3) > 0).collect();
             let mut granted = Vec::new();
             for &no in &heard {
-                let vote_request = VoteRequest::Lease { ballot, holder: addr(1) };
+                let vote_request = VoteRequest::Lease { ballot, candidate: addr(1) };
                 if let Vote::Granted { register, .. } = voters[no].handle_vote_request(vote_request, now).vote
                 {
                     granted.push(register);
@@ -228,14 +232,18 @@
             }
             let found = granted.into_iter().max_by_key(Register::rank).expect("a majority");
             if let Some(acknowledged) = &acknowledged {
-                assert!(found.no >= acknowledged.no, "seed {seed}: an acknowledged register is lost");
-                let same = found.no > acknowledged.no || found.evacuated == acknowledged.evacuated;
+                assert!(
+                    found.revision >= acknowledged.revision,
+                    "seed {seed}: an acknowledged register is lost"
+                );
+                let same =
+                    found.revision > acknowledged.revision || found.evacuated == acknowledged.evacuated;
                 assert!(same, "seed {seed}: two registers under one number");
             }
             let mut next = Register { ballot, ..found };
             for fresh in [false, true] {
                 if fresh {
-                    next.no = Revision(next.no.0 + 1);
+                    next.revision = Revision(next.revision.0 + 1);
                     next.evacuated = [format!("{turn}")].into();
                 }
                 let kept = (0..3).filter(|_| walk.draw(4) > 0).collect::<Vec<_>>();
--- a/crates/consensus/tests/model/drift.rs
+++ b/crates/consensus/tests/model/drift.rs
@@ -18,7 +18,7 @@
 
 /// Whether there is a moment at which the holder still goes by its lease and its voter grants another.
 fn two_at_once(holder: i64, voter: i64) -> bool {
-    let lease = |ballot, place| VoteRequest::Lease { ballot: Ballot(ballot), holder: addr(place) };
+    let lease = |ballot, place| VoteRequest::Lease { ballot: Ballot(ballot), candidate: addr(place) };
     let seeds: Vec<_> = (0..3).map(addr).collect();
     (0..20_000u64).any(|tenths| {
         let truly = Duration::from_micros(tenths * 100);
--- a/crates/consensus/tests/model/machine.rs
+++ b/crates/consensus/tests/model/machine.rs
@@ -11,7 +11,9 @@
 use vanewharf_consensus::{AcceptRound, BallotClaim, Election, HeldLease, RecoveryRound, RenewalRound};
 use vanewharf_consensus::{Voter, VoterRecord};
 use vanewharf_consensus::{all_voters, has_quorum};
-use vanewharf_protocol::messages::{Ballot, Membership, Register, Revision, VoteRequest, VoteResponse};
+use vanewharf_protocol::messages::{
+    Ballot, Membership, Register, RegisterRank, Revision, VoteRequest, VoteResponse,
+};
 
 /// What a member's clock goes on in one tick of true time, in tenths of a millisecond. Two slow ticks are a
 /// holder's whole lease and two fast ones a voter's, so that these two are as far apart as the margin bears.
@@ -191,7 +193,7 @@
 
 impl Member {
     /// As `Office::newest_set`.
-    pub fn newest_set(&self) -> (Membership, (Ballot, Revision)) {
+    pub fn newest_set(&self) -> (Membership, RegisterRank) {
         let settled = self.store.as_ref().filter(|register| register.rank() > self.voter.register().rank());
         let register = settled.unwrap_or(self.voter.register());
         (register.membership.clone(), register.rank())
@@ -442,7 +444,7 @@
                 VoteRequest::Recover { incarnation, .. } => format!("Recover as incarnation {incarnation:x}"),
                 VoteRequest::Accept { register } => {
                     let voters: Vec<_> = register.membership.voters.iter().map(|one| place(*one)).collect();
-                    let (ballot, no) = (short(register.ballot), register.no.0);
+                    let (ballot, no) = (short(register.ballot), register.revision.0);
                     format!("Accept no {no} under {ballot} {:?} voters {voters:?}", register.evacuated)
                 }
             };
--- a/crates/consensus/tests/model/steps.rs
+++ b/crates/consensus/tests/model/steps.rs
@@ -164,7 +164,7 @@
                     member.voter.mark_persisted(save);
                 }
                 // As `Store::set_register`.
-                if member.store.as_ref().is_none_or(|mine| register.no > mine.no) {
+                if member.store.as_ref().is_none_or(|mine| register.revision > mine.revision) {
                     member.store = Some(register);
                 }
             }
@@ -260,7 +260,7 @@
         (member.term, member.keeping, member.renewing, member.unrenewed) = (None, None, None, false);
         let voters = all_voters(&set);
         let election = Election::start(addr(place), set, known);
-        let request = VoteRequest::Lease { ballot, holder: addr(place) };
+        let request = VoteRequest::Lease { ballot, candidate: addr(place) };
         let round = self.ask(state, place, &voters, request);
         state.members[place].election = Some((round, ballot, now, election));
     }
@@ -271,7 +271,7 @@
             return;
         };
         let (asked, set) = (self.now(state, place), state.members[place].membership());
-        let request = VoteRequest::Renew { ballot: term.ballot, holder: addr(place) };
+        let request = VoteRequest::Renew { ballot: term.ballot, leaseholder: addr(place) };
         let round = self.ask(state, place, &all_voters(&set), request);
         state.members[place].renewing = Some((round, asked, RenewalRound::start(term.ballot, set)));
     }
@@ -280,11 +280,11 @@
     fn order(&self, state: &mut State, place: usize, purpose: Purpose, change: impl FnOnce(&mut Register)) {
         let member = &mut state.members[place];
         let ballot = member.term.expect("it holds the lease").ballot;
-        let settled = member.store.clone().unwrap_or_else(Register::none);
+        let settled = member.store.clone().unwrap_or_else(Register::empty);
         let newer = |one: &Register| one.ballot == ballot && one.rank() > settled.rank();
         let mut register = member.proposed.clone().filter(newer).unwrap_or(settled);
         change(&mut register);
-        (register.ballot, register.no) = (ballot, member.next);
+        (register.ballot, register.revision) = (ballot, member.next);
         if purpose == Purpose::Value {
             member.proposed = Some(register.clone());
         }
@@ -417,7 +417,7 @@
         let mut vote = step.vote;
         match step.write {
             Some(_) if refused => {
-                vote = Vote::Unable;
+                vote = Vote::StorageFailed;
                 if forgets {
                     // What the voter did before it kept in mind that its disk lacks something.
                     member.voter.mark_persisted(DurableWrite::VoterRecord(member.voter.record()));
@@ -519,9 +519,9 @@
         state.won.insert(ballot, found.evacuated.clone());
         let member = &mut state.members[me];
         member.term = Some(self.lasting(HeldLease::granted(ballot, asked), asked));
-        member.next = Revision(found.no.0 + 1);
+        member.next = Revision(found.revision.0 + 1);
         let register = Register { ballot, ..found };
-        if register.no == Revision(0) {
+        if register.revision == Revision(0) {
             self.carried(state, me, Purpose::Settle, register);
         } else {
             self.keep(state, me, Purpose::Settle, register);
@@ -549,7 +549,7 @@
                 state.broken = Some(FOUND);
             }
             let content = (register.evacuated.clone(), register.membership.clone());
-            let before = state.acknowledged.insert(register.no, content.clone());
+            let before = state.acknowledged.insert(register.revision, content.clone());
             if before.is_some_and(|before| before != content) {
                 state.broken = Some(ONE_VALUE);
             }
@@ -567,7 +567,7 @@
     ) {
         let now = self.now(state, me);
         let believed = match &cast.vote {
-            Vote::Known { promised, register } if self.has(Planted::FirstSeedBelieved) => {
+            Vote::Recovered { promised, register } if self.has(Planted::FirstSeedBelieved) => {
                 let membership = register.membership.clone();
                 let incarnation = recovering.incarnation();
                 let blank = Voter::start(None, None, &membership.voters, true, now).record();
@@ -576,7 +576,7 @@
             }
             _ => None,
         };
-        let known = matches!(cast.vote, Vote::Known { .. });
+        let known = matches!(cast.vote, Vote::Recovered { .. });
         let before = recovering.incarnation();
         recovering.record_response(addr(voter), cast);
         let chance = u64::from(self.budget.wipes - state.left.wipes);
--- a/crates/discovery/src/aggregator.rs
+++ b/crates/discovery/src/aggregator.rs
@@ -7,8 +7,8 @@
 use vanewharf_config::config::Config;
 use vanewharf_health::OutlierDetector;
 use vanewharf_protocol::messages::{
-    AttemptCounts, ControllerEntry, FleetSummary, ProxyEntry, ProxyReport, TenantUsage, TokenLeaseReport,
-    Version,
+    AttemptCounts, ControllerEntry, FleetSummary, HostCounts, ProxyEntry, ProxyReport, TenantUsage,
+    TokenLeaseReport, Version,
 };
 
 /// A door is named to clients for so long after it was last heard.
@@ -33,7 +33,7 @@
     row: ProxyEntry,
     counted: u32,
     counts: Counts,
-    hosts: BTreeMap<String, (u64, u64)>,
+    hosts: BTreeMap<String, HostCounts>,
     tried: BTreeMap<String, AttemptCounts>,
 }
 
@@ -105,20 +105,20 @@
         let silent = now.since(counts.made) > SILENT;
         for (name, slice) in &counts.slices {
             let sum = tenants.entry(name.clone()).or_default();
-            sum.slices += slice;
-            sum.per_s += counts.rates.get(name).filter(|_| !silent).copied().unwrap_or(0.0);
+            sum.quota_shares += slice;
+            sum.requests_per_s += counts.rates.get(name).filter(|_| !silent).copied().unwrap_or(0.0);
         }
     }
     for (name, sum) in &mut tenants {
         // One that has no bucket for a tenant may have one at any moment, at the even slice.
         let with = all.clone().filter(|counts| counts.slices.contains_key(name)).count();
-        sum.slices += counted.saturating_sub(with) as f64 / counted as f64;
+        sum.quota_shares += counted.saturating_sub(with) as f64 / counted as f64;
         if unheard {
-            sum.slices = sum.slices.max(1.0);
+            sum.quota_shares = sum.quota_shares.max(1.0);
         }
         // Rounded: it is sent to all doors.
-        sum.per_s = (sum.per_s * 100.0).round() / 100.0;
-        sum.slices = (sum.slices * 1000.0).round() / 1000.0;
+        sum.requests_per_s = (sum.requests_per_s * 100.0).round() / 100.0;
+        sum.quota_shares = (sum.quota_shares * 1000.0).round() / 1000.0;
     }
     tenants
 }
@@ -140,7 +140,16 @@
     pub fn record_report(&mut self, report: ProxyReport, now: Timestamp) {
         let made = now.before(Duration::from_millis(report.age_ms));
         self.first.get_or_insert(now);
-        let ProxyReport { door: row, life, let_through, slices, hosts, counted, tried, .. } = report;
+        let ProxyReport {
+            proxy: row,
+            incarnation: life,
+            admitted: let_through,
+            quota_shares: slices,
+            hosts,
+            quota_divisor: counted,
+            attempts: tried,
+            ..
+        } = report;
         match self.doors.get_mut(&row.name) {
             Some(heard) => {
                 if made > heard.counts.made || heard.counts.life != life {
@@ -156,7 +165,7 @@
     }
 
     pub fn record_lease_report(&mut self, lent: TokenLeaseReport, now: Timestamp) {
-        let TokenLeaseReport { ip, life, let_through, slices } = lent;
+        let TokenLeaseReport { ip, incarnation: life, admitted: let_through, quota_shares: slices } = lent;
         match self.lenders.get_mut(&ip) {
             Some(counts) => counts.hear(life, let_through, slices, now),
             None => drop(self.lenders.insert(ip, Counts::new(life, let_through, slices, now))),
@@ -170,16 +179,16 @@
 
     /// What the holder before knew of the doors: those that nothing is heard of are counted all the same.
     pub fn inherit_summary(&mut self, ledger: &FleetSummary, now: Timestamp) {
-        for row in &ledger.doors {
+        for row in &ledger.proxies {
             let row = ProxyEntry { ready: false, ..row.clone() };
             let counts = Counts::new(UNHEARD, BTreeMap::new(), BTreeMap::new(), now);
             let (hosts, tried) = Default::default();
             let heard = Heard { row, counted: 0, counts, hosts, tried };
             self.doors.entry(heard.row.name.clone()).or_insert(heard);
         }
-        self.outliers.inherit(&ledger.ill, now);
+        self.outliers.inherit(&ledger.unhealthy, now);
         // Their slices are even until they say otherwise.
-        for office in ledger.offices.iter().filter(|_| ledger.lenders.is_some()) {
+        for office in ledger.controllers.iter().filter(|_| ledger.token_lenders.is_some()) {
             let counts = Counts::new(UNHEARD, BTreeMap::new(), BTreeMap::new(), now);
             self.lenders.entry(office.ip).or_insert(counts);
         }
@@ -211,14 +220,14 @@
     pub fn recent_reports(&self, now: Timestamp) -> Vec<ProxyReport> {
         let fresh = self.doors.values().filter(|heard| now.since(heard.counts.made) < NAMED);
         let told = |heard: &Heard| ProxyReport {
-            door: heard.row.clone(),
-            life: heard.counts.life,
+            proxy: heard.row.clone(),
+            incarnation: heard.counts.life,
             age_ms: now.since(heard.counts.made).as_millis() as u64,
-            counted: heard.counted,
-            let_through: heard.counts.latest.clone(),
-            slices: heard.counts.slices.clone(),
+            quota_divisor: heard.counted,
+            admitted: heard.counts.latest.clone(),
+            quota_shares: heard.counts.slices.clone(),
             hosts: heard.hosts.clone(),
-            tried: heard.tried.clone(),
+            attempts: heard.tried.clone(),
         };
         fresh.map(told).collect()
     }
@@ -240,12 +249,14 @@
             Some(lenders) => summed(self.lenders.values(), lenders as usize, now),
             None => summed(self.doors.values().map(|heard| &heard.counts), counted, now),
         };
-        let mut hosts: BTreeMap<&String, (u64, u64)> = BTreeMap::new();
-        for (name, (all, homed)) in self.doors.values().flat_map(|heard| &heard.hosts) {
+        let mut hosts: BTreeMap<&String, HostCounts> = BTreeMap::new();
+        for (name, counts) in self.doors.values().flat_map(|heard| &heard.hosts) {
             let sum = hosts.entry(name).or_default();
-            *sum = (sum.0 + all, sum.1 + homed);
+            sum.requests += counts.requests;
+            sum.homed += counts.homed;
         }
-        let mostly = hosts.into_iter().filter(|(_, (all, homed))| *homed as f64 > MOSTLY * *all as f64);
+        let mostly =
+            hosts.into_iter().filter(|(_, counts)| counts.homed as f64 > MOSTLY * counts.requests as f64);
         let homed = mostly.map(|(name, _)| name.clone()).collect();
         let told = self.doors.values().filter(|heard| now.since(heard.counts.made) < NAMED);
         let ill = self.outliers.update(told.map(|heard| &heard.tried), counted, now);
@@ -255,13 +266,13 @@
         };
         FleetSummary {
             version,
-            doors: self.doors.values().map(row).collect(),
-            counted: counted as u32,
+            proxies: self.doors.values().map(row).collect(),
+            quota_divisor: counted as u32,
             tenants,
-            lenders,
-            homed,
-            offices: self.offices.keys().cloned().collect::<BTreeSet<_>>(),
-            ill,
+            token_lenders: lenders,
+            homed_hosts: homed,
+            controllers: self.offices.keys().cloned().collect::<BTreeSet<_>>(),
+            unhealthy: ill,
         }
     }
 }
@@ -292,8 +303,8 @@
 
 /// What of a ledger a door goes by; the rest is for postmasters.
 pub fn summary_for_proxies(ledger: FleetSummary) -> FleetSummary {
-    let tenants = if ledger.lenders.is_some() { BTreeMap::new() } else { ledger.tenants };
-    FleetSummary { doors: Vec::new(), homed: BTreeSet::new(), tenants, ..ledger }
+    let tenants = if ledger.token_lenders.is_some() { BTreeMap::new() } else { ledger.tenants };
+    FleetSummary { proxies: Vec::new(), homed_hosts: BTreeSet::new(), tenants, ..ledger }
 }
 
 /// For each host with routes that have homes, the regions in which all of its routes may be served. A host whose routes
--- a/crates/discovery/src/aggregator/tests.rs
+++ b/crates/discovery/src/aggregator/tests.rs
@@ -1,4 +1,5 @@
 use super::*;
+use vanewharf_protocol::messages::HostCounts;
 
 const START: Timestamp = Timestamp(1_000_000_000);
 
@@ -13,14 +14,14 @@
     let tenant = || "t".to_owned();
     let (let_through, slices) = ([(tenant(), through)].into(), [(tenant(), 0.5)].into());
     ProxyReport {
-        door: row,
-        life,
+        proxy: row,
+        incarnation: life,
         age_ms,
-        counted: 0,
-        let_through,
-        slices,
+        quota_divisor: 0,
+        admitted: let_through,
+        quota_shares: slices,
         hosts: BTreeMap::new(),
-        tried: BTreeMap::new(),
+        attempts: BTreeMap::new(),
     }
 }
 
@@ -35,17 +36,17 @@
         sums.record_report(report("b", 1, 400, second * 5), at(second * 1000 + 100));
     }
     let ledger = sums.summarize(Version::default(), 20.0, at(3000));
-    assert_eq!(ledger.tenants["t"], TenantUsage { per_s: 15.0, slices: 1.0 });
+    assert_eq!(ledger.tenants["t"], TenantUsage { requests_per_s: 15.0, quota_shares: 1.0 });
     sums.record_report(report("a", 1, 0, 100), at(7000));
     let ledger = sums.summarize(Version::default(), 20.0, at(7000));
-    assert_eq!((ledger.counted, ledger.doors[1].ready), (2, false), "b is counted and not named");
-    let part = TenantUsage { per_s: 17.5, slices: 1.0 };
+    assert_eq!((ledger.quota_divisor, ledger.proxies[1].ready), (2, false), "b is counted and not named");
+    let part = TenantUsage { requests_per_s: 17.5, quota_shares: 1.0 };
     assert_eq!(ledger.tenants["t"], part, "b's slice is counted, and what it let in at last is not");
-    let doors: Vec<_> = ledger.doors.iter().collect();
+    let doors: Vec<_> = ledger.proxies.iter().collect();
     assert_eq!(proxies_for_client(&doors, "r", None, 64).len(), 1);
     assert_eq!(sums.recent_reports(at(7000)).len(), 1);
     sums.record_report(report("a", 1, 0, 100), at(64_000));
-    assert_eq!(sums.summarize(Version::default(), 20.0, at(64_000)).counted, 1);
+    assert_eq!(sums.summarize(Version::default(), 20.0, at(64_000)).quota_divisor, 1);
 }
 
 #[test]
@@ -53,7 +54,7 @@
     let row = |name: &str, region: &str, ready| ProxyEntry {
         region: region.to_owned(),
         ready,
-        ..report(name, 1, 0, 0).door
+        ..report(name, 1, 0, 0).proxy
     };
     let rows = [row("a", "r", true), row("b", "s", true), row("c", "s", false)];
     let doors: Vec<_> = rows.iter().collect();
@@ -72,9 +73,12 @@
 #[test]
 fn a_host_is_homed_where_most_of_its_requests_are() {
     let mut sums = FleetAggregator::default();
-    let hosts = [("mostly".to_owned(), (10, 7)), ("hardly".to_owned(), (10, 5))];
+    let hosts = [
+        ("mostly".to_owned(), HostCounts { requests: 10, homed: 7 }),
+        ("hardly".to_owned(), HostCounts { requests: 10, homed: 5 }),
+    ];
     sums.record_report(ProxyReport { hosts: hosts.into(), ..report("a", 1, 0, 0) }, START);
-    let homed = sums.summarize(Version::default(), 20.0, START).homed;
+    let homed = sums.summarize(Version::default(), 20.0, START).homed_hosts;
     assert_eq!(homed.into_iter().collect::<Vec<_>>(), ["mostly"]);
 }
 
@@ -83,7 +87,12 @@
     let mut sums = FleetAggregator::default();
     let lent = |ip: u8, through, slice| {
         let (let_through, slices) = ([("t".to_owned(), through)].into(), [("t".to_owned(), slice)].into());
-        TokenLeaseReport { ip: IpAddr::from([10, 0, 0, ip]), life: 1, let_through, slices }
+        TokenLeaseReport {
+            ip: IpAddr::from([10, 0, 0, ip]),
+            incarnation: 1,
+            admitted: let_through,
+            quota_shares: slices,
+        }
     };
     for second in 0..3 {
         let now = START.after(Duration::from_secs(second));
@@ -92,25 +101,28 @@
         (0..20).for_each(|door| sums.record_report(report(&format!("d{door}"), 1, 0, second * 100), now));
     }
     let ledger = sums.summarize(Version::default(), 20.0, START.after(Duration::from_secs(2)));
-    assert_eq!((ledger.lenders, ledger.tenants["t"]), (Some(2), TenantUsage { per_s: 12.0, slices: 0.9 }));
+    assert_eq!(
+        (ledger.token_lenders, ledger.tenants["t"]),
+        (Some(2), TenantUsage { requests_per_s: 12.0, quota_shares: 0.9 })
+    );
     let ledger = sums.summarize(Version::default(), 60.0, START.after(Duration::from_secs(2)));
-    assert_eq!((ledger.lenders, ledger.tenants["t"].per_s), (None, 2000.0));
+    assert_eq!((ledger.token_lenders, ledger.tenants["t"].requests_per_s), (None, 2000.0));
 }
 
 #[test]
 fn a_holder_that_has_forgotten_divides_by_what_doors_were_told() {
     let mut sums = FleetAggregator::default();
     sums.start_aggregating(0, START);
-    sums.record_report(ProxyReport { counted: 9, ..report("a", 1, 0, 10) }, START);
+    sums.record_report(ProxyReport { quota_divisor: 9, ..report("a", 1, 0, 10) }, START);
     let ledger = sums.summarize(Version::default(), 20.0, START);
     assert_eq!(
-        (ledger.counted, ledger.tenants["t"].slices),
+        (ledger.quota_divisor, ledger.tenants["t"].quota_shares),
         (9, 1.389),
         "eight are to come, at the even slice"
     );
     let later = START.after(COUNTED);
-    sums.record_report(ProxyReport { counted: 9, ..report("a", 1, 0, 10) }, later);
-    assert_eq!(sums.summarize(Version::default(), 20.0, later).counted, 1, "nobody else came");
+    sums.record_report(ProxyReport { quota_divisor: 9, ..report("a", 1, 0, 10) }, later);
+    assert_eq!(sums.summarize(Version::default(), 20.0, later).quota_divisor, 1, "nobody else came");
 }
 
 /// Found by `vanewharf lab system`, seed 46: every door took itself for the only one after the core was killed.
@@ -124,8 +136,8 @@
     assert!(sums.is_ready(START.after(GATHERING)));
     let mut knows = sums.clone();
     knows.start_aggregating(9, START);
-    assert!(knows.is_ready(START) && knows.summarize(Version::default(), 20.0, START).counted == 9);
-    sums.record_report(ProxyReport { counted: 9, ..report("b", 1, 0, 10) }, START);
+    assert!(knows.is_ready(START) && knows.summarize(Version::default(), 20.0, START).quota_divisor == 9);
+    sums.record_report(ProxyReport { quota_divisor: 9, ..report("b", 1, 0, 10) }, START);
     assert!(sums.is_ready(START), "this one knows");
 }
 
@@ -134,16 +146,16 @@
     let mut sums = FleetAggregator::default();
     sums.start_aggregating(0, START);
     let before = FleetSummary {
-        doors: vec![report("cut", 1, 0, 0).door, report("a", 1, 0, 0).door],
+        proxies: vec![report("cut", 1, 0, 0).proxy, report("a", 1, 0, 0).proxy],
         ..FleetSummary::default()
     };
     sums.inherit_summary(&before, START);
     let slices = [("t".to_owned(), 0.1)];
-    sums.record_report(ProxyReport { slices: slices.into(), ..report("a", 7, 0, 10) }, START);
-    assert_eq!(sums.summarize(Version::default(), 20.0, START).tenants["t"].slices, 1.0);
-    let told = ProxyReport { slices: [("t".to_owned(), 0.2)].into(), ..report("cut", 8, 0, 10) };
+    sums.record_report(ProxyReport { quota_shares: slices.into(), ..report("a", 7, 0, 10) }, START);
+    assert_eq!(sums.summarize(Version::default(), 20.0, START).tenants["t"].quota_shares, 1.0);
+    let told = ProxyReport { quota_shares: [("t".to_owned(), 0.2)].into(), ..report("cut", 8, 0, 10) };
     sums.record_report(told, START);
-    let slices = sums.summarize(Version::default(), 20.0, START).tenants["t"].slices;
+    let slices = sums.summarize(Version::default(), 20.0, START).tenants["t"].quota_shares;
     assert!((slices - 0.3).abs() < 1e-9, "{slices}");
 }
 
@@ -154,7 +166,8 @@
     sums.record_report(report("a", 2, 0, 3), START.after(Duration::from_secs(1)));
     sums.record_report(report("a", 2, 0, 13), START.after(Duration::from_secs(2)));
     assert_eq!(
-        sums.summarize(Version::default(), 20.0, START.after(Duration::from_secs(2))).tenants["t"].per_s,
+        sums.summarize(Version::default(), 20.0, START.after(Duration::from_secs(2))).tenants["t"]
+            .requests_per_s,
         10.0
     );
 }
--- a/crates/discovery/src/peer_view.rs
+++ b/crates/discovery/src/peer_view.rs
@@ -46,7 +46,7 @@
     /// it the one longest unheard, doors would know the same few, and fall apart.
     pub fn merge(&mut self, told: &[PeerEntry], now: Timestamp) {
         for neighbour in told.iter().filter(|neighbour| neighbour.ip != self.me) {
-            let heard = now.before(Duration::from_millis(neighbour.heard_ms));
+            let heard = now.before(Duration::from_millis(neighbour.last_contact_ms));
             let region = neighbour.region.clone();
             let known = self.known.entry(neighbour.ip).or_insert_with(|| Known { region, heard });
             known.heard = known.heard.max(heard);
@@ -79,13 +79,13 @@
 
     /// Some of the view, from one drawn on, and this door itself: what is told in a shuffle.
     pub fn sample(&self, draw: usize, now: Timestamp) -> Vec<PeerEntry> {
-        let me = PeerEntry { ip: self.me, region: self.region.clone(), heard_ms: 0 };
+        let me = PeerEntry { ip: self.me, region: self.region.clone(), last_contact_ms: 0 };
         let some =
             self.known.iter().cycle().skip(draw % self.known.len().max(1)).take(TOLD.min(self.known.len()));
         let some = some.map(|(ip, known)| PeerEntry {
             ip: *ip,
             region: known.region.clone(),
-            heard_ms: now.since(known.heard).as_millis() as u64,
+            last_contact_ms: now.since(known.heard).as_millis() as u64,
         });
         some.chain(std::iter::once(me)).collect()
     }
--- a/crates/discovery/src/peer_view/tests.rs
+++ b/crates/discovery/src/peer_view/tests.rs
@@ -16,7 +16,10 @@
     let mut views: Vec<_> = (0..doors).map(|no| PeerView::new(ip(no), region(no))).collect();
     for (no, view) in views.iter_mut().enumerate() {
         let before = (no + doors - 1) % doors;
-        view.merge(&[PeerEntry { ip: ip(before), region: region(before).to_owned(), heard_ms: 0 }], START);
+        view.merge(
+            &[PeerEntry { ip: ip(before), region: region(before).to_owned(), last_contact_ms: 0 }],
+            START,
+        );
     }
     let mut draw = 12345usize;
     for second in 1..=seconds {
--- a/crates/health/src/outlier.rs
+++ b/crates/health/src/outlier.rs
@@ -42,7 +42,7 @@
             step.insert(backend.to_owned(), AttemptCounts::default());
         }
         if let Some(tried) = step.get_mut(backend) {
-            tried.tried += 1;
+            tried.attempts += 1;
             tried.failed += u32::from(failed);
         }
     }
@@ -53,7 +53,7 @@
         let fresh = self.steps.iter().filter(|(begun, _)| now.since(*begun) <= SPAN);
         for (backend, tried) in fresh.flat_map(|(_, step)| step) {
             let sum = sums.entry(backend).or_default();
-            (sum.tried, sum.failed) = (sum.tried + tried.tried, sum.failed + tried.failed);
+            (sum.attempts, sum.failed) = (sum.attempts + tried.attempts, sum.failed + tried.failed);
         }
         let mut failed: Vec<_> = sums.into_iter().filter(|(_, sum)| sum.failed > 0).collect();
         failed.sort_by_key(|(_, sum)| std::cmp::Reverse(sum.failed));
@@ -84,7 +84,7 @@
         let mut sums: BTreeMap<&String, (AttemptCounts, usize)> = BTreeMap::new();
         for (backend, tried) in told.flatten() {
             let (sum, failing) = sums.entry(backend).or_default();
-            (sum.tried, sum.failed) = (sum.tried + tried.tried, sum.failed + tried.failed);
+            (sum.attempts, sum.failed) = (sum.attempts + tried.attempts, sum.failed + tried.failed);
             *failing += 1;
         }
         let fade = 0.5_f64.powf(now.since(self.at).as_secs_f64() / HALVED);
@@ -92,8 +92,8 @@
         self.shares.values_mut().for_each(|share| *share *= fade);
         let least = LEAST_DOORS.min(doors.div_ceil(2)).max(1);
         for (backend, (sum, failing)) in sums {
-            let share = f64::from(sum.failed) / f64::from(sum.tried.max(1));
-            if sum.tried >= LEAST_TRIED && failing >= least && share > USUAL {
+            let share = f64::from(sum.failed) / f64::from(sum.attempts.max(1));
+            if sum.attempts >= LEAST_TRIED && failing >= least && share > USUAL {
                 let known = self.shares.entry(backend.clone()).or_default();
                 *known = known.max(share);
             }
--- a/crates/health/src/outlier/tests.rs
+++ b/crates/health/src/outlier/tests.rs
@@ -35,7 +35,7 @@
 fn old_counts_are_told_no_more_and_a_shared_cause_spares_none() {
     let mut door = AttemptHistory::default();
     (0..8).for_each(|no| door.record_attempt("b", true, at(no * 10)));
-    assert_eq!(door.failing_backends(at(100))["b"], AttemptCounts { tried: 8, failed: 8 });
+    assert_eq!(door.failing_backends(at(100))["b"], AttemptCounts { attempts: 8, failed: 8 });
     assert!(door.failing_backends(at(3_600)).is_empty());
     door.record_attempt("c", false, at(4_000));
     assert!(door.failing_backends(at(4_000)).is_empty(), "it failed nobody");
--- a/crates/protocol/src/changes.rs
+++ b/crates/protocol/src/changes.rs
@@ -136,13 +136,13 @@
     let size = size(&edits);
     let whole = to.config.as_ref()?.get().len();
     let change = RegisterChange {
-        from: from.no,
-        no: to.no,
+        from: from.revision,
+        revision: to.revision,
         ballot: to.ballot,
         evacuated: to.evacuated.clone(),
         membership: to.membership.clone(),
         edits,
-        sum: checksum(&new.text()?),
+        checksum: checksum(&new.text()?),
     };
     (size * 2 < whole).then_some((change, size))
 }
@@ -165,7 +165,7 @@
             _ => None,
         };
         self.document = newer;
-        self.sum = change.as_ref().map(|(change, _)| change.sum);
+        self.sum = change.as_ref().map(|(change, _)| change.checksum);
         self.keep(change);
     }
 
@@ -190,26 +190,27 @@
 
     /// The register after these changes; none where they do not start from the one in hand or lead elsewhere than they say.
     pub fn follow(&mut self, from: &Register, changes: Vec<RegisterChange>) -> Option<Register> {
-        let mut no = from.no;
+        let mut no = from.revision;
         for change in &changes {
             if change.from != no {
                 return None;
             }
-            no = change.no;
+            no = change.revision;
         }
         let last = changes.last()?;
         // Where voters or evacuations alone have changed, the configuration costs nothing.
-        let text = if self.sum == Some(last.sum) && changes.iter().all(|change| change.edits.is_empty()) {
+        let text = if self.sum == Some(last.checksum) && changes.iter().all(|change| change.edits.is_empty())
+        {
             from.config.clone()?
         } else {
             let mut document = self.document.clone()?;
             changes.iter().for_each(|change| document.apply(&change.edits));
             let text = document.text()?;
-            if checksum(&text) != last.sum {
+            if checksum(&text) != last.checksum {
                 return None;
             }
             self.document = Some(document);
-            self.sum = Some(last.sum);
+            self.sum = Some(last.checksum);
             text
         };
         let (ballot, evacuated) = (last.ballot, last.evacuated.clone());
@@ -218,7 +219,14 @@
             let size = size(&change.edits);
             self.keep(Some((change, size)));
         }
-        Some(Register { ballot, no, config: Some(text), evacuated, membership, taken: Vec::new() })
+        Some(Register {
+            ballot,
+            revision: no,
+            config: Some(text),
+            evacuated,
+            membership,
+            accepted_configs: Vec::new(),
+        })
     }
 }
 
@@ -230,14 +238,15 @@
 }
 
 fn warmed(server: &mut Backend, since: Duration) {
-    server.cold_ms = server.cold_ms.saturating_sub(since.as_millis() as u64);
+    server.warmup_left_ms = server.warmup_left_ms.saturating_sub(since.as_millis() as u64);
 }
 
 /// What merely grew warm in that time is no change.
 fn same(old: &Backend, new: &Backend, since: Duration) -> bool {
     const SLACK_MS: u64 = 200;
-    let expected = old.cold_ms.saturating_sub(since.as_millis() as u64);
-    Backend { cold_ms: old.cold_ms, ..new.clone() } == *old && new.cold_ms <= expected + SLACK_MS
+    let expected = old.warmup_left_ms.saturating_sub(since.as_millis() as u64);
+    Backend { warmup_left_ms: old.warmup_left_ms, ..new.clone() } == *old
+        && new.warmup_left_ms <= expected + SLACK_MS
 }
 
 impl ListChanges {
@@ -253,16 +262,25 @@
             return self.kept.clear();
         };
         let old: BTreeMap<&str, &Backend> =
-            from.servers.iter().map(|server| (server.id.as_str(), server)).collect();
-        let new: BTreeSet<&str> = to.servers.iter().map(|server| server.id.as_str()).collect();
+            from.backends.iter().map(|server| (server.id.as_str(), server)).collect();
+        let new: BTreeSet<&str> = to.backends.iter().map(|server| server.id.as_str()).collect();
         let known =
             |server: &&Backend| !old.get(server.id.as_str()).is_some_and(|one| same(one, server, later));
-        let set: Vec<_> = to.servers.iter().filter(known).cloned().collect();
+        let set: Vec<_> = to.backends.iter().filter(known).cloned().collect();
         let gone: Vec<_> = old.keys().filter(|id| !new.contains(*id)).map(|id| (*id).to_owned()).collect();
-        if set.len() * 2 >= to.servers.len() {
+        if set.len() * 2 >= to.backends.len() {
             return self.kept.clear();
         }
-        self.keep(BackendListChange { from: from.version, version: to.version, age_ms: 0, set, gone }, taken);
+        self.keep(
+            BackendListChange {
+                from: from.version,
+                version: to.version,
+                age_ms: 0,
+                upserted: set,
+                removed: gone,
+            },
+            taken,
+        );
     }
 
     fn keep(&mut self, change: BackendListChange, taken: Timestamp) {
@@ -278,7 +296,7 @@
         let age_ms = now.since(listed).as_millis() as u64;
         let told = |(change, taken): &(BackendListChange, Timestamp)| {
             let mut change = BackendListChange { age_ms, ..change.clone() };
-            change.set.iter_mut().for_each(|server| warmed(server, listed.since(*taken)));
+            change.upserted.iter_mut().for_each(|server| warmed(server, listed.since(*taken)));
             change
         };
         Some(self.kept.iter().skip(first).map(told).collect())
@@ -292,7 +310,7 @@
         (before, taken): (Timestamp, Timestamp),
     ) -> Option<BackendList> {
         let mut servers: BTreeMap<String, Backend> = BTreeMap::new();
-        for server in &from.servers {
+        for server in &from.backends {
             let mut server = server.clone();
             warmed(&mut server, taken.since(before));
             servers.insert(server.id.clone(), server);
@@ -302,13 +320,13 @@
             if change.from != version {
                 return None;
             }
-            change.gone.iter().for_each(|id| drop(servers.remove(id)));
-            servers.extend(change.set.iter().map(|server| (server.id.clone(), server.clone())));
+            change.removed.iter().for_each(|id| drop(servers.remove(id)));
+            servers.extend(change.upserted.iter().map(|server| (server.id.clone(), server.clone())));
             version = change.version;
         }
         let age_ms = changes.last()?.age_ms;
         changes.into_iter().for_each(|change| self.keep(change, taken));
-        Some(BackendList { version, age_ms, servers: servers.into_values().collect() })
+        Some(BackendList { version, age_ms, backends: servers.into_values().collect() })
     }
 }
 
--- a/crates/protocol/src/changes/tests.rs
+++ b/crates/protocol/src/changes/tests.rs
@@ -19,7 +19,7 @@
     let config = json!({"revision": format!("r{no}"), "routes": routes, "services": {"s": {"a": odd}},
         "limits": {"b": 1}, "odd": odd, "list": [odd, 2]});
     let config = RawValue::from_string(config.to_string()).ok();
-    Register { no: Revision(no), ballot: Ballot(no / 5), config, ..Register::none() }
+    Register { revision: Revision(no), ballot: Ballot(no / 5), config, ..Register::empty() }
 }
 
 fn value(register: &Register) -> Value {
@@ -29,7 +29,7 @@
 fn server(id: u64, cold_ms: u64, draining: bool) -> Backend {
     let address = "10.0.0.9:80".parse().expect("an address");
     let (service, zone) = ("s".to_owned(), "z".to_owned());
-    Backend { id: format!("i{id}"), service, address, zone, capacity: 3, draining, cold_ms }
+    Backend { id: format!("i{id}"), service, address, zone, capacity: 3, draining, warmup_left_ms: cold_ms }
 }
 
 /// Readers that fall behind by chance, some through another reader, have what the teller has each time they come.
@@ -63,8 +63,8 @@
             let servers = cold.iter().map(|(id, (until, draining))| server(*id, left(until), *draining));
             let mut servers: Vec<_> = servers.collect();
             servers.sort_by(|one, other| one.id.cmp(&other.id));
-            let version = Version { ballot: Ballot(no / 5), no };
-            teller.set_list(BackendList { version, age_ms: 0, servers }, now);
+            let version = Version { ballot: Ballot(no / 5), number: no };
+            teller.set_list(BackendList { version, age_ms: 0, backends: servers }, now);
             for reader in 0..readers.len() {
                 if chance.random_bool(0.4) {
                     continue;
@@ -82,12 +82,13 @@
                 let (mine, theirs) = (readers[reader].register.as_deref(), expected.0.as_deref());
                 assert_eq!(mine.map(value), theirs.map(value), "seed {seed} register {no}");
                 let ids = |list: &BackendList| {
-                    list.servers.iter().map(|one| (one.id.clone(), one.draining)).collect::<Vec<_>>()
+                    list.backends.iter().map(|one| (one.id.clone(), one.draining)).collect::<Vec<_>>()
                 };
                 let lists = (readers[reader].list.as_deref(), expected.1.as_deref());
                 assert_eq!(lists.0.map(ids), lists.1.map(ids), "seed {seed} list {no}");
-                let warm =
-                    |list: &BackendList| list.servers.iter().map(|one| one.cold_ms).collect::<Vec<_>>();
+                let warm = |list: &BackendList| {
+                    list.backends.iter().map(|one| one.warmup_left_ms).collect::<Vec<_>>()
+                };
                 let both = lists
                     .0
                     .map(warm)
@@ -116,10 +117,10 @@
     teller.set_register(Rc::new(register(2, &routes(1).into_iter().chain(changed(2)).collect(), 0)));
     let mut mail = tell(&teller, &reader);
     mail.register_changes[0].edits.pop();
-    mail.sure_ms = Some(1);
+    mail.attested_age_ms = Some(1);
     assert!(!reader.absorb(mail, START, START).register);
     assert_eq!(
-        (reader.register.as_ref().map(|register| register.no), reader.sure),
+        (reader.register.as_ref().map(|register| register.revision), reader.sure),
         (Some(Revision(1)), None)
     );
     assert_eq!(reader.have(), VersionVector::default(), "as one that has nothing");
@@ -133,19 +134,19 @@
     let (mut teller, mut reader) = (VersionStore::default(), VersionStore::default());
     let list = |no, draining| {
         let servers = (0..9).map(|id| server(id, 0, draining && id == 0)).collect();
-        BackendList { version: Version { ballot: Ballot(1), no }, age_ms: 0, servers }
+        BackendList { version: Version { ballot: Ballot(1), number: no }, age_ms: 0, backends: servers }
     };
     let tell = |teller: &VersionStore, reader: &VersionStore| {
         let mail = teller.mail(&reader.have(), false, Duration::ZERO, START);
-        PullResponse { sure_ms: Some(0), ..mail }
+        PullResponse { attested_age_ms: Some(0), ..mail }
     };
     teller.set_list(list(1, false), START);
     reader.absorb(tell(&teller, &reader), START.before(Duration::from_secs(5)), START);
     let sure = reader.sure;
     teller.set_list(list(2, true), START);
     let mut mail = tell(&teller, &reader);
-    assert_eq!(mail.list_changes.len(), 1);
-    mail.list_changes[0].from.no = 7;
+    assert_eq!(mail.backend_list_changes.len(), 1);
+    mail.backend_list_changes[0].from.number = 7;
     assert!(!reader.absorb(mail, START, START).list);
     assert_eq!(reader.sure, sure, "it has not what its teller has");
     let news = reader.absorb(tell(&teller, &reader), START, START);
@@ -168,17 +169,17 @@
     let before = document(&reader);
     let voters = vec!["10.0.0.9:7600".parse().expect("an address")];
     let membership = Membership { epoch: 2, voters, outgoing: Vec::new() };
-    let after = Register { no: Revision(3), membership: membership.clone(), ..register(2, &routes, 0) };
+    let after = Register { revision: Revision(3), membership: membership.clone(), ..register(2, &routes, 0) };
     teller.set_register(Rc::new(after));
     let mut mail = tell(&teller, &reader);
     assert!(mail.register_changes.iter().all(|change| change.edits.is_empty()));
     // One whose sum is another's is not believed, though it edits nothing.
     let mut other =
         PullResponse { register_changes: mail.register_changes.clone(), ..PullResponse::default() };
-    other.register_changes[0].sum ^= 1;
+    other.register_changes[0].checksum ^= 1;
     let mut doubtful = reader.clone();
     assert!(!doubtful.absorb(other, START, START).register);
-    mail.sure_ms = Some(0);
+    mail.attested_age_ms = Some(0);
     assert!(reader.absorb(mail, START, START).register);
     assert_eq!((document(&reader).get(), reader.have().register), (before.get(), Revision(3)));
     assert_eq!(reader.register.as_ref().map(|register| register.membership.clone()), Some(membership));
--- a/crates/protocol/src/store.rs
+++ b/crates/protocol/src/store.rs
@@ -50,19 +50,21 @@
         let register = self.register.as_ref().filter(|_| !self.lost_register);
         let list = self.list.as_ref().filter(|_| !self.lost_list);
         VersionVector {
-            register: register.map_or(Revision(0), |register| register.no),
-            list: list.map(|list| list.version).unwrap_or_default(),
-            ledger: self.ledger.as_ref().map(|ledger| ledger.version).unwrap_or_default(),
+            register: register.map_or(Revision(0), |register| register.revision),
+            backend_list: list.map(|list| list.version).unwrap_or_default(),
+            fleet_summary: self.ledger.as_ref().map(|ledger| ledger.version).unwrap_or_default(),
         }
     }
 
     pub fn has_more_than(&self, have: &VersionVector) -> bool {
         let mine = self.have();
-        mine.register > have.register || mine.list > have.list || mine.ledger > have.ledger
+        mine.register > have.register
+            || mine.backend_list > have.backend_list
+            || mine.fleet_summary > have.fleet_summary
     }
 
     pub fn set_register(&mut self, register: Rc<Register>) -> bool {
-        let newer = self.register.as_ref().is_none_or(|mine| register.no > mine.no);
+        let newer = self.register.as_ref().is_none_or(|mine| register.revision > mine.revision);
         if newer {
             self.register_changes.moved(self.register.as_deref(), &register);
             (self.register, self.lost_register) = (Some(register), false);
@@ -116,8 +118,16 @@
 
     /// Takes an answer to a pull that was sent at `asked`: the answer was given no sooner than it was held back for.
     pub fn absorb(&mut self, mail: PullResponse, asked: Timestamp, now: Timestamp) -> AppliedUpdates {
-        let PullResponse { register, register_changes, list, list_changes, ledger, sure_ms, held_ms, holder } =
-            mail;
+        let PullResponse {
+            register,
+            register_changes,
+            backend_list: list,
+            backend_list_changes: list_changes,
+            fleet_summary: ledger,
+            attested_age_ms: sure_ms,
+            delay_ms: held_ms,
+            leaseholder: holder,
+        } = mail;
         let mut news = AppliedUpdates::default();
         if let Some(register) = register {
             news.register = self.set_register(Rc::new(register));
@@ -146,31 +156,32 @@
     /// What a reader lacks: what changed, where it is little behind; `verbatim`: the register as it was sent.
     pub fn mail(&self, have: &VersionVector, verbatim: bool, held: Duration, now: Timestamp) -> PullResponse {
         let age = now.since(self.listed);
-        let newer_register = self.register.as_ref().filter(|register| register.no > have.register);
-        let newer_list = self.list.as_ref().filter(|list| list.version > have.list);
+        let newer_register = self.register.as_ref().filter(|register| register.revision > have.register);
+        let newer_list = self.list.as_ref().filter(|list| list.version > have.backend_list);
         let register_changes =
             newer_register.filter(|_| !verbatim).and_then(|_| self.register_changes.since(have.register));
-        let list_changes = newer_list.and_then(|_| self.list_changes.since(have.list, self.listed, now));
+        let list_changes =
+            newer_list.and_then(|_| self.list_changes.since(have.backend_list, self.listed, now));
         let register = newer_register.filter(|_| register_changes.is_none());
         let list = newer_list.filter(|_| list_changes.is_none()).map(|list| {
             let age_ms = age.as_millis() as u64;
             BackendList { age_ms, ..BackendList::clone(list) }
         });
-        let ledger = self.ledger.as_ref().filter(|ledger| ledger.version > have.ledger);
+        let ledger = self.ledger.as_ref().filter(|ledger| ledger.version > have.fleet_summary);
         // Rounded so that nothing is taken for surer than it is.
         let sure_ms = self.sure.map(|sure| now.since(sure).as_millis() as u64 + 1);
         PullResponse {
             register: register.map(|register| {
-                let taken = if verbatim { register.taken.clone() } else { Vec::new() };
-                Register { taken, ..Register::clone(register) }
+                let taken = if verbatim { register.accepted_configs.clone() } else { Vec::new() };
+                Register { accepted_configs: taken, ..Register::clone(register) }
             }),
             register_changes: register_changes.unwrap_or_default(),
-            list,
-            list_changes: list_changes.unwrap_or_default(),
-            ledger: ledger.map(|ledger| FleetSummary::clone(ledger)),
-            sure_ms,
-            held_ms: held.as_millis() as u64,
-            holder: self.holder,
+            backend_list: list,
+            backend_list_changes: list_changes.unwrap_or_default(),
+            fleet_summary: ledger.map(|ledger| FleetSummary::clone(ledger)),
+            attested_age_ms: sure_ms,
+            delay_ms: held.as_millis() as u64,
+            leaseholder: self.holder,
         }
     }
 }
--- a/crates/protocol/src/store/tests.rs
+++ b/crates/protocol/src/store/tests.rs
@@ -2,7 +2,7 @@
 use crate::messages::{Ballot, Version};
 
 fn register(no: u64) -> Register {
-    Register { no: Revision(no), ..Register::none() }
+    Register { revision: Revision(no), ..Register::empty() }
 }
 
 #[test]
@@ -13,14 +13,14 @@
     assert!(store.absorb(mail(3), at, at).register);
     assert!(!store.absorb(mail(2), at, at).any());
     let of = |ballot, no| FleetSummary {
-        version: Version { ballot: Ballot(ballot), no },
+        version: Version { ballot: Ballot(ballot), number: no },
         ..FleetSummary::default()
     };
     assert!(store.set_ledger(of(1, 9), at) && store.set_ledger(of(2, 1), at));
     assert!(!store.set_ledger(of(1, 10), at), "of a holder before");
     let have = store.have();
     assert!(!store.has_more_than(&have));
-    assert!(store.mail(&have, false, Duration::ZERO, at).ledger.is_none());
+    assert!(store.mail(&have, false, Duration::ZERO, at).fleet_summary.is_none());
 }
 
 #[test]
--- a/crates/quota/src/token_buckets.rs
+++ b/crates/quota/src/token_buckets.rs
@@ -212,8 +212,8 @@
                 bucket.slice = bucket.slice.min(even);
                 continue;
             };
-            bucket.metered += weight * (reading.per_s - bucket.metered);
-            let target = if reading.per_s > 0.0 && bucket.metered > 0.0 {
+            bucket.metered += weight * (reading.requests_per_s - bucket.metered);
+            let target = if reading.requests_per_s > 0.0 && bucket.metered > 0.0 {
                 let prior = PRIOR / SPAN;
                 (bucket.let_rate + prior * even) / (bucket.metered + prior)
             } else {
@@ -222,9 +222,9 @@
             let target = target.max(FLOOR * even).min(2.0 * bucket.slice).min(1.0);
             // Readings come late and misaligned, so that targets sum past the whole when requests rise: a slice grows
             // into what the others left, and where they sum past it each gives its part back.
-            let left = (1.0 - reading.slices).max(0.0) * TAKEN * target;
+            let left = (1.0 - reading.quota_shares).max(0.0) * TAKEN * target;
             let grown = target.min(bucket.slice + left);
-            bucket.slice = grown / reading.slices.max(1.0);
+            bucket.slice = grown / reading.quota_shares.max(1.0);
         }
         self.doors = doors;
         let (deeper, full) = (self.deeper(), self.full);
--- a/crates/quota/src/token_buckets/tests.rs
+++ b/crates/quota/src/token_buckets/tests.rs
@@ -36,10 +36,10 @@
                     continue;
                 }
                 let through = door.admitted_counts().get("t").copied().unwrap_or(0);
-                sum.per_s += (through - before[no]) as f64;
+                sum.requests_per_s += (through - before[no]) as f64;
                 before[no] = through;
                 door.apply_usage(rates.len() as u32, &uses, |_| QUOTA, now);
-                sum.slices += door.slices().get("t").copied().unwrap_or(0.0);
+                sum.quota_shares += door.slices().get("t").copied().unwrap_or(0.0);
             }
             reported = sum;
         }
--- a/crates/rpc/src/publisher.rs
+++ b/crates/rpc/src/publisher.rs
@@ -50,9 +50,9 @@
         let until = self.steady.instant(begun.after(Duration::from_millis(pull.wait_ms).min(LONGEST)));
         loop {
             let now = self.now();
-            if self.store().has_more_than(&pull.have) || self.steady.instant(now) >= until {
+            if self.store().has_more_than(&pull.versions) || self.steady.instant(now) >= until {
                 // A postmaster keeps the register as it was sent.
-                return self.store().mail(&pull.have, pull.office.is_some(), now.since(begun), now);
+                return self.store().mail(&pull.versions, pull.follower.is_some(), now.since(begun), now);
             }
             // Nothing else runs between the look at the store and the first poll here.
             let _ = timeout_at(until, self.changed.notified()).await;
--- a/crates/system-simulator/examples/capacity.rs
+++ b/crates/system-simulator/examples/capacity.rs
@@ -27,8 +27,8 @@
 use vanewharf_policy::interface::Tenths;
 use vanewharf_protocol::changes::{Document, ListChanges, RegisterChanges};
 use vanewharf_protocol::messages::{
-    Backend, BackendList, Ballot, ControllerEntry, FleetSummary, ProxyEntry, ProxyReport, PullRequest,
-    PullResponse, Register, Revision, TokenCounts, TokenLeaseReport, Version, VersionVector,
+    Backend, BackendList, Ballot, ControllerEntry, FleetSummary, HostCounts, ProxyEntry, ProxyReport,
+    PullRequest, PullResponse, Register, Revision, TokenCounts, TokenLeaseReport, Version, VersionVector,
 };
 use vanewharf_proxy::gate::Posted;
 use vanewharf_proxy::rounds::{News, Place, Rounds, Start};
@@ -147,7 +147,7 @@
 }
 
 fn register(no: u64, config: Box<RawValue>) -> Register {
-    Register { no: Revision(no), config: Some(config), ..Register::none() }
+    Register { revision: Revision(no), config: Some(config), ..Register::empty() }
 }
 
 fn configs() {
@@ -222,7 +222,7 @@
         zone: zone(no / SERVICES),
         capacity: 4,
         draining: false,
-        cold_ms: 0,
+        warmup_left_ms: 0,
     };
     let mut all: Vec<_> = (from..from + count).map(one).collect();
     all.sort_by(|one, other| one.id.cmp(&other.id));
@@ -230,7 +230,7 @@
 }
 
 fn list(no: u64, servers: Vec<Backend>) -> BackendList {
-    BackendList { version: Version { ballot: Ballot(1), no }, age_ms: 0, servers }
+    BackendList { version: Version { ballot: Ballot(1), number: no }, age_ms: 0, backends: servers }
 }
 
 fn bounds() -> Bounds {
@@ -274,10 +274,10 @@
         let mut later = servers(count, 0);
         // A hundred go and a hundred cold ones come.
         later.truncate(count - 100);
-        later.extend(servers(100, count).into_iter().map(|one| Backend { cold_ms: 3_000, ..one }));
+        later.extend(servers(100, count).into_iter().map(|one| Backend { warmup_left_ms: 3_000, ..one }));
         later.sort_by(|one, other| one.id.cmp(&other.id));
         let new = list(2, later);
-        let mail = PullResponse { list: Some(old.clone()), ..PullResponse::default() };
+        let mail = PullResponse { backend_list: Some(old.clone()), ..PullResponse::default() };
         let written = took(|| bytes(&mail));
         let read = took(|| serde_json::from_slice::<PullResponse>(&written.out).expect("a mail"));
         let times = (Timestamp(10_000), Timestamp(16_000));
@@ -299,7 +299,7 @@
         let (_, wide, ..) = first(48_000);
         let (mut rounds, ms, held, at) = first(10);
         let again = took(|| rounds.apply_update(Tenths(30), News::List(Rc::clone(&new), at)).is_some());
-        let ledger = Rc::new(FleetSummary { counted: 5_400, ..FleetSummary::default() });
+        let ledger = Rc::new(FleetSummary { quota_divisor: 5_400, ..FleetSummary::default() });
         let ledger = took(|| rounds.apply_update(Tenths(40), News::Ledger(ledger)).is_some());
         println!(
             "| {count} | {}, {} | {:.1}, {:.1} | {:.1} | {:.1}, {}, {}, {:.1} | {ms:.0}, {held:.1} | {wide:.0} | {:.1} | {:.1} |",
@@ -331,14 +331,18 @@
         (0..tenants).map(|no| format!("tenant-{:06}", draw(door * tenants + no) as usize % pool)).collect();
     let count = |name: &String| (name.clone(), round * 17 + 1_234);
     ProxyReport {
-        door: row,
-        life: door as u64 + 1,
+        proxy: row,
+        incarnation: door as u64 + 1,
         age_ms: 0,
-        counted: 1,
-        let_through: names.iter().map(count).collect(),
-        slices: names.iter().map(|name| (name.clone(), 0.0123)).collect(),
-        hosts: (0..8).map(|no| (format!("host-{no:04}.shop.example"), (1_000 + round, 20))).collect(),
-        tried: BTreeMap::new(),
+        quota_divisor: 1,
+        admitted: names.iter().map(count).collect(),
+        quota_shares: names.iter().map(|name| (name.clone(), 0.0123)).collect(),
+        hosts: (0..8)
+            .map(|no| {
+                (format!("host-{no:04}.shop.example"), HostCounts { requests: 1_000 + round, homed: 20 })
+            })
+            .collect(),
+        attempts: BTreeMap::new(),
     }
 }
 
@@ -372,7 +376,7 @@
             let size = bytes(&reports[0]).len();
             let heard = took(|| reports.into_iter().for_each(|report| sums.record_report(report, at(2))));
             (0..OFFICES).for_each(|no| sums.record_controller(office(no), at(2)));
-            let made = took(|| sums.summarize(Version { ballot: Ballot(1), no: 1 }, 1e9, at(2)));
+            let made = took(|| sums.summarize(Version { ballot: Ballot(1), number: 1 }, 1e9, at(2)));
             let copied = took(|| FleetSummary::clone(&made.out));
             let written = took(|| bytes(&made.out));
             let read = took(|| serde_json::from_slice::<FleetSummary>(&written.out).expect("a ledger"));
@@ -404,8 +408,9 @@
     println!("\n| doors | hosts at each | a report's bytes | all taken in ms | held MB | ledger made ms |");
     println!("| --- | --- | --- | --- | --- | --- |");
     for hosts in [8, 100, 1_000, 6_000] {
-        let told: BTreeMap<_, _> =
-            (0..hosts).map(|no| (format!("host-{no:04}.shop.example"), (1_001, 20))).collect();
+        let told: BTreeMap<_, _> = (0..hosts)
+            .map(|no| (format!("host-{no:04}.shop.example"), HostCounts { requests: 1_001, homed: 20 }))
+            .collect();
         let one = |door: usize| ProxyReport { hosts: told.clone(), ..report(door, 0, 1, 1) };
         let size = bytes(&one(0)).len();
         let reports: Vec<_> = (0..DOORS).map(one).collect();
@@ -442,7 +447,12 @@
         let lent = took(|| names.iter().map(|name| buckets.lease_tokens(name, 1, quota, at(9))).sum::<u32>());
         let tell = |no: usize| {
             let (let_through, slices) = (buckets.admitted_counts(), buckets.slices());
-            TokenLeaseReport { ip: office(no).ip, life: 1, let_through, slices }
+            TokenLeaseReport {
+                ip: office(no).ip,
+                incarnation: 1,
+                admitted: let_through,
+                quota_shares: slices,
+            }
         };
         let told = took(|| bytes(&tell(0)));
         let mut sums = FleetAggregator::default();
@@ -486,7 +496,7 @@
                 }
                 "/pull" => {
                     let pull: PullRequest = serde_json::from_slice(request.body()).expect("a pull");
-                    RpcResponse::json(&PullResponse { held_ms: pull.wait_ms, ..PullResponse::default() })
+                    RpcResponse::json(&PullResponse { delay_ms: pull.wait_ms, ..PullResponse::default() })
                         .packed(&request)
                 }
                 _ => RpcResponse::json(&spent()),
@@ -532,10 +542,10 @@
         let net = Environment::here(None).expect("without a disk").net;
         let mut asking = RpcClient::to(at, &net);
         let pull = |report| PullRequest {
-            have: VersionVector::default(),
+            versions: VersionVector::default(),
             wait_ms: 300,
-            office: None,
-            lent: None,
+            follower: None,
+            token_leases: None,
             reports: vec![report],
         };
         let (short, long) = (pull(report(1, 0, 1, 1)), pull(report(1, 100, 10_000, 1)));
--- a/crates/system-simulator/src/day.rs
+++ b/crates/system-simulator/src/day.rs
@@ -662,7 +662,7 @@
     let evacuated = {
         let feeds = world.town.feeds.borrow();
         let words = feeds.values().filter_map(|feed| feed.store().register.clone());
-        words.max_by_key(|register| register.no).map(|register| register.evacuated.clone())
+        words.max_by_key(|register| register.revision).map(|register| register.evacuated.clone())
     };
     let at_end = agreed(world, &premises).await;
     let mut history = world.town.history.borrow_mut();
@@ -683,10 +683,10 @@
             let feed = Publisher::new(premises.steady());
             let mut there = RpcClient::to(world.inside(no), &premises.net);
             let pull = PullRequest {
-                have: feed.store().have(),
+                versions: feed.store().have(),
                 wait_ms: 0,
-                office: None,
-                lent: None,
+                follower: None,
+                token_leases: None,
                 reports: Vec::new(),
             };
             let _ = feed.pull(&mut there, &pull).await;
@@ -696,7 +696,7 @@
                     register.config.as_ref().and_then(|config| Config::of(config.get().as_bytes()).ok());
                 config.map_or(0, |config| config.revision.0)
             };
-            let had = register.map(|register| (register.no.0, revision(&register)));
+            let had = register.map(|register| (register.revision.0, revision(&register)));
             all.push(AtEnd { name: world.machines[no].name.clone(), had });
         }
         if all.iter().all(|one| one.had.is_some() && one.had == all[0].had) {
--- a/crates/system-simulator/src/door.rs
+++ b/crates/system-simulator/src/door.rs
@@ -124,7 +124,7 @@
                 door: self.no,
                 life: self.life,
                 at: Instant::now(),
-                no: register.no.0,
+                no: register.revision.0,
                 revision: self.revision,
                 body: hasher.finish(),
             });
--- a/crates/system-simulator/tests/cut.rs
+++ b/crates/system-simulator/tests/cut.rs
@@ -193,7 +193,7 @@
 
 fn shows(store: &VersionStore, id: &str, draining: bool) -> bool {
     let list = store.list.as_ref();
-    list.is_some_and(|list| list.servers.iter().any(|one| one.id == id && one.draining == draining))
+    list.is_some_and(|list| list.backends.iter().any(|one| one.id == id && one.draining == draining))
 }
 
 async fn played(case: Case) -> Seen {
--- a/crates/system-simulator/tests/orders.rs
+++ b/crates/system-simulator/tests/orders.rs
@@ -98,8 +98,13 @@
 
 async fn evacuated(world: &World) -> BTreeSet<String> {
     let inside = SocketAddr::new(world.machines[holder(world).await].ip, 7600);
-    let pull =
-        PullRequest { have: Default::default(), wait_ms: 0, office: None, lent: None, reports: Vec::new() };
+    let pull = PullRequest {
+        versions: Default::default(),
+        wait_ms: 0,
+        follower: None,
+        token_leases: None,
+        reports: Vec::new(),
+    };
     let mut caller = RpcClient::to(inside, &world.network.at(operator(7)));
     let mail: PullResponse = caller.ask("/pull", &pull, SILENCE).await.expect("answered");
     mail.register.expect("a register").evacuated
--- a/programs/agent/src/lib.rs
+++ b/programs/agent/src/lib.rs
@@ -107,7 +107,7 @@
                     relayed.retain(|_, (_, made)| now.since(*made) < STALE);
                     for report in pull.reports.iter().take(MOST_RELAYED.saturating_sub(relayed.len())) {
                         let made = now.before(Duration::from_millis(report.age_ms));
-                        relayed.insert(report.door.name.clone(), (report.clone(), made));
+                        relayed.insert(report.proxy.name.clone(), (report.clone(), made));
                     }
                 }
                 RpcResponse::json(&feed.answer(&pull).await).packed(request)
@@ -184,14 +184,14 @@
             (age < STALE).then(|| ProxyReport { age_ms: age.as_millis() as u64, ..report.clone() })
         };
         let own = last.borrow().as_ref().and_then(aged);
-        let name = own.as_ref().map(|report| report.door.name.clone());
+        let name = own.as_ref().map(|report| report.proxy.name.clone());
         let relayed: Vec<_> = relayed.borrow().values().filter_map(aged).collect();
-        let others = relayed.into_iter().filter(|report| Some(&report.door.name) != name.as_ref());
+        let others = relayed.into_iter().filter(|report| Some(&report.proxy.name) != name.as_ref());
         let pull = PullRequest {
-            have: feed.store().have(),
+            versions: feed.store().have(),
             wait_ms: wait.as_millis() as u64,
-            office: None,
-            lent: None,
+            follower: None,
+            token_leases: None,
             reports: own.into_iter().chain(others).collect(),
         };
         match feed.pull(&mut caller, &pull).await {
@@ -215,7 +215,7 @@
 /// The postmasters that are known, the nearest first.
 fn known(settings: &Settings, feed: &Publisher) -> Vec<IpAddr> {
     let store = feed.store();
-    let rows = store.ledger.iter().flat_map(|ledger| &ledger.offices);
+    let rows = store.ledger.iter().flat_map(|ledger| &ledger.controllers);
     let place = |zone: &str| {
         let region = settings.zones.get(zone);
         (zone != settings.zone, region != Some(&settings.region))
--- a/programs/controller/src/internal_api.rs
+++ b/programs/controller/src/internal_api.rs
@@ -42,8 +42,11 @@
         let (now, sums) = (self.feed.now(), self.sums.borrow());
         let mut heard: Vec<_> = sums.live_proxies(now).collect();
         self.premises.shuffle(&mut heard);
-        let of =
-            |door: &ProxyEntry| PeerEntry { ip: door.address.ip(), region: door.region.clone(), heard_ms: 0 };
+        let of = |door: &ProxyEntry| PeerEntry {
+            ip: door.address.ip(),
+            region: door.region.clone(),
+            last_contact_ms: 0,
+        };
         heard.into_iter().take(NEIGHBOURS).map(of).collect()
     }
 
@@ -52,18 +55,21 @@
         let now = self.feed.now();
         {
             let mut sums = self.sums.borrow_mut();
-            pull.office.iter().for_each(|follower| sums.record_controller(follower.row.clone(), now));
-            pull.lent.iter().for_each(|lent| sums.record_lease_report(lent.clone(), now));
+            pull.follower
+                .iter()
+                .for_each(|follower| sums.record_controller(follower.controller.clone(), now));
+            pull.token_leases.iter().for_each(|lent| sums.record_lease_report(lent.clone(), now));
             pull.reports.iter().for_each(|report| sums.record_report(report.clone(), now));
         }
-        if let Some(follower) = &pull.office {
-            let settled = self.feed.store().register.as_ref().map_or(Revision(0), |register| register.no);
+        if let Some(follower) = &pull.follower {
+            let settled =
+                self.feed.store().register.as_ref().map_or(Revision(0), |register| register.revision);
             self.following.borrow_mut().record_pull(follower, settled, now);
         }
         let mut mail = self.feed.answer(&pull).await;
-        mail.holder = self.replica.holder();
-        if pull.office.is_none() {
-            mail.ledger = mail.ledger.map(summary_for_proxies);
+        mail.leaseholder = self.replica.holder();
+        if pull.follower.is_none() {
+            mail.fleet_summary = mail.fleet_summary.map(summary_for_proxies);
         }
         mail
     }
--- a/programs/controller/src/orders.rs
+++ b/programs/controller/src/orders.rs
@@ -14,7 +14,7 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{Instant, timeout};
 use vanewharf_consensus::{ChangeOutcome, OperatorChange, apply_changes};
-use vanewharf_protocol::messages::{Ballot, Register, Revision};
+use vanewharf_protocol::messages::{Ballot, Register, RegisterRank, Revision};
 
 #[derive(Debug)]
 pub enum Order {
@@ -213,7 +213,7 @@
     fn begin(&mut self, changes: &[OperatorChange], replies: Vec<oneshot::Sender<OrderOutcome>>) {
         let newest = self.replica.newest();
         let group = apply_changes(&newest, changes);
-        let held = group.register.taken.last().map_or(0, |taken| taken.revision);
+        let held = group.register.accepted_configs.last().map_or(0, |taken| taken.revision);
         let conflicts = group.outcomes.iter().filter(|outcome| **outcome == ChangeOutcome::Conflict).count();
         if conflicts > 0 {
             spdlog::warn!("{} refused: another was taken under the number; r{} is held", conflicts, held);
@@ -227,7 +227,8 @@
             return Vec::into_iter(told)
                 .for_each(|(done, reply): (_, oneshot::Sender<_>)| drop(reply.send(done)));
         }
-        let same = |round: &&mut Round| (round.ballot, round.no) == newest.rank();
+        let same =
+            |round: &&mut Round| (RegisterRank { ballot: round.ballot, revision: round.no }) == newest.rank();
         match self.rounds.last_mut().filter(same) {
             Some(round) if !group.changed => round.told.extend(told),
             _ => self.propose(group.register, told),
@@ -238,7 +239,7 @@
         let Some(register) = self.replica.propose(register) else {
             return told.into_iter().for_each(|(_, reply)| drop(reply.send(OrderOutcome::NotHere)));
         };
-        let (ballot, no) = register.rank();
+        let RegisterRank { ballot, revision: no } = register.rank();
         self.rounds.push(Round { ballot, no, begun: Instant::now(), told });
         let (replica, events) = (Rc::clone(&self.replica), self.events.clone());
         tokio::task::spawn_local(async move {
--- a/programs/controller/src/platform.rs
+++ b/programs/controller/src/platform.rs
@@ -60,7 +60,7 @@
                 zone: if entry.zone.is_empty() { zone.clone() } else { entry.zone },
                 capacity: entry.capacity.max(1),
                 draining: entry.lifecycle != "available",
-                cold_ms: milliseconds(&entry.warmup_left),
+                warmup_left_ms: milliseconds(&entry.warmup_left),
             }));
         }
         token = page.next_token;
@@ -76,8 +76,8 @@
 pub fn differs(one: &[Backend], other: &[Backend]) -> bool {
     one.len() != other.len()
         || one.iter().zip(other).any(|(one, other)| {
-            let colder = other.cold_ms > one.cold_ms.saturating_add(200);
-            let same = Backend { cold_ms: one.cold_ms, ..other.clone() } == *one;
+            let colder = other.warmup_left_ms > one.warmup_left_ms.saturating_add(200);
+            let same = Backend { warmup_left_ms: one.warmup_left_ms, ..other.clone() } == *one;
             !same || colder
         })
 }
--- a/programs/controller/src/platform/tests.rs
+++ b/programs/controller/src/platform/tests.rs
@@ -9,7 +9,7 @@
         zone: "z".to_owned(),
         capacity: 3,
         draining,
-        cold_ms,
+        warmup_left_ms: cold_ms,
     };
     let differ = |one, other| differs(&[one], &[other]);
     assert!(!differ(server(3000, false), server(2200, false)));
--- a/programs/controller/src/registry_api.rs
+++ b/programs/controller/src/registry_api.rs
@@ -25,14 +25,14 @@
     let store = state.feed.store();
     let host = field("name").map_or("", |(_, host)| host).to_ascii_lowercase();
     let hosts = state.homes();
-    let homed = store.ledger.as_ref().is_some_and(|ledger| ledger.homed.contains(&host));
+    let homed = store.ledger.as_ref().is_some_and(|ledger| ledger.homed_hosts.contains(&host));
     let homes = hosts.get(&host).filter(|_| homed);
     let now = state.feed.now();
     let sums = state.sums.borrow();
     // A ledger that is old names doors that are gone; whoever is still there has come to this process by then.
     let current = store.ledger.as_ref().filter(|_| now.since(store.ledger_at) < CURRENT);
     let heard: Vec<_> = sums.live_proxies(now).collect();
-    let told = current.iter().flat_map(|ledger| &ledger.doors);
+    let told = current.iter().flat_map(|ledger| &ledger.proxies);
     let unheard = told.filter(|door| !heard.iter().any(|known| known.name == door.name));
     let doors: Vec<_> = heard.iter().copied().chain(unheard).collect();
     let addresses: Vec<_> =
@@ -48,9 +48,9 @@
     /// Where each host's clients are to go, by the register in hand.
     pub fn homes(&self) -> Rc<Homes> {
         let register = self.feed.store().register.clone();
-        if let Some(register) = register.filter(|register| register.no != self.hosts.borrow().0) {
+        if let Some(register) = register.filter(|register| register.revision != self.hosts.borrow().0) {
             let hosts = self.replica.config().as_deref().map(home_regions_by_host).unwrap_or_default();
-            *self.hosts.borrow_mut() = (register.no, Rc::new(hosts));
+            *self.hosts.borrow_mut() = (register.revision, Rc::new(hosts));
         }
         Rc::clone(&self.hosts.borrow().1)
     }
--- a/programs/controller/src/replica.rs
+++ b/programs/controller/src/replica.rs
@@ -20,8 +20,8 @@
 use vanewharf_config::config::Config;
 use vanewharf_consensus::Voter;
 use vanewharf_consensus::all_voters;
-use vanewharf_consensus::{BallotClaim, HeldLease, Rank};
-use vanewharf_protocol::messages::{Ballot, Membership, Register, Revision};
+use vanewharf_consensus::{BallotClaim, HeldLease};
+use vanewharf_protocol::messages::{Ballot, Membership, Register, RegisterRank, Revision};
 use vanewharf_rpc::Publisher;
 use vanewharf_rpc::RpcClient;
 use vanewharf_runtime::environment::Environment;
@@ -97,7 +97,7 @@
     }
 
     /// By the newest register that this process has, settled or not, and which that is.
-    fn newest_set(&self) -> (Membership, Rank) {
+    fn newest_set(&self) -> (Membership, RegisterRank) {
         let (voter, store) = (self.voter.borrow(), self.feed.store());
         let settled = store.register.as_deref().filter(|register| register.rank() > voter.register().rank());
         let register = settled.unwrap_or(voter.register());
@@ -118,7 +118,7 @@
     }
 
     /// The register on this machine's disk, where it may vote.
-    pub fn kept_here(&self) -> Option<(Ballot, Revision)> {
+    pub fn kept_here(&self) -> Option<RegisterRank> {
         let voter = self.voter.borrow();
         (!voter.is_amnesic()).then(|| voter.register().rank())
     }
@@ -133,9 +133,9 @@
     pub fn config(&self) -> Option<Rc<Config>> {
         let register = self.feed.store().register.clone();
         let mut read = self.config.borrow_mut();
-        if let Some(register) = register.filter(|register| register.no != read.0) {
+        if let Some(register) = register.filter(|register| register.revision != read.0) {
             let config = register.config.as_ref().and_then(|config| Config::of(config.get().as_bytes()).ok());
-            *read = (register.no, config.map(Rc::new));
+            *read = (register.revision, config.map(Rc::new));
         }
         read.1.clone()
     }
--- a/programs/controller/src/replica/election.rs
+++ b/programs/controller/src/replica/election.rs
@@ -35,7 +35,7 @@
             }
             let (set, known) = self.newest_set();
             let mut canvass = PreVoteRound::start(set.clone());
-            let request = VoteRequest::PreVote { holder: self.me };
+            let request = VoteRequest::PreVote { candidate: self.me };
             let promised = self
                 .poll(&all_voters(&set), request, |voter, cast| canvass.record_response(voter, cast))
                 .await;
@@ -49,7 +49,7 @@
             );
             let asked = self.now();
             self.claim.set(BallotClaim::new(ballot));
-            let request = VoteRequest::Lease { ballot, holder: self.me };
+            let request = VoteRequest::Lease { ballot, candidate: self.me };
             let mut ask = all_voters(&set);
             let mut election = Election::start(self.me, set, known);
             let found = loop {
--- a/programs/controller/src/replica/recovery.rs
+++ b/programs/controller/src/replica/recovery.rs
@@ -56,7 +56,7 @@
                     {
                         sleep(PERSIST_RETRY_INTERVAL).await;
                     }
-                    let no = register.no;
+                    let no = register.revision;
                     self.voter.borrow_mut().complete_recovery(&promise, *register, self.now());
                     spdlog::warn!(
                         "recovered register {} from {} others",
--- a/programs/controller/src/replica/renewal.rs
+++ b/programs/controller/src/replica/renewal.rs
@@ -12,13 +12,13 @@
     /// Holds on for as long as a majority renews; stops before the lease ends. True where it should be had again at once,
     /// under a higher ballot: a voter that has promised one takes no part any more.
     pub(super) async fn hold(self: &Rc<Self>, ballot: Ballot, found: Register) -> bool {
-        spdlog::info!("holds the lease under ballot {}, found register {}", ballot.0, found.no.0);
-        self.next.set(Revision(found.no.0 + 1));
+        spdlog::info!("holds the lease under ballot {}, found register {}", ballot.0, found.revision.0);
+        self.next.set(Revision(found.revision.0 + 1));
         let settling = {
             let replica = Rc::clone(self);
             tokio::task::spawn_local(async move {
                 let register = Register { ballot, ..found };
-                if register.no == Revision(0) || replica.kept(&register).await {
+                if register.revision == Revision(0) || replica.kept(&register).await {
                     replica.settle(register);
                 }
             })
@@ -47,7 +47,7 @@
     /// For another term, by all who have a say now.
     pub(super) async fn renew(self: &Rc<Self>, ballot: Ballot) -> RenewalOutcome {
         let (asked, set) = (self.now(), self.membership());
-        let request = VoteRequest::Renew { ballot, holder: self.me };
+        let request = VoteRequest::Renew { ballot, leaseholder: self.me };
         let mut renewing = RenewalRound::start(ballot, set);
         let voters = all_voters(renewing.membership());
         self.poll(&voters, request, |voter, cast| renewing.record_response(voter, cast)).await;
--- a/programs/controller/src/replica/replication.rs
+++ b/programs/controller/src/replica/replication.rs
@@ -9,7 +9,7 @@
 use tokio::time::{sleep, timeout};
 use vanewharf_consensus::AcceptRound;
 use vanewharf_consensus::all_voters;
-use vanewharf_protocol::messages::{Ballot, Register, Revision, Vote, VoteRequest};
+use vanewharf_protocol::messages::{Register, RegisterRank, Revision, Vote, VoteRequest};
 
 /// For one that does, once.
 const SLOW: Duration = Duration::from_millis(2500);
@@ -21,7 +21,7 @@
     pub(super) async fn kept(self: &Rc<Self>, register: &Register) -> bool {
         let named = all_voters(&register.membership);
         let voters: BTreeSet<_> = all_voters(&self.membership()).union(&named).copied().collect();
-        let no = register.no;
+        let no = register.revision;
         let (said, mut votes) = mpsc::unbounded_channel();
         let mut trying = Vec::new();
         for &voter in &voters {
@@ -64,7 +64,7 @@
     /// majority and may come to be in force: the next one holds what it changed.
     pub fn newest(&self) -> Register {
         let settled = self.feed.store().register.clone();
-        let settled = settled.as_deref().cloned().unwrap_or_else(Register::none);
+        let settled = settled.as_deref().cloned().unwrap_or_else(Register::empty);
         let ballot = self.ballot();
         let proposed = self.proposed.borrow();
         let newer = |register: &&Register| register.ballot == ballot && register.rank() > settled.rank();
@@ -74,7 +74,7 @@
     /// Whether it is what a majority has, and nobody else can have changed it since.
     pub fn certain(&self, register: &Register) -> bool {
         let store = self.feed.store();
-        let settled = store.register.as_deref().map_or((Ballot(0), Revision(0)), Register::rank);
+        let settled = store.register.as_deref().map_or(RegisterRank::default(), Register::rank);
         self.holds() && settled == register.rank()
     }
 
@@ -82,7 +82,7 @@
         let term = self.term.get().filter(|_| self.holds())?;
         let no = self.next.get();
         self.next.set(Revision(no.0 + 1));
-        Some(Register { ballot: term.ballot, no, ..register })
+        Some(Register { ballot: term.ballot, revision: no, ..register })
     }
 
     /// Gives a register its number under the ballot in hand; it is to be kept now.
--- a/programs/controller/src/replica/voter_task.rs
+++ b/programs/controller/src/replica/voter_task.rs
@@ -59,7 +59,7 @@
                 let (replica, disk) = (Rc::clone(&self), disk.clone());
                 tokio::task::spawn_local(async move {
                     let kept = replica.kept_on(&disk, save).await;
-                    let cast = replica.voter.borrow().response(if kept { vote } else { Vote::Unable });
+                    let cast = replica.voter.borrow().response(if kept { vote } else { Vote::StorageFailed });
                     let _ = reply.send(cast);
                 });
                 continue;
@@ -76,7 +76,7 @@
                     }
                 };
                 if !kept {
-                    vote = Vote::Unable;
+                    vote = Vote::StorageFailed;
                 }
             }
             let cast = self.voter.borrow().response(vote);
@@ -135,9 +135,9 @@
     pub async fn vote(&self, request: VoteRequest) -> VoteResponse {
         let (reply, cast) = oneshot::channel();
         if self.commands.send(Command::Hear(request, reply)).is_err() {
-            return self.voter.borrow().response(Vote::Unable);
+            return self.voter.borrow().response(Vote::StorageFailed);
         }
-        cast.await.unwrap_or_else(|_| self.voter.borrow().response(Vote::Unable))
+        cast.await.unwrap_or_else(|_| self.voter.borrow().response(Vote::StorageFailed))
     }
 
     /// Quotas are divided by so many doors: kept, so that a holder after the loss of all processes knows.
--- a/programs/controller/src/roles/backend_polling.rs
+++ b/programs/controller/src/roles/backend_polling.rs
@@ -30,15 +30,15 @@
                 Ok(servers) => {
                     let (last, known) = {
                         let store = self.feed.store();
-                        let known = store.list.as_ref().map(|list| list.servers.clone());
-                        (store.have().list, known)
+                        let known = store.list.as_ref().map(|list| list.backends.clone());
+                        (store.have().backend_list, known)
                     };
                     // A holder before may have told some doors of a list that never came here: what is the
                     // same as the one in hand is new to them.
                     let others = last.ballot != self.replica.ballot();
                     let differs = others || known.is_none_or(|known| platform::differs(&known, &servers));
                     if differs && self.replica.holds() {
-                        let list = BackendList { version: self.version(last), age_ms: 0, servers };
+                        let list = BackendList { version: self.version(last), age_ms: 0, backends: servers };
                         self.feed.change(|store| store.set_list(list, asked));
                     }
                     sleep(LISTED).await;
--- a/programs/controller/src/roles/leaseholder_follower.rs
+++ b/programs/controller/src/roles/leaseholder_follower.rs
@@ -34,10 +34,13 @@
                 continue;
             };
             let pull = PullRequest {
-                have: self.feed.store().have(),
+                versions: self.feed.store().have(),
                 wait_ms: FOLLOW.as_millis() as u64,
-                office: Some(Follower { row: self.row.clone(), kept: self.replica.kept_here() }),
-                lent: Some(self.lent()),
+                follower: Some(Follower {
+                    controller: self.row.clone(),
+                    persisted: self.replica.kept_here(),
+                }),
+                token_leases: Some(self.lent()),
                 reports: self.sums.borrow().recent_reports(self.feed.now()),
             };
             match self.feed.pull(caller, &pull).await {
--- a/programs/controller/src/roles/report_aggregation.rs
+++ b/programs/controller/src/roles/report_aggregation.rs
@@ -28,7 +28,7 @@
             held = holds;
             let ready = self.sums.borrow().is_ready(self.feed.now());
             if holds && ready {
-                let (now, last) = (self.feed.now(), self.feed.store().have().ledger);
+                let (now, last) = (self.feed.now(), self.feed.store().have().fleet_summary);
                 let allowance = self.settings.bounds.rate_allowance;
                 let mut sums = self.sums.borrow_mut();
                 sums.record_controller(self.row.clone(), now);
--- a/programs/controller/src/roles/token_lender.rs
+++ b/programs/controller/src/roles/token_lender.rs
@@ -36,8 +36,10 @@
         let config = self.replica.config();
         let none = Quota { rate: 0.0, burst: 0.0 };
         let quota = |tenant: &str| quota_of(config.as_deref(), tenant).unwrap_or(none);
-        ledger.iter().for_each(|ledger| self.replica.count(ledger.counted));
-        if let Some((ledger, lenders)) = ledger.as_ref().and_then(|ledger| Some((ledger, ledger.lenders?))) {
+        ledger.iter().for_each(|ledger| self.replica.count(ledger.quota_divisor));
+        if let Some((ledger, lenders)) =
+            ledger.as_ref().and_then(|ledger| Some((ledger, ledger.token_lenders?)))
+        {
             lending.buckets.apply_usage(lenders, &ledger.tenants, quota, now);
         }
     }
@@ -45,6 +47,11 @@
     pub fn lent(&self) -> TokenLeaseReport {
         let lending = self.lending.borrow();
         let (let_through, slices) = (lending.buckets.admitted_counts(), lending.buckets.slices());
-        TokenLeaseReport { ip: self.row.ip, life: lending.life, let_through, slices }
+        TokenLeaseReport {
+            ip: self.row.ip,
+            incarnation: lending.life,
+            admitted: let_through,
+            quota_shares: slices,
+        }
     }
 }
--- a/programs/controller/src/state.rs
+++ b/programs/controller/src/state.rs
@@ -30,6 +30,6 @@
 impl ControllerState {
     pub fn version(&self, last: Version) -> Version {
         let ballot = self.replica.ballot();
-        Version { ballot, no: if last.ballot == ballot { last.no + 1 } else { 1 } }
+        Version { ballot, number: if last.ballot == ballot { last.number + 1 } else { 1 } }
     }
 }
--- a/programs/proxy/src/lend.rs
+++ b/programs/proxy/src/lend.rs
@@ -105,7 +105,7 @@
         let (now, store) = (self.feed.now(), self.feed.store());
         let spared = self.spared.borrow();
         let settings = &self.settings;
-        let rows = store.ledger.as_ref()?.offices.iter();
+        let rows = store.ledger.as_ref()?.controllers.iter();
         let open = rows.filter(|row| spared.get(&row.ip).is_none_or(|at| now.since(*at) > SPARED));
         let far =
             |zone: &String| (*zone != settings.zone, settings.zones.get(zone) != Some(&settings.region));
--- a/programs/proxy/src/link.rs
+++ b/programs/proxy/src/link.rs
@@ -35,21 +35,21 @@
         loop {
             let ready = Link::ready(&self.posted, &self.told, &self.feed);
             let report = ProxyReport {
-                door: ProxyEntry { ready, ..self.row.clone() },
-                life: self.life,
+                proxy: ProxyEntry { ready, ..self.row.clone() },
+                incarnation: self.life,
                 age_ms: 0,
-                counted: self.feed.store().ledger.as_ref().map_or(0, |ledger| ledger.counted),
-                let_through: self.told.let_through.borrow().clone(),
-                slices: self.told.slices.borrow().clone(),
+                quota_divisor: self.feed.store().ledger.as_ref().map_or(0, |ledger| ledger.quota_divisor),
+                admitted: self.told.let_through.borrow().clone(),
+                quota_shares: self.told.slices.borrow().clone(),
                 hosts: self.told.hosts.borrow().clone(),
-                tried: self.told.tried.borrow().clone(),
+                attempts: self.told.tried.borrow().clone(),
             };
             let wait_ms = WAIT.as_millis() as u64;
             let pull = PullRequest {
-                have: self.feed.store().have(),
+                versions: self.feed.store().have(),
                 wait_ms,
-                office: None,
-                lent: None,
+                follower: None,
+                token_leases: None,
                 reports: vec![report],
             };
             match self.feed.pull(&mut self.sorter, &pull).await {
--- a/programs/proxy/src/news.rs
+++ b/programs/proxy/src/news.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 use vanewharf_clock::Timestamp;
 use vanewharf_policy::interface::TxnId;
-use vanewharf_protocol::messages::{AttemptCounts, BackendList, FleetSummary, Register};
+use vanewharf_protocol::messages::{AttemptCounts, BackendList, FleetSummary, HostCounts, Register};
 
 /// For one answer of a lender: across regions it takes two ways.
 pub const LENT_WITHIN: Duration = Duration::from_millis(300);
@@ -41,7 +41,7 @@
 pub struct Told {
     pub let_through: RefCell<BTreeMap<String, u64>>,
     pub slices: RefCell<BTreeMap<String, f64>>,
-    pub hosts: RefCell<BTreeMap<String, (u64, u64)>>,
+    pub hosts: RefCell<BTreeMap<String, HostCounts>>,
     pub tried: RefCell<BTreeMap<String, AttemptCounts>>,
     /// Told to end: clients are to go elsewhere.
     pub ending: Cell<bool>,
--- a/programs/proxy/src/rounds.rs
+++ b/programs/proxy/src/rounds.rs
@@ -24,7 +24,7 @@
 use vanewharf_http1::Reply;
 use vanewharf_policy::decide::Door;
 use vanewharf_policy::interface::{self as told, *};
-use vanewharf_protocol::messages::{Backend, BackendList, Register};
+use vanewharf_protocol::messages::{Backend, BackendList, HostCounts, Register};
 use vanewharf_quota::TokenBuckets;
 use vanewharf_quota::TokenReserve;
 
@@ -196,14 +196,14 @@
             return BackendUpdate::Changes(Vec::new());
         };
         let mut named = BTreeSet::new();
-        for server in &list.servers {
+        for server in &list.backends {
             let id = *self.ids.entry(server.id.clone()).or_insert_with(|| {
                 self.named += 1;
                 BackendId(self.named)
             });
             named.insert(id);
             let key = (Rc::from(server.service.as_str()), self.region(&server.zone));
-            let cold_until = listed.after(Duration::from_millis(server.cold_ms));
+            let cold_until = listed.after(Duration::from_millis(server.warmup_left_ms));
             let known = self.backends.entry(id).or_insert_with(|| PooledBackend {
                 server: server.clone(),
                 key,
@@ -436,11 +436,11 @@
     fn count(&self, rule: &Rule) {
         let mut hosts = self.reported.hosts.borrow_mut();
         if !hosts.contains_key(&*rule.host) {
-            hosts.insert(rule.host.to_string(), (0, 0));
+            hosts.insert(rule.host.to_string(), HostCounts::default());
         }
-        if let Some((all, homed)) = hosts.get_mut(&*rule.host) {
-            *all += 1;
-            *homed += u64::from(!rule.homes.is_empty());
+        if let Some(counts) = hosts.get_mut(&*rule.host) {
+            counts.requests += 1;
+            counts.homed += u64::from(!rule.homes.is_empty());
         }
     }
 
@@ -660,7 +660,7 @@
         match news {
             News::Register(register) => {
                 let before = self.register.replace(Rc::clone(&register));
-                if before.is_some_and(|before| before.says_the_same(&register)) {
+                if before.is_some_and(|before| before.routes_like(&register)) {
                     return None;
                 }
                 let tables = Rc::new(Tables::of(&register)?);
@@ -678,28 +678,28 @@
                 self.lent(lent, now);
                 return None;
             }
-            News::Ledger(ledger) if ledger.counted == 0 => return None,
+            News::Ledger(ledger) if ledger.quota_divisor == 0 => return None,
             News::Ledger(ledger) => {
-                self.lenders = ledger.lenders;
+                self.lenders = ledger.token_lenders;
                 let region = |zone: &str| self.place.zones.get(zone);
                 self.lenders_far =
-                    !ledger.offices.iter().any(|row| region(&row.zone) == Some(&self.place.region));
+                    !ledger.controllers.iter().any(|row| region(&row.zone) == Some(&self.place.region));
                 self.pocket.drop_idle_tenants(self.steady.now());
-                self.buckets.set_token_leasing(ledger.lenders.is_some());
-                self.doors = f64::from(ledger.counted);
+                self.buckets.set_token_leasing(ledger.token_lenders.is_some());
+                self.doors = f64::from(ledger.quota_divisor);
                 let tables = self.tables.clone();
                 let quota = |tenant: &str| {
                     let none = vanewharf_quota::Quota { rate: 0.0, burst: 0.0 };
                     tables.as_ref().map_or(none, |tables| tables.quota(tenant))
                 };
-                self.buckets.apply_usage(ledger.counted, &ledger.tenants, quota, self.steady.now());
+                self.buckets.apply_usage(ledger.quota_divisor, &ledger.tenants, quota, self.steady.now());
                 *self.reported.let_through.borrow_mut() = self.buckets.admitted_counts();
                 *self.reported.slices.borrow_mut() = self.buckets.slices();
                 *self.reported.tried.borrow_mut() = self.seen.failing_backends(self.steady.now());
-                if ledger.ill == self.ill {
+                if ledger.unhealthy == self.ill {
                     return None;
                 }
-                self.ill = ledger.ill.clone();
+                self.ill = ledger.unhealthy.clone();
             }
         }
         Some(self.arrange(now))
--- a/programs/proxy/src/rounds/tests.rs
+++ b/programs/proxy/src/rounds/tests.rs
@@ -17,7 +17,7 @@
 fn server(id: &str, service: &str, zone: &str) -> Backend {
     let address = "10.0.0.9:80".parse().expect("an address");
     let (id, service, zone) = (id.to_owned(), service.to_owned(), zone.to_owned());
-    Backend { id, service, address, zone, capacity: 4, draining: false, cold_ms: 0 }
+    Backend { id, service, address, zone, capacity: 4, draining: false, warmup_left_ms: 0 }
 }
 
 fn servers() -> Vec<Backend> {
@@ -42,13 +42,19 @@
     );
     let config = Some(serde_json::from_str(&config).expect("JSON"));
     let evacuated = evacuated.iter().map(|zone| zone.to_string()).collect();
-    Rc::new(Register { ballot: Ballot(1), no: Revision(no), config, evacuated, ..Register::none() })
+    Rc::new(Register { ballot: Ballot(1), revision: Revision(no), config, evacuated, ..Register::empty() })
 }
 
 fn ledger(lenders: Option<u32>) -> News {
-    let tenants = [("t".to_owned(), TenantUsage { per_s: 0.0, slices: 0.0 })].into();
-    let version = Version { ballot: Ballot(1), no: 1 };
-    News::Ledger(Rc::new(FleetSummary { version, counted: 1, tenants, lenders, ..FleetSummary::default() }))
+    let tenants = [("t".to_owned(), TenantUsage { requests_per_s: 0.0, quota_shares: 0.0 })].into();
+    let version = Version { ballot: Ballot(1), number: 1 };
+    News::Ledger(Rc::new(FleetSummary {
+        version,
+        quota_divisor: 1,
+        tenants,
+        token_lenders: lenders,
+        ..FleetSummary::default()
+    }))
 }
 
 impl Stage {
@@ -94,7 +100,7 @@
     }
 
     fn lists(&mut self, servers: Vec<Backend>) {
-        let list = BackendList { servers, ..BackendList::default() };
+        let list = BackendList { backends: servers, ..BackendList::default() };
         self.hears(News::List(Rc::new(list), self.posted.steady.now()));
     }
 
@@ -206,18 +212,18 @@
     let before = tables(&stage);
     let voter = "10.0.0.9:7600".parse().expect("an address");
     let membership = Membership { epoch: 2, voters: vec![voter], outgoing: Vec::new() };
-    let other = Register { no: Revision(2), membership, ..Register::clone(&register(1, &[])) };
+    let other = Register { revision: Revision(2), membership, ..Register::clone(&register(1, &[])) };
     let said = stage.rounds.apply_update(SECOND, News::Register(Rc::new(other.clone())));
     assert!(said.is_none(), "nothing of backends is arranged anew");
     assert!(Rc::ptr_eq(&before, &tables(&stage)), "nor are tables made");
-    let evacuated = Register { no: Revision(3), evacuated: ["east-a".to_owned()].into(), ..other };
+    let evacuated = Register { revision: Revision(3), evacuated: ["east-a".to_owned()].into(), ..other };
     assert!(stage.rounds.apply_update(SECOND, News::Register(Rc::new(evacuated))).is_some());
     assert!(!Rc::ptr_eq(&before, &tables(&stage)));
 }
 
 #[test]
 fn a_cold_backend_is_given_a_part_and_the_rest_goes_elsewhere() {
-    let cold = Backend { cold_ms: 3_000, ..server("e1", "s", "east-a") };
+    let cold = Backend { warmup_left_ms: 3_000, ..server("e1", "s", "east-a") };
     let mut stage = Stage::set(vec![cold, server("w1", "s", "west-a")], None);
     stage.rounds.doors = 4.0;
     let mut to = BTreeMap::<String, u32>::new();
@@ -283,10 +289,16 @@
 fn what_many_doors_saw_failing_gets_less_and_where_most_fail_none_is_spared() {
     let mut stage = Stage::set(servers(), None);
     let ill = |ill: &[&str], no| {
-        let version = Version { ballot: Ballot(1), no };
+        let version = Version { ballot: Ballot(1), number: no };
         let ill = ill.iter().map(|id| (id.to_string(), 0.9)).collect();
-        let tenants = [("t".to_owned(), TenantUsage { per_s: 0.0, slices: 0.5 })].into();
-        News::Ledger(Rc::new(FleetSummary { version, counted: 1, tenants, ill, ..FleetSummary::default() }))
+        let tenants = [("t".to_owned(), TenantUsage { requests_per_s: 0.0, quota_shares: 0.5 })].into();
+        News::Ledger(Rc::new(FleetSummary {
+            version,
+            quota_divisor: 1,
+            tenants,
+            unhealthy: ill,
+            ..FleetSummary::default()
+        }))
     };
     let to_first = |stage: &mut Stage| {
         stage.rounds.buckets = TokenBuckets::new(10_000.0, true, stage.posted.steady.now());
--- a/programs/proxy/src/tables/tests.rs
+++ b/programs/proxy/src/tables/tests.rs
@@ -10,7 +10,7 @@
         "limits":{"max_header_bytes":1,"max_body_bytes":1,"header_deadline":"1s","idle_timeout":"1s"},
         "customers":{"c":{"access_keys":["k"],"rate_per_s":5,"burst_allowance":7}}}"#;
     let config = serde_json::from_str(config).expect("JSON");
-    Tables::of(&Register { config: Some(config), ..Register::none() }).expect("sound")
+    Tables::of(&Register { config: Some(config), ..Register::empty() }).expect("sound")
 }
 
 #[test]
