--- a/crates/discovery/src/aggregator.rs
+++ b/crates/discovery/src/aggregator.rs
@@ -1,323 +1,264 @@
-//! The ledger: what the doors report, summed; doors that fall silent stay in the sums until their slices have lapsed.
+//! Aggregation of the proxies' reports into the fleet summary, from which each process derives its share of what the
+//! fleet may do together.
+//!
+//! Each controller records the reports that reach it; the leaseholder, to which the others forward theirs, publishes the
+//! summary. A proxy that stops reporting is soon not named to clients any more, but is counted until its shares of the
+//! quotas have shrunk to their floor: it may be cut off from the control plane only, and still admit requests.
 
+use crate::admission_rates::{AdmissionRates, CounterSnapshot, sum_usage};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::IpAddr;
 use std::time::Duration;
 use vanewharf_clock::Timestamp;
-use vanewharf_config::config::Config;
 use vanewharf_health::OutlierDetector;
 use vanewharf_protocol::messages::{
-    AttemptCounts, ControllerEntry, FleetSummary, HostCounts, ProxyEntry, ProxyReport, TenantUsage,
-    TokenLeaseReport, Version,
+    AttemptCounts, ControllerEntry, FleetSummary, HostCounts, ProxyEntry, ProxyReport, TokenLeaseReport,
+    Version,
 };
 
-/// A door is named to clients for so long after it was last heard.
-const NAMED: Duration = Duration::from_millis(1000);
-/// And its slices are kept for it so long: by then they have shrunk to their floor. A door that died leaves its part
-/// unused meanwhile, which tenants well below their quotas do not feel.
-const COUNTED: Duration = Duration::from_secs(60);
-const OFFICES_KNOWN: Duration = Duration::from_secs(12);
-/// Where so many of a host's requests must go home, its clients are better sent there themselves.
-const MOSTLY: f64 = 0.6;
-/// Requests beyond quotas that a door may let in by itself: below this, postmasters lend.
-const NARROW: f64 = 1.5;
-/// Doors that know no count either may come by for so long before the first of them is told one.
-const GATHERING: Duration = Duration::from_millis(250);
-/// What one let in that said nothing for so long is no part of the use any more.
-const SILENT: Duration = Duration::from_millis(2000);
-/// A reading is averaged over at least this.
-const READING: Duration = Duration::from_millis(900);
+/// A proxy is named to clients for this long after its last report; it reports with each pull, which waits for 300 ms.
+const LIVE_FOR: Duration = Duration::from_millis(1000);
 
-#[derive(Clone, Debug)]
-struct Heard {
-    row: ProxyEntry,
-    counted: u32,
-    counts: Counts,
-    hosts: BTreeMap<String, HostCounts>,
-    tried: BTreeMap<String, AttemptCounts>,
-}
+/// An owner of shares counts for this long after its last report. By then its shares have shrunk to their floor. Of a
+/// proxy that died a part of each quota stays unused meanwhile, which tenants well below their quotas do not notice.
+const COUNTED_FOR: Duration = Duration::from_secs(60);
+
+/// A controller is listed for this long after it last pulled from the leaseholder.
+const CONTROLLER_LISTED_FOR: Duration = Duration::from_secs(12);
+
+/// With more than this fraction of a host's requests on routes with home regions, its clients are sent to a home region
+/// directly, which saves the hop between regions.
+const HOMED_FRACTION: f64 = 0.6;
 
-/// The life of one that is only known by what the holder before said.
-const UNHEARD: u64 = 0;
+/// Requests beyond the quotas that one proxy may admit. With less, a share either admits nothing or, by the debts of all
+/// proxies together, too much: then the controllers hold the shares and lease tokens.
+const MIN_ALLOWANCE_PER_PROXY: f64 = 1.5;
 
-/// What one door or lender let through, and by which slices.
+/// How long proxies may report before the first summary, where nobody remembers how many there are: the first one to
+/// report must not be told that it is the only one.
+const INITIAL_GATHERING: Duration = Duration::from_millis(250);
+
+/// A proxy, by its newest report.
 #[derive(Clone, Debug)]
-struct Counts {
-    life: u64,
-    made: Timestamp,
-    /// The counts that the rates are taken from, and when they were made.
-    base: BTreeMap<String, u64>,
-    base_at: Timestamp,
-    latest: BTreeMap<String, u64>,
-    rates: BTreeMap<String, f64>,
-    slices: BTreeMap<String, f64>,
+struct KnownProxy {
+    entry: ProxyEntry,
+    /// By how many proxies it was last told that quotas are divided; 0: it does not know.
+    acknowledged_divisor: u32,
+    rates: AdmissionRates,
+    hosts: BTreeMap<String, HostCounts>,
+    attempts: BTreeMap<String, AttemptCounts>,
 }
 
-impl Counts {
-    fn new(
-        life: u64,
-        latest: BTreeMap<String, u64>,
-        slices: BTreeMap<String, f64>,
-        made: Timestamp,
-    ) -> Counts {
-        let (base, rates) = (latest.clone(), BTreeMap::new());
-        Counts { life, made, base, base_at: made, latest, rates, slices }
+impl KnownProxy {
+    /// One that only the previous leaseholder's summary names.
+    fn inherited(entry: &ProxyEntry, now: Timestamp) -> KnownProxy {
+        KnownProxy {
+            entry: ProxyEntry { ready: false, ..entry.clone() },
+            acknowledged_divisor: 0,
+            rates: AdmissionRates::not_yet_reported(now),
+            hosts: BTreeMap::new(),
+            attempts: BTreeMap::new(),
+        }
     }
 
-    fn hear(
-        &mut self,
-        life: u64,
-        latest: BTreeMap<String, u64>,
-        slices: BTreeMap<String, f64>,
-        made: Timestamp,
-    ) {
-        if life != self.life {
-            *self = Counts::new(life, latest, slices, made);
-            return;
-        }
-        if made <= self.made {
-            return;
-        }
-        (self.made, self.slices, self.latest) = (made, slices, latest);
-        let gap = made.since(self.base_at);
-        if gap >= READING {
-            let rate = |(name, count): (&String, &u64)| {
-                let before = self.base.get(name).copied().unwrap_or(0);
-                (name.clone(), count.saturating_sub(before) as f64 / gap.as_secs_f64())
-            };
-            self.rates = self.latest.iter().map(rate).collect();
-            (self.base, self.base_at) = (self.latest.clone(), made);
-        }
+    fn is_live(&self, now: Timestamp) -> bool {
+        self.rates.age(now) < LIVE_FOR
     }
-}
 
-/// Each tenant's use and slices, summed.
-fn summed<'a>(
-    all: impl Iterator<Item = &'a Counts> + Clone,
-    counted: usize,
-    now: Timestamp,
-) -> BTreeMap<String, TenantUsage> {
-    // Who has not told what it holds may hold all that the others don't.
-    let unheard = counted > all.clone().filter(|counts| counts.life != UNHEARD).count();
-    let mut tenants: BTreeMap<String, TenantUsage> = BTreeMap::new();
-    for counts in all.clone() {
-        // What a silent one lets in is not known any more; its slice bounds it.
-        let silent = now.since(counts.made) > SILENT;
-        for (name, slice) in &counts.slices {
-            let sum = tenants.entry(name.clone()).or_default();
-            sum.quota_shares += slice;
-            sum.requests_per_s += counts.rates.get(name).filter(|_| !silent).copied().unwrap_or(0.0);
+    fn to_report(&self, now: Timestamp) -> ProxyReport {
+        let counters = self.rates.latest();
+        ProxyReport {
+            proxy: self.entry.clone(),
+            incarnation: counters.incarnation,
+            age_ms: self.rates.age(now).as_millis() as u64,
+            quota_divisor: self.acknowledged_divisor,
+            admitted: counters.admitted.clone(),
+            quota_shares: counters.quota_shares.clone(),
+            hosts: self.hosts.clone(),
+            attempts: self.attempts.clone(),
         }
     }
-    for (name, sum) in &mut tenants {
-        // One that has no bucket for a tenant may have one at any moment, at the even slice.
-        let with = all.clone().filter(|counts| counts.slices.contains_key(name)).count();
-        sum.quota_shares += counted.saturating_sub(with) as f64 / counted as f64;
-        if unheard {
-            sum.quota_shares = sum.quota_shares.max(1.0);
-        }
-        // Rounded: it is sent to all doors.
-        sum.requests_per_s = (sum.requests_per_s * 100.0).round() / 100.0;
-        sum.quota_shares = (sum.quota_shares * 1000.0).round() / 1000.0;
+
+    fn to_entry(&self, now: Timestamp) -> ProxyEntry {
+        ProxyEntry { ready: self.entry.ready && self.is_live(now), ..self.entry.clone() }
     }
-    tenants
 }
 
+/// The reports that one controller has received, and the fleet summary made from them.
 #[derive(Clone, Debug, Default)]
 pub struct FleetAggregator {
-    doors: BTreeMap<String, Heard>,
-    lenders: BTreeMap<IpAddr, Counts>,
+    proxies: BTreeMap<String, KnownProxy>,
+    /// Controllers that lease tokens, where they hold the shares.
+    lenders: BTreeMap<IpAddr, AdmissionRates>,
     outliers: OutlierDetector,
-    /// When this process began to sum for all.
-    begun: Option<Timestamp>,
-    known: u32,
-    /// When the first door came by.
-    first: Option<Timestamp>,
-    offices: BTreeMap<ControllerEntry, Timestamp>,
+    /// When this process became the one that publishes the summary.
+    aggregating_since: Option<Timestamp>,
+    /// How many proxies there were by then, as far as any voter knew; 0: none did.
+    remembered_divisor: u32,
+    first_report_at: Option<Timestamp>,
+    controllers: BTreeMap<ControllerEntry, Timestamp>,
 }
 
 impl FleetAggregator {
+    /// Records what a proxy reports of itself. Of several copies of one report only the first one counts.
     pub fn record_report(&mut self, report: ProxyReport, now: Timestamp) {
-        let made = now.before(Duration::from_millis(report.age_ms));
-        self.first.get_or_insert(now);
+        self.first_report_at.get_or_insert(now);
+        let taken_at = now.before(Duration::from_millis(report.age_ms));
         let ProxyReport {
-            proxy: row,
-            incarnation: life,
-            admitted: let_through,
-            quota_shares: slices,
+            proxy: entry,
+            incarnation,
+            admitted,
+            quota_shares,
             hosts,
-            quota_divisor: counted,
-            attempts: tried,
+            quota_divisor,
+            attempts,
             ..
         } = report;
-        match self.doors.get_mut(&row.name) {
-            Some(heard) => {
-                if made > heard.counts.made || heard.counts.life != life {
-                    (heard.row, heard.hosts, heard.counted, heard.tried) = (row, hosts, counted, tried);
+        let snapshot = CounterSnapshot { incarnation, admitted, quota_shares, taken_at };
+        match self.proxies.get_mut(&entry.name) {
+            Some(proxy) => {
+                if proxy.rates.is_superseded_by(incarnation, taken_at) {
+                    proxy.entry = entry;
+                    proxy.hosts = hosts;
+                    proxy.acknowledged_divisor = quota_divisor;
+                    proxy.attempts = attempts;
                 }
-                heard.counts.hear(life, let_through, slices, made);
+                proxy.rates.record(snapshot);
             }
             None => {
-                let counts = Counts::new(life, let_through, slices, made);
-                self.doors.insert(row.name.clone(), Heard { row, counted, counts, hosts, tried });
+                let rates = AdmissionRates::new(snapshot);
+                let name = entry.name.clone();
+                let proxy = KnownProxy { entry, acknowledged_divisor: quota_divisor, rates, hosts, attempts };
+                self.proxies.insert(name, proxy);
             }
         }
     }
 
-    pub fn record_lease_report(&mut self, lent: TokenLeaseReport, now: Timestamp) {
-        let TokenLeaseReport { ip, incarnation: life, admitted: let_through, quota_shares: slices } = lent;
+    /// Records what a controller has leased, and by which shares.
+    pub fn record_lease_report(&mut self, report: TokenLeaseReport, now: Timestamp) {
+        let TokenLeaseReport { ip, incarnation, admitted, quota_shares } = report;
+        let snapshot = CounterSnapshot { incarnation, admitted, quota_shares, taken_at: now };
         match self.lenders.get_mut(&ip) {
-            Some(counts) => counts.hear(life, let_through, slices, now),
-            None => drop(self.lenders.insert(ip, Counts::new(life, let_through, slices, now))),
+            Some(lender) => lender.record(snapshot),
+            None => {
+                self.lenders.insert(ip, AdmissionRates::new(snapshot));
+            }
         }
     }
 
-    /// This process sums for all from now on; so many doors there were, as far as anybody knows (0: nobody does).
-    pub fn start_aggregating(&mut self, known: u32, now: Timestamp) {
-        (self.begun, self.known) = (Some(now), known);
+    /// Records that a controller is there.
+    pub fn record_controller(&mut self, controller: ControllerEntry, now: Timestamp) {
+        self.controllers.insert(controller, now);
+    }
+
+    /// This process publishes the summary from now on. `remembered_divisor` is the number of proxies that quotas were
+    /// divided by, as far as any voter knows; 0: none does.
+    pub fn start_aggregating(&mut self, remembered_divisor: u32, now: Timestamp) {
+        self.aggregating_since = Some(now);
+        self.remembered_divisor = remembered_divisor;
     }
 
-    /// What the holder before knew of the doors: those that nothing is heard of are counted all the same.
-    pub fn inherit_summary(&mut self, ledger: &FleetSummary, now: Timestamp) {
-        for row in &ledger.proxies {
-            let row = ProxyEntry { ready: false, ..row.clone() };
-            let counts = Counts::new(UNHEARD, BTreeMap::new(), BTreeMap::new(), now);
-            let (hosts, tried) = Default::default();
-            let heard = Heard { row, counted: 0, counts, hosts, tried };
-            self.doors.entry(heard.row.name.clone()).or_insert(heard);
+    /// Takes over from the previous leaseholder's summary: proxies that it names count here too, although they have not
+    /// reported here yet.
+    pub fn inherit_summary(&mut self, summary: &FleetSummary, now: Timestamp) {
+        for entry in &summary.proxies {
+            let inherited = || KnownProxy::inherited(entry, now);
+            self.proxies.entry(entry.name.clone()).or_insert_with(inherited);
         }
-        self.outliers.inherit(&ledger.unhealthy, now);
-        // Their slices are even until they say otherwise.
-        for office in ledger.controllers.iter().filter(|_| ledger.token_lenders.is_some()) {
-            let counts = Counts::new(UNHEARD, BTreeMap::new(), BTreeMap::new(), now);
-            self.lenders.entry(office.ip).or_insert(counts);
+        self.outliers.inherit(&summary.unhealthy, now);
+        if summary.token_lenders.is_some() {
+            for controller in &summary.controllers {
+                let inherited = || AdmissionRates::not_yet_reported(now);
+                self.lenders.entry(controller.ip).or_insert_with(inherited);
+            }
         }
     }
 
-    /// By how many doors the others were told, at most, that quotas are divided.
-    fn told(&self) -> usize {
-        self.doors.values().map(|heard| heard.counted).max().unwrap_or(0).max(self.known) as usize
+    /// The largest number of proxies that any proxy or voter has known quotas to be divided by.
+    fn acknowledged_divisor(&self) -> usize {
+        let reported = self.proxies.values().map(|proxy| proxy.acknowledged_divisor).max().unwrap_or(0);
+        reported.max(self.remembered_divisor) as usize
     }
 
-    /// Whether there is anything to divide by: with no door heard there is not, and the first of doors that have
-    /// all forgotten must not be told that it is the only one.
+    /// Whether a summary may be published: quotas must not be divided by too few, as they would be before any proxy has
+    /// reported, or by the first to report after all have lost the count.
     pub fn is_ready(&self, now: Timestamp) -> bool {
-        let gathered = self.first.is_some_and(|first| now.since(first) >= GATHERING);
-        let inherited = self.doors.values().any(|heard| heard.counts.life == UNHEARD);
-        !self.doors.is_empty() && (gathered || inherited || self.told() > 0)
+        let gathered = self.first_report_at.is_some_and(|first| now.since(first) >= INITIAL_GATHERING);
+        let inherited = self.proxies.values().any(|proxy| !proxy.rates.has_reported());
+        !self.proxies.is_empty() && (gathered || inherited || self.acknowledged_divisor() > 0)
     }
 
-    /// The doors that this process itself hears of, as they are now.
+    /// The proxies whose reports reach this process itself, as they are now.
     pub fn live_proxies(&self, now: Timestamp) -> impl Iterator<Item = &ProxyEntry> {
-        self.doors.values().filter(move |heard| now.since(heard.counts.made) < NAMED).map(|heard| &heard.row)
+        self.proxies.values().filter(move |proxy| proxy.is_live(now)).map(|proxy| &proxy.entry)
     }
 
-    pub fn record_controller(&mut self, office: ControllerEntry, now: Timestamp) {
-        self.offices.insert(office, now);
-    }
-
-    /// What this process heard itself, for the one who sums.
+    /// The reports of live proxies, to be forwarded to the leaseholder.
     pub fn recent_reports(&self, now: Timestamp) -> Vec<ProxyReport> {
-        let fresh = self.doors.values().filter(|heard| now.since(heard.counts.made) < NAMED);
-        let told = |heard: &Heard| ProxyReport {
-            proxy: heard.row.clone(),
-            incarnation: heard.counts.life,
-            age_ms: now.since(heard.counts.made).as_millis() as u64,
-            quota_divisor: heard.counted,
-            admitted: heard.counts.latest.clone(),
-            quota_shares: heard.counts.slices.clone(),
-            hosts: heard.hosts.clone(),
-            attempts: heard.tried.clone(),
-        };
-        fresh.map(told).collect()
+        let live = self.proxies.values().filter(|proxy| proxy.is_live(now));
+        live.map(|proxy| proxy.to_report(now)).collect()
     }
 
+    /// The summary as of now. `allowance` is the number of requests beyond the quotas that the whole fleet may admit.
     pub fn summarize(&mut self, version: Version, allowance: f64, now: Timestamp) -> FleetSummary {
-        self.doors.retain(|_, heard| now.since(heard.counts.made) < COUNTED);
-        self.offices.retain(|_, heard| now.since(*heard) < OFFICES_KNOWN);
-        self.lenders.retain(|_, counts| now.since(counts.made) < COUNTED);
-        // Where a door's part of what the rules leave is about a request, its slice lets in none, or by debts of all
-        // doors together too many.
-        let heard = self.doors.len();
-        // Doors that have not come by yet are as many as others were told before this process began; they may be cut
-        // off and let in by what they hold, for as long as any silent one is counted.
-        let recent = self.begun.is_some_and(|begun| now.since(begun) < COUNTED);
-        let counted = if recent { heard.max(self.told()) } else { heard };
-        let narrow = allowance / (counted as f64) < NARROW && !self.lenders.is_empty();
-        let lenders = narrow.then_some(self.lenders.len() as u32);
-        let tenants = match lenders {
-            Some(lenders) => summed(self.lenders.values(), lenders as usize, now),
-            None => summed(self.doors.values().map(|heard| &heard.counts), counted, now),
-        };
-        let mut hosts: BTreeMap<&String, HostCounts> = BTreeMap::new();
-        for (name, counts) in self.doors.values().flat_map(|heard| &heard.hosts) {
-            let sum = hosts.entry(name).or_default();
-            sum.requests += counts.requests;
-            sum.homed += counts.homed;
-        }
-        let mostly =
-            hosts.into_iter().filter(|(_, counts)| counts.homed as f64 > MOSTLY * counts.requests as f64);
-        let homed = mostly.map(|(name, _)| name.clone()).collect();
-        let told = self.doors.values().filter(|heard| now.since(heard.counts.made) < NAMED);
-        let ill = self.outliers.update(told.map(|heard| &heard.tried), counted, now);
-        let row = |heard: &Heard| ProxyEntry {
-            ready: heard.row.ready && now.since(heard.counts.made) < NAMED,
-            ..heard.row.clone()
+        self.drop_expired(now);
+        let quota_divisor = self.quota_divisor(now);
+        let token_lenders = self.lender_count(quota_divisor, allowance);
+        let tenants = match token_lenders {
+            Some(lender_count) => sum_usage(self.lenders.values(), lender_count as usize, now),
+            None => sum_usage(self.proxies.values().map(|proxy| &proxy.rates), quota_divisor, now),
         };
+        let live = self.proxies.values().filter(|proxy| proxy.is_live(now));
+        let unhealthy = self.outliers.update(live.map(|proxy| &proxy.attempts), quota_divisor, now);
         FleetSummary {
             version,
-            proxies: self.doors.values().map(row).collect(),
-            quota_divisor: counted as u32,
+            proxies: self.proxies.values().map(|proxy| proxy.to_entry(now)).collect(),
+            quota_divisor: quota_divisor as u32,
             tenants,
-            token_lenders: lenders,
-            homed_hosts: homed,
-            controllers: self.offices.keys().cloned().collect::<BTreeSet<_>>(),
-            unhealthy: ill,
+            token_lenders,
+            homed_hosts: self.homed_hosts(),
+            controllers: self.controllers.keys().cloned().collect(),
+            unhealthy,
         }
     }
-}
 
-/// The doors that a client is sent to: ready ones in its region where all that its host serves may be served there,
-/// else in a region where it may, else any that are ready, else all.
-pub fn proxies_for_client<'a>(
-    doors: &[&'a ProxyEntry],
-    region: &str,
-    homes: Option<&BTreeSet<String>>,
-    most: usize,
-) -> Vec<&'a ProxyEntry> {
-    let ready = || doors.iter().copied().filter(|door| door.ready);
-    let home = |region: &str| homes.is_none_or(|homes| homes.contains(region));
-    let mut named: Vec<_> = ready().filter(|door| door.region == region && home(region)).collect();
-    if named.is_empty() {
-        named = ready().filter(|door| home(&door.region)).collect();
+    fn drop_expired(&mut self, now: Timestamp) {
+        self.proxies.retain(|_, proxy| proxy.rates.age(now) < COUNTED_FOR);
+        self.controllers.retain(|_, last_contact| now.since(*last_contact) < CONTROLLER_LISTED_FOR);
+        self.lenders.retain(|_, lender| lender.age(now) < COUNTED_FOR);
     }
-    if named.is_empty() {
-        named = ready().collect();
+
+    /// By how many proxies quotas are divided. Until a proxy that never reported here could not hold more than the floor
+    /// of a share, there are as many as were acknowledged before this process began to publish.
+    fn quota_divisor(&self, now: Timestamp) -> usize {
+        let known = self.proxies.len();
+        let recent = self.aggregating_since.is_some_and(|since| now.since(since) < COUNTED_FOR);
+        if recent { known.max(self.acknowledged_divisor()) } else { known }
     }
-    if named.is_empty() {
-        named = doors.to_vec();
+
+    /// By how many controllers quotas are divided, where proxies are too many to hold a share each.
+    fn lender_count(&self, quota_divisor: usize, allowance: f64) -> Option<u32> {
+        let too_many_proxies = allowance / (quota_divisor as f64) < MIN_ALLOWANCE_PER_PROXY;
+        (too_many_proxies && !self.lenders.is_empty()).then_some(self.lenders.len() as u32)
     }
-    named.truncate(most);
-    named
-}
 
-/// What of a ledger a door goes by; the rest is for postmasters.
-pub fn summary_for_proxies(ledger: FleetSummary) -> FleetSummary {
-    let tenants = if ledger.token_lenders.is_some() { BTreeMap::new() } else { ledger.tenants };
-    FleetSummary { proxies: Vec::new(), homed_hosts: BTreeSet::new(), tenants, ..ledger }
+    /// Hosts whose requests are mostly on routes with home regions.
+    fn homed_hosts(&self) -> BTreeSet<String> {
+        let mut hosts: BTreeMap<&String, HostCounts> = BTreeMap::new();
+        for (host, counts) in self.proxies.values().flat_map(|proxy| &proxy.hosts) {
+            let sum = hosts.entry(host).or_default();
+            sum.requests += counts.requests;
+            sum.homed += counts.homed;
+        }
+        let mostly_homed = |sum: &HostCounts| sum.homed as f64 > HOMED_FRACTION * sum.requests as f64;
+        hosts.into_iter().filter(|(_, sum)| mostly_homed(sum)).map(|(host, _)| host.clone()).collect()
+    }
 }
 
-/// For each host with routes that have homes, the regions in which all of its routes may be served. A host whose routes
-/// have no region in common is left out: its clients go to their own region.
-pub fn home_regions_by_host(config: &Config) -> BTreeMap<String, BTreeSet<String>> {
-    let mut hosts: BTreeMap<String, BTreeSet<String>> = BTreeMap::new();
-    for route in config.routes.values().filter(|route| !route.home_regions.is_empty()) {
-        let home: BTreeSet<_> = route.home_regions.iter().cloned().collect();
-        let common = hosts.entry(route.hostname.clone()).or_insert_with(|| home.clone());
-        common.retain(|region| home.contains(region));
-    }
-    hosts.retain(|_, common| !common.is_empty());
-    hosts
+/// The part of a summary that proxies use; the rest is for controllers, and would cost each proxy bandwidth.
+pub fn summary_for_proxies(summary: FleetSummary) -> FleetSummary {
+    let tenants = if summary.token_lenders.is_some() { BTreeMap::new() } else { summary.tenants };
+    FleetSummary { proxies: Vec::new(), homed_hosts: BTreeSet::new(), tenants, ..summary }
 }
 
 #[cfg(test)]
--- a/crates/discovery/src/lib.rs
+++ b/crates/discovery/src/lib.rs
@@ -1,10 +1,18 @@
-//! Views of other machines and of the fleet: peers, sources of control-plane updates, and the aggregation of
-//! proxies' reports. Nothing here does input or output; callers pass the current time.
+//! What a machine knows of the others: its peers, the sources of control-plane updates, and the aggregation of the
+//! proxies' reports into the fleet summary.
+//!
+//! Nothing here does input or output; callers pass the current time.
 
+#![forbid(unsafe_code)]
+#![warn(missing_docs)]
+
+mod admission_rates;
 mod aggregator;
+mod client_resolution;
 mod peer_view;
 mod source_selector;
 
-pub use self::aggregator::{FleetAggregator, home_regions_by_host, proxies_for_client, summary_for_proxies};
+pub use self::aggregator::{FleetAggregator, summary_for_proxies};
+pub use self::client_resolution::{home_regions_by_host, proxies_for_client};
 pub use self::peer_view::PeerView;
 pub use self::source_selector::{SourceChoice, SourceSelector};
--- a/crates/discovery/src/peer_view.rs
+++ b/crates/discovery/src/peer_view.rs
@@ -1,5 +1,8 @@
-//! A partial view of the other doors: a few of them, told on and shuffled between neighbours, so that no door knows or
-//! counts all. A door that no postmaster reaches hears through one of these.
+//! A partial view of the other proxies: a few peers, exchanged and shuffled between them, so that no proxy has to know
+//! or count all. A proxy that reaches no controller receives updates through one of these peers.
+//!
+//! Invariants after each merge: at most `MAX_PEERS` peers, of them at most `MAX_REMOTE_PEERS` of other regions, none
+//! that nobody has been in contact with for `PEER_EXPIRY`, and never the proxy itself.
 
 use std::collections::BTreeMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -8,95 +11,112 @@
 use vanewharf_clock::Timestamp;
 use vanewharf_protocol::messages::PeerEntry;
 
-/// How many doors a view holds, and how many of them may be of other regions.
-const MOST: usize = 8;
-const ELSEWHERE: usize = 3;
-/// How many are told in one shuffle, beside the door itself.
-const TOLD: usize = 4;
-/// A door that nobody has heard of for so long is gone.
-const GONE: Duration = Duration::from_secs(30);
+/// Peers in a view. With 8, the views of 400 proxies stay connected, and those of 92 of which 30 die (see the tests).
+const MAX_PEERS: usize = 8;
+
+/// Peers of other regions in a view: enough to connect the regions, few enough that most contacts stay within one.
+const MAX_REMOTE_PEERS: usize = 3;
+
+/// Peers sent in one shuffle, besides the sender itself.
+const SHUFFLE_SAMPLE: usize = 4;
+
+/// A peer that nobody has been in contact with for this long is dropped: many shuffles of about 2 s each.
+const PEER_EXPIRY: Duration = Duration::from_secs(30);
 
 #[derive(Clone, Debug)]
-struct Known {
+struct Peer {
     region: String,
-    heard: Timestamp,
+    last_contact: Timestamp,
 }
 
+/// The peers that one proxy knows.
 #[derive(Clone, Debug)]
 pub struct PeerView {
-    me: IpAddr,
-    region: String,
-    known: BTreeMap<IpAddr, Known>,
+    own_ip: IpAddr,
+    own_region: String,
+    peers: BTreeMap<IpAddr, Peer>,
 }
 
 impl PeerView {
-    pub fn new(me: IpAddr, region: &str) -> PeerView {
-        PeerView { me, region: region.to_owned(), known: BTreeMap::new() }
+    /// The view of a proxy that knows no peer yet.
+    pub fn new(own_ip: IpAddr, own_region: &str) -> PeerView {
+        PeerView { own_ip, own_region: own_region.to_owned(), peers: BTreeMap::new() }
     }
 
+    /// Number of peers.
     pub fn len(&self) -> usize {
-        self.known.len()
+        self.peers.len()
     }
 
+    /// Whether no peer is known.
     pub fn is_empty(&self) -> bool {
-        self.known.is_empty()
+        self.peers.is_empty()
     }
 
-    /// What others told: the newest account of each door counts. Where there are too many, one that chance picks goes: were
-    /// it the one longest unheard, doors would know the same few, and fall apart.
-    pub fn merge(&mut self, told: &[PeerEntry], now: Timestamp) {
-        for neighbour in told.iter().filter(|neighbour| neighbour.ip != self.me) {
-            let heard = now.before(Duration::from_millis(neighbour.last_contact_ms));
-            let region = neighbour.region.clone();
-            let known = self.known.entry(neighbour.ip).or_insert_with(|| Known { region, heard });
-            known.heard = known.heard.max(heard);
+    /// Takes in what another proxy knows. For each peer the latest contact counts.
+    ///
+    /// Where there are too many peers, a random one goes. If it were the one with the oldest contact, proxies would all
+    /// come to know the same few, and the network of views would fall apart.
+    pub fn merge(&mut self, received: &[PeerEntry], now: Timestamp) {
+        for entry in received.iter().filter(|entry| entry.ip != self.own_ip) {
+            let last_contact = now.before(Duration::from_millis(entry.last_contact_ms));
+            let region = entry.region.clone();
+            let peer = self.peers.entry(entry.ip).or_insert_with(|| Peer { region, last_contact });
+            peer.last_contact = peer.last_contact.max(last_contact);
         }
-        self.known.retain(|_, known| now.since(known.heard) < GONE);
-        let elsewhere = |view: &PeerView, known: &Known| known.region != view.region;
-        while self.known.values().filter(|known| elsewhere(self, known)).count() > ELSEWHERE {
-            self.drop_one(now, |view, known| elsewhere(view, known));
+        self.peers.retain(|_, peer| now.since(peer.last_contact) < PEER_EXPIRY);
+        while self.peers.values().filter(|peer| self.is_remote(peer)).count() > MAX_REMOTE_PEERS {
+            self.drop_random(now, |view, peer| view.is_remote(peer));
         }
-        while self.known.len() > MOST {
-            self.drop_one(now, |_, _| true);
+        while self.peers.len() > MAX_PEERS {
+            self.drop_random(now, |_, _| true);
         }
     }
 
-    fn drop_one(&mut self, now: Timestamp, of: impl Fn(&PeerView, &Known) -> bool) {
-        let lot = |ip: &IpAddr| {
+    fn is_remote(&self, peer: &Peer) -> bool {
+        peer.region != self.own_region
+    }
+
+    /// Drops one of the eligible peers by a hash, which each proxy computes differently at each instant.
+    fn drop_random(&mut self, now: Timestamp, is_eligible: impl Fn(&PeerView, &Peer) -> bool) {
+        let draw = |ip: &IpAddr| {
             let mut hasher = DefaultHasher::new();
-            (self.me, ip, now.0).hash(&mut hasher);
+            (self.own_ip, ip, now.0).hash(&mut hasher);
             hasher.finish()
         };
-        let among = self.known.iter().filter(|(_, known)| of(self, known));
-        let picked = among.min_by_key(|(ip, _)| lot(ip)).map(|(ip, _)| *ip);
-        picked.into_iter().for_each(|ip| drop(self.known.remove(&ip)));
+        let eligible = self.peers.iter().filter(|(_, peer)| is_eligible(self, peer));
+        let dropped = eligible.min_by_key(|(ip, _)| draw(ip)).map(|(ip, _)| *ip);
+        if let Some(ip) = dropped {
+            self.peers.remove(&ip);
+        }
     }
 
-    /// One that did not answer.
+    /// Removes a peer that did not answer.
     pub fn remove(&mut self, ip: IpAddr) {
-        self.known.remove(&ip);
+        self.peers.remove(&ip);
     }
 
-    /// Some of the view, from one drawn on, and this door itself: what is told in a shuffle.
-    pub fn sample(&self, draw: usize, now: Timestamp) -> Vec<PeerEntry> {
-        let me = PeerEntry { ip: self.me, region: self.region.clone(), last_contact_ms: 0 };
-        let some =
-            self.known.iter().cycle().skip(draw % self.known.len().max(1)).take(TOLD.min(self.known.len()));
-        let some = some.map(|(ip, known)| PeerEntry {
+    /// What is sent in a shuffle: some of the peers, from a random offset on, and this proxy itself.
+    pub fn sample(&self, offset: usize, now: Timestamp) -> Vec<PeerEntry> {
+        let own_entry = PeerEntry { ip: self.own_ip, region: self.own_region.clone(), last_contact_ms: 0 };
+        let first = offset % self.peers.len().max(1);
+        let count = SHUFFLE_SAMPLE.min(self.peers.len());
+        let sampled = self.peers.iter().cycle().skip(first).take(count);
+        let sampled = sampled.map(|(ip, peer)| PeerEntry {
             ip: *ip,
-            region: known.region.clone(),
-            last_contact_ms: now.since(known.heard).as_millis() as u64,
+            region: peer.region.clone(),
+            last_contact_ms: now.since(peer.last_contact).as_millis() as u64,
         });
-        some.chain(std::iter::once(me)).collect()
+        sampled.chain(std::iter::once(own_entry)).collect()
     }
 
-    /// The doors to turn to, from one drawn on: those of this door's region first.
-    pub fn contact_order(&self, draw: usize) -> Vec<IpAddr> {
-        let mut all: Vec<_> = self.known.iter().collect();
-        let turn = draw % all.len().max(1);
-        all.rotate_left(turn);
-        all.sort_by_key(|(_, known)| known.region != self.region);
-        all.into_iter().map(|(ip, _)| *ip).collect()
+    /// All peers in the order in which to contact them: those of this proxy's region first, from a random offset on.
+    pub fn contact_order(&self, offset: usize) -> Vec<IpAddr> {
+        let mut ordered: Vec<_> = self.peers.iter().collect();
+        let first = offset % ordered.len().max(1);
+        ordered.rotate_left(first);
+        ordered.sort_by_key(|(_, peer)| self.is_remote(peer));
+        ordered.into_iter().map(|(ip, _)| *ip).collect()
     }
 }
 
--- a/crates/discovery/src/source_selector.rs
+++ b/crates/discovery/src/source_selector.rs
@@ -1,141 +1,172 @@
-//! Whom a door hears the control plane through. A postmaster or a neighbour that is cut off from the others
-//! goes on answering with what it has; each answer says how long ago the register and all else in it were
-//! certainly the newest, and a source whose own word is too old is left for others, however new what the door
-//! has is.
+//! Choice of the source from which a proxy pulls control-plane updates: a controller or, where no controller is up to
+//! date, a peer.
+//!
+//! A source that is cut off from the others goes on answering with what it has. So each answer says when all that it
+//! contains was attested to be the newest, and a source whose own attestation is too old is left for another one, however
+//! new the proxy's own copy is. Sources that fail or lag are avoided for a time that doubles, the backoff: each attempt
+//! at one of them is time in which the proxy receives nothing.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Duration;
 use vanewharf_clock::Timestamp;
 
-/// How long a pull waits for news.
-const WAIT: Duration = Duration::from_millis(300);
-/// A source that is further behind than this is left for another. A lease that passes from one holder to the
-/// next leaves all of them behind for about as long.
-const BEHIND: Duration = Duration::from_millis(2000);
-/// How long one that failed, or was behind, is not asked again while others are left: longer each time, as
-/// each try is time in which the door hears nothing.
-const SPARED: Duration = Duration::from_secs(3);
-const MOST_SPARED: Duration = Duration::from_secs(12);
+/// How long a pull waits at the source for an update.
+const PULL_WAIT: Duration = Duration::from_millis(300);
 
-/// A pull from one that is behind, for want of a better one.
-const SHORT: Duration = Duration::from_millis(100);
+/// How long a pull waits at a lagging source, where no better one is left: an update from it is unlikely, and the other
+/// lagging ones are to be tried soon.
+const LAGGING_PULL_WAIT: Duration = Duration::from_millis(100);
 
-/// What the last answer, or the want of one, showed.
+/// A source whose attestation is older than this is left for another one. A lease that passes from one leaseholder to
+/// the next leaves all of them behind for about as long.
+const MAX_ATTESTATION_AGE: Duration = Duration::from_millis(2000);
+
+/// For how long a source is avoided at first, and at most.
+const INITIAL_BACKOFF: Duration = Duration::from_secs(3);
+const MAX_BACKOFF: Duration = Duration::from_secs(12);
+
+/// Why a source is avoided.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Fault {
+    /// It did not answer.
     Failed,
-    Behind,
-    /// It has heard of no holder since it began.
-    Blank,
+    /// Its attestation is too old.
+    Lagging,
+    /// It has had no contact with a leaseholder since it started.
+    NeverAttested,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Spared {
+struct Backoff {
     fault: Fault,
     since: Timestamp,
-    how_long: Duration,
+    duration: Duration,
 }
 
-impl Spared {
-    fn now(self, now: Timestamp) -> bool {
-        now.since(self.since) < self.how_long
+impl Backoff {
+    fn is_active(self, now: Timestamp) -> bool {
+        now.since(self.since) < self.duration
     }
 }
 
-/// Who is asked next, and how long the answer may be held back.
+/// The source of the next pull, and how long it may hold its answer back for an update.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SourceChoice {
+    /// Address to pull from.
     pub source: SocketAddr,
+    /// How long the source may hold the answer back; zero: it answers at once with what it has.
     pub wait: Duration,
 }
 
+/// Chooses sources by the answers that earlier pulls had.
+///
+/// The caller pulls from the source that [`choose_next`](Self::choose_next) gives, and then calls
+/// [`record_answer`](Self::record_answer) or [`record_failure`](Self::record_failure).
 #[derive(Clone, Debug, Default)]
 pub struct SourceSelector {
-    spared: BTreeMap<SocketAddr, Spared>,
-    /// When each was last asked, of those that are or were spared.
-    asked: BTreeMap<SocketAddr, Timestamp>,
-    last: Option<SocketAddr>,
-    /// The last one was a neighbour, and in vain.
-    in_vain: bool,
+    /// Sources that are avoided, or were before: the next backoff depends on the one before.
+    backoffs: BTreeMap<SocketAddr, Backoff>,
+    /// When each source was last pulled from.
+    last_pulls: BTreeMap<SocketAddr, Timestamp>,
+    /// Where the last pull went; none where it failed.
+    last_source: Option<SocketAddr>,
+    /// Whether the last pull went to a peer that failed or lagged.
+    peer_was_useless: bool,
 }
 
 impl SourceSelector {
-    /// From the nearest postmaster that answers and is up to date; where there is none, from a neighbour that
-    /// is; else from the postmaster behind that was asked longest ago: one of them may be up to date by now,
-    /// and clients hear of this door through it. None where nobody is left: all may be asked again.
+    /// The source of the next pull; none where each has failed lately (all may then be tried again).
+    ///
+    /// It is the first controller (`controllers` come nearest first) that is not avoided; else the first such peer;
+    /// else, of the controllers that answer, the one that was pulled from longest ago: one of them may be up to date by
+    /// now, and clients are told of this proxy through it.
     pub fn choose_next(
         &mut self,
-        offices: &[SocketAddr],
-        beside: &[SocketAddr],
+        controllers: &[SocketAddr],
+        peers: &[SocketAddr],
         now: Timestamp,
     ) -> Option<SourceChoice> {
-        let known = |source: &SocketAddr| offices.contains(source) || beside.contains(source);
-        self.spared.retain(|source, _| known(source));
-        self.asked.retain(|source, _| known(source));
-        let spared = |source: &SocketAddr| self.spared.get(source).filter(|one| one.now(now));
-        let current = |source: &&SocketAddr| spared(source).is_none();
-        // A neighbour in vain is followed by a postmaster that answers: the registry must hear of this door.
-        let turn = !std::mem::replace(&mut self.in_vain, false);
-        let best = offices.iter().find(current).or(beside.iter().find(|source| turn && current(source)));
-        let answers = |source: &&SocketAddr| spared(source).is_none_or(|one| one.fault != Fault::Failed);
-        let blank = |source: &SocketAddr| spared(source).is_some_and(|one| one.fault == Fault::Blank);
-        // At the start none has anything yet, and the nearest is as good as any.
-        let start = offices.iter().filter(answers).all(blank);
-        let left = || {
-            let asked = |source: &&SocketAddr| self.asked.get(*source).filter(|_| !start);
-            offices.iter().filter(answers).min_by_key(asked)
+        self.forget_all_but(controllers, peers);
+        let backoff =
+            |source: &SocketAddr| self.backoffs.get(source).filter(|backoff| backoff.is_active(now));
+        let is_usable = |source: &&SocketAddr| backoff(source).is_none();
+        // After a useless peer comes a controller that answers, if one is left: the registry must not lose this proxy.
+        let try_peers = !std::mem::take(&mut self.peer_was_useless);
+        let preferred =
+            controllers.iter().find(is_usable).or(peers.iter().find(|source| try_peers && is_usable(source)));
+
+        let answers =
+            |source: &&SocketAddr| backoff(source).is_none_or(|backoff| backoff.fault != Fault::Failed);
+        let never_attested = |source: &SocketAddr| {
+            backoff(source).is_some_and(|backoff| backoff.fault == Fault::NeverAttested)
         };
-        let Some(source) = best.or_else(left).copied() else {
-            self.spared.retain(|_, spared| spared.fault != Fault::Failed);
+        // While the system starts no controller has anything yet, and the nearest is as good as any.
+        let system_starts = controllers.iter().filter(answers).all(never_attested);
+        let fallback = || {
+            let last_pull = |source: &&SocketAddr| self.last_pulls.get(*source).filter(|_| !system_starts);
+            controllers.iter().filter(answers).min_by_key(last_pull)
+        };
+        let Some(source) = preferred.or_else(fallback).copied() else {
+            self.backoffs.retain(|_, backoff| backoff.fault != Fault::Failed);
             return None;
         };
-        // One that is turned to says at once what it has: nothing is heard of others meanwhile.
-        let wait = match best {
-            Some(_) if self.last != Some(source) => Duration::ZERO,
-            None if !start => SHORT,
-            _ => WAIT,
+        // A source that is newly turned to answers at once: while it waited, nothing would come from any other.
+        let wait = match preferred {
+            Some(_) if self.last_source != Some(source) => Duration::ZERO,
+            None if !system_starts => LAGGING_PULL_WAIT,
+            _ => PULL_WAIT,
         };
-        self.last = Some(source);
-        self.asked.insert(source, now);
+        self.last_source = Some(source);
+        self.last_pulls.insert(source, now);
         Some(SourceChoice { source, wait })
     }
 
-    /// It answered, and was itself up to date then; whether it is of use.
+    /// Drops what is known of sources that are not there any more.
+    fn forget_all_but(&mut self, controllers: &[SocketAddr], peers: &[SocketAddr]) {
+        let is_known = |source: &SocketAddr| controllers.contains(source) || peers.contains(source);
+        self.backoffs.retain(|source, _| is_known(source));
+        self.last_pulls.retain(|source, _| is_known(source));
+    }
+
+    /// Records an answer, by when the source's copy was attested to be the newest (none: never). Returns whether the
+    /// source is up to date; one that is not is avoided from now on.
     pub fn record_answer(
         &mut self,
         source: SocketAddr,
-        sure: Option<Timestamp>,
-        beside: &[SocketAddr],
+        attested_at: Option<Timestamp>,
+        peers: &[SocketAddr],
         now: Timestamp,
     ) -> bool {
-        let fault = match sure {
-            Some(sure) if now.since(sure) <= BEHIND => {
-                self.spared.remove(&source);
+        let fault = match attested_at {
+            Some(attested_at) if now.since(attested_at) <= MAX_ATTESTATION_AGE => {
+                self.backoffs.remove(&source);
                 return true;
             }
-            Some(_) => Fault::Behind,
-            None => Fault::Blank,
+            Some(_) => Fault::Lagging,
+            None => Fault::NeverAttested,
         };
-        self.spare(source, fault, beside, now);
+        self.back_off(source, fault, peers, now);
         false
     }
 
-    pub fn record_failure(&mut self, source: SocketAddr, beside: &[SocketAddr], now: Timestamp) {
-        self.last = None;
-        self.spare(source, Fault::Failed, beside, now);
+    /// Records that a source did not answer.
+    pub fn record_failure(&mut self, source: SocketAddr, peers: &[SocketAddr], now: Timestamp) {
+        self.last_source = None;
+        self.back_off(source, Fault::Failed, peers, now);
     }
 
-    fn spare(&mut self, source: SocketAddr, fault: Fault, beside: &[SocketAddr], now: Timestamp) {
-        self.in_vain = beside.contains(&source);
-        let before = self.spared.get(&source).filter(|before| before.fault == fault);
-        let how_long = match before {
-            // Asked for want of a better one: that is no new trial.
-            Some(before) if before.now(now) => return,
-            Some(before) => (before.how_long * 2).min(MOST_SPARED),
-            None => SPARED,
+    /// Avoids a source: twice as long as before, where it shows the same fault again.
+    fn back_off(&mut self, source: SocketAddr, fault: Fault, peers: &[SocketAddr], now: Timestamp) {
+        self.peer_was_useless = peers.contains(&source);
+        let previous = self.backoffs.get(&source).filter(|previous| previous.fault == fault);
+        let duration = match previous {
+            // Pulled from for want of a better one: the attempt says nothing new.
+            Some(previous) if previous.is_active(now) => return,
+            Some(previous) => (previous.duration * 2).min(MAX_BACKOFF),
+            None => INITIAL_BACKOFF,
         };
-        self.spared.insert(source, Spared { fault, since: now, how_long });
+        self.backoffs.insert(source, Backoff { fault, since: now, duration });
     }
 }
 
