--- a/crates/exchange/src/lib.rs
+++ b/crates/exchange/src/lib.rs
@@ -5,13 +5,13 @@
 pub mod line;
 
 use std::collections::BTreeMap;
-use vanewharf_policy::interface::{BackendId, Outcome, Repeat, SubmissionNo, Tenths, TxnId};
+use vanewharf_policy::interface::{AttemptNumber, BackendId, Idempotency, Outcome, Ticks, TxnId};
 
 /// One submission; `S` is whatever calls it off.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Submission<S> {
     backend: BackendId,
-    sent: Tenths,
+    sent: Ticks,
     may_have_run: bool,
     /// None once called off or ended.
     call_off: Option<S>,
@@ -23,7 +23,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Txn<T, S> {
     repeat: Rep,
-    until: Tenths,
+    until: Ticks,
     answer: Option<T>,
     submissions: Vec<Submission<S>>,
 }
@@ -52,7 +52,7 @@
 #[derive(Debug, PartialEq, Eq)]
 pub struct Ended<T> {
     pub backend: BackendId,
-    pub took: Tenths,
+    pub took: Ticks,
     /// Whether the txn is concluded, by this outcome or before.
     pub complete: bool,
     /// The first good answer goes out by this.
@@ -72,7 +72,7 @@
     /// It is answered, or gone.
     Nothing,
     /// What is out ends as timed out, and the decisions say what becomes of the txn.
-    CallOff(Vec<SubmissionNo>),
+    CallOff(Vec<AttemptNumber>),
     /// Nothing is out and nobody has answered.
     Overdue,
 }
@@ -83,20 +83,20 @@
     Unknown,
     /// Concluded in this very batch, or out of time: nothing is sent, and the decisions hear so.
     Moot {
-        no: SubmissionNo,
+        no: AttemptNumber,
         complete: bool,
     },
     /// It is waited for until then; `allowed` where no effect twice can come of it.
     Goes {
-        no: SubmissionNo,
-        until: Tenths,
+        no: AttemptNumber,
+        until: Ticks,
         allowed: bool,
     },
 }
 
 impl<T, S> Txns<T, S> {
-    pub fn arrived(&mut self, id: TxnId, repeat: Repeat, until: Tenths, answer: T) {
-        let repeat = if repeat == Repeat::OnceOnly { Rep::OnceOnly } else { Rep::Freely };
+    pub fn arrived(&mut self, id: TxnId, repeat: Idempotency, until: Ticks, answer: T) {
+        let repeat = if repeat == Idempotency::NonIdempotent { Rep::OnceOnly } else { Rep::Freely };
         self.txns.insert(id, Txn { repeat, until, answer: Some(answer), submissions: Vec::new() });
     }
 
@@ -121,9 +121,9 @@
     pub fn ended(
         &mut self,
         id: TxnId,
-        no: SubmissionNo,
+        no: AttemptNumber,
         outcome: Outcome,
-        now: Tenths,
+        now: Ticks,
     ) -> Result<Ended<T>, Odd> {
         let Some(txn) = self.txns.get_mut(&id) else {
             return Err(Odd::Unknown);
@@ -138,7 +138,7 @@
             return Err(Odd::Twice);
         }
         let (backend, took) = (submission.backend, now - submission.sent);
-        let answer = if outcome == Outcome::Settled { txn.answer.take() } else { None };
+        let answer = if outcome == Outcome::Succeeded { txn.answer.take() } else { None };
         let complete = txn.answer.is_none();
         self.over.push(id);
         Ok(Ended { backend, took, complete, answer })
@@ -149,7 +149,7 @@
             return Expiry::Nothing;
         };
         let out = txn.submissions.iter().enumerate().filter(|(_, one)| !one.ended);
-        let out: Vec<_> = out.map(|(no, _)| SubmissionNo(no as u32)).collect();
+        let out: Vec<_> = out.map(|(no, _)| AttemptNumber(no as u32)).collect();
         if !out.is_empty() {
             return Expiry::CallOff(out);
         }
@@ -157,7 +157,7 @@
     }
 
     /// By what a submission is called off, once: its outcome may be on the way already.
-    pub fn call_off(&mut self, id: TxnId, no: SubmissionNo) -> Option<S> {
+    pub fn call_off(&mut self, id: TxnId, no: AttemptNumber) -> Option<S> {
         let submission = self.txns.get_mut(&id)?.submissions.get_mut(no.0 as usize)?;
         submission.call_off.take()
     }
@@ -177,11 +177,11 @@
         Some(answer)
     }
 
-    pub fn submit(&mut self, id: TxnId, backend: BackendId, time_out: Option<Tenths>, now: Tenths) -> Submit {
+    pub fn submit(&mut self, id: TxnId, backend: BackendId, time_out: Option<Ticks>, now: Ticks) -> Submit {
         let Some(txn) = self.txns.get_mut(&id) else {
             return Submit::Unknown;
         };
-        let no = SubmissionNo(txn.submissions.len() as u32);
+        let no = AttemptNumber(txn.submissions.len() as u32);
         let concluded = txn.answer.is_none();
         let moot = concluded || txn.until <= now;
         let ran = txn.submissions.iter().any(|one| one.may_have_run);
@@ -195,7 +195,7 @@
     }
 
     /// What calls off the submission that goes.
-    pub fn goes(&mut self, id: TxnId, no: SubmissionNo, call_off: S) {
+    pub fn goes(&mut self, id: TxnId, no: AttemptNumber, call_off: S) {
         let submission = self.txns.get_mut(&id).and_then(|txn| txn.submissions.get_mut(no.0 as usize));
         if let Some(submission) = submission {
             submission.call_off = Some(call_off);
@@ -225,16 +225,16 @@
     use super::*;
 
     const ONE: TxnId = TxnId(1);
-    const FIRST: SubmissionNo = SubmissionNo(0);
+    const FIRST: AttemptNumber = AttemptNumber(0);
 
-    fn txns(repeat: Repeat) -> Txns<&'static str, &'static str> {
+    fn txns(repeat: Idempotency) -> Txns<&'static str, &'static str> {
         let mut txns = Txns::default();
-        txns.arrived(ONE, repeat, Tenths(100), "answer");
+        txns.arrived(ONE, repeat, Ticks(100), "answer");
         txns
     }
 
     fn goes(txns: &mut Txns<&'static str, &'static str>, now: i64) -> Submit {
-        let submit = txns.submit(ONE, BackendId(7), None, Tenths(now));
+        let submit = txns.submit(ONE, BackendId(7), None, Ticks(now));
         if let Submit::Goes { no, .. } = submit {
             txns.goes(ONE, no, "call off");
         }
@@ -243,38 +243,38 @@
 
     #[test]
     fn a_txn_has_one_answer_and_is_forgotten_when_nothing_is_out() {
-        let mut txns = txns(Repeat::InquiryLike);
-        assert_eq!(goes(&mut txns, 10), Submit::Goes { no: FIRST, until: Tenths(100), allowed: true });
+        let mut txns = txns(Idempotency::Idempotent);
+        assert_eq!(goes(&mut txns, 10), Submit::Goes { no: FIRST, until: Ticks(100), allowed: true });
         goes(&mut txns, 12);
-        let ended = txns.ended(ONE, FIRST, Outcome::Settled, Tenths(30)).expect("it was out");
-        assert_eq!((ended.answer, ended.complete, ended.took), (Some("answer"), true, Tenths(20)));
+        let ended = txns.ended(ONE, FIRST, Outcome::Succeeded, Ticks(30)).expect("it was out");
+        assert_eq!((ended.answer, ended.complete, ended.took), (Some("answer"), true, Ticks(20)));
         assert_eq!(txns.conclude(ONE), None, "answered already");
         assert_eq!(txns.forget(), [], "the other is still out");
-        let other = txns.ended(ONE, SubmissionNo(1), Outcome::Settled, Tenths(40)).expect("it was out");
+        let other = txns.ended(ONE, AttemptNumber(1), Outcome::Succeeded, Ticks(40)).expect("it was out");
         assert_eq!((other.answer, other.complete), (None, true));
         assert_eq!(txns.forget(), [ONE]);
-        assert_eq!(txns.ended(ONE, FIRST, Outcome::Settled, Tenths(50)), Err(Odd::Unknown));
+        assert_eq!(txns.ended(ONE, FIRST, Outcome::Succeeded, Ticks(50)), Err(Odd::Unknown));
         assert!(txns.is_empty());
     }
 
     #[test]
     fn what_is_concluded_or_out_of_time_is_not_sent() {
-        let mut txns = txns(Repeat::InquiryLike);
+        let mut txns = txns(Idempotency::Idempotent);
         assert_eq!(goes(&mut txns, 100), Submit::Moot { no: FIRST, complete: false });
         assert!(txns.left(ONE) && !txns.left(ONE));
-        assert_eq!(goes(&mut txns, 20), Submit::Moot { no: SubmissionNo(1), complete: true });
-        assert_eq!(txns.submit(TxnId(9), BackendId(7), None, Tenths(0)), Submit::Unknown);
+        assert_eq!(goes(&mut txns, 20), Submit::Moot { no: AttemptNumber(1), complete: true });
+        assert_eq!(txns.submit(TxnId(9), BackendId(7), None, Ticks(0)), Submit::Unknown);
     }
 
     #[test]
     fn a_once_only_txn_is_harmless_and_may_go_again_only_where_nothing_may_have_run() {
-        let mut txns = txns(Repeat::OnceOnly);
+        let mut txns = txns(Idempotency::NonIdempotent);
         assert!(txns.harmless(ONE));
         goes(&mut txns, 10);
         assert!(!txns.harmless(ONE), "it may run at any moment");
         assert!(matches!(goes(&mut txns, 11), Submit::Goes { allowed: false, .. }));
         for no in [0, 1] {
-            txns.ended(ONE, SubmissionNo(no), Outcome::TurnedAway, Tenths(20)).expect("it was out");
+            txns.ended(ONE, AttemptNumber(no), Outcome::Rejected, Ticks(20)).expect("it was out");
         }
         assert!(txns.harmless(ONE));
         assert!(matches!(goes(&mut txns, 21), Submit::Goes { allowed: true, .. }));
@@ -282,13 +282,13 @@
 
     #[test]
     fn an_expiry_calls_off_what_is_out_once_and_tells_what_is_overdue() {
-        let mut txns = txns(Repeat::InquiryLike);
+        let mut txns = txns(Idempotency::Idempotent);
         assert_eq!(txns.expire(ONE), Expiry::Overdue);
         goes(&mut txns, 10);
         assert_eq!(txns.expire(ONE), Expiry::CallOff(vec![FIRST]));
         assert_eq!((txns.call_off(ONE, FIRST), txns.call_off(ONE, FIRST)), (Some("call off"), None));
-        txns.ended(ONE, FIRST, Outcome::TimedOut, Tenths(100)).expect("it was out");
-        assert_eq!(txns.ended(ONE, FIRST, Outcome::Settled, Tenths(101)), Err(Odd::Twice));
+        txns.ended(ONE, FIRST, Outcome::TimedOut, Ticks(100)).expect("it was out");
+        assert_eq!(txns.ended(ONE, FIRST, Outcome::Succeeded, Ticks(101)), Err(Odd::Twice));
         assert!(txns.conclude(ONE).is_some());
         assert_eq!(txns.expire(ONE), Expiry::Nothing);
         assert_eq!(txns.expire(TxnId(5)), Expiry::Nothing);
@@ -296,10 +296,10 @@
 
     #[test]
     fn a_time_out_of_its_own_is_no_longer_than_the_expiry() {
-        let mut txns = txns(Repeat::InquiryLike);
+        let mut txns = txns(Idempotency::Idempotent);
         let with =
-            |txns: &mut Txns<_, &str>, span| txns.submit(ONE, BackendId(7), Some(Tenths(span)), Tenths(10));
-        assert!(matches!(with(&mut txns, 20), Submit::Goes { until: Tenths(30), .. }));
-        assert!(matches!(with(&mut txns, 500), Submit::Goes { until: Tenths(100), .. }));
+            |txns: &mut Txns<_, &str>, span| txns.submit(ONE, BackendId(7), Some(Ticks(span)), Ticks(10));
+        assert!(matches!(with(&mut txns, 20), Submit::Goes { until: Ticks(30), .. }));
+        assert!(matches!(with(&mut txns, 500), Submit::Goes { until: Ticks(100), .. }));
     }
 }
--- a/crates/exchange/src/line.rs
+++ b/crates/exchange/src/line.rs
@@ -75,19 +75,19 @@
         let over = |outcome| (Line::Over, Then::Ends(outcome));
         match (self, what) {
             (Line::Dialling, Up) => (Line::Writing { fresh: true }, Then::On),
-            (Line::Dialling, NotUp) => over(Outcome::NoConnection),
-            (Line::Dialling, Undialled) => over(Outcome::Moot),
+            (Line::Dialling, NotUp) => over(Outcome::ConnectFailed),
+            (Line::Dialling, Undialled) => over(Outcome::NotSent),
             (Line::Writing { fresh }, Written) => (Line::Waiting { fresh }, Then::On),
-            (Line::Writing { fresh: true }, Broke) => over(Outcome::NoConnection),
+            (Line::Writing { fresh: true }, Broke) => over(Outcome::ConnectFailed),
             (Line::Writing { fresh: false }, Broke) => (Line::Dialling, Then::DialsAnew),
-            (Line::Waiting { .. }, Broke) => (Line::Over, Then::EndsSilently(Outcome::Broken)),
-            (Line::Waiting { .. }, Garbled) => over(Outcome::Broken),
+            (Line::Waiting { .. }, Broke) => (Line::Over, Then::EndsSilently(Outcome::ConnectionLost)),
+            (Line::Waiting { .. }, Garbled) => over(Outcome::ConnectionLost),
             (Line::Waiting { .. }, Answered { outcome, last }) => {
                 (if last { Line::Over } else { Line::Idle }, Then::Ends(outcome))
             }
             // Not all of it had gone out, so nothing can have run.
             (Line::Dialling | Line::Writing { .. }, CalledOff(self::CalledOff::TimedOut)) => {
-                over(Outcome::NoConnection)
+                over(Outcome::ConnectFailed)
             }
             (Line::Waiting { .. }, CalledOff(self::CalledOff::TimedOut)) => over(Outcome::TimedOut),
             (
@@ -116,35 +116,35 @@
         let (timed_out, cancelled) =
             (CalledOff(super::CalledOff::TimedOut), CalledOff(super::CalledOff::Cancelled));
         let cases: &[(bool, &[Happened], Line, Then)] = &[
-            (false, &[NotUp], Line::Over, Then::Ends(Outcome::NoConnection)),
-            (false, &[Undialled], Line::Over, Then::Ends(Outcome::Moot)),
-            (false, &[timed_out], Line::Over, Then::Ends(Outcome::NoConnection)),
-            (false, &[Up, Broke], Line::Over, Then::Ends(Outcome::NoConnection)),
+            (false, &[NotUp], Line::Over, Then::Ends(Outcome::ConnectFailed)),
+            (false, &[Undialled], Line::Over, Then::Ends(Outcome::NotSent)),
+            (false, &[timed_out], Line::Over, Then::Ends(Outcome::ConnectFailed)),
+            (false, &[Up, Broke], Line::Over, Then::Ends(Outcome::ConnectFailed)),
             (true, &[Broke], Line::Dialling, Then::DialsAnew),
-            (true, &[Written, Broke], Line::Over, Then::EndsSilently(Outcome::Broken)),
+            (true, &[Written, Broke], Line::Over, Then::EndsSilently(Outcome::ConnectionLost)),
             (false, &[Up, Written, timed_out], Line::Over, Then::Ends(Outcome::TimedOut)),
             (false, &[Up, Written, cancelled], Line::Over, Then::Ends(Outcome::Cancelled)),
-            (false, &[Up, Written, Garbled], Line::Over, Then::Ends(Outcome::Broken)),
+            (false, &[Up, Written, Garbled], Line::Over, Then::Ends(Outcome::ConnectionLost)),
             (
                 false,
-                &[Up, Written, answered(Outcome::Settled, false)],
+                &[Up, Written, answered(Outcome::Succeeded, false)],
                 Line::Idle,
-                Then::Ends(Outcome::Settled),
+                Then::Ends(Outcome::Succeeded),
             ),
             (
                 false,
-                &[Up, Written, answered(Outcome::Settled, true)],
+                &[Up, Written, answered(Outcome::Succeeded, true)],
                 Line::Over,
-                Then::Ends(Outcome::Settled),
+                Then::Ends(Outcome::Succeeded),
             ),
             (
                 false,
-                &[Up, Written, answered(Outcome::TurnedAway, false)],
+                &[Up, Written, answered(Outcome::Rejected, false)],
                 Line::Idle,
-                Then::Ends(Outcome::TurnedAway),
+                Then::Ends(Outcome::Rejected),
             ),
             (false, &[Up, Written, answered(Outcome::Error, false)], Line::Idle, Then::Ends(Outcome::Error)),
-            (false, &[Up, answered(Outcome::Settled, false)], Line::Writing { fresh: true }, Then::Odd),
+            (false, &[Up, answered(Outcome::Succeeded, false)], Line::Writing { fresh: true }, Then::Odd),
         ];
         for (kept, what, line, then) in cases {
             assert_eq!(after(*kept, what), (*line, *then), "{what:?}");
--- a/crates/gateway-settings/src/lib.rs
+++ b/crates/gateway-settings/src/lib.rs
@@ -17,7 +17,7 @@
     ConnectionTimeouts, RequestBounds, connection_timeouts, discovery_poll_interval, idle_reuse_limit,
     peer_messages_per_s, request_bounds,
 };
-pub use options::{Options, UnreadableOption, tenths_from_ms};
+pub use options::{Options, UnreadableOption, ticks_from_ms};
 pub use policy_start::{SettingNames, policy_start};
 
 #[cfg(test)]
--- a/crates/gateway-settings/src/options.rs
+++ b/crates/gateway-settings/src/options.rs
@@ -5,7 +5,7 @@
 use std::collections::HashMap;
 use std::str::FromStr;
 use thiserror::Error;
-use vanewharf_policy::interface::Tenths;
+use vanewharf_policy::interface::Ticks;
 
 /// An option that is missing or cannot be read, and what was found there.
 #[derive(Debug, Error)]
@@ -102,8 +102,8 @@
     }
 
     /// A span stated in milliseconds; zero where it is not stated.
-    pub(crate) fn time(&self, option: &str) -> Result<Tenths, UnreadableOption> {
-        Ok(tenths_from_ms(self.number(option)?))
+    pub(crate) fn time(&self, option: &str) -> Result<Ticks, UnreadableOption> {
+        Ok(ticks_from_ms(self.number(option)?))
     }
 
     /// The text as it stands; empty where it is not stated.
@@ -132,9 +132,9 @@
     }
 }
 
-/// Tenths of a millisecond, rounded down so that an expiry is never taken for later than it is.
-pub fn tenths_from_ms(milliseconds: f64) -> Tenths {
+/// Ticks of a millisecond, rounded down so that an expiry is never taken for later than it is.
+pub fn ticks_from_ms(milliseconds: f64) -> Ticks {
     // Against a decimal fraction that is represented as slightly less than the whole tenth that it stands for.
     const ROUNDING_TOLERANCE: f64 = 1e-6;
-    Tenths((milliseconds * 10.0 + ROUNDING_TOLERANCE).floor() as i64)
+    Ticks((milliseconds * 10.0 + ROUNDING_TOLERANCE).floor() as i64)
 }
--- a/crates/gateway-settings/src/policy_start.rs
+++ b/crates/gateway-settings/src/policy_start.rs
@@ -4,7 +4,7 @@
 use crate::options::{Options, UnreadableOption};
 use std::collections::HashMap;
 use vanewharf_policy::interface::{
-    Allowances, ColdFigures, DoorId, Plan, PlanId, Product, ProductId, Repeat, Start, Tenths,
+    AllowedActions, BalancerConfig, GatewayId, Idempotency, Plan, PlanId, Product, ProductId, Ticks, WarmUp,
 };
 
 /// The names that the settings give to what the policy numbers.
@@ -26,30 +26,30 @@
 pub fn policy_start(
     options: &Options,
     seed: u64,
-    at: Tenths,
-) -> Result<(Start, SettingNames), UnreadableOption> {
+    at: Ticks,
+) -> Result<(BalancerConfig, SettingNames), UnreadableOption> {
     let mut names = SettingNames { locality: options.text("locality").to_owned(), ..SettingNames::default() };
     let products = products(options, &mut names)?;
     let plans = plans(options, &mut names)?;
-    let start = Start {
+    let start = BalancerConfig {
         seed,
-        at,
-        me: DoorId(options.optional("me")?.unwrap_or_default()),
-        doors: options.optional("balancers")?.unwrap_or(1).max(1),
+        started_at: at,
+        gateway: GatewayId(options.optional("me")?.unwrap_or_default()),
+        gateway_count: options.optional("balancers")?.unwrap_or(1).max(1),
         products,
         plans,
-        allowances: allowances(options)?,
-        cold: ColdFigures {
-            from: options.number("rules.cold_from")?,
+        allowed: allowances(options)?,
+        warm_up: WarmUp {
+            initial_capacity: options.number("rules.cold_from")?,
             ramp_time: options.time("rules.ramp_time")?,
         },
-        kept: idle_reuse_limit(options.time("allowed.conn_idle")?),
+        idle_timeout: idle_reuse_limit(options.time("allowed.conn_idle")?),
         meter_period: options.time("family_info.use_period")?,
-        counter: options
+        counter_timeout: options
             .flag("family_info.shared_counter")?
             .then_some(options.time("family_info.count_wait")?),
-        peers: options.flag("allowed.peer_messages")?,
-        most_cost: options.number("family_info.most_units")?,
+        peer_messages: options.flag("allowed.peer_messages")?,
+        max_cost: options.number("family_info.most_units")?,
     };
     Ok((start, names))
 }
@@ -60,16 +60,16 @@
         let key = |name: &str| format!("classes.{item}.{name}");
         let window = options.time(&key("window"))?;
         let repeat = match options.text(&key("idempotency")) {
-            "retryable" => Repeat::InquiryLike,
+            "retryable" => Idempotency::Idempotent,
             // Where only some of the backends detect repeats, none is sent.
-            "dedup" if options.text(&key("group")) == "all" => Repeat::Referenced { window },
-            _ => Repeat::OnceOnly,
+            "dedup" if options.text(&key("group")) == "all" => Idempotency::Deduplicated { window },
+            _ => Idempotency::NonIdempotent,
         };
         names.products.insert(options.text(&key("name")).to_owned(), ProductId(item));
         products.push(Product {
             sla_time: options.time(&key("aim"))?,
             value: options.number(&key("gain"))?,
-            repeat,
+            idempotency: repeat,
         });
     }
     Ok(products)
@@ -84,21 +84,21 @@
             rate: options.number(&key("rate"))?,
             burst: options.number(&key("store_size"))?,
             value_factor: options.number(&key("value_factor"))?,
-            beyond_worth: options.number(&key("excess_worth"))?,
-            beyond_cost: options.number(&key("excess_cost"))?,
-            ceiling_rate: options.number(&key("ceiling_rate"))?,
-            ceiling_depth: options.number(&key("never_over_depth"))?,
+            excess_value: options.number(&key("excess_worth"))?,
+            excess_cost: options.number(&key("excess_cost"))?,
+            hard_limit_rate: options.number(&key("ceiling_rate"))?,
+            hard_limit_burst: options.number(&key("never_over_depth"))?,
         });
     }
     Ok(plans)
 }
 
-fn allowances(options: &Options) -> Result<Allowances, UnreadableOption> {
-    Ok(Allowances {
+fn allowances(options: &Options) -> Result<AllowedActions, UnreadableOption> {
+    Ok(AllowedActions {
         cancel: options.flag("allowed.cancel")?,
-        second_copies: options.flag("allowed.second_copies")?,
+        hedging: options.flag("allowed.second_copies")?,
         retry_after: options.flag("allowed.retry_after")?,
         max_retry_after: options.time("allowed.max_retry_after")?,
-        most_submissions: options.count("allowed.most_tries")?,
+        max_attempts: options.count("allowed.most_tries")?,
     })
 }
--- a/crates/gateway-settings/src/tests.rs
+++ b/crates/gateway-settings/src/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 use serde_json::json;
-use vanewharf_policy::interface::{PlanId, Repeat, Tenths};
+use vanewharf_policy::interface::{Idempotency, PlanId, Ticks};
 
 #[test]
 fn flat_and_nested_tell_the_same() {
@@ -21,16 +21,16 @@
         tiers_of_service.0.store_size=16 tiers_of_service.1.name=gold";
     let flat = Options::flat(flat.split(' ').filter_map(|pair| pair.split_once('=')));
     let nested = Options::nested(&nested);
-    let (one, names) = policy_start(&flat, 7, Tenths(5)).expect("readable");
-    let (other, _) = policy_start(&nested, 7, Tenths(5)).expect("readable");
+    let (one, names) = policy_start(&flat, 7, Ticks(5)).expect("readable");
+    let (other, _) = policy_start(&nested, 7, Ticks(5)).expect("readable");
     assert_eq!(one, other);
     assert_eq!(names.plans["gold"], PlanId(1));
-    let repeat = Repeat::Referenced { window: Tenths(50_002) };
-    assert_eq!((one.products[0].repeat, one.plans[0].rate), (repeat, 2.0));
-    let told = ConnectionTimeouts { idle: Tenths(150_000), dial: Tenths(2_500) };
+    let repeat = Idempotency::Deduplicated { window: Ticks(50_002) };
+    assert_eq!((one.products[0].idempotency, one.plans[0].rate), (repeat, 2.0));
+    let told = ConnectionTimeouts { idle: Ticks(150_000), dial: Ticks(2_500) };
     assert_eq!(connection_timeouts(&nested).expect("readable"), told);
     assert_eq!(connection_timeouts(&flat).expect("readable"), told);
-    let told = RequestBounds { max_cost: 8.0, gateways: 3, max_expiries: vec![Tenths(15_010)] };
+    let told = RequestBounds { max_cost: 8.0, gateways: 3, max_expiries: vec![Ticks(15_010)] };
     assert_eq!(request_bounds(&nested).expect("readable"), told);
     assert_eq!(request_bounds(&flat).expect("readable"), told);
 }
@@ -38,7 +38,7 @@
 #[test]
 fn what_cannot_be_read_is_named() {
     let odd = Options::nested(&json!({"classes": [{"gain": "much"}]}));
-    let fault = policy_start(&odd, 7, Tenths(5)).expect_err("no number");
+    let fault = policy_start(&odd, 7, Ticks(5)).expect_err("no number");
     assert_eq!(fault.to_string(), "option classes.0.gain cannot be read: 'much'");
-    assert!(policy_start(&Options::flat([("rules.cold_from", "inf")]), 7, Tenths(5)).is_err());
+    assert!(policy_start(&Options::flat([("rules.cold_from", "inf")]), 7, Ticks(5)).is_err());
 }
--- a/crates/policy/src/decide.rs
+++ b/crates/policy/src/decide.rs
@@ -20,13 +20,13 @@
 /// Seconds of settling that tell the pace of the fleet.
 const SETTLE_SPAN: f64 = 2.0;
 /// Long against an answer, short against a failure.
-const REST: Tenths = Tenths(80_000);
+const REST: Ticks = Ticks(80_000);
 /// Further submissions for each first one, and the most saved up: enough for one silent backend's txns.
 const COPIES: (f64, f64) = (0.1, 12.0);
 
-pub struct Door {
-    told: Start,
-    now: Tenths,
+pub struct Balancer {
+    told: BalancerConfig,
+    now: Ticks,
     chance: SmallRng,
     desk: Desk,
     till: Till,
@@ -35,45 +35,52 @@
     posted: VecDeque<BackendId>,
     stirring: BTreeSet<BackendId>,
     actions: Vec<Action>,
-    heard: Tenths,
+    heard: Ticks,
 }
 
-impl Door {
-    pub fn start(told: Start) -> Door {
+impl Balancer {
+    pub fn new(told: BalancerConfig) -> Balancer {
         let guess = |mean| Norm { mean, spread: mean, seen: 0.0 };
         let norms = told.products.iter().map(|product| guess(product.sla_time.seconds() / 4.0)).collect();
-        let desk = Desk { norms, rated_at: told.at, spare: COPIES.1, ..Desk::default() };
+        let desk = Desk { norms, rated_at: told.started_at, spare: COPIES.1, ..Desk::default() };
         let fits = vec![0.5; told.plans.len()];
         let till = Till { calling: 1.0, reach: 1.0, answered: 1.0, fits, ..Till::default() };
-        let (now, yard) = (told.at, BTreeMap::new());
+        let (now, yard) = (told.started_at, BTreeMap::new());
         let (posted, stirring, actions) = (VecDeque::new(), BTreeSet::new(), Vec::new());
         let chance = SmallRng::seed_from_u64(told.seed);
-        let mut door = Door { now, told, desk, till, yard, posted, stirring, chance, actions, heard: now };
+        let mut door =
+            Balancer { now, told, desk, till, yard, posted, stirring, chance, actions, heard: now };
         door.beat();
         door
     }
 
-    pub fn decide(&mut self, now: Tenths, events: Vec<Event>) -> Vec<Action> {
+    pub fn decide(&mut self, now: Ticks, events: Vec<Event>) -> Vec<Action> {
         self.now = self.now.max(now);
         // Against holding txns that no stall leaves time for: the next one may come at any moment.
         self.till.stall = self.till.stall.max(self.now - self.heard);
         self.heard = self.now;
         for event in events {
             match event {
-                Event::Listing(entries) => {
+                Event::BackendList(entries) => {
                     let named = |id: &BackendId| entries.iter().any(|entry| entry.backend == *id);
                     let missing: Vec<_> = self.yard.keys().copied().filter(|id| !named(id)).collect();
                     self.list(entries);
                     missing.into_iter().for_each(|id| self.post(id, ToBackend::Unlisted));
                 }
-                Event::Changes(entries) => self.list(entries),
-                Event::Arrived(arrival) => self.desk.inbox.push_back(ToDesk::Arrived(arrival)),
-                Event::Ended(ending) => self.desk.inbox.push_back(ToDesk::Ended(ending)),
-                Event::Left(txn) => self.desk.inbox.push_back(ToDesk::Left(txn)),
-                Event::Due(BEAT_TIMER) => self.beat(),
-                Event::Due(TimerId(ask)) => self.till.inbox.push_back(ToTill::Overdue(AskNo(ask as u32))),
-                Event::Heard { from, word } => self.till.inbox.push_back(ToTill::Heard(from, word)),
-                Event::Counted { name, counted } => self.till.inbox.push_back(ToTill::Counted(name, counted)),
+                Event::BackendChanges(entries) => self.list(entries),
+                Event::RequestArrived(arrival) => self.desk.inbox.push_back(ToDesk::Arrived(arrival)),
+                Event::AttemptEnded(ending) => self.desk.inbox.push_back(ToDesk::Ended(ending)),
+                Event::ClientDisconnected(txn) => self.desk.inbox.push_back(ToDesk::Left(txn)),
+                Event::TimerFired(BEAT_TIMER) => self.beat(),
+                Event::TimerFired(TimerId(ask)) => {
+                    self.till.inbox.push_back(ToTill::Overdue(QuotaRequestId(ask as u32)))
+                }
+                Event::PeerMessageReceived { from, message: word } => {
+                    self.till.inbox.push_back(ToTill::Heard(from, word))
+                }
+                Event::CounterReplied { key: name, reply: counted } => {
+                    self.till.inbox.push_back(ToTill::Counted(name, counted))
+                }
             }
         }
         self.settle_mail();
@@ -85,13 +92,13 @@
 
     /// Where txns are held for other doors' words, a door must know when it stood still itself.
     fn beat(&mut self) {
-        if self.told.peers {
+        if self.told.peer_messages {
             self.till.stall = self.till.stall.times(BEAT.1);
-            self.actions.push(Action::Wake { after: Tenths::SECOND.times(BEAT.0), timer: BEAT_TIMER });
+            self.actions.push(Action::SetTimer { after: Ticks::SECOND.times(BEAT.0), timer: BEAT_TIMER });
         }
     }
 
-    fn list(&mut self, entries: Vec<Listed>) {
+    fn list(&mut self, entries: Vec<BackendInfo>) {
         for entry in entries {
             self.yard.entry(entry.backend).or_insert_with(|| Backend::new(self.now));
             self.post(entry.backend, ToBackend::Listed(entry));
@@ -127,12 +134,12 @@
                     continue;
                 };
                 while let Some(note) = actor.inbox.pop_front() {
-                    actor.hear(note, self.now, &self.told.cold);
+                    actor.hear(note, self.now, &self.told.warm_up);
                 }
-                if actor.stirs(self.now, &self.told.cold) {
+                if actor.stirs(self.now, &self.told.warm_up) {
                     self.stirring.insert(id);
                 }
-                let offer = actor.listed.then(|| actor.offer(self.now, &self.told.cold));
+                let offer = actor.listed.then(|| actor.offer(self.now, &self.told.warm_up));
                 if !actor.listed && actor.out.is_empty() {
                     self.yard.remove(&id);
                 }
@@ -153,6 +160,6 @@
     }
 }
 
-fn faded(since: Tenths, now: Tenths) -> f64 {
+fn faded(since: Ticks, now: Ticks) -> f64 {
     (-(now - since).seconds() / SETTLE_SPAN).exp()
 }
--- a/crates/policy/src/decide/account.rs
+++ b/crates/policy/src/decide/account.rs
@@ -18,23 +18,23 @@
 const SURGE_SPAN: f64 = 0.5;
 
 impl Account {
-    pub(super) fn new(plan: PlanId, width: f64, now: Tenths, told: &Start) -> Account {
+    pub(super) fn new(plan: PlanId, width: f64, now: Ticks, told: &BalancerConfig) -> Account {
         let figures = &told.plans[plan.0];
         let (slice, tokens, filled, reviewed) = (1.0 / width, figures.burst / width, now, now);
         let mut account = Account { plan, width, slice, tokens, filled, reviewed, ..Account::default() };
         // What was spent before this instance began is unknown, so only time since then counts as refilled.
-        let since = (now - told.at).seconds();
+        let since = (now - told.started_at).seconds();
         // What others spent before is unknown too: of what may be lent, the even part.
         account.unclaimed = figures.burst * (KEPT + (1.0 - KEPT) / width);
-        account.ceiling = (since * figures.ceiling_rate / width).min(account.ceiling_most(figures));
+        account.ceiling = (since * figures.hard_limit_rate / width).min(account.ceiling_most(figures));
         account
     }
 
     pub(super) fn ceiling_most(&self, plan: &Plan) -> f64 {
-        plan.ceiling_depth / self.width
+        plan.hard_limit_burst / self.width
     }
 
-    pub(super) fn refill(&mut self, now: Tenths, plan: &Plan, told: &Start) {
+    pub(super) fn refill(&mut self, now: Ticks, plan: &Plan, told: &BalancerConfig) {
         let gap = (now - self.filled).seconds();
         self.filled = now;
         self.tokens = (self.tokens + plan.rate * self.slice * gap).min(plan.burst * self.slice);
@@ -44,20 +44,20 @@
         let others = surging.max(self.metered * plan.rate - self.let_aligned);
         let others = if self.current(now) { others } else { plan.rate * (1.0 - 1.0 / self.width) };
         self.unclaimed = (self.unclaimed + (plan.rate - others) * gap).min(plan.burst);
-        let ceiling = self.ceiling + plan.ceiling_rate / self.width * gap;
+        let ceiling = self.ceiling + plan.hard_limit_rate / self.width * gap;
         self.ceiling = ceiling.min(self.ceiling_most(plan));
-        let period = told.meter_period.max(Tenths::SECOND.times(0.5));
+        let period = told.meter_period.max(Ticks::SECOND.times(0.5));
         if now - self.reviewed >= period {
             self.review(now, plan);
         }
     }
 
-    pub(super) fn current(&self, now: Tenths) -> bool {
+    pub(super) fn current(&self, now: Ticks) -> bool {
         self.read_at.is_some_and(|at| (now - at).seconds() < SLICE_SPAN)
     }
 
     /// The design's slice: this door's share of what all doors let through.
-    fn review(&mut self, now: Tenths, plan: &Plan) {
+    fn review(&mut self, now: Ticks, plan: &Plan) {
         let gap = (now - self.reviewed).seconds();
         self.reviewed = now;
         let weight = 1.0 - (-gap / SLICE_SPAN).exp();
@@ -81,20 +81,23 @@
         }
     }
 
-    pub(super) fn ask(&mut self, cost: f64, again: bool, plan: &Plan) -> Verdict {
+    pub(super) fn ask(&mut self, cost: f64, again: bool, plan: &Plan) -> QuotaDecision {
         // The next try may come through any of the customer's doors: some other one has refilled sooner.
         self.asked += cost / SURGE_SPAN;
         // A repeat counts from its first try and often comes past the SLA time, so it must find more left.
         let again = f64::from(u8::from(again));
         let others = (self.width - 1.0).max(1.0);
-        let wait = |missing: f64, rate: f64| Some(Tenths::SECOND.times(missing / rate.max(1e-6) / others));
+        let wait = |missing: f64, rate: f64| {
+            let span = Ticks::SECOND.times(missing / rate.max(1e-6) / others);
+            QuotaRejection { retry_after: Some(span) }
+        };
         if self.passes_ceiling(cost, plan) {
-            return Err(wait(cost - self.ceiling, plan.ceiling_rate / self.width));
+            return Err(wait(cost - self.ceiling, plan.hard_limit_rate / self.width));
         }
         // Else a slice below one txn never admits it: a fair part of a full one is enough, the rest is debt.
         let needed = cost.min(ENOUGH * plan.burst * self.slice) * (1.0 + again);
         // A quota mostly unclaimed is lent from, down to what being wrong costs; the slice is left no debt.
-        let beyond = plan.beyond_cost - plan.beyond_worth;
+        let beyond = plan.excess_cost - plan.excess_value;
         let kept = KEPT * (beyond.max(0.0) + again);
         let lent = self.unclaimed - cost.min(ENOUGH * plan.burst) >= kept * plan.burst;
         if plan.rate > 0.0 && !lent && self.tokens < needed - 1e-9 {
@@ -115,7 +118,7 @@
     }
 
     pub(super) fn passes_ceiling(&self, cost: f64, plan: &Plan) -> bool {
-        plan.ceiling_rate > 0.0 && self.ceiling < cost
+        plan.hard_limit_rate > 0.0 && self.ceiling < cost
     }
 
     pub(super) fn spend(&mut self, cost: f64) {
--- a/crates/policy/src/decide/backend.rs
+++ b/crates/policy/src/decide/backend.rs
@@ -6,26 +6,27 @@
 const STRIKES: f64 = 3.0;
 
 impl Backend {
-    pub(super) fn new(now: Tenths) -> Self {
+    pub(super) fn new(now: Ticks) -> Self {
         let (heard, since, rated_at, ticked) = (now, now, now, now);
         Backend { size: 1.0, pace: 1.0, heard, since, rated_at, ticked, ..Backend::default() }
     }
 
-    fn warmth(&self, now: Tenths, cold: &ColdFigures) -> f64 {
+    fn warmth(&self, now: Ticks, cold: &WarmUp) -> f64 {
         let age = self.booted.map_or(f64::MAX, |booted| (now - booted).seconds().max(0.0));
-        (cold.from + (1.0 - cold.from) * age / cold.ramp_time.seconds().max(1e-4)).min(1.0)
+        (cold.initial_capacity + (1.0 - cold.initial_capacity) * age / cold.ramp_time.seconds().max(1e-4))
+            .min(1.0)
     }
 
-    pub(super) fn hear(&mut self, note: ToBackend, now: Tenths, cold: &ColdFigures) {
+    pub(super) fn hear(&mut self, note: ToBackend, now: Ticks, cold: &WarmUp) {
         match note {
             ToBackend::Listed(entry) => {
-                if entry.booted != self.booted && entry.booted.is_some() {
+                if entry.started_at != self.booted && entry.started_at.is_some() {
                     let (inbox, out) = (std::mem::take(&mut self.inbox), std::mem::take(&mut self.out));
                     *self = Backend { inbox, out, ..Backend::new(now) };
                 }
-                self.listed = entry.standing == Standing::Ready;
-                self.size = if entry.size > 0.0 { entry.size } else { 1.0 };
-                (self.booted, self.near) = (entry.booted, entry.near);
+                self.listed = entry.status == BackendStatus::Ready;
+                self.size = if entry.capacity > 0.0 { entry.capacity } else { 1.0 };
+                (self.booted, self.near) = (entry.started_at, entry.local);
             }
             ToBackend::Unlisted => self.listed = false,
             ToBackend::Sent { txn, no, work } => {
@@ -39,13 +40,13 @@
                     return;
                 };
                 match outcome {
-                    Outcome::Settled => {
+                    Outcome::Succeeded => {
                         self.heard = now;
                         self.kept_until = now + kept;
                         self.strikes *= 0.5;
                         self.pace += 0.1 * (relative.min(20.0) - self.pace);
                     }
-                    Outcome::Cancelled | Outcome::Moot => {}
+                    Outcome::Cancelled | Outcome::NotSent => {}
                     // A server that turns all away at once has nothing out and would look the emptiest.
                     _ if sent >= self.since => self.strikes += 1.0,
                     _ => {}
@@ -74,12 +75,12 @@
         }
     }
 
-    pub(super) fn stirs(&self, now: Tenths, cold: &ColdFigures) -> bool {
+    pub(super) fn stirs(&self, now: Ticks, cold: &WarmUp) -> bool {
         let (idle, struck) = (self.out.is_empty(), self.strikes >= STRIKES);
         !idle || struck || self.aside_until.is_some() || self.warmth(now, cold) < 1.0
     }
 
-    fn ails(&self, now: Tenths, patience: Tenths) -> bool {
+    fn ails(&self, now: Ticks, patience: Ticks) -> bool {
         // One txn long overdue tells as much as several a little: in a wide fleet a door has only one there.
         let ages = self.out.values().filter(|&&sent| sent >= self.since).map(|&sent| now - sent);
         let overdue = ages.filter(|&age| age > patience).map(|age| age.seconds() / patience.seconds());
@@ -87,7 +88,7 @@
         silent || self.strikes >= STRIKES
     }
 
-    pub(super) fn offer(&self, now: Tenths, cold: &ColdFigures) -> Offer {
+    pub(super) fn offer(&self, now: Ticks, cold: &WarmUp) -> Offer {
         let warmth = self.warmth(now, cold);
         let out = self.out.len() as f64;
         Offer {
--- a/crates/policy/src/decide/desk.rs
+++ b/crates/policy/src/decide/desk.rs
@@ -17,13 +17,13 @@
 /// The way to another place costs a little.
 const NEAR_ODDS: f64 = 5.0;
 
-impl Door {
+impl Balancer {
     pub(super) fn hear(&mut self, note: ToDesk) {
         match note {
             ToDesk::Arrived(arrival) => self.arrived(arrival),
             ToDesk::Granted(id) if self.submit(id).is_some() => {}
             ToDesk::Granted(id) => {
-                let want = self.desk.txns.get(&id).map(|txn| txn.asked.want);
+                let want = self.desk.txns.get(&id).map(|txn| txn.asked.claim);
                 let back = want.map(|want| ToTill::Closed { want, metered: None, owed: -want.cost });
                 self.till.inbox.extend(back);
                 self.give_up(id, None);
@@ -35,8 +35,9 @@
     }
 
     fn arrived(&mut self, arrival: Arrival) {
-        let Arrival { txn: id, product, mut want, expiry } = arrival;
-        want.width = if want.width == 0 { self.told.doors.max(1) } else { want.width };
+        let Arrival { txn: id, product, claim: mut want, deadline: expiry } = arrival;
+        want.subset_size =
+            if want.subset_size == 0 { self.told.gateway_count.max(1) } else { want.subset_size };
         let (norm, stays) = (self.desk.norms[product.0], expiry - self.now);
         let plan = &self.told.plans[want.plan.0];
         // By the time it takes: a dear txn that keeps a server long stands in the way of several cheap ones.
@@ -44,10 +45,11 @@
         let leaves = norm.seen >= 8.0 && stays.seconds() < IN_TIME * norm.mean;
         self.desk.crowd(value, self.now, &self.told);
         let pressed = self.desk.pressed(value) || leaves;
-        let spared = !self.desk.pressed(value * plan.beyond_worth);
-        self.desk
-            .txns
-            .insert(id, Txn { asked: Arrival { want, ..arrival }, arrived: self.now, ..Txn::default() });
+        let spared = !self.desk.pressed(value * plan.excess_value);
+        self.desk.txns.insert(
+            id,
+            Txn { asked: Arrival { claim: want, ..arrival }, arrived: self.now, ..Txn::default() },
+        );
         if pressed || self.desk.board.is_empty() {
             self.give_up(id, None);
         } else {
@@ -59,16 +61,17 @@
     }
 
     /// A decline says that another try is harmless, so it is kept from what may have run and must not again.
-    fn give_up(&mut self, id: TxnId, wait: Option<Tenths>) {
+    fn give_up(&mut self, id: TxnId, wait: Option<Ticks>) {
         let Some(txn) = self.desk.txns.get(&id) else {
             return;
         };
         let may_have_run = txn.submissions.iter().any(|submission| submission.may_have_run);
-        let harmless = !may_have_run || self.told.products[txn.asked.product.0].repeat != Repeat::OnceOnly;
-        let told = &self.told.allowances;
+        let harmless = !may_have_run
+            || self.told.products[txn.asked.product.0].idempotency != Idempotency::NonIdempotent;
+        let told = &self.told.allowed;
         let retry_after = wait.filter(|_| told.retry_after).map(|span| span.min(told.max_retry_after));
-        let decline = Action::Decline { txn: id, retry_after };
-        self.actions.push(if harmless { decline } else { Action::Void { txn: id } });
+        let decline = Action::Reject { txn: id, retry_after };
+        self.actions.push(if harmless { decline } else { Action::Fail { txn: id } });
         self.conclude(id);
     }
 
@@ -79,14 +82,14 @@
         let first = !std::mem::replace(&mut txn.answered, true);
         if !txn.submissions.last().is_some_and(|last| last.out) {
             self.desk.txns.remove(&id);
-        } else if first && self.told.allowances.cancel {
-            let no = SubmissionNo(txn.submissions.len() as u32 - 1);
-            self.actions.push(Action::Cancel { txn: id, no });
+        } else if first && self.told.allowed.cancel {
+            let no = AttemptNumber(txn.submissions.len() as u32 - 1);
+            self.actions.push(Action::CancelAttempt { txn: id, attempt: no });
         }
     }
 
-    fn ended(&mut self, ending: Ending) {
-        let (id, no) = (ending.txn, ending.no);
+    fn ended(&mut self, ending: AttemptReport) {
+        let (id, no) = (ending.txn, ending.attempt);
         let Some(txn) = self.desk.txns.get_mut(&id) else {
             return;
         };
@@ -96,15 +99,15 @@
         };
         submission.out = false;
         submission.may_have_run = !ending.outcome.never_ran();
-        let settled = ending.outcome == Outcome::Settled;
-        let owed = ending.true_cost.filter(|_| settled).map_or(0.0, |cost| cost - txn.asked.want.cost);
-        let (want, product, backend) = (txn.asked.want, txn.asked.product, submission.backend);
+        let settled = ending.outcome == Outcome::Succeeded;
+        let owed = ending.actual_cost.filter(|_| settled).map_or(0.0, |cost| cost - txn.asked.claim.cost);
+        let (want, product, backend) = (txn.asked.claim, txn.asked.product, submission.backend);
         // What did not get through fed no overload, so sending it again is not charged.
-        self.desk.spare += f64::from(u8::from(ending.outcome == Outcome::NoConnection));
+        self.desk.spare += f64::from(u8::from(ending.outcome == Outcome::ConnectFailed));
         let answered = txn.answered;
-        self.till.inbox.push_back(ToTill::Closed { want, metered: ending.metered, owed });
-        let took = ending.took.seconds();
-        let (relative, kept) = (took / self.desk.norms[product.0].mean.max(1e-4), self.told.kept);
+        self.till.inbox.push_back(ToTill::Closed { want, metered: ending.metered_usage, owed });
+        let took = ending.latency.seconds();
+        let (relative, kept) = (took / self.desk.norms[product.0].mean.max(1e-4), self.told.idle_timeout);
         if settled {
             self.desk.learn(product, took, self.now);
         }
@@ -124,10 +127,10 @@
         let product = &self.told.products[txn.asked.product.0];
         let may_have_run = txn.submissions.iter().any(|submission| submission.may_have_run);
         let in_time = txn.arrived + product.sla_time;
-        let answer = self.now + Tenths::SECOND.times(self.desk.norms[txn.asked.product.0].mean);
-        let allowed = !(may_have_run && product.repeat == Repeat::OnceOnly)
-            && txn.submissions.len() < self.told.allowances.most_submissions
-            && answer <= in_time.min(txn.asked.expiry)
+        let answer = self.now + Ticks::SECOND.times(self.desk.norms[txn.asked.product.0].mean);
+        let allowed = !(may_have_run && product.idempotency == Idempotency::NonIdempotent)
+            && txn.submissions.len() < self.told.allowed.max_attempts
+            && answer <= in_time.min(txn.asked.deadline)
             && self.desk.spare >= 1.0;
         self.desk.spare -= f64::from(u8::from(allowed));
         allowed
@@ -138,16 +141,16 @@
         let chance = self.chance.random::<f64>();
         let txn = self.desk.txns.get_mut(&id)?;
         let product = &self.told.products[txn.asked.product.0];
-        let backend = draw(&self.desk.board, txn, product.repeat, self.now, chance)?;
-        let no = SubmissionNo(txn.submissions.len() as u32);
+        let backend = draw(&self.desk.board, txn, product.idempotency, self.now, chance)?;
+        let no = AttemptNumber(txn.submissions.len() as u32);
         // Until its outcome says otherwise a submission may run at any moment.
         txn.submissions.push(Submission { backend, sent: self.now, out: true, may_have_run: true });
         // Without second copies only a time-out frees a txn from a silent backend.
         let norm = self.desk.norms[txn.asked.product.0];
-        let wait = Tenths::SECOND.times(2.0 * norm.mean + 5.0 * norm.spread);
-        let waits = product.repeat == Repeat::OnceOnly || self.told.allowances.second_copies;
-        let time_out = (!waits).then_some(wait.max(Tenths(10)));
-        self.actions.push(Action::Submit { txn: id, backend, time_out });
+        let wait = Ticks::SECOND.times(2.0 * norm.mean + 5.0 * norm.spread);
+        let waits = product.idempotency == Idempotency::NonIdempotent || self.told.allowed.hedging;
+        let time_out = (!waits).then_some(wait.max(Ticks(10)));
+        self.actions.push(Action::SendAttempt { txn: id, backend, timeout: time_out });
         if no.0 == 0 {
             self.desk.spare = (self.desk.spare + COPIES.0).min(COPIES.1);
         }
@@ -156,9 +159,10 @@
     }
 }
 
-fn draw(board: &Board, txn: &Txn, repeat: Repeat, now: Tenths, chance: f64) -> Option<BackendId> {
+fn draw(board: &Board, txn: &Txn, repeat: Idempotency, now: Ticks, chance: f64) -> Option<BackendId> {
     let ran = txn.submissions.iter().find(|submission| submission.may_have_run);
-    if matches!((repeat, ran), (Repeat::Referenced { window }, Some(first)) if now - first.sent >= window) {
+    if matches!((repeat, ran), (Idempotency::Deduplicated { window }, Some(first)) if now - first.sent >= window)
+    {
         return None;
     }
     // When most look bad the cause is shared, and sparing them would only crowd the rest.
@@ -184,7 +188,7 @@
 }
 
 impl Desk {
-    fn learn(&mut self, product: ProductId, took: f64, now: Tenths) {
+    fn learn(&mut self, product: ProductId, took: f64, now: Ticks) {
         let norm = &mut self.norms[product.0];
         norm.seen += 1.0;
         let weight = (1.0 / norm.seen).max(0.03);
@@ -195,14 +199,14 @@
     }
 
     /// Longer than nearly all answers take, so that silence is not mistaken for a long txn.
-    pub(super) fn patience(&self) -> Tenths {
+    pub(super) fn patience(&self) -> Ticks {
         let longest = self.norms.iter().map(|norm| norm.mean + 3.0 * norm.spread);
-        Tenths::SECOND.times(longest.fold(0.1, f64::max))
+        Ticks::SECOND.times(longest.fold(0.1, f64::max))
     }
 
     /// What is out over what settles is how long a newcomer would wait. All products wait in the same lines,
     /// so the one tightest on time says when; the cheaper give way first.
-    fn crowd(&mut self, value: f64, now: Tenths, told: &Start) {
+    fn crowd(&mut self, value: f64, now: Ticks, told: &BalancerConfig) {
         let mean = self.norms.iter().map(|norm| norm.mean).sum::<f64>() / self.norms.len() as f64;
         self.mean_value += 0.02 * (value - self.mean_value);
         // What is stuck at a silent backend stands in nobody's way; a jammed one looks silent too.
@@ -213,7 +217,7 @@
         let out = out.min(self.out_mean);
         // Against taking a door's first seconds, when little can have settled yet, for a crowd.
         let seen: f64 = self.norms.iter().map(|norm| norm.seen).sum();
-        let rate = self.settle_rate / (1.0 - faded(told.at, self.rated_at)).max(0.05);
+        let rate = self.settle_rate / (1.0 - faded(told.started_at, self.rated_at)).max(0.05);
         let crowding = out / rate.max(1.0) / mean;
         // One door of many has too few out to tell; there the answer times speak for themselves.
         let crowding = QUEUED + (crowding - QUEUED) * (out / 8.0).min(1.0);
--- a/crates/policy/src/decide/till.rs
+++ b/crates/policy/src/decide/till.rs
@@ -20,34 +20,35 @@
 const COUNT_WEIGHT: f64 = 0.1;
 
 impl Till {
-    pub(super) fn hear(&mut self, note: ToTill, now: Tenths, told: &Start) -> Option<ToDesk> {
+    pub(super) fn hear(&mut self, note: ToTill, now: Ticks, told: &BalancerConfig) -> Option<ToDesk> {
         match note {
             ToTill::Ask(ask) => {
                 let Ask { txn, want, .. } = ask;
-                let (figures, width, cost) = (&told.plans[want.plan.0], f64::from(want.width), want.cost);
+                let (figures, width, cost) =
+                    (&told.plans[want.plan.0], f64::from(want.subset_size), want.cost);
                 self.sweep(now, told);
-                let slim = (SLIM.0 + SLIM.1 * self.reach) * told.most_cost;
+                let slim = (SLIM.0 + SLIM.1 * self.reach) * told.max_cost;
                 let account = self.account(&want, now, told);
                 // A width that grows must not leave this door with more than its part of a ceiling.
                 account.width = width;
-                let binds = figures.rate > 0.0 && figures.beyond_cost >= figures.beyond_worth;
+                let binds = figures.rate > 0.0 && figures.excess_cost >= figures.excess_value;
                 let passes = account.passes_ceiling(cost, figures);
                 // Over many doors a slice's burst is less than a txn: what all doors let in together decides.
                 let (slice, asks) = (figures.burst / width, binds && !passes);
-                if asks && told.peers && slice < told.most_cost {
+                if asks && told.peer_messages && slice < told.max_cost {
                     return self.seek(ask, now, told);
                 }
-                let counts = asks && told.counter.is_some() && slice < slim;
+                let counts = asks && told.counter_timeout.is_some() && slice < slim;
                 if let Some(span) = count_span(figures).filter(|_| counts) {
                     return self.count(ask, span, now, told);
                 }
                 // Where use beyond the quota earns more than it costs, only the ceiling and a crowd bar it.
-                let inside = account.ask(cost, want.again, figures);
+                let inside = account.ask(cost, want.retry, figures);
                 if inside.is_err() && !(binds || passes) && ask.spared {
                     account.take(cost, account.tokens);
                     return Some(ToDesk::Granted(txn));
                 }
-                let refused = |wait| ToDesk::Refused(txn, wait);
+                let refused = |rejection: QuotaRejection| ToDesk::Refused(txn, rejection.retry_after);
                 return Some(inside.map_or_else(refused, |()| ToDesk::Granted(txn)));
             }
             ToTill::Counted(name, counted) => {
@@ -57,14 +58,14 @@
                 }
                 let Held { ask, window, asked } = held;
                 let span = count_span(&told.plans[ask.want.plan.0])?;
-                let line = told.counter.unwrap_or_default().times(COUNT_LINE);
-                if counted == Counted::NotAdded || now - asked > line {
+                let line = told.counter_timeout.unwrap_or_default().times(COUNT_LINE);
+                if counted == CounterReply::NotAdded || now - asked > line {
                     (self.calling, self.reach) = (0.5 * self.calling, 0.1 * self.reach);
                 }
                 let allowed = told.plans[ask.want.plan.0].rate * span.seconds();
                 self.answered -= COUNT_WEIGHT * self.answered;
                 let mut room = self.doubtful(&ask, now, told);
-                if let Counted::Total(total) = counted {
+                if let CounterReply::Total(total) = counted {
                     self.answered += COUNT_WEIGHT;
                     let account = self.account(&ask.want, now, told);
                     (account.window, account.window_total) = (window, total);
@@ -74,26 +75,44 @@
                 }
                 return Some(self.sought(&ask, room, Some(held.turns(span) - now), now, told));
             }
-            ToTill::Heard(_, Word::Ask { want, .. } | Word::Told { want, .. } | Word::Back { want })
-                if want.plan.0 >= told.plans.len()
-                    || !(1..=told.doors).contains(&want.width)
-                    || !(0.0..=told.most_cost).contains(&want.cost) => {}
-            ToTill::Heard(from, Word::Ask { no, want }) => {
-                let word = Word::Told { no, want, verdict: self.keep(&want, now, told) };
-                self.calls.push(Action::Tell { to: from, word });
+            ToTill::Heard(
+                _,
+                PeerMessage::QuotaRequest { claim: want, .. }
+                | PeerMessage::QuotaResponse { claim: want, .. }
+                | PeerMessage::QuotaRefund { claim: want },
+            ) if want.plan.0 >= told.plans.len()
+                || !(1..=told.gateway_count).contains(&want.subset_size)
+                || !(0.0..=told.max_cost).contains(&want.cost) => {}
+            ToTill::Heard(from, PeerMessage::QuotaRequest { request: no, claim: want }) => {
+                let word = PeerMessage::QuotaResponse {
+                    request: no,
+                    claim: want,
+                    decision: self.keep(&want, now, told),
+                };
+                self.calls.push(Action::SendPeerMessage { to: from, message: word });
             }
-            ToTill::Heard(from, Word::Told { no, want, verdict }) => {
+            ToTill::Heard(
+                from,
+                PeerMessage::QuotaResponse { request: no, claim: want, decision: verdict },
+            ) => {
                 let known = self.asked.get(&no).is_some_and(|(keeper, _)| *keeper == from);
                 let Some((_, ask)) = known.then(|| self.asked.remove(&no)).flatten() else {
                     // Too late to be used.
-                    let back = Action::Tell { to: from, word: Word::Back { want } };
+                    let back = Action::SendPeerMessage {
+                        to: from,
+                        message: PeerMessage::QuotaRefund { claim: want },
+                    };
                     self.calls.extend(verdict.is_ok().then_some(back));
                     return None;
                 };
                 return self.heard(ask, verdict, now, told);
             }
-            ToTill::Heard(_, Word::Full { customer }) => drop(self.full.insert(customer, now)),
-            ToTill::Heard(_, Word::Back { want }) => self.kept.get_mut(&want.customer)?.spend(-want.cost),
+            ToTill::Heard(_, PeerMessage::QuotaExhausted { customer }) => {
+                self.full.insert(customer, now);
+            }
+            ToTill::Heard(_, PeerMessage::QuotaRefund { claim: want }) => {
+                self.kept.get_mut(&want.customer)?.spend(-want.cost)
+            }
             ToTill::Overdue(no) => {
                 return self.asked.remove(&no).and_then(|(_, ask)| self.seek(ask, now, told));
             }
@@ -109,20 +128,24 @@
     }
 
     /// By the counter, which is asked once, and not for repeats.
-    fn count(&mut self, ask: Ask, span: Tenths, now: Tenths, told: &Start) -> Option<ToDesk> {
+    fn count(&mut self, ask: Ask, span: Ticks, now: Ticks, told: &BalancerConfig) -> Option<ToDesk> {
         let held = Held { ask, window: now.0.div_euclid(span.0), asked: now };
         let allowed = told.plans[ask.want.plan.0].rate * span.seconds();
         let account = self.account(&ask.want, now, told);
         let full = account.window == held.window && account.window_total + ask.want.cost > allowed;
-        let open = !(ask.want.again || full);
+        let open = !(ask.want.retry || full);
         let gap = (now - std::mem::replace(&mut self.paced, now)).seconds();
         self.calling = 1.0 - (1.0 - self.calling) * (-gap / COUNT_BACK.0).exp();
         self.reach = 1.0 - (1.0 - self.reach) * (-gap / COUNT_BACK.1).exp();
         self.usual += COUNT_WEIGHT * (ask.want.cost - self.usual);
         if open && ask.chance < 1.0 - (1.0 - self.calling).powf(ask.want.cost / self.usual) {
-            let name = CountName((ask.want.customer.0 << 12) | (held.window as u64 & 0xfff));
-            let forget_after = span.times(2.0) + Tenths::SECOND;
-            self.calls.push(Action::Count { name, step: ask.want.cost, forget_after });
+            let name = CounterKey((ask.want.customer.0 << 12) | (held.window as u64 & 0xfff));
+            let forget_after = span.times(2.0) + Ticks::SECOND;
+            self.calls.push(Action::IncrementCounter {
+                key: name,
+                amount: ask.want.cost,
+                expire_after: forget_after,
+            });
             self.held.entry(name).or_default().push_back(held);
             return None;
         }
@@ -132,8 +155,8 @@
     }
 
     /// Asks the next of the customer's keepers, from one drawn by chance on, so that their parts drain alike.
-    fn seek(&mut self, mut ask: Ask, now: Tenths, told: &Start) -> Option<ToDesk> {
-        let Want { customer, width, .. } = ask.want;
+    fn seek(&mut self, mut ask: Ask, now: Ticks, told: &BalancerConfig) -> Option<ToDesk> {
+        let QuotaClaim { customer, subset_size: width, .. } = ask.want;
         let keepers = KEEPERS.min(width);
         if ask.turn >= keepers {
             let room = !ask.refused && self.doubtful(&ask, now, told);
@@ -141,9 +164,10 @@
         }
         let part = ((ask.chance * f64::from(keepers)) as u32 + ask.turn) % keepers;
         let place = customer.0.wrapping_add(u64::from(part * width / keepers)) % u64::from(width);
-        let keeper = DoorId(((u64::from(ask.want.first) + place) % u64::from(told.doors)) as u32);
+        let keeper =
+            GatewayId(((u64::from(ask.want.subset_start) + place) % u64::from(told.gateway_count)) as u32);
         ask.turn += 1;
-        if keeper == told.me {
+        if keeper == told.gateway {
             let verdict = self.keep(&ask.want, now, told);
             return self.heard(ask, verdict, now, told);
         }
@@ -151,53 +175,72 @@
         if ask.stays < tightest.times(STAYS.1).max(self.stall.times(STAYS.0)) {
             return self.seek(ask, now, told);
         }
-        let no = AskNo(self.asks);
+        let no = QuotaRequestId(self.asks);
         self.asks = self.asks.wrapping_add(1);
         self.asked.insert(no, (keeper, ask));
-        let wake = Action::Wake { after: ask.patience, timer: TimerId(u64::from(no.0)) };
-        self.calls.extend([Action::Tell { to: keeper, word: Word::Ask { no, want: ask.want } }, wake]);
+        let wake = Action::SetTimer { after: ask.patience, timer: TimerId(u64::from(no.0)) };
+        self.calls.extend([
+            Action::SendPeerMessage {
+                to: keeper,
+                message: PeerMessage::QuotaRequest { request: no, claim: ask.want },
+            },
+            wake,
+        ]);
         None
     }
 
     /// A keeper's refusal sends the ask on, and is the answer where none is left that gives another.
-    fn heard(&mut self, mut ask: Ask, verdict: Verdict, now: Tenths, told: &Start) -> Option<ToDesk> {
+    fn heard(
+        &mut self,
+        mut ask: Ask,
+        verdict: QuotaDecision,
+        now: Ticks,
+        told: &BalancerConfig,
+    ) -> Option<ToDesk> {
         ask.refused |= verdict.is_err();
-        if verdict.is_err() && ask.turn < KEEPERS.min(ask.want.width) {
+        if verdict.is_err() && ask.turn < KEEPERS.min(ask.want.subset_size) {
             return self.seek(ask, now, told);
         }
         if !self.knows_full(ask.want.customer, now) {
             self.fitted(ask.want.plan, verdict.is_ok());
         }
-        Some(self.sought(&ask, verdict.is_ok(), verdict.err().flatten(), now, told))
+        Some(self.sought(
+            &ask,
+            verdict.is_ok(),
+            verdict.err().and_then(|rejection| rejection.retry_after),
+            now,
+            told,
+        ))
     }
 
     /// By this door's part of a store that a few doors keep; its ceiling is held by the doors that send.
-    fn keep(&mut self, want: &Want, now: Tenths, told: &Start) -> Verdict {
-        let quota = Plan { ceiling_rate: 0.0, ..told.plans[want.plan.0].clone() };
-        let new = || Account::new(want.plan, f64::from(KEEPERS.min(want.width)), now, told);
+    fn keep(&mut self, want: &QuotaClaim, now: Ticks, told: &BalancerConfig) -> QuotaDecision {
+        let quota = Plan { hard_limit_rate: 0.0, ..told.plans[want.plan.0].clone() };
+        let new = || Account::new(want.plan, f64::from(KEEPERS.min(want.subset_size)), now, told);
         let account = self.kept.entry(want.customer).or_insert_with(new);
         account.refill(now, &quota, told);
-        let verdict = account.ask(want.cost, want.again, &quota);
+        let verdict = account.ask(want.cost, want.retry, &quota);
         account.refused += COUNT_WEIGHT * (f64::from(u8::from(verdict.is_err())) - account.refused);
         if account.refused > FULL.0 && (now - account.told_full).seconds() > 0.5 * FULL.1 {
             account.told_full = now;
-            let word = Word::Full { customer: want.customer };
-            let set = (0..want.width).map(|at| DoorId((want.first + at) % told.doors));
-            self.calls.extend(set.map(|to| Action::Tell { to, word }));
+            let word = PeerMessage::QuotaExhausted { customer: want.customer };
+            let set =
+                (0..want.subset_size).map(|at| GatewayId((want.subset_start + at) % told.gateway_count));
+            self.calls.extend(set.map(|to| Action::SendPeerMessage { to, message: word }));
         }
         verdict
     }
 
     /// With nobody's word, nor a current reading: whether the plan's txns fit often enough lately for one in
     /// doubt to be worth more than it costs.
-    fn doubtful(&mut self, ask: &Ask, now: Tenths, told: &Start) -> bool {
+    fn doubtful(&mut self, ask: &Ask, now: Ticks, told: &BalancerConfig) -> bool {
         let plan = &told.plans[ask.want.plan.0];
-        let beyond = (plan.beyond_cost - plan.beyond_worth).max(0.0);
+        let beyond = (plan.excess_cost - plan.excess_value).max(0.0);
         let full = self.knows_full(ask.want.customer, now) || self.account(&ask.want, now, told).current(now);
         !full && self.fits[ask.want.plan.0] > beyond / (1.0 + beyond)
     }
 
-    fn knows_full(&self, customer: CustomerId, now: Tenths) -> bool {
+    fn knows_full(&self, customer: CustomerId, now: Ticks) -> bool {
         self.full.get(&customer).is_some_and(|&told| (now - told).seconds() < FULL.1)
     }
 
@@ -206,7 +249,14 @@
     }
 
     /// What was decided elsewhere is held to the customer's ceiling here.
-    fn sought(&mut self, ask: &Ask, room: bool, wait: Option<Tenths>, now: Tenths, told: &Start) -> ToDesk {
+    fn sought(
+        &mut self,
+        ask: &Ask,
+        room: bool,
+        wait: Option<Ticks>,
+        now: Ticks,
+        told: &BalancerConfig,
+    ) -> ToDesk {
         let account = self.account(&ask.want, now, told);
         if !room || account.passes_ceiling(ask.want.cost, &told.plans[ask.want.plan.0]) {
             return ToDesk::Refused(ask.txn, wait);
@@ -216,16 +266,16 @@
         ToDesk::Granted(ask.txn)
     }
 
-    fn account(&mut self, want: &Want, now: Tenths, told: &Start) -> &mut Account {
-        let new = || Account::new(want.plan, f64::from(want.width), now, told);
+    fn account(&mut self, want: &QuotaClaim, now: Ticks, told: &BalancerConfig) -> &mut Account {
+        let new = || Account::new(want.plan, f64::from(want.subset_size), now, told);
         let account = self.accounts.entry(want.customer).or_insert_with(new);
         account.refill(now, &told.plans[want.plan.0], told);
         account
     }
 
     /// Idle full buckets are what a customer not yet seen gets anyway.
-    fn sweep(&mut self, now: Tenths, told: &Start) {
-        if now - self.swept < Tenths::SECOND {
+    fn sweep(&mut self, now: Ticks, told: &BalancerConfig) {
+        if now - self.swept < Ticks::SECOND {
             return;
         }
         self.swept = now;
@@ -244,7 +294,7 @@
 }
 
 /// A customer's bucket drains in burst over rate: over a window as long, the rate alone bounds the total.
-fn count_span(plan: &Plan) -> Option<Tenths> {
+fn count_span(plan: &Plan) -> Option<Ticks> {
     let span = (plan.burst / plan.rate).clamp(COUNT_SPAN.0, COUNT_SPAN.1);
-    (plan.rate > 0.0 && plan.burst > 0.0).then(|| Tenths::SECOND.times(span))
+    (plan.rate > 0.0 && plan.burst > 0.0).then(|| Ticks::SECOND.times(span))
 }
--- a/crates/policy/src/interface.rs
+++ b/crates/policy/src/interface.rs
@@ -1,286 +1,414 @@
-//! What passes between the decisions and whatever carries them: ids, times, events, actions and
-//! what a door is told at start.
+//! What passes between the decisions of one gateway and the program that carries them out: identifiers, times, the
+//! configuration of a [`Balancer`](crate::decide::Balancer), the events that go in and the actions that come out.
+//!
+//! The types hold no state and do no input or output. [`PeerMessage`] and the types inside it are sent between gateways
+//! in a positional form (see [`crate::codec`]): the order of their fields and variants must not change.
 
 use serde::{Deserialize, Serialize};
 use std::ops::{Add, Sub};
 
-/// An instant or a span, in tenths of a millisecond.
+/// An instant or a span, in ticks of 0.1 ms. An instant counts from an origin that the program chooses.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Tenths(pub i64);
+pub struct Ticks(pub i64);
 
-impl Tenths {
-    pub const SECOND: Tenths = Tenths(10_000);
+impl Ticks {
+    /// One second.
+    pub const SECOND: Ticks = Ticks(10_000);
 
+    /// This span in seconds.
     pub fn seconds(self) -> f64 {
         self.0 as f64 / Self::SECOND.0 as f64
     }
 
-    pub fn times(self, factor: f64) -> Tenths {
-        Tenths((self.0 as f64 * factor) as i64)
+    /// This span scaled by `factor`, rounded towards zero.
+    pub fn times(self, factor: f64) -> Ticks {
+        Ticks((self.0 as f64 * factor) as i64)
     }
 }
 
-impl Add for Tenths {
-    type Output = Tenths;
-    fn add(self, other: Tenths) -> Tenths {
-        Tenths(self.0.saturating_add(other.0))
+impl Add for Ticks {
+    type Output = Ticks;
+    fn add(self, other: Ticks) -> Ticks {
+        Ticks(self.0.saturating_add(other.0))
     }
 }
 
-impl Sub for Tenths {
-    type Output = Tenths;
-    fn sub(self, other: Tenths) -> Tenths {
-        Tenths(self.0.saturating_sub(other.0))
+impl Sub for Ticks {
+    type Output = Ticks;
+    fn sub(self, other: Ticks) -> Ticks {
+        Ticks(self.0.saturating_sub(other.0))
     }
 }
 
-macro_rules! ids {
-    ($($name:ident($inner:ty)),* $(,)?) => {$(
+macro_rules! identifiers {
+    ($($(#[$doc:meta])* $name:ident($inner:ty)),* $(,)?) => {$(
+        $(#[$doc])*
         #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
         pub struct $name(pub $inner);
     )*};
 }
 
-ids!(
+identifiers!(
+    /// A client's request, unique at one gateway.
     TxnId(u64),
+    /// A backend, as this gateway numbers them.
     BackendId(u32),
+    /// A customer; the same at all gateways.
     CustomerId(u64),
+    /// A plan's position in [`BalancerConfig::plans`].
     PlanId(usize),
+    /// A product's position in [`BalancerConfig::products`].
     ProductId(usize),
-    SubmissionNo(u32),
+    /// An attempt's position among those of its request: 0 is the first.
+    AttemptNumber(u32),
+    /// A timer set by [`Action::SetTimer`].
     TimerId(u64),
-    CountName(u64),
-    DoorId(u32),
-    AskNo(u32),
+    /// A key of the shared quota counter.
+    CounterKey(u64),
+    /// A gateway's position among all gateways.
+    GatewayId(u32),
+    /// A quota request to a peer, unique at the gateway that sent it.
+    QuotaRequestId(u32),
 );
 
-/// How far a product may be repeated.
+/// How far requests for a product may be sent to backends more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Repeat {
-    InquiryLike,
-    /// All backends drop a repeat for so long.
-    Referenced {
-        window: Tenths,
+pub enum Idempotency {
+    /// Any number of times.
+    Idempotent,
+    /// Backends drop a duplicate that reaches any of them within `window` of the first.
+    Deduplicated {
+        /// How long the backends remember a request.
+        window: Ticks,
     },
-    OnceOnly,
+    /// Never again once an attempt may have run.
+    NonIdempotent,
 }
 
+/// A kind of request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Product {
-    pub sla_time: Tenths,
+    /// An answer later than this earns less or nothing.
+    pub sla_time: Ticks,
+    /// What one answer in time earns.
     pub value: f64,
-    pub repeat: Repeat,
+    /// Whether its requests may be retried.
+    pub idempotency: Idempotency,
 }
 
-/// One plan's figures; each customer of the plan has them over all doors together. Zero: no such
-/// limit.
+/// One plan's quota; each of its customers has it over all gateways together. Zero means that there is no such limit.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Plan {
+    /// Units a second that the quota refills.
     pub rate: f64,
+    /// Units that the quota holds at most.
     pub burst: f64,
+    /// By what a product's value is multiplied.
     pub value_factor: f64,
-    pub beyond_worth: f64,
-    pub beyond_cost: f64,
-    pub ceiling_rate: f64,
-    pub ceiling_depth: f64,
+    /// The part of its value that a request beyond the quota still earns.
+    pub excess_value: f64,
+    /// The part of its value that a request beyond the quota costs.
+    pub excess_cost: f64,
+    /// Units a second that the hard limit refills.
+    pub hard_limit_rate: f64,
+    /// Units that the hard limit holds at most.
+    pub hard_limit_burst: f64,
 }
 
-/// The figures a cold backend is judged by.
+/// How much a backend can carry after it started.
 #[derive(Clone, Debug, PartialEq)]
-pub struct ColdFigures {
-    pub from: f64,
-    pub ramp_time: Tenths,
+pub struct WarmUp {
+    /// The part of its capacity that it has at once.
+    pub initial_capacity: f64,
+    /// How long the capacity takes to rise, evenly, to all of it.
+    pub ramp_time: Ticks,
 }
 
+/// What a deployment lets gateways do.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Allowances {
+pub struct AllowedActions {
+    /// Cancel attempts whose answer nobody waits for.
     pub cancel: bool,
-    pub second_copies: bool,
+    /// Send a further attempt while one is still in flight.
+    pub hedging: bool,
+    /// Tell rejected clients when to come back.
     pub retry_after: bool,
-    pub max_retry_after: Tenths,
-    pub most_submissions: usize,
+    /// The longest time that a rejected client may be told.
+    pub max_retry_after: Ticks,
+    /// Attempts for one request at most.
+    pub max_attempts: usize,
 }
 
-/// What a door is told at its start.
+/// What a gateway's decisions start from; it does not change while they run.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Start {
+pub struct BalancerConfig {
+    /// The seed of all random draws.
     pub seed: u64,
-    pub at: Tenths,
-    /// This door's number and how many there are.
-    pub me: DoorId,
-    pub doors: u32,
+    /// The start's time; no event may be earlier.
+    pub started_at: Ticks,
+    /// This gateway among all.
+    pub gateway: GatewayId,
+    /// How many gateways there are.
+    pub gateway_count: u32,
+    /// The kinds of request, by [`ProductId`].
     pub products: Vec<Product>,
+    /// The plans, by [`PlanId`].
     pub plans: Vec<Plan>,
-    pub allowances: Allowances,
-    pub cold: ColdFigures,
-    /// How long this door keeps an idle connection to a backend.
-    pub kept: Tenths,
-    /// Zero: answers tell nothing of a customer's use.
-    pub meter_period: Tenths,
-    /// Where the shared quota counter may be called: how long a call may go unanswered.
-    pub counter: Option<Tenths>,
-    /// Whether doors may send each other words.
-    pub peers: bool,
-    /// What one txn costs at most.
-    pub most_cost: f64,
+    /// What the deployment lets gateways do.
+    pub allowed: AllowedActions,
+    /// How backends warm up.
+    pub warm_up: WarmUp,
+    /// How long this gateway keeps an idle connection to a backend.
+    pub idle_timeout: Ticks,
+    /// The time between readings of a customer's metered usage; zero where responses carry none.
+    pub meter_period: Ticks,
+    /// How long a call to the shared quota counter may go unanswered; none where there is no counter.
+    pub counter_timeout: Option<Ticks>,
+    /// Whether gateways may send each other messages.
+    pub peer_messages: bool,
+    /// What one request costs at most, in units.
+    pub max_cost: f64,
 }
 
-/// What a txn takes of its customer's quota.
+/// What a request takes of its customer's quota. The customer comes through a subset of the gateways: `subset_size` of
+/// them from `subset_start` on, counted round.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Want {
+pub struct QuotaClaim {
+    /// Whose quota.
     pub customer: CustomerId,
+    /// The customer's plan.
     pub plan: PlanId,
-    /// The customer comes through `width` doors from this number on, counted round.
-    pub first: u32,
-    pub width: u32,
+    /// The first gateway of the customer's subset.
+    pub subset_start: u32,
+    /// How many gateways the subset has; zero in an [`Arrival`] stands for all.
+    pub subset_size: u32,
+    /// Units, or an estimate of them.
     pub cost: f64,
-    /// Marked by its client as a repeat of one that was not settled.
-    pub again: bool,
+    /// Marked by its client as a retry of a request that did not succeed.
+    pub retry: bool,
 }
 
-/// In, or out with the time to come back in.
-pub type Verdict = Result<(), Option<Tenths>>;
+/// Why a claim has to wait.
+#[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
+pub struct QuotaRejection {
+    /// When the claim would fit, from now, if that is known.
+    pub retry_after: Option<Ticks>,
+}
+
+/// Whether a claim is inside the quota.
+pub type QuotaDecision = Result<(), QuotaRejection>;
 
-/// What one door tells another of a customer's store, of which the other keeps a part.
+/// What one gateway sends another about a customer's quota, a part of which the other owns. Any message may be lost.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Word {
-    Ask {
-        no: AskNo,
-        want: Want,
+pub enum PeerMessage {
+    /// Asks an owner whether a claim is inside its part of the quota.
+    QuotaRequest {
+        /// Repeated in the response.
+        request: QuotaRequestId,
+        /// What is asked for.
+        claim: QuotaClaim,
     },
-    Told {
-        no: AskNo,
-        want: Want,
-        verdict: Verdict,
+    /// The owner's answer.
+    QuotaResponse {
+        /// The request that is answered.
+        request: QuotaRequestId,
+        /// What was asked for.
+        claim: QuotaClaim,
+        /// The answer; the owner has charged the claim if it is positive.
+        decision: QuotaDecision,
     },
-    /// The customer asks far beyond its quota.
-    Full {
+    /// The customer asks far more than its quota.
+    QuotaExhausted {
+        /// Whose quota.
         customer: CustomerId,
     },
-    /// What was let in too late to be used.
-    Back {
-        want: Want,
+    /// Returns a claim that was charged and came too late to be used.
+    QuotaRefund {
+        /// What is returned.
+        claim: QuotaClaim,
     },
 }
 
 /// What became of one call to the shared quota counter (the wire's `COUNTER_REPLY`).
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Counted {
-    /// The name's total after this call, in units.
+pub enum CounterReply {
+    /// The key's total after this call, in units.
     Total(f64),
-    /// Turned away or never connected: nothing was added.
+    /// Rejected, or no connection: nothing was added.
     NotAdded,
     /// No answer in time: the amount may have been added, or may yet be.
     Unknown,
 }
 
+/// What a backend takes, as discovery reports it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum BackendStatus {
+    /// Takes requests.
     Ready,
+    /// Finishes its requests and takes no new ones.
     Draining,
+    /// No longer there.
     Gone,
 }
 
+/// One backend, as discovery reports it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Listed {
+pub struct BackendInfo {
+    /// Which backend.
     pub backend: BackendId,
-    pub standing: Standing,
-    pub size: f64,
-    /// Whether it stands in this door's own place.
-    pub near: bool,
-    pub booted: Option<Tenths>,
+    /// What it takes.
+    pub status: BackendStatus,
+    /// Its capacity relative to other backends.
+    pub capacity: f64,
+    /// Whether it stands in this gateway's own zone.
+    pub local: bool,
+    /// When it started, where that is known.
+    pub started_at: Option<Ticks>,
 }
 
+/// A request that a client has sent.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Arrival {
+    /// Its number at this gateway.
     pub txn: TxnId,
+    /// What it asks for.
     pub product: ProductId,
-    pub want: Want,
-    pub expiry: Tenths,
+    /// What it takes of its customer's quota.
+    pub claim: QuotaClaim,
+    /// When its client stops waiting.
+    pub deadline: Ticks,
 }
 
+/// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Outcome {
-    Settled,
+    /// A good response.
+    Succeeded,
+    /// The backend answered with an error; the request may have run.
     Error,
-    TurnedAway,
+    /// The backend refused the request without running it.
+    Rejected,
+    /// No response in time; the request may have run.
     TimedOut,
-    NoConnection,
-    Broken,
+    /// No connection could be opened; nothing was sent.
+    ConnectFailed,
+    /// The connection was lost after the request was sent; it may have run.
+    ConnectionLost,
+    /// This gateway cancelled it; the request may have run.
     Cancelled,
-    Moot,
+    /// It was not sent at all, as its request was over by then.
+    NotSent,
 }
 
 impl Outcome {
+    /// Whether it proves that the backend did not run the request.
     pub fn never_ran(self) -> bool {
-        matches!(self, Outcome::TurnedAway | Outcome::NoConnection | Outcome::Moot)
+        matches!(self, Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent)
     }
 }
 
+/// The end of an attempt.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Ending {
+pub struct AttemptReport {
+    /// The request.
     pub txn: TxnId,
-    pub no: SubmissionNo,
+    /// Which of its attempts.
+    pub attempt: AttemptNumber,
+    /// How it ended.
     pub outcome: Outcome,
-    pub took: Tenths,
+    /// The time from its start to its end.
+    pub latency: Ticks,
+    /// Whether the client has its final answer.
     pub complete: bool,
-    /// The customer's use over all doors, as a share of its quota.
-    pub metered: Option<f64>,
-    pub true_cost: Option<f64>,
+    /// The customer's usage over all gateways, as a part of its quota.
+    pub metered_usage: Option<f64>,
+    /// What the request cost indeed, in units.
+    pub actual_cost: Option<f64>,
 }
 
+/// What the decisions are notified of.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// The whole list: what it does not name is gone.
-    Listing(Vec<Listed>),
-    Changes(Vec<Listed>),
-    Arrived(Arrival),
-    Ended(Ending),
-    Left(TxnId),
-    Due(TimerId),
-    /// The answer to a `Count`; answers for one name come in the order of the calls.
-    Counted {
-        name: CountName,
-        counted: Counted,
+    /// The complete list of backends: those that it does not name are gone.
+    BackendList(Vec<BackendInfo>),
+    /// Backends that have changed or are new.
+    BackendChanges(Vec<BackendInfo>),
+    /// A request has come.
+    RequestArrived(Arrival),
+    /// An attempt has ended.
+    AttemptEnded(AttemptReport),
+    /// A request's client has left; no answer is needed.
+    ClientDisconnected(TxnId),
+    /// A timer set by [`Action::SetTimer`] has run out.
+    TimerFired(TimerId),
+    /// The reply to an [`Action::IncrementCounter`]; replies for one key come in the order of the calls.
+    CounterReplied {
+        /// The key of the call.
+        key: CounterKey,
+        /// What became of it.
+        reply: CounterReply,
     },
-    Heard {
-        from: DoorId,
-        word: Word,
+    /// Another gateway's message.
+    PeerMessageReceived {
+        /// Its sender.
+        from: GatewayId,
+        /// What it sent.
+        message: PeerMessage,
     },
 }
 
+/// What the decisions want done.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Without a time-out the submission runs until the client gives up.
-    Submit {
+    /// Send a request to a backend.
+    SendAttempt {
+        /// The request.
         txn: TxnId,
+        /// Where to.
         backend: BackendId,
-        time_out: Option<Tenths>,
+        /// How long to wait for the response; without it, until the client gives up.
+        timeout: Option<Ticks>,
     },
-    Cancel {
+    /// Cancel an attempt that is in flight.
+    CancelAttempt {
+        /// The request.
         txn: TxnId,
-        no: SubmissionNo,
+        /// Which of its attempts.
+        attempt: AttemptNumber,
     },
-    Decline {
+    /// Answer a request finally: it was not run, and another try is harmless.
+    Reject {
+        /// The request.
         txn: TxnId,
-        retry_after: Option<Tenths>,
+        /// What to tell the client about coming back.
+        retry_after: Option<Ticks>,
     },
-    Void {
+    /// Answer a request finally: it may have run, and must not be sent again.
+    Fail {
+        /// The request.
         txn: TxnId,
     },
-    Wake {
-        after: Tenths,
+    /// Send [`Event::TimerFired`] after a span.
+    SetTimer {
+        /// The span.
+        after: Ticks,
+        /// The timer.
         timer: TimerId,
     },
-    /// Add `step` units to the shared counter's `name`, which a new name keeps for `forget_after`.
-    Count {
-        name: CountName,
-        step: f64,
-        forget_after: Tenths,
+    /// Add to a key of the shared counter.
+    IncrementCounter {
+        /// The key.
+        key: CounterKey,
+        /// Units to add.
+        amount: f64,
+        /// How long the counter keeps a key that is new.
+        expire_after: Ticks,
     },
-    /// It may be lost.
-    Tell {
-        to: DoorId,
-        word: Word,
+    /// Send another gateway a message, which may be lost.
+    SendPeerMessage {
+        /// The other gateway.
+        to: GatewayId,
+        /// What to send.
+        message: PeerMessage,
     },
 }
--- a/crates/policy/tests/counting.rs
+++ b/crates/policy/tests/counting.rs
@@ -5,7 +5,7 @@
 //! its calls fail, and which backends it draws.
 
 use std::collections::{BTreeMap, HashMap};
-use vanewharf_policy::decide::Door;
+use vanewharf_policy::decide::Balancer;
 use vanewharf_policy::interface::*;
 
 const DOORS: u32 = 40;
@@ -22,91 +22,91 @@
     Crowded(u64),
 }
 
-fn start(door: u32, counter: Counter) -> Start {
-    Start {
+fn start(door: u32, counter: Counter) -> BalancerConfig {
+    BalancerConfig {
         seed: 0x5eed + u64::from(door),
-        at: Tenths(0),
-        me: DoorId(door),
-        doors: DOORS,
-        products: vec![Product { sla_time: Tenths(10_000), value: 1.0, repeat: Repeat::InquiryLike }],
+        started_at: Ticks(0),
+        gateway: GatewayId(door),
+        gateway_count: DOORS,
+        products: vec![Product { sla_time: Ticks(10_000), value: 1.0, idempotency: Idempotency::Idempotent }],
         plans: vec![Plan {
             rate: RATE,
             burst: BURST,
             value_factor: 1.0,
-            beyond_worth: 0.0,
-            beyond_cost: 1.2,
-            ceiling_rate: 0.0,
-            ceiling_depth: 0.0,
+            excess_value: 0.0,
+            excess_cost: 1.2,
+            hard_limit_rate: 0.0,
+            hard_limit_burst: 0.0,
         }],
-        allowances: Allowances {
+        allowed: AllowedActions {
             cancel: true,
-            second_copies: false,
+            hedging: false,
             retry_after: true,
-            max_retry_after: Tenths(5_000),
-            most_submissions: 2,
+            max_retry_after: Ticks(5_000),
+            max_attempts: 2,
         },
-        cold: ColdFigures { from: 1.0, ramp_time: Tenths(0) },
-        kept: Tenths(0),
-        meter_period: Tenths(5_000),
-        counter: (counter != Counter::Absent).then_some(Tenths(800)),
-        peers: false,
-        most_cost: 8.0,
+        warm_up: WarmUp { initial_capacity: 1.0, ramp_time: Ticks(0) },
+        idle_timeout: Ticks(0),
+        meter_period: Ticks(5_000),
+        counter_timeout: (counter != Counter::Absent).then_some(Ticks(800)),
+        peer_messages: false,
+        max_cost: 8.0,
     }
 }
 
 fn listing(backends: u32) -> Event {
-    let backend = |id| Listed {
+    let backend = |id| BackendInfo {
         backend: BackendId(id),
-        standing: Standing::Ready,
-        size: 1.0,
-        near: true,
-        booted: None,
+        status: BackendStatus::Ready,
+        capacity: 1.0,
+        local: true,
+        started_at: None,
     };
-    Event::Listing((0..backends).map(backend).collect())
+    Event::BackendList((0..backends).map(backend).collect())
 }
 
 /// A first try of `customer` through all its doors, with 2 s to wait.
-fn arrival(txn: u64, customer: u64, cost: f64, at: Tenths) -> Arrival {
+fn arrival(txn: u64, customer: u64, cost: f64, at: Ticks) -> Arrival {
     Arrival {
         txn: TxnId(txn),
         product: ProductId(0),
-        want: Want {
+        claim: QuotaClaim {
             customer: CustomerId(customer),
             plan: PlanId(0),
-            first: 0,
-            width: DOORS,
+            subset_start: 0,
+            subset_size: DOORS,
             cost,
-            again: false,
+            retry: false,
         },
-        expiry: at + Tenths(20_000),
+        deadline: at + Ticks(20_000),
     }
 }
 
 fn again_of(arrival: Arrival, again: bool) -> Arrival {
-    Arrival { want: Want { again, ..arrival.want }, ..arrival }
+    Arrival { claim: QuotaClaim { retry: again, ..arrival.claim }, ..arrival }
 }
 
 fn through_one(arrival: Arrival) -> Arrival {
-    Arrival { want: Want { width: 1, ..arrival.want }, ..arrival }
+    Arrival { claim: QuotaClaim { subset_size: 1, ..arrival.claim }, ..arrival }
 }
 
 /// Its first submission has settled, in 50 ms.
 fn settled_now(txn: TxnId) -> Event {
-    Event::Ended(Ending {
+    Event::AttemptEnded(AttemptReport {
         txn,
-        no: SubmissionNo(0),
-        outcome: Outcome::Settled,
-        took: Tenths(500),
+        attempt: AttemptNumber(0),
+        outcome: Outcome::Succeeded,
+        latency: Ticks(500),
         complete: true,
-        metered: None,
-        true_cost: None,
+        metered_usage: None,
+        actual_cost: None,
     })
 }
 
 struct Fleet {
-    doors: Vec<Door>,
+    doors: Vec<Balancer>,
     counter: Counter,
-    totals: HashMap<CountName, f64>,
+    totals: HashMap<CounterKey, f64>,
     calls: u64,
     /// What each door has still to hear: answers of the counter, endings of submissions.
     pending: Vec<Vec<Event>>,
@@ -118,9 +118,9 @@
 
 impl Fleet {
     fn new(counter: Counter) -> Fleet {
-        let mut doors: Vec<Door> = (0..DOORS).map(|door| Door::start(start(door, counter))).collect();
+        let mut doors: Vec<Balancer> = (0..DOORS).map(|door| Balancer::new(start(door, counter))).collect();
         for door in &mut doors {
-            door.decide(Tenths(0), vec![listing(4)]);
+            door.decide(Ticks(0), vec![listing(4)]);
         }
         let pending = vec![Vec::new(); DOORS as usize];
         let (totals, answered) = (HashMap::new(), BTreeMap::new());
@@ -128,29 +128,29 @@
         Fleet { doors, counter, totals, calls: 0, pending, admitted: 0.0, declined: 0, answered, costs }
     }
 
-    fn batch(&mut self, door: usize, now: Tenths, mut events: Vec<Event>) {
+    fn batch(&mut self, door: usize, now: Ticks, mut events: Vec<Event>) {
         events.append(&mut self.pending[door]);
         for action in self.doors[door].decide(now, events) {
             match action {
-                Action::Count { name, step, forget_after } => {
-                    assert!(forget_after <= Tenths(600_000), "a name lives 60 s at most");
+                Action::IncrementCounter { key: name, amount: step, expire_after: forget_after } => {
+                    assert!(forget_after <= Ticks(600_000), "a name lives 60 s at most");
                     self.calls += 1;
                     let counted = match self.counter {
-                        Counter::Crowded(n) if !self.calls.is_multiple_of(n) => Counted::NotAdded,
+                        Counter::Crowded(n) if !self.calls.is_multiple_of(n) => CounterReply::NotAdded,
                         _ => {
                             let total = self.totals.entry(name).or_default();
                             *total += step;
-                            Counted::Total(*total)
+                            CounterReply::Total(*total)
                         }
                     };
-                    self.pending[door].push(Event::Counted { name, counted });
+                    self.pending[door].push(Event::CounterReplied { key: name, reply: counted });
                 }
-                Action::Submit { txn, .. } => {
+                Action::SendAttempt { txn, .. } => {
                     *self.answered.entry(txn).or_default() += 1;
                     self.admitted += self.costs[&txn];
                     self.pending[door].push(settled_now(txn));
                 }
-                Action::Decline { txn, .. } | Action::Void { txn } => {
+                Action::Reject { txn, .. } | Action::Fail { txn } => {
                     *self.answered.entry(txn).or_default() += 1;
                     self.declined += 1;
                 }
@@ -161,17 +161,17 @@
 
     /// Three times the quota in units, txns of 1 to 8 units, going round the doors.
     fn play(&mut self) {
-        let every = Tenths((10_000.0 * 4.5 / (3.0 * RATE)) as i64);
-        let mut now = Tenths(0);
+        let every = Ticks((10_000.0 * 4.5 / (3.0 * RATE)) as i64);
+        let mut now = Ticks(0);
         let mut txn = 0;
-        while now < Tenths(SECONDS * 10_000) {
+        while now < Ticks(SECONDS * 10_000) {
             txn += 1;
             let door = (txn % u64::from(DOORS)) as usize;
             let arrival = arrival(txn, 77, (1 + txn * 5 % 8) as f64, now);
-            self.costs.insert(arrival.txn, arrival.want.cost);
-            self.batch(door, now, vec![Event::Arrived(arrival)]);
+            self.costs.insert(arrival.txn, arrival.claim.cost);
+            self.batch(door, now, vec![Event::RequestArrived(arrival)]);
             // The counter's answer comes a little later, in the door's next batch.
-            self.batch(door, now + Tenths(20), Vec::new());
+            self.batch(door, now + Ticks(20), Vec::new());
             now = now + every;
         }
         assert!(self.answered.values().all(|&answers| answers == 1), "one final answer for each txn");
@@ -219,20 +219,20 @@
     let mut fleet = Fleet::new(Counter::Answers);
     let (mut txn, mut line, mut answered) = (0, 0, vec![0; 20]);
     for step in 0..200 {
-        let now = Tenths(step * 1_000 + 10);
+        let now = Ticks(step * 1_000 + 10);
         for turn in 0..DOORS as usize {
             let door = (step as usize * 7 + turn) % DOORS as usize;
             txn += 1;
-            let arrived = Event::Arrived(arrival(txn, txn, 1.0, now));
+            let arrived = Event::RequestArrived(arrival(txn, txn, 1.0, now));
             let actions = fleet.doors[door].decide(now, vec![arrived]);
-            let delay = Tenths((1_000 * line / capacity) as i64);
-            let told = if delay < Tenths(800) { Counted::Total(1.0) } else { Counted::Unknown };
+            let delay = Ticks((1_000 * line / capacity) as i64);
+            let told = if delay < Ticks(800) { CounterReply::Total(1.0) } else { CounterReply::Unknown };
             let Some(event) = counted(&actions, told) else {
                 continue;
             };
             line += 1;
-            answered[step as usize / 10] += u64::from(told != Counted::Unknown);
-            fleet.doors[door].decide(now + delay.min(Tenths(800)), vec![event]);
+            answered[step as usize / 10] += u64::from(told != CounterReply::Unknown);
+            fleet.doors[door].decide(now + delay.min(Ticks(800)), vec![event]);
         }
         line = line.saturating_sub(capacity);
     }
@@ -247,86 +247,91 @@
 }
 
 fn calls(actions: &[Action]) -> usize {
-    actions.iter().filter(|action| matches!(action, Action::Count { .. })).count()
+    actions.iter().filter(|action| matches!(action, Action::IncrementCounter { .. })).count()
 }
 
-fn counted(actions: &[Action], counted: Counted) -> Option<Event> {
+fn counted(actions: &[Action], counted: CounterReply) -> Option<Event> {
     actions.iter().find_map(|action| match action {
-        Action::Count { name, .. } => Some(Event::Counted { name: *name, counted }),
+        Action::IncrementCounter { key: name, .. } => {
+            Some(Event::CounterReplied { key: *name, reply: counted })
+        }
         _ => None,
     })
 }
 
 #[test]
 fn a_silent_counter_is_asked_ever_more_seldom_and_all_again_when_it_is_back() {
-    let mut door = Door::start(start(0, Counter::Answers));
-    door.decide(Tenths(0), vec![listing(4)]);
-    let mut asked = |from: i64, counter: Counted, took: Tenths| {
+    let mut door = Balancer::new(start(0, Counter::Answers));
+    door.decide(Ticks(0), vec![listing(4)]);
+    let mut asked = |from: i64, counter: CounterReply, took: Ticks| {
         let mut made = 0;
         for txn in 0..20 {
-            let now = Tenths(from + txn * 1_000);
+            let now = Ticks(from + txn * 1_000);
             let id = (from + txn) as u64;
-            let actions = door.decide(now, vec![Event::Arrived(arrival(id, id, 1.0, now))]);
+            let actions = door.decide(now, vec![Event::RequestArrived(arrival(id, id, 1.0, now))]);
             made += calls(&actions);
             // In doubt or not, the answer follows the counter's at once.
             let told = counted(&actions, counter).map(|event| door.decide(now + took, vec![event]));
             let decided = told.unwrap_or(actions);
-            assert!(decided.iter().any(|one| matches!(one, Action::Submit { .. } | Action::Decline { .. })));
+            assert!(
+                decided.iter().any(|one| matches!(one, Action::SendAttempt { .. } | Action::Reject { .. }))
+            );
         }
         made
     };
-    let silent = asked(10, Counted::Unknown, Tenths(800));
+    let silent = asked(10, CounterReply::Unknown, Ticks(800));
     assert!((1..=10).contains(&silent), "{silent} of 20 calls cost their txns the wait");
-    assert!(asked(400_000, Counted::Total(1.0), Tenths(20)) >= 18);
+    assert!(asked(400_000, CounterReply::Total(1.0), Ticks(20)) >= 18);
 }
 
 #[test]
 fn repeats_and_customers_whose_window_is_full_are_declined_without_a_call() {
-    let mut door = Door::start(start(0, Counter::Answers));
-    door.decide(Tenths(0), vec![listing(4)]);
-    let at = |txn, again, now| Event::Arrived(again_of(arrival(txn, 5, 2.0, now), again));
-    let repeat = door.decide(Tenths(10), vec![at(1, true, Tenths(10))]);
+    let mut door = Balancer::new(start(0, Counter::Answers));
+    door.decide(Ticks(0), vec![listing(4)]);
+    let at = |txn, again, now| Event::RequestArrived(again_of(arrival(txn, 5, 2.0, now), again));
+    let repeat = door.decide(Ticks(10), vec![at(1, true, Ticks(10))]);
     assert_eq!(calls(&repeat), 0, "{repeat:?}");
-    assert!(repeat.iter().any(|action| matches!(action, Action::Decline { .. })));
-    let first = door.decide(Tenths(20), vec![at(2, false, Tenths(20))]);
+    assert!(repeat.iter().any(|action| matches!(action, Action::Reject { .. })));
+    let first = door.decide(Ticks(20), vec![at(2, false, Ticks(20))]);
     assert_eq!(calls(&first), 1);
-    let full = counted(&first, Counted::Total(BURST + 8.0)).expect("it called");
-    door.decide(Tenths(40), vec![full]);
-    let next = door.decide(Tenths(50), vec![at(3, false, Tenths(50))]);
+    let full = counted(&first, CounterReply::Total(BURST + 8.0)).expect("it called");
+    door.decide(Ticks(40), vec![full]);
+    let next = door.decide(Ticks(50), vec![at(3, false, Ticks(50))]);
     assert_eq!(calls(&next), 0, "{next:?}");
-    assert!(next.iter().any(|action| matches!(action, Action::Decline { .. })));
+    assert!(next.iter().any(|action| matches!(action, Action::Reject { .. })));
     // The next window tells anew.
-    let later = door.decide(Tenths(170_000), vec![at(4, false, Tenths(170_000))]);
+    let later = door.decide(Ticks(170_000), vec![at(4, false, Ticks(170_000))]);
     assert_eq!(calls(&later), 1, "{later:?}");
 }
 
 #[test]
 fn in_doubt_a_first_try_goes_in_where_those_counted_fit_and_none_beside_a_reading() {
-    let mut door = Door::start(start(0, Counter::Answers));
-    door.decide(Tenths(0), vec![listing(4)]);
+    let mut door = Balancer::new(start(0, Counter::Answers));
+    door.decide(Ticks(0), vec![listing(4)]);
     let mut txn = 0;
     // Ten customers' tries are counted with this total; the next one's call is turned away.
     let mut in_doubt = |total: f64| {
         let mut last = Vec::new();
-        for told in (0..10).map(|_| Counted::Total(total)).chain([Counted::NotAdded]) {
+        for told in (0..10).map(|_| CounterReply::Total(total)).chain([CounterReply::NotAdded]) {
             txn += 1;
-            let now = Tenths(txn * 100_000);
-            let asked = door.decide(now, vec![Event::Arrived(arrival(txn as u64, txn as u64, 1.0, now))]);
+            let now = Ticks(txn * 100_000);
+            let asked =
+                door.decide(now, vec![Event::RequestArrived(arrival(txn as u64, txn as u64, 1.0, now))]);
             let event = counted(&asked, told).expect("rested, so it calls");
-            last = door.decide(now + Tenths(20), vec![event]);
+            last = door.decide(now + Ticks(20), vec![event]);
         }
         // Its answer tells of the customer's use: from now on a reading is current.
         let id = TxnId(txn as u64);
-        let sent = last.iter().any(|action| matches!(action, Action::Submit { txn, .. } if *txn == id));
-        if let (true, Event::Ended(ending)) = (sent, settled_now(id)) {
-            let now = Tenths(txn * 100_000 + 500);
-            door.decide(now, vec![Event::Ended(Ending { metered: Some(0.2), ..ending })]);
-            let again = Event::Arrived(arrival(1_000_000 + id.0, id.0, 1.0, now));
-            let asked = door.decide(now + Tenths(10), vec![again]);
+        let sent = last.iter().any(|action| matches!(action, Action::SendAttempt { txn, .. } if *txn == id));
+        if let (true, Event::AttemptEnded(ending)) = (sent, settled_now(id)) {
+            let now = Ticks(txn * 100_000 + 500);
+            door.decide(now, vec![Event::AttemptEnded(AttemptReport { metered_usage: Some(0.2), ..ending })]);
+            let again = Event::RequestArrived(arrival(1_000_000 + id.0, id.0, 1.0, now));
+            let asked = door.decide(now + Ticks(10), vec![again]);
             // The reading may be old: the counter is asked all the same; what it leaves in doubt is declined.
-            let event = counted(&asked, Counted::NotAdded).unwrap_or(Event::Due(TimerId(9)));
-            let actions = [asked, door.decide(now + Tenths(20), vec![event])].concat();
-            assert!(actions.iter().any(|action| matches!(action, Action::Decline { .. })), "{actions:?}");
+            let event = counted(&asked, CounterReply::NotAdded).unwrap_or(Event::TimerFired(TimerId(9)));
+            let actions = [asked, door.decide(now + Ticks(20), vec![event])].concat();
+            assert!(actions.iter().any(|action| matches!(action, Action::Reject { .. })), "{actions:?}");
         }
         sent
     };
@@ -337,81 +342,84 @@
 #[test]
 fn two_calls_out_for_one_customer_do_not_pass_its_ceiling() {
     let mut told = start(0, Counter::Answers);
-    (told.plans[0].ceiling_rate, told.plans[0].ceiling_depth) = (4.0, 160.0);
-    let mut door = Door::start(told);
-    door.decide(Tenths(0), vec![listing(4)]);
+    (told.plans[0].hard_limit_rate, told.plans[0].hard_limit_burst) = (4.0, 160.0);
+    let mut door = Balancer::new(told);
+    door.decide(Ticks(0), vec![listing(4)]);
     // This door's part of the ceiling is four units; each txn alone is within it.
-    let now = Tenths(1_000_000);
-    let both = [1, 2].map(|txn| Event::Arrived(arrival(txn, 5, 3.0, now)));
+    let now = Ticks(1_000_000);
+    let both = [1, 2].map(|txn| Event::RequestArrived(arrival(txn, 5, 3.0, now)));
     let asked = door.decide(now, both.to_vec());
     assert_eq!(calls(&asked), 2, "{asked:?}");
-    let told = counted(&asked, Counted::Total(6.0)).expect("it called");
-    let answers = door.decide(now + Tenths(20), vec![told.clone(), told]);
-    let sent = |action: &&Action| matches!(action, Action::Submit { .. });
+    let told = counted(&asked, CounterReply::Total(6.0)).expect("it called");
+    let answers = door.decide(now + Ticks(20), vec![told.clone(), told]);
+    let sent = |action: &&Action| matches!(action, Action::SendAttempt { .. });
     assert_eq!(answers.iter().filter(sent).count(), 1, "{answers:?}");
-    assert!(answers.iter().any(|action| matches!(action, Action::Decline { .. })), "{answers:?}");
+    assert!(answers.iter().any(|action| matches!(action, Action::Reject { .. })), "{answers:?}");
 }
 
 /// The part of one door's txns, five a second over 40 backends, that go where an answer came less than 4 s
 /// ago.
-fn sent_to_known(kept: Tenths) -> f64 {
-    let mut door = Door::start(Start { kept, ..start(0, Counter::Absent) });
-    door.decide(Tenths(0), vec![listing(40)]);
-    let (mut settled, mut known): (HashMap<BackendId, Tenths>, u32) = (HashMap::new(), 0);
+fn sent_to_known(kept: Ticks) -> f64 {
+    let mut door = Balancer::new(BalancerConfig { idle_timeout: kept, ..start(0, Counter::Absent) });
+    door.decide(Ticks(0), vec![listing(40)]);
+    let (mut settled, mut known): (HashMap<BackendId, Ticks>, u32) = (HashMap::new(), 0);
     for txn in 0..400 {
-        let now = Tenths(txn * 2_000 + 10);
+        let now = Ticks(txn * 2_000 + 10);
         // A customer each, so that no quota is in the way.
-        let arrived = Event::Arrived(through_one(arrival(txn as u64, txn as u64, 1.0, now)));
+        let arrived = Event::RequestArrived(through_one(arrival(txn as u64, txn as u64, 1.0, now)));
         let actions = door.decide(now, vec![arrived]);
-        let [Action::Submit { txn, backend, .. }] = actions[..] else {
+        let [Action::SendAttempt { txn, backend, .. }] = actions[..] else {
             panic!("sent at once, and nothing else: {actions:?}");
         };
-        known += u32::from(settled.insert(backend, now).is_some_and(|at| now - at < Tenths(40_000)));
-        door.decide(now + Tenths(500), vec![settled_now(txn)]);
+        known += u32::from(settled.insert(backend, now).is_some_and(|at| now - at < Ticks(40_000)));
+        door.decide(now + Ticks(500), vec![settled_now(txn)]);
     }
     f64::from(known) / 400.0
 }
 
 #[test]
 fn a_backend_with_a_kept_connection_is_drawn_more_often_and_not_alone() {
-    let (without, with) = (sent_to_known(Tenths(0)), sent_to_known(Tenths(40_000)));
+    let (without, with) = (sent_to_known(Ticks(0)), sent_to_known(Ticks(40_000)));
     assert!(without < 0.5, "at random {without}");
     assert!((0.65..0.98).contains(&with), "kept {with}");
 }
 
 #[test]
 fn customers_of_wider_slices_are_counted_only_while_the_counter_answers_all() {
-    let mut door = Door::start(start(0, Counter::Answers));
-    door.decide(Tenths(0), vec![listing(4)]);
+    let mut door = Balancer::new(start(0, Counter::Answers));
+    door.decide(Ticks(0), vec![listing(4)]);
     // Through eight doors a slice holds a quarter of the largest txn; through all forty a twentieth.
     let arrived = |txn: u64, width, now| {
         let arrival = arrival(txn, txn, 1.0, now);
-        Event::Arrived(Arrival { want: Want { width, ..arrival.want }, ..arrival })
+        Event::RequestArrived(Arrival {
+            claim: QuotaClaim { subset_size: width, ..arrival.claim },
+            ..arrival
+        })
     };
     let mut called = |txn: u64, width, counter| {
-        let now = Tenths(txn as i64 * 1_000);
+        let now = Ticks(txn as i64 * 1_000);
         let asked = door.decide(now, vec![arrived(txn, width, now)]);
         let made = calls(&asked);
-        counted(&asked, counter).map(|event| door.decide(now + Tenths(20), vec![event]));
+        counted(&asked, counter).map(|event| door.decide(now + Ticks(20), vec![event]));
         made
     };
-    assert_eq!(called(1, 8, Counted::Total(1.0)), 1);
-    let failed: usize = (2..60).map(|txn| called(txn, DOORS, Counted::NotAdded)).sum();
+    assert_eq!(called(1, 8, CounterReply::Total(1.0)), 1);
+    let failed: usize = (2..60).map(|txn| called(txn, DOORS, CounterReply::NotAdded)).sum();
     assert!(failed >= 4, "{failed} calls failed");
-    let wide: usize = (60..80).map(|txn| called(txn, 8, Counted::Total(1.0))).sum();
+    let wide: usize = (60..80).map(|txn| called(txn, 8, CounterReply::Total(1.0))).sum();
     assert_eq!(wide, 0, "turned away again and again, the counter is left to those whom no slice serves");
-    let slim: usize = (300..320).map(|txn| called(txn, DOORS, Counted::Total(1.0))).sum();
+    let slim: usize = (300..320).map(|txn| called(txn, DOORS, CounterReply::Total(1.0))).sum();
     assert!(slim >= 10, "{slim} of 20 called");
 }
 
 #[test]
 fn a_crowded_counter_is_asked_first_for_what_costs_most_and_a_free_one_for_all() {
-    let mut door = Door::start(start(0, Counter::Answers));
-    door.decide(Tenths(0), vec![listing(4)]);
+    let mut door = Balancer::new(start(0, Counter::Answers));
+    door.decide(Ticks(0), vec![listing(4)]);
     let mut called = |txn: u64, cost: f64, counter| -> usize {
-        let now = Tenths(txn as i64 * 500);
-        let asked = door.decide(now, vec![Event::Arrived(arrival(txn, txn, cost, now))]);
-        counted(&asked, counter).map(|event| door.decide(now + Tenths(20), vec![event]));
+        let now = Ticks(txn as i64 * 500);
+        let asked = door.decide(now, vec![Event::RequestArrived(arrival(txn, txn, cost, now))]);
+        counted(&asked, counter).map(|event| door.decide(now + Ticks(20), vec![event]));
         calls(&asked)
     };
     let mut alternating = |from: u64, counter| {
@@ -419,8 +427,8 @@
             (from..from + 400).map(|txn| (called(2 * txn, 8.0, counter), called(2 * txn + 1, 1.0, counter)));
         both.fold((0, 0), |(dear, cheap), one| (dear + one.0, cheap + one.1))
     };
-    assert_eq!(alternating(100, Counted::Total(1.0)), (400, 400), "a free one is asked for all");
-    let (dear, cheap) = alternating(500, Counted::NotAdded);
+    assert_eq!(alternating(100, CounterReply::Total(1.0)), (400, 400), "a free one is asked for all");
+    let (dear, cheap) = alternating(500, CounterReply::NotAdded);
     assert!(dear >= 3 * cheap, "{dear} calls for eight units, {cheap} for one");
     assert!(cheap >= 5, "the cheap are not forgotten: {cheap}");
 }
--- a/crates/policy/tests/scenarios.rs
+++ b/crates/policy/tests/scenarios.rs
@@ -2,12 +2,12 @@
 
 use std::collections::HashMap;
 use std::path::Path;
-use vanewharf_policy::decide::Door;
+use vanewharf_policy::decide::Balancer;
 use vanewharf_policy::interface::*;
 
 struct Play {
-    door: Option<Door>,
-    told: Start,
+    door: Option<Balancer>,
+    told: BalancerConfig,
     products: Vec<String>,
     plans: Vec<String>,
     names: Vec<String>,
@@ -17,8 +17,8 @@
     next_txn: u64,
 }
 
-fn ms(text: &str) -> Tenths {
-    Tenths((number(text) * 10.0) as i64)
+fn ms(text: &str) -> Ticks {
+    Ticks((number(text) * 10.0) as i64)
 }
 
 fn number(text: &str) -> f64 {
@@ -40,27 +40,27 @@
 
 impl Play {
     fn new() -> Play {
-        let allowances = Allowances {
+        let allowances = AllowedActions {
             cancel: true,
-            second_copies: true,
+            hedging: true,
             retry_after: true,
-            max_retry_after: Tenths(10_000),
-            most_submissions: 3,
+            max_retry_after: Ticks(10_000),
+            max_attempts: 3,
         };
-        let told = Start {
+        let told = BalancerConfig {
             seed: 7,
-            at: Tenths(0),
-            doors: 2,
+            started_at: Ticks(0),
+            gateway_count: 2,
             products: Vec::new(),
             plans: Vec::new(),
-            allowances,
-            cold: ColdFigures { from: 0.25, ramp_time: Tenths(100_000) },
-            kept: Tenths(0),
-            meter_period: Tenths(5_000),
-            counter: None,
-            peers: false,
-            most_cost: 8.0,
-            me: DoorId(0),
+            allowed: allowances,
+            warm_up: WarmUp { initial_capacity: 0.25, ramp_time: Ticks(100_000) },
+            idle_timeout: Ticks(0),
+            meter_period: Ticks(5_000),
+            counter_timeout: None,
+            peer_messages: false,
+            max_cost: 8.0,
+            gateway: GatewayId(0),
         };
         let (products, plans, names) = (Vec::new(), Vec::new(), Vec::new());
         let (out, tries) = (Vec::new(), HashMap::new());
@@ -78,23 +78,27 @@
         match words[0] {
             "told" => {
                 let flag = |key, known| given(words, key).map_or(known, |value| value == "yes");
-                let allowances = &mut self.told.allowances;
+                let allowances = &mut self.told.allowed;
                 allowances.cancel = flag("cancel", allowances.cancel);
-                allowances.second_copies = flag("copies", allowances.second_copies);
+                allowances.hedging = flag("copies", allowances.hedging);
                 allowances.retry_after = flag("advice", allowances.retry_after);
-                self.told.doors = figure(words, "doors", f64::from(self.told.doors)) as u32;
+                self.told.gateway_count = figure(words, "doors", f64::from(self.told.gateway_count)) as u32;
             }
             "product" => {
                 let repeat = match *words.last().expect("a kind of repeat") {
-                    "inquiry-like" => Repeat::InquiryLike,
-                    "once-only" => Repeat::OnceOnly,
+                    "inquiry-like" => Idempotency::Idempotent,
+                    "once-only" => Idempotency::NonIdempotent,
                     kind => {
                         let mut parts = kind.split(':').skip(1);
-                        Repeat::Referenced { window: ms(parts.next().expect("a window")) }
+                        Idempotency::Deduplicated { window: ms(parts.next().expect("a window")) }
                     }
                 };
                 let sla_time = ms(given(words, "sla").expect("an SLA time"));
-                self.told.products.push(Product { sla_time, value: figure(words, "value", 1.0), repeat });
+                self.told.products.push(Product {
+                    sla_time,
+                    value: figure(words, "value", 1.0),
+                    idempotency: repeat,
+                });
                 self.products.push(words[1].to_owned());
             }
             _ => {
@@ -102,10 +106,10 @@
                     rate: figure(words, "rate", 0.0),
                     burst: figure(words, "burst", 0.0),
                     value_factor: 1.0,
-                    beyond_worth: figure(words, "earns", 0.0),
-                    beyond_cost: figure(words, "beyond", 1.0),
-                    ceiling_rate: figure(words, "ceiling_rate", 0.0),
-                    ceiling_depth: figure(words, "ceiling_depth", 0.0),
+                    excess_value: figure(words, "earns", 0.0),
+                    excess_cost: figure(words, "beyond", 1.0),
+                    hard_limit_rate: figure(words, "ceiling_rate", 0.0),
+                    hard_limit_burst: figure(words, "ceiling_depth", 0.0),
                 });
                 self.plans.push(words[1].to_owned());
             }
@@ -113,70 +117,78 @@
     }
 
     /// `name[!drain|!gone][@booted][~]`
-    fn listed(&mut self, word: &str) -> Listed {
+    fn listed(&mut self, word: &str) -> BackendInfo {
         let (word, near) = word.strip_suffix('~').map_or((word, true), |word| (word, false));
         let (word, booted) = word.split_once('@').map_or((word, None), |(name, at)| (name, Some(ms(at))));
         let (name, standing) = match word.split_once('!') {
-            Some((name, "drain")) => (name, Standing::Draining),
-            Some((name, _)) => (name, Standing::Gone),
-            None => (word, Standing::Ready),
+            Some((name, "drain")) => (name, BackendStatus::Draining),
+            Some((name, _)) => (name, BackendStatus::Gone),
+            None => (word, BackendStatus::Ready),
         };
-        Listed { backend: BackendId(self.id(name)), standing, size: 1.0, near, booted }
+        BackendInfo {
+            backend: BackendId(self.id(name)),
+            status: standing,
+            capacity: 1.0,
+            local: near,
+            started_at: booted,
+        }
     }
 
-    fn event(&mut self, now: Tenths, words: &[&str]) -> Event {
+    fn event(&mut self, now: Ticks, words: &[&str]) -> Event {
         let txn = || TxnId(words[1].parse().expect("a txn"));
         match words[0] {
-            "list" => Event::Listing(words[1..].iter().map(|word| self.listed(word)).collect()),
-            "change" => Event::Changes(words[1..].iter().map(|word| self.listed(word)).collect()),
-            "txn" => Event::Arrived(Arrival {
+            "list" => Event::BackendList(words[1..].iter().map(|word| self.listed(word)).collect()),
+            "change" => Event::BackendChanges(words[1..].iter().map(|word| self.listed(word)).collect()),
+            "txn" => Event::RequestArrived(Arrival {
                 txn: txn(),
                 product: ProductId(place(&self.products, words[2])),
-                want: Want {
+                claim: QuotaClaim {
                     plan: PlanId(place(&self.plans, words[3])),
                     customer: CustomerId(self.id(words[4]).into()),
-                    first: 0,
-                    width: figure(words, "width", 1.0) as u32,
+                    subset_start: 0,
+                    subset_size: figure(words, "width", 1.0) as u32,
                     cost: figure(words, "cost", 1.0),
-                    again: words.contains(&"again"),
+                    retry: words.contains(&"again"),
                 },
-                expiry: now + ms(given(words, "expiry").unwrap_or("4000")),
+                deadline: now + ms(given(words, "expiry").unwrap_or("4000")),
             }),
-            "left" => Event::Left(txn()),
-            "due" => Event::Due(TimerId(words[1].parse().expect("a timer"))),
+            "left" => Event::ClientDisconnected(txn()),
+            "due" => Event::TimerFired(TimerId(words[1].parse().expect("a timer"))),
             _ => {
                 let (txn, no) = words[1].split_once('.').expect("txn.number");
                 let (txn, no) = (txn.parse().expect("a txn"), no.parse().expect("a number"));
                 self.out.retain(|&(id, number, _)| (id, number) != (txn, no));
                 let outcome = match words[2] {
-                    "settled" => Outcome::Settled,
+                    "settled" => Outcome::Succeeded,
                     "error" => Outcome::Error,
-                    "turned-away" => Outcome::TurnedAway,
+                    "turned-away" => Outcome::Rejected,
                     "timed-out" => Outcome::TimedOut,
-                    "no-connection" => Outcome::NoConnection,
-                    "broken" => Outcome::Broken,
+                    "no-connection" => Outcome::ConnectFailed,
+                    "broken" => Outcome::ConnectionLost,
                     "cancelled" => Outcome::Cancelled,
                     other => panic!("'{other}' is no outcome"),
                 };
-                Event::Ended(Ending {
+                Event::AttemptEnded(AttemptReport {
                     txn: TxnId(txn),
-                    no: SubmissionNo(no),
+                    attempt: AttemptNumber(no),
                     outcome,
-                    took: ms(given(words, "took").unwrap_or("20")),
-                    complete: outcome == Outcome::Settled,
-                    metered: given(words, "use").map(number),
-                    true_cost: given(words, "true").map(number),
+                    latency: ms(given(words, "took").unwrap_or("20")),
+                    complete: outcome == Outcome::Succeeded,
+                    metered_usage: given(words, "use").map(number),
+                    actual_cost: given(words, "true").map(number),
                 })
             }
         }
     }
 
-    fn batch(&mut self, now: Tenths, events: Vec<Event>) -> Vec<Action> {
+    fn batch(&mut self, now: Ticks, events: Vec<Event>) -> Vec<Action> {
         let told = &self.told;
-        let door = self.door.get_or_insert_with(|| Door::start(Start { at: now, ..told.clone() }));
+        let door = self
+            .door
+            .get_or_insert_with(|| Balancer::new(BalancerConfig { started_at: now, ..told.clone() }));
         let actions = door.decide(now, events);
         for action in &actions {
-            if let Action::Submit { txn, backend, .. } = action {
+            if let Action::SendAttempt { txn, backend, .. } = action {
                 let no = self.tries.entry(txn.0).or_default();
                 self.out.push((txn.0, *no, backend.0));
                 *no += 1;
@@ -216,7 +228,9 @@
         if let Some((wanted, range)) = expected.rsplit_once(' ') {
             let to = wanted.strip_prefix("submits to ");
             let count = actions.iter().filter(|action| match action {
-                Action::Submit { backend, .. } => to.is_none_or(|to| to == self.names[backend.0 as usize]),
+                Action::SendAttempt { backend, .. } => {
+                    to.is_none_or(|to| to == self.names[backend.0 as usize])
+                }
                 _ => false,
             });
             let count = count.count() as f64;
@@ -260,18 +274,18 @@
 
     fn say(&self, action: &Action) -> String {
         match action {
-            Action::Submit { txn, backend, .. } => {
+            Action::SendAttempt { txn, backend, .. } => {
                 format!("submit {} {}", txn.0, self.names[backend.0 as usize])
             }
-            Action::Cancel { txn, no } => format!("cancel {}.{}", txn.0, no.0),
-            Action::Decline { txn, retry_after: None } => format!("decline {} unadvised", txn.0),
-            Action::Decline { txn, retry_after: Some(span) } => {
+            Action::CancelAttempt { txn, attempt: no } => format!("cancel {}.{}", txn.0, no.0),
+            Action::Reject { txn, retry_after: None } => format!("decline {} unadvised", txn.0),
+            Action::Reject { txn, retry_after: Some(span) } => {
                 format!("decline {} after {}", txn.0, span.0 / 10)
             }
-            Action::Void { txn } => format!("void {}", txn.0),
-            Action::Wake { after, timer } => format!("wake {} after {}", timer.0, after.0 / 10),
-            Action::Count { name, step, .. } => format!("count {} {step}", name.0),
-            Action::Tell { to, word } => format!("tell {} {word:?}", to.0),
+            Action::Fail { txn } => format!("void {}", txn.0),
+            Action::SetTimer { after, timer } => format!("wake {} after {}", timer.0, after.0 / 10),
+            Action::IncrementCounter { key: name, amount: step, .. } => format!("count {} {step}", name.0),
+            Action::SendPeerMessage { to, message: word } => format!("tell {} {word:?}", to.0),
         }
     }
 }
@@ -317,14 +331,14 @@
         now += (draw >> 33) as i64 % 3_000;
         let line = format!("0 txn {txn} look basic acme");
         let words: Vec<_> = line.split(' ').skip(1).collect();
-        let event = play.event(Tenths(now), &words);
-        let actions = play.batch(Tenths(now), vec![event]);
-        let admitted = matches!(actions[..], [Action::Submit { .. }]);
+        let event = play.event(Ticks(now), &words);
+        let actions = play.batch(Ticks(now), vec![event]);
+        let admitted = matches!(actions[..], [Action::SendAttempt { .. }]);
         assert_eq!(admitted, now >= next - tolerance, "txn {txn} at {now}");
         if admitted {
             next = now.max(next) + interval;
-            let event = play.event(Tenths(now), &["end", &format!("{txn}.0"), "settled"]);
-            play.batch(Tenths(now), vec![event]);
+            let event = play.event(Ticks(now), &["end", &format!("{txn}.0"), "settled"]);
+            play.batch(Ticks(now), vec![event]);
         }
     }
 }
--- a/crates/simulator/src/arrivals.rs
+++ b/crates/simulator/src/arrivals.rs
@@ -2,7 +2,7 @@
 
 use crate::draw::{Draw, Stream, seconds};
 use crate::experiment::{Experiment, Shape};
-use vanewharf_policy::interface::{CustomerId, PlanId, ProductId, Tenths};
+use vanewharf_policy::interface::{CustomerId, PlanId, ProductId, Ticks};
 use vanewharf_traces::Row;
 
 /// One customer, and the doors that its clients come through.
@@ -14,13 +14,13 @@
     pub width: usize,
     /// How unevenly it comes through them, for how long at a time, and the seed of that.
     pub skew: f64,
-    pub shift: Tenths,
+    pub shift: Ticks,
     pub seed: u64,
 }
 
 impl Customer {
     /// The door that a client with this draw comes to.
-    pub fn door(&self, at: Tenths, draw: f64, doors: usize) -> usize {
+    pub fn door(&self, at: Ticks, draw: f64, doors: usize) -> usize {
         // Drawn anew when asked, not kept: a long trace has many customers and many spans.
         let span = at.0.div_euclid(self.shift.0.max(1)) as u64;
         let mut chance = Draw::new(self.seed ^ span.wrapping_mul(0x9e37_79b9_7f4a_7c15), Stream::Customers);
@@ -37,7 +37,7 @@
 /// One first try of a client.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct First {
-    pub at: Tenths,
+    pub at: Ticks,
     pub customer: usize,
     pub product: ProductId,
     /// Milliseconds on one core at speed 1.
@@ -127,7 +127,7 @@
 /// One try as its client draws it.
 pub fn first(
     experiment: &Experiment,
-    at: Tenths,
+    at: Ticks,
     customer: usize,
     no: usize,
     units: f64,
--- a/crates/simulator/src/backends.rs
+++ b/crates/simulator/src/backends.rs
@@ -2,7 +2,7 @@
 
 use crate::experiment::{Fleet, Rules, Stops};
 use std::collections::VecDeque;
-use vanewharf_policy::interface::Tenths;
+use vanewharf_policy::interface::Ticks;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum State {
@@ -32,13 +32,13 @@
     /// Part of the answers that are cut off.
     pub cut_off: f64,
     pub draining: bool,
-    pub booted: Option<Tenths>,
+    pub booted: Option<Ticks>,
     /// Each start of its process; what ran before means nothing any more.
     pub life: u32,
     pub working: usize,
     pub waiting: VecDeque<usize>,
     pub worked_ms: f64,
-    recent: VecDeque<(Tenths, f64, bool)>,
+    recent: VecDeque<(Ticks, f64, bool)>,
     recent_ms: f64,
     /// Pushed over while cold: it stays down.
     pub fallen: bool,
@@ -65,7 +65,7 @@
         }
     }
 
-    pub fn warmth(&self, now: Tenths, fleet: &Fleet) -> f64 {
+    pub fn warmth(&self, now: Ticks, fleet: &Fleet) -> f64 {
         let Some(booted) = self.booted else {
             return 1.0;
         };
@@ -74,7 +74,7 @@
     }
 
     /// Milliseconds of work a second.
-    pub fn capacity(&self, now: Tenths, fleet: &Fleet) -> f64 {
+    pub fn capacity(&self, now: Ticks, fleet: &Fleet) -> f64 {
         fleet.cores as f64 * 1_000.0 * self.speed * self.warmth(now, fleet) / self.slow
     }
 
@@ -83,7 +83,7 @@
     }
 
     /// How long this much work takes one of its cores now, in seconds.
-    pub fn takes(&self, work_ms: f64, now: Tenths, fleet: &Fleet) -> f64 {
+    pub fn takes(&self, work_ms: f64, now: Ticks, fleet: &Fleet) -> f64 {
         let crowd = self.waiting.len().saturating_sub(12) as f64;
         let pace = self.speed * self.warmth(now, fleet) / self.slow;
         work_ms * (1.0 + fleet.thrash * crowd / fleet.queue.max(1) as f64) / pace / 1_000.0
@@ -129,7 +129,7 @@
     }
 
     /// How near a cold one is to being pushed over; 1 is over.
-    pub fn pushed(&self, now: Tenths, fleet: &Fleet, rules: &Rules) -> f64 {
+    pub fn pushed(&self, now: Ticks, fleet: &Fleet, rules: &Rules) -> f64 {
         let bound = rules.fall_multiple * self.capacity(now, fleet) * rules.fall_ms / 1_000.0;
         if self.state == State::Up && self.warmth(now, fleet) < 1.0 {
             self.recent_ms / bound.max(1e-9)
@@ -145,7 +145,7 @@
         self.waiting.clear();
     }
 
-    pub fn boots(&mut self, now: Tenths) {
+    pub fn boots(&mut self, now: Ticks) {
         if self.fallen {
             return;
         }
@@ -165,7 +165,7 @@
         &mut self,
         work_ms: f64,
         told: bool,
-        now: Tenths,
+        now: Ticks,
         fleet: &Fleet,
         rules: &Rules,
     ) -> Option<f64> {
@@ -236,7 +236,7 @@
         assert!((backend.warmth(seconds(15.0), &fleet) - 0.625).abs() < 1e-9);
         // A quarter of 2000 ms a second, three times: 1500 ms within a second, and a little more.
         let mut push = |from: i64, count: i64, told| {
-            (0..count).find_map(|no| backend.bears(20.0, told, Tenths(from + no), &fleet, &rules))
+            (0..count).find_map(|no| backend.bears(20.0, told, Ticks(from + no), &fleet, &rules))
         };
         assert_eq!(push(100_000, 70, true), None);
         let part = push(100_100, 20, true).expect("it falls");
--- a/crates/simulator/src/draw.rs
+++ b/crates/simulator/src/draw.rs
@@ -4,7 +4,7 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, Exp, LogNormal};
-use vanewharf_policy::interface::Tenths;
+use vanewharf_policy::interface::Ticks;
 
 #[derive(Clone, Copy, Debug)]
 pub enum Stream {
@@ -74,12 +74,12 @@
     }
 }
 
-pub fn seconds(span: f64) -> Tenths {
-    Tenths((span * 10_000.0).round() as i64)
+pub fn seconds(span: f64) -> Ticks {
+    Ticks((span * 10_000.0).round() as i64)
 }
 
-pub fn millis(span: f64) -> Tenths {
-    Tenths((span * 10.0).round() as i64)
+pub fn millis(span: f64) -> Ticks {
+    Ticks((span * 10.0).round() as i64)
 }
 
 #[cfg(test)]
--- a/crates/simulator/src/policy.rs
+++ b/crates/simulator/src/policy.rs
@@ -2,9 +2,10 @@
 //! is and one that sees what no door can.
 
 use std::collections::BTreeMap;
-use vanewharf_policy::decide::Door;
+use vanewharf_policy::decide::Balancer;
 use vanewharf_policy::interface::{
-    Action, Arrival, BackendId, Ending, Event, Outcome, Repeat, Standing, Start, Tenths, TxnId,
+    Action, Arrival, AttemptReport, BackendId, BackendStatus, BalancerConfig, Event, Idempotency, Outcome,
+    Ticks, TxnId,
 };
 
 /// What the one that sees is shown: the fleet as it was a moment ago, and the quotas as they are.
@@ -19,14 +20,14 @@
 pub type Inside<'a> = dyn FnMut(&Arrival) -> bool + 'a;
 
 pub trait Policy {
-    fn starts(&mut self, door: usize, told: Start);
+    fn starts(&mut self, door: usize, told: BalancerConfig);
     fn stops(&mut self, door: usize);
     /// The fleet was looked at anew.
-    fn looks(&mut self, _now: Tenths, _backends: usize) {}
+    fn looks(&mut self, _now: Ticks, _backends: usize) {}
     fn decide(
         &mut self,
         door: usize,
-        now: Tenths,
+        now: Ticks,
         events: Vec<Event>,
         seen: &Seen,
         inside: &mut Inside<'_>,
@@ -36,12 +37,12 @@
 /// The module itself.
 #[derive(Default)]
 pub struct Module {
-    doors: BTreeMap<usize, Door>,
+    doors: BTreeMap<usize, Balancer>,
 }
 
 impl Policy for Module {
-    fn starts(&mut self, door: usize, told: Start) {
-        self.doors.insert(door, Door::start(told));
+    fn starts(&mut self, door: usize, told: BalancerConfig) {
+        self.doors.insert(door, Balancer::new(told));
     }
 
     fn stops(&mut self, door: usize) {
@@ -51,7 +52,7 @@
     fn decide(
         &mut self,
         door: usize,
-        now: Tenths,
+        now: Ticks,
         events: Vec<Event>,
         _: &Seen,
         _: &mut Inside<'_>,
@@ -63,20 +64,20 @@
 /// What both baselines keep of a door.
 #[derive(Default)]
 struct Known {
-    told: Option<Start>,
+    told: Option<BalancerConfig>,
     ready: Vec<BackendId>,
     next: usize,
     open: BTreeMap<TxnId, (Arrival, Vec<(BackendId, bool)>)>,
 }
 
 impl Known {
-    fn listed(&mut self, entries: &[vanewharf_policy::interface::Listed], whole: bool) {
+    fn listed(&mut self, entries: &[vanewharf_policy::interface::BackendInfo], whole: bool) {
         if whole {
             self.ready.clear();
         }
         for entry in entries {
             self.ready.retain(|id| *id != entry.backend);
-            if entry.standing == Standing::Ready {
+            if entry.status == BackendStatus::Ready {
                 self.ready.push(entry.backend);
             }
         }
@@ -86,7 +87,7 @@
     fn submit(&mut self, txn: TxnId, backend: BackendId, actions: &mut Vec<Action>) {
         if let Some((_, sent)) = self.open.get_mut(&txn) {
             sent.push((backend, true));
-            actions.push(Action::Submit { txn, backend, time_out: None });
+            actions.push(Action::SendAttempt { txn, backend, timeout: None });
         }
     }
 
@@ -96,26 +97,26 @@
         };
         let told = self.told.as_ref().expect("it started");
         let ran = sent.iter().any(|(_, may_have_run)| *may_have_run);
-        let harmless = !ran || told.products[arrival.product.0].repeat != Repeat::OnceOnly;
-        let decline = Action::Decline { txn, retry_after: None };
-        actions.push(if harmless { decline } else { Action::Void { txn } });
+        let harmless = !ran || told.products[arrival.product.0].idempotency != Idempotency::NonIdempotent;
+        let decline = Action::Reject { txn, retry_after: None };
+        actions.push(if harmless { decline } else { Action::Fail { txn } });
     }
 
     /// The ended submission's txn, where it is still to be answered and may be sent again.
-    fn ended(&mut self, ending: &Ending) -> Option<TxnId> {
+    fn ended(&mut self, ending: &AttemptReport) -> Option<TxnId> {
         if ending.complete {
             self.open.remove(&ending.txn);
             return None;
         }
         let (arrival, sent) = self.open.get_mut(&ending.txn)?;
-        sent.get_mut(ending.no.0 as usize)?.1 = !ending.outcome.never_ran();
+        sent.get_mut(ending.attempt.0 as usize)?.1 = !ending.outcome.never_ran();
         let told = self.told.as_ref()?;
-        let repeatable = told.products[arrival.product.0].repeat == Repeat::InquiryLike
+        let repeatable = told.products[arrival.product.0].idempotency == Idempotency::Idempotent
             || !sent.iter().any(|(_, may_have_run)| *may_have_run);
         let may = repeatable
-            && sent.len() < told.allowances.most_submissions
+            && sent.len() < told.allowed.max_attempts
             && ending.outcome != Outcome::TimedOut
-            && ending.outcome != Outcome::Moot;
+            && ending.outcome != Outcome::NotSent;
         may.then_some(ending.txn)
     }
 }
@@ -127,7 +128,7 @@
 }
 
 impl Policy for Plainest {
-    fn starts(&mut self, door: usize, told: Start) {
+    fn starts(&mut self, door: usize, told: BalancerConfig) {
         // Not all doors begin with the same backend.
         let next = door * 7;
         self.doors.insert(door, Known { told: Some(told), next, ..Known::default() });
@@ -140,7 +141,7 @@
     fn decide(
         &mut self,
         door: usize,
-        _: Tenths,
+        _: Ticks,
         events: Vec<Event>,
         _: &Seen,
         _: &mut Inside<'_>,
@@ -151,9 +152,9 @@
         };
         for event in events {
             match event {
-                Event::Listing(entries) => known.listed(&entries, true),
-                Event::Changes(entries) => known.listed(&entries, false),
-                Event::Arrived(arrival) => {
+                Event::BackendList(entries) => known.listed(&entries, true),
+                Event::BackendChanges(entries) => known.listed(&entries, false),
+                Event::RequestArrived(arrival) => {
                     let txn = arrival.txn;
                     known.open.insert(txn, (arrival, Vec::new()));
                     if known.ready.is_empty() {
@@ -164,13 +165,13 @@
                         known.submit(txn, backend, &mut actions);
                     }
                 }
-                Event::Ended(ending) => {
+                Event::AttemptEnded(ending) => {
                     known.ended(&ending);
                     if !ending.complete {
                         known.give_up(ending.txn, &mut actions);
                     }
                 }
-                Event::Left(txn) => drop(known.open.remove(&txn)),
+                Event::ClientDisconnected(txn) => drop(known.open.remove(&txn)),
                 _ => {}
             }
         }
@@ -198,7 +199,7 @@
 }
 
 impl Policy for Seeing {
-    fn starts(&mut self, door: usize, told: Start) {
+    fn starts(&mut self, door: usize, told: BalancerConfig) {
         self.doors.insert(door, Known { told: Some(told), ..Known::default() });
     }
 
@@ -206,14 +207,14 @@
         self.doors.remove(&door);
     }
 
-    fn looks(&mut self, _: Tenths, backends: usize) {
+    fn looks(&mut self, _: Ticks, backends: usize) {
         self.added = vec![0.0; backends];
     }
 
     fn decide(
         &mut self,
         door: usize,
-        now: Tenths,
+        now: Ticks,
         events: Vec<Event>,
         seen: &Seen,
         inside: &mut Inside<'_>,
@@ -224,15 +225,15 @@
         };
         for event in events {
             let again = match event {
-                Event::Listing(entries) => {
+                Event::BackendList(entries) => {
                     known.listed(&entries, true);
                     None
                 }
-                Event::Changes(entries) => {
+                Event::BackendChanges(entries) => {
                     known.listed(&entries, false);
                     None
                 }
-                Event::Arrived(arrival) => {
+                Event::RequestArrived(arrival) => {
                     let txn = arrival.txn;
                     let lets_in = inside(&arrival);
                     known.open.insert(txn, (arrival, Vec::new()));
@@ -241,14 +242,14 @@
                     }
                     lets_in.then_some(txn)
                 }
-                Event::Ended(ending) => {
+                Event::AttemptEnded(ending) => {
                     let again = known.ended(&ending);
                     if again.is_none() && !ending.complete {
                         known.give_up(ending.txn, &mut actions);
                     }
                     again
                 }
-                Event::Left(txn) => {
+                Event::ClientDisconnected(txn) => {
                     known.open.remove(&txn);
                     None
                 }
@@ -262,7 +263,7 @@
             };
             let told = known.told.as_ref().expect("it started");
             let sla = told.products[arrival.product.0].sla_time.seconds();
-            let left = sla.min((arrival.expiry - now).seconds());
+            let left = sla.min((arrival.deadline - now).seconds());
             match self.best(&known, seen, sent) {
                 Some((backend, wait)) if wait < left => {
                     let no = backend.0 as usize;
--- a/crates/simulator/src/rules.rs
+++ b/crates/simulator/src/rules.rs
@@ -1,7 +1,7 @@
 //! The rules that a run is held to; each is checked where it may break, in `world`.
 
 use std::fmt;
-use vanewharf_policy::interface::Tenths;
+use vanewharf_policy::interface::Ticks;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rule {
@@ -29,6 +29,6 @@
 pub struct Broken {
     pub rule: Rule,
     /// Since the run's start.
-    pub at: Tenths,
+    pub at: Ticks,
     pub what: String,
 }
--- a/crates/simulator/src/score.rs
+++ b/crates/simulator/src/score.rs
@@ -7,7 +7,7 @@
 use crate::stores::Books;
 use hdrhistogram::Histogram;
 use std::collections::{BTreeMap, HashMap};
-use vanewharf_policy::interface::Tenths;
+use vanewharf_policy::interface::Ticks;
 
 const START: i64 = 10_000_000;
 /// Seconds of the windows that the worst is looked for in.
@@ -132,7 +132,7 @@
         &mut self.seconds[at]
     }
 
-    pub fn offers(&mut self, no: usize, first: &First, books: &mut Books, now: Tenths) {
+    pub fn offers(&mut self, no: usize, first: &First, books: &mut Books, now: Ticks) {
         let (product, plan, _) = self.who[no];
         let (product, plan) = (&self.experiment.product[product], &self.experiment.plan[plan]);
         let worth = product.value * plan.value_factor * first.true_units;
@@ -157,7 +157,7 @@
         *(if inside { &mut second.inside_units } else { &mut second.beyond_units }) += first.units;
     }
 
-    pub fn settled(&mut self, no: usize, first: &First, inside: bool, took: Tenths, _: Tenths) {
+    pub fn settled(&mut self, no: usize, first: &First, inside: bool, took: Ticks, _: Ticks) {
         let (product_no, plan_no, _) = self.who[no];
         let (product, plan) = (&self.experiment.product[product_no], &self.experiment.plan[plan_no]);
         let in_time = took.seconds() * 1_000.0 <= product.sla_ms;
@@ -176,17 +176,17 @@
     }
 
     /// The second that it is now; after the last one, none.
-    fn now(&mut self, now: Tenths) -> Option<&mut Second> {
+    fn now(&mut self, now: Ticks) -> Option<&mut Second> {
         self.seconds.get_mut(((now.0 - START) / 10_000).max(0) as usize)
     }
 
-    pub fn works(&mut self, now: Tenths, work_ms: f64) {
+    pub fn works(&mut self, now: Ticks, work_ms: f64) {
         if let Some(second) = self.now(now) {
             second.worked_ms += work_ms;
         }
     }
 
-    pub fn looks(&mut self, now: Tenths, capacity_ms: f64, lines: impl Iterator<Item = usize>) {
+    pub fn looks(&mut self, now: Ticks, capacity_ms: f64, lines: impl Iterator<Item = usize>) {
         lines.for_each(|line| self.lines.saturating_record(line as u64));
         if let Some(second) = self.now(now) {
             second.looks += 1;
@@ -194,7 +194,7 @@
         }
     }
 
-    pub fn pushes(&mut self, now: Tenths, near: f64) {
+    pub fn pushes(&mut self, now: Ticks, near: f64) {
         if let Some(second) = self.now(now) {
             second.nearest_fall = second.nearest_fall.max(near);
         }
@@ -211,19 +211,19 @@
         self.asked[no].earned > 0.0
     }
 
-    pub fn declined(&mut self, no: usize, decline: bool, now: Tenths) {
+    pub fn declined(&mut self, no: usize, decline: bool, now: Ticks) {
         self.late_fails(no, now);
         let second = self.second(no);
         second.declined += u64::from(decline);
         second.failed += u64::from(!decline);
     }
 
-    pub fn failed(&mut self, no: usize, now: Tenths) {
+    pub fn failed(&mut self, no: usize, now: Ticks) {
         self.late_fails(no, now);
         self.second(no).failed += 1;
     }
 
-    fn late_fails(&mut self, no: usize, now: Tenths) {
+    fn late_fails(&mut self, no: usize, now: Ticks) {
         let (product, _, _) = self.who[no];
         let took = (now.0 - START - self.ats[no]) as f64 / 10.0;
         if took > self.experiment.product[product].sla_ms && !self.asked[no].over {
--- a/crates/simulator/src/stores.rs
+++ b/crates/simulator/src/stores.rs
@@ -3,7 +3,7 @@
 
 use crate::experiment::{Experiment, Meter, Plan};
 use std::collections::VecDeque;
-use vanewharf_policy::interface::Tenths;
+use vanewharf_policy::interface::Ticks;
 
 /// A store of units that starts full, fills at a rate and holds its burst at most.
 #[derive(Clone, Debug)]
@@ -11,35 +11,35 @@
     rate: f64,
     burst: f64,
     units: f64,
-    at: Tenths,
+    at: Ticks,
 }
 
 impl Store {
-    pub fn new(rate: f64, burst: f64, at: Tenths) -> Store {
+    pub fn new(rate: f64, burst: f64, at: Ticks) -> Store {
         Store { rate, burst, units: burst, at }
     }
 
-    pub fn fill(&mut self, now: Tenths) -> f64 {
+    pub fn fill(&mut self, now: Ticks) -> f64 {
         self.units = (self.units + self.rate * (now - self.at).seconds().max(0.0)).min(self.burst);
         self.at = now;
         self.units
     }
 
     /// Takes the units if they are there.
-    pub fn takes(&mut self, units: f64, now: Tenths) -> bool {
+    pub fn takes(&mut self, units: f64, now: Ticks) -> bool {
         let inside = self.fill(now) >= units - 1e-9;
         self.units -= if inside { units } else { 0.0 };
         inside
     }
 
     /// Below nothing if need be: how far.
-    pub fn draws(&mut self, units: f64, now: Tenths) -> f64 {
+    pub fn draws(&mut self, units: f64, now: Ticks) -> f64 {
         self.fill(now);
         self.units -= units;
         -self.units
     }
 
-    pub fn gives_back(&mut self, units: f64, now: Tenths) {
+    pub fn gives_back(&mut self, units: f64, now: Ticks) {
         self.fill(now);
         self.units = (self.units + units).min(self.burst);
     }
@@ -61,11 +61,11 @@
     /// Units sent in the period under way, and in those before with their ends.
     period: i64,
     using: f64,
-    used: VecDeque<(Tenths, f64)>,
+    used: VecDeque<(Ticks, f64)>,
 }
 
 impl Books {
-    pub fn new(plan: &Plan, experiment: &Experiment, at: Tenths) -> Books {
+    pub fn new(plan: &Plan, experiment: &Experiment, at: Ticks) -> Books {
         let largest = experiment.product.iter().map(|product| product.units).fold(0.0, f64::max);
         let depth = plan.ceiling * plan.burst;
         Books {
@@ -84,7 +84,7 @@
     }
 
     /// Whether one who saw all would let it in: inside the quota, or beyond it where that pays.
-    pub fn lets_in(&mut self, units: f64, plan: &Plan, now: Tenths) -> bool {
+    pub fn lets_in(&mut self, units: f64, plan: &Plan, now: Ticks) -> bool {
         if self.let_in_ceiling.as_mut().is_some_and(|ceiling| !ceiling.takes(units, now)) {
             return false;
         }
@@ -96,19 +96,19 @@
     }
 
     /// What a guess was too high by is given back, or taken too.
-    pub fn settles(&mut self, back: f64, now: Tenths) {
+    pub fn settles(&mut self, back: f64, now: Ticks) {
         self.sent.gives_back(back, now);
         self.let_in.gives_back(back, now);
     }
 
-    fn turn(&mut self, now: Tenths, meter: &Meter) {
+    fn turn(&mut self, now: Ticks, meter: &Meter) {
         let span = (meter.period_s * 10_000.0) as i64;
         let period = now.0.div_euclid(span.max(1));
         if period > self.period {
-            let end = Tenths((self.period + 1) * span);
+            let end = Ticks((self.period + 1) * span);
             self.used.push_back((end, self.using));
             if period > self.period + 1 {
-                self.used.push_back((Tenths(period * span), 0.0));
+                self.used.push_back((Ticks(period * span), 0.0));
             }
             self.using = 0.0;
             self.period = period;
@@ -118,7 +118,7 @@
         }
     }
 
-    pub fn uses(&mut self, units: f64, now: Tenths, meter: Option<&Meter>) {
+    pub fn uses(&mut self, units: f64, now: Ticks, meter: Option<&Meter>) {
         if let Some(meter) = meter {
             self.turn(now, meter);
             self.using += units;
@@ -126,7 +126,7 @@
     }
 
     /// The use in the last period that had ended so long ago, as a share of the rate.
-    pub fn metered(&mut self, now: Tenths, late: Tenths, meter: &Meter) -> Option<f64> {
+    pub fn metered(&mut self, now: Ticks, late: Ticks, meter: &Meter) -> Option<f64> {
         self.turn(now, meter);
         let told = self.used.iter().rev().find(|(end, _)| *end + late <= now);
         told.map(|(_, units)| units / meter.period_s / self.rate)
@@ -154,7 +154,7 @@
             name = \"basic\"\nshare = 1\nrate = 4\nburst = 8\n[load]\nof_capacity = 0.5\n";
         let experiment = Experiment::parse(text).expect("good");
         let meter = experiment.meter.clone().expect("told");
-        let mut books = Books::new(&experiment.plan[0], &experiment, Tenths(0));
+        let mut books = Books::new(&experiment.plan[0], &experiment, Ticks(0));
         books.uses(2.0, seconds(0.4), Some(&meter));
         let late = seconds(0.5);
         assert_eq!(books.metered(seconds(1.2), late, &meter), None);
--- a/crates/simulator/src/world.rs
+++ b/crates/simulator/src/world.rs
@@ -11,8 +11,8 @@
 use crate::stores::Books;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap};
+use vanewharf_policy::codec;
 use vanewharf_policy::interface::*;
-use vanewharf_policy::letter;
 
 /// What happens at a moment.
 #[derive(Debug)]
@@ -31,12 +31,12 @@
     Fault { no: usize, step: usize, begins: bool },
     Told { backend: usize, version: u64 },
     DoorBack { door: usize },
-    Call { door: usize, life: u32, name: CountName, step: f64, forget: Tenths, asked: Tenths },
+    Call { door: usize, life: u32, name: CounterKey, step: f64, forget: Ticks, asked: Ticks },
     Look,
 }
 
 struct Next {
-    at: Tenths,
+    at: Ticks,
     no: u64,
     what: Happening,
 }
@@ -65,22 +65,22 @@
     up: bool,
     life: u32,
     place: usize,
-    stalled_until: Tenths,
-    down_since: Tenths,
+    stalled_until: Ticks,
+    down_since: Ticks,
     inbox: Vec<Event>,
     turn_set: bool,
     /// What it was last told of each backend: standing, start, and when it was told that it stops.
     told: Vec<Entry>,
-    intake: (Tenths, f64),
-    began: Tenths,
+    intake: (Ticks, f64),
+    began: Ticks,
 }
 
 #[derive(Clone, Debug)]
 struct Entry {
     listed: bool,
-    standing: Standing,
-    booted: Option<Tenths>,
-    stops_at: Option<Tenths>,
+    standing: BackendStatus,
+    booted: Option<Ticks>,
+    stops_at: Option<Ticks>,
 }
 
 /// One try of a client.
@@ -89,7 +89,7 @@
     no: u32,
     door: usize,
     life: u32,
-    deadline: Tenths,
+    deadline: Ticks,
     answered: bool,
     attempts: Vec<usize>,
     inside: Option<bool>,
@@ -100,7 +100,7 @@
     one: usize,
     no: u32,
     backend: usize,
-    sent: Tenths,
+    sent: Ticks,
     /// When the door has heard of its end.
     ended: bool,
     may_have_run: bool,
@@ -112,26 +112,26 @@
 
 #[derive(Default)]
 struct Part {
-    busy_until: Tenths,
-    totals: HashMap<u64, (f64, Tenths)>,
+    busy_until: Ticks,
+    totals: HashMap<u64, (f64, Ticks)>,
 }
 
 pub struct World<'a, P: Policy> {
     experiment: &'a Experiment,
     arrivals: &'a Arrivals,
     policy: P,
-    now: Tenths,
+    now: Ticks,
     queue: BinaryHeap<Reverse<Next>>,
     happened: u64,
     doors: Vec<DoorAt>,
     backends: Vec<Backend>,
     /// What discovery holds of each backend, and its version.
-    published: Vec<(Standing, Option<Tenths>, u64)>,
+    published: Vec<(BackendStatus, Option<Ticks>, u64)>,
     books: Vec<Books>,
     tries: Vec<Try>,
     attempts: Vec<Attempt>,
     /// Idle connections of a door to a backend: how many, and until when they are kept.
-    idle: HashMap<(usize, usize), (u32, Tenths)>,
+    idle: HashMap<(usize, usize), (u32, Ticks)>,
     counter: Vec<Part>,
     counter_down: bool,
     list_late_s: f64,
@@ -147,7 +147,7 @@
     ledger: Ledger,
 }
 
-const START: Tenths = Tenths(10_000_000);
+const START: Ticks = Ticks(10_000_000);
 /// How late the one that sees sees.
 const LOOK: f64 = 0.1;
 
@@ -159,7 +159,7 @@
         let backends: Vec<_> = (0..fleet.backends)
             .map(|no| Backend::new(no % places, no / fleet.cell, made.span(fleet.speed)))
             .collect();
-        let entry = Entry { listed: true, standing: Standing::Ready, booted: None, stops_at: None };
+        let entry = Entry { listed: true, standing: BackendStatus::Ready, booted: None, stops_at: None };
         let door = |no: usize| DoorAt {
             up: true,
             life: 0,
@@ -186,7 +186,7 @@
             queue: BinaryHeap::new(),
             happened: 0,
             doors,
-            published: vec![(Standing::Ready, None, 0); fleet.backends],
+            published: vec![(BackendStatus::Ready, None, 0); fleet.backends],
             backends,
             books,
             tries: Vec::new(),
@@ -219,7 +219,7 @@
         world
     }
 
-    fn post(&mut self, at: Tenths, what: Happening) {
+    fn post(&mut self, at: Ticks, what: Happening) {
         self.happened += 1;
         self.queue.push(Reverse(Next { at: at.max(self.now), no: self.happened, what }));
     }
@@ -262,13 +262,13 @@
         }
     }
 
-    fn one_way(&mut self, cross: bool) -> Tenths {
+    fn one_way(&mut self, cross: bool) -> Ticks {
         let net = &self.experiment.net;
         let mean = if cross { net.cross_ms } else { net.same_ms };
-        millis(mean * (1.0 + net.jitter * (2.0 * self.net.unit() - 1.0))).max(Tenths(1))
+        millis(mean * (1.0 + net.jitter * (2.0 * self.net.unit() - 1.0))).max(Ticks(1))
     }
 
-    fn client_way(&self) -> Tenths {
+    fn client_way(&self) -> Ticks {
         millis(self.experiment.net.client_ms)
     }
 
@@ -284,7 +284,7 @@
         let listing = listing.into_iter().map(|(no, entry)| self.listed(door, no, &entry)).collect();
         self.policy.starts(door, told);
         let life = self.doors[door].life;
-        self.deliver(door, life, Event::Listing(listing));
+        self.deliver(door, life, Event::BackendList(listing));
         // What has changed since is told a moment later, as to one that was away.
         for backend in 0..self.backends.len() {
             let (standing, booted, version) = self.published[backend];
@@ -296,61 +296,61 @@
         }
     }
 
-    fn listed(&self, door: usize, no: usize, entry: &Entry) -> Listed {
-        Listed {
+    fn listed(&self, door: usize, no: usize, entry: &Entry) -> BackendInfo {
+        BackendInfo {
             backend: BackendId(no as u32),
-            standing: entry.standing,
-            size: 1.0,
-            near: self.doors[door].place == self.backends[no].place,
-            booted: entry.booted,
+            status: entry.standing,
+            capacity: 1.0,
+            local: self.doors[door].place == self.backends[no].place,
+            started_at: entry.booted,
         }
     }
 
-    fn told(&mut self, door: usize) -> Start {
+    fn told(&mut self, door: usize) -> BalancerConfig {
         let experiment = self.experiment;
         let products = experiment.product.iter().map(|product| Product {
             sla_time: millis(product.sla_ms),
             value: product.value,
-            repeat: match product.repeat {
-                Repeats::InquiryLike => Repeat::InquiryLike,
-                Repeats::OnceOnly => Repeat::OnceOnly,
-                Repeats::Referenced => Repeat::Referenced { window: millis(product.window_ms) },
+            idempotency: match product.repeat {
+                Repeats::InquiryLike => Idempotency::Idempotent,
+                Repeats::OnceOnly => Idempotency::NonIdempotent,
+                Repeats::Referenced => Idempotency::Deduplicated { window: millis(product.window_ms) },
             },
         });
         let plans = experiment.plan.iter().map(|plan| Plan {
             rate: plan.rate,
             burst: plan.burst,
             value_factor: plan.value_factor,
-            beyond_worth: plan.beyond_worth,
-            beyond_cost: plan.beyond_cost,
-            ceiling_rate: plan.ceiling * plan.rate,
-            ceiling_depth: plan.ceiling * plan.burst,
+            excess_value: plan.beyond_worth,
+            excess_cost: plan.beyond_cost,
+            hard_limit_rate: plan.ceiling * plan.rate,
+            hard_limit_burst: plan.ceiling * plan.burst,
         });
         let allow = &experiment.allow;
         let most_cost = experiment.product.iter().map(|product| product.units * (1.0 + product.guess));
-        Start {
+        BalancerConfig {
             seed: self.seeds.seed(),
-            at: self.now,
-            me: DoorId(door as u32),
-            doors: experiment.fleet.doors as u32,
+            started_at: self.now,
+            gateway: GatewayId(door as u32),
+            gateway_count: experiment.fleet.doors as u32,
             products: products.collect(),
             plans: plans.collect(),
-            allowances: Allowances {
+            allowed: AllowedActions {
                 cancel: allow.cancel,
-                second_copies: allow.second_copies,
+                hedging: allow.second_copies,
                 retry_after: allow.retry_after,
                 max_retry_after: millis(allow.max_retry_after_ms),
-                most_submissions: allow.most_submissions,
+                max_attempts: allow.most_submissions,
             },
-            cold: ColdFigures {
-                from: experiment.fleet.cold_from,
+            warm_up: WarmUp {
+                initial_capacity: experiment.fleet.cold_from,
                 ramp_time: seconds(experiment.fleet.ramp_s),
             },
-            kept: seconds(experiment.fleet.idle_s * 0.25),
-            meter_period: experiment.meter.as_ref().map_or(Tenths(0), |meter| seconds(meter.period_s)),
-            counter: experiment.counter.as_ref().map(|counter| millis(counter.wait_ms)),
-            peers: experiment.peers.is_some(),
-            most_cost: most_cost.fold(0.0, f64::max).ceil(),
+            idle_timeout: seconds(experiment.fleet.idle_s * 0.25),
+            meter_period: experiment.meter.as_ref().map_or(Ticks(0), |meter| seconds(meter.period_s)),
+            counter_timeout: experiment.counter.as_ref().map(|counter| millis(counter.wait_ms)),
+            peer_messages: experiment.peers.is_some(),
+            max_cost: most_cost.fold(0.0, f64::max).ceil(),
         }
     }
 
@@ -367,7 +367,7 @@
         let tick = millis(self.experiment.tick_ms).0.max(1);
         // Doors do not turn in step.
         let phase = (door as i64 * 7919) % tick;
-        let due = Tenths((self.now.0 - phase).div_euclid(tick) * tick + tick + phase);
+        let due = Ticks((self.now.0 - phase).div_euclid(tick) * tick + tick + phase);
         let due = due.max(at.stalled_until);
         self.post(due, Happening::Turn { door, life });
     }
@@ -389,10 +389,10 @@
         let World { policy, seen, books, arrivals, now, experiment, .. } = self;
         let by_id: &HashMap<u64, usize> = &self.ledger.by_id;
         let mut inside = |arrival: &Arrival| {
-            let customer = by_id.get(&arrival.want.customer.0).copied();
+            let customer = by_id.get(&arrival.claim.customer.0).copied();
             debug_assert!(customer.is_none_or(|no| no < arrivals.customers.len()));
-            let plan = &experiment.plan[arrival.want.plan.0];
-            customer.is_some_and(|no| books[no].lets_in(arrival.want.cost, plan, *now))
+            let plan = &experiment.plan[arrival.claim.plan.0];
+            customer.is_some_and(|no| books[no].lets_in(arrival.claim.cost, plan, *now))
         };
         let actions = policy.decide(door, *now, events, seen, &mut inside);
         for action in actions {
@@ -403,21 +403,21 @@
     /// What a door reads counts as told, and the first good answer goes to the client as it is read.
     fn read(&mut self, door: usize, event: &mut Event) {
         match event {
-            Event::Changes(entries) | Event::Listing(entries) => {
+            Event::BackendChanges(entries) | Event::BackendList(entries) => {
                 for listed in entries.iter() {
                     let entry = &mut self.doors[door].told[listed.backend.0 as usize];
-                    let stops = listed.standing != Standing::Ready;
+                    let stops = listed.status != BackendStatus::Ready;
                     entry.stops_at = if stops { entry.stops_at.or(Some(self.now)) } else { None };
-                    (entry.standing, entry.booted) = (listed.standing, listed.booted);
-                    entry.listed = listed.standing != Standing::Gone;
+                    (entry.standing, entry.booted) = (listed.status, listed.started_at);
+                    entry.listed = listed.status != BackendStatus::Gone;
                 }
             }
-            Event::Ended(ending) => {
+            Event::AttemptEnded(ending) => {
                 let one = ending.txn.0 as usize;
-                let attempt = self.tries[one].attempts[ending.no.0 as usize];
+                let attempt = self.tries[one].attempts[ending.attempt.0 as usize];
                 self.attempts[attempt].ended = true;
                 self.attempts[attempt].may_have_run = !ending.outcome.never_ran();
-                if ending.outcome == Outcome::Settled && !self.tries[one].answered {
+                if ending.outcome == Outcome::Succeeded && !self.tries[one].answered {
                     self.conclude(one, Some(attempt));
                 }
                 ending.complete = self.tries[one].answered;
@@ -428,22 +428,26 @@
 
     fn carry_out(&mut self, door: usize, action: Action) {
         match action {
-            Action::Submit { txn, backend, time_out } => self.submit(door, txn, backend, time_out),
-            Action::Cancel { txn, no } => {
+            Action::SendAttempt { txn, backend, timeout: time_out } => {
+                self.submit(door, txn, backend, time_out)
+            }
+            Action::CancelAttempt { txn, attempt: no } => {
                 let one = txn.0 as usize;
                 if let Some(&attempt) = self.tries.get(one).and_then(|one| one.attempts.get(no.0 as usize)) {
                     self.end_at_door(attempt, Outcome::Cancelled);
                 }
             }
-            Action::Decline { txn, retry_after } => self.final_answer(door, txn, true, retry_after),
-            Action::Void { txn } => self.final_answer(door, txn, false, None),
-            Action::Wake { after, timer } => {
+            Action::Reject { txn, retry_after } => self.final_answer(door, txn, true, retry_after),
+            Action::Fail { txn } => self.final_answer(door, txn, false, None),
+            Action::SetTimer { after, timer } => {
                 let life = self.doors[door].life;
-                let event = Event::Due(timer);
+                let event = Event::TimerFired(timer);
                 self.post(self.now + after, Happening::Deliver { door, life, event });
             }
-            Action::Count { name, step, forget_after } => self.counts(door, name, step, forget_after),
-            Action::Tell { to, word } => self.says(door, to, word),
+            Action::IncrementCounter { key: name, amount: step, expire_after: forget_after } => {
+                self.counts(door, name, step, forget_after)
+            }
+            Action::SendPeerMessage { to, message: word } => self.says(door, to, word),
         }
     }
 
@@ -457,7 +461,7 @@
             no: 0,
             door: 0,
             life: 0,
-            deadline: Tenths(0),
+            deadline: Ticks(0),
             answered: false,
             attempts: Vec::new(),
             inside: None,
@@ -499,26 +503,26 @@
         let arrival = Arrival {
             txn: TxnId(one as u64),
             product: first.product,
-            want: Want {
+            claim: QuotaClaim {
                 customer: customer.id,
                 plan: customer.plan,
-                first: customer.first as u32,
-                width: customer.width as u32,
+                subset_start: customer.first as u32,
+                subset_size: customer.width as u32,
                 cost: first.units,
-                again: again && self.experiment.clients.marks_retry,
+                retry: again && self.experiment.clients.marks_retry,
             },
-            expiry: deadline,
+            deadline,
         };
         let life = self.doors[door].life;
         let way = self.client_way();
-        let event = Event::Arrived(arrival);
+        let event = Event::RequestArrived(arrival);
         self.post(self.now + way, Happening::Deliver { door, life, event });
         self.post(deadline, Happening::Deadline { one });
         let slack = millis(self.experiment.rules.answer_slack_ms);
         self.post(deadline + slack, Happening::Lost { one });
     }
 
-    fn tries_again(&mut self, one: usize, advice: Option<Tenths>) {
+    fn tries_again(&mut self, one: usize, advice: Option<Ticks>) {
         let clients = &self.experiment.clients;
         let (first_no, no) = (self.tries[one].first, self.tries[one].no);
         if no >= clients.retries || self.ledger.earned(first_no) {
@@ -532,7 +536,7 @@
             no: no + 1,
             door: 0,
             life: 0,
-            deadline: Tenths(0),
+            deadline: Ticks(0),
             answered: false,
             attempts: Vec::new(),
             inside: None,
@@ -573,7 +577,7 @@
         self.ledger.broken.push(Broken { rule, at: self.now - START, what });
     }
 
-    fn final_answer(&mut self, door: usize, txn: TxnId, decline: bool, advice: Option<Tenths>) {
+    fn final_answer(&mut self, door: usize, txn: TxnId, decline: bool, advice: Option<Ticks>) {
         let one = txn.0 as usize;
         let Some(found) = self.tries.get(one) else {
             return self
@@ -619,7 +623,7 @@
 
     // Submissions.
 
-    fn submit(&mut self, door: usize, txn: TxnId, backend: BackendId, time_out: Option<Tenths>) {
+    fn submit(&mut self, door: usize, txn: TxnId, backend: BackendId, time_out: Option<Ticks>) {
         let (one, to) = (txn.0 as usize, backend.0 as usize);
         if self.tries.get(one).is_none_or(|found| found.door != door) || to >= self.backends.len() {
             return self.breaks(Rule::OneAnswer, format!("door {door} submits what it was not given: {one}"));
@@ -650,7 +654,7 @@
         let earlier = self.tries[one].attempts.clone();
         self.tries[one].attempts.push(attempt);
         if moot {
-            return self.end_at_door(attempt, Outcome::Moot);
+            return self.end_at_door(attempt, Outcome::NotSent);
         }
         let out = earlier.iter().any(|&other| !self.attempts[other].ended);
         if out && !self.experiment.allow.second_copies {
@@ -694,12 +698,18 @@
                 let backend = &self.backends[to];
                 let dial = millis(self.experiment.net.dial_ms);
                 if cut || backend.state == State::Silent {
-                    self.post(self.now + dial, Happening::Answer { attempt, outcome: Outcome::NoConnection });
+                    self.post(
+                        self.now + dial,
+                        Happening::Answer { attempt, outcome: Outcome::ConnectFailed },
+                    );
                     return;
                 }
                 if backend.state == State::Down {
                     let back = way.times(2.0);
-                    self.post(self.now + back, Happening::Answer { attempt, outcome: Outcome::NoConnection });
+                    self.post(
+                        self.now + back,
+                        Happening::Answer { attempt, outcome: Outcome::ConnectFailed },
+                    );
                     return;
                 }
                 reach = way.times(3.0);
@@ -747,7 +757,7 @@
             if part >= 2.0 / 3.0 {
                 self.breaks(Rule::ColdBackends, format!("backend {to} is pushed over while cold"));
             }
-            self.changes(to, Standing::Gone, self.experiment.discovery.silent_late_s);
+            self.changes(to, BackendStatus::Gone, self.experiment.discovery.silent_late_s);
             self.reset_all(to);
         }
     }
@@ -768,10 +778,10 @@
             Reached::Begins => self.begins(attempt),
             Reached::Waits | Reached::Unheard => {}
             Reached::TurnedAway => {
-                self.post(self.now + back, Happening::Answer { attempt, outcome: Outcome::TurnedAway });
+                self.post(self.now + back, Happening::Answer { attempt, outcome: Outcome::Rejected });
             }
             Reached::Refused => {
-                self.post(self.now + back, Happening::Answer { attempt, outcome: Outcome::Broken });
+                self.post(self.now + back, Happening::Answer { attempt, outcome: Outcome::ConnectionLost });
             }
         }
     }
@@ -791,7 +801,7 @@
             self.breaks(Rule::NoEffectTwice, format!("once-only txn {one} runs twice"));
         }
         let life = self.backends[to].life;
-        self.post(self.now + seconds(takes).max(Tenths(1)), Happening::Done { attempt, life });
+        self.post(self.now + seconds(takes).max(Ticks(1)), Happening::Done { attempt, life });
     }
 
     fn done(&mut self, attempt: usize, life: u32) {
@@ -813,13 +823,16 @@
             return;
         }
         let cut_off = self.backends[to].cut_off;
-        let outcome =
-            if cut_off > 0.0 && self.net.unit() < cut_off { Outcome::Broken } else { Outcome::Settled };
+        let outcome = if cut_off > 0.0 && self.net.unit() < cut_off {
+            Outcome::ConnectionLost
+        } else {
+            Outcome::Succeeded
+        };
         self.post(self.now + back, Happening::Answer { attempt, outcome });
     }
 
     fn answer(&mut self, attempt: usize, outcome: Outcome) {
-        if outcome == Outcome::Settled && !self.attempts[attempt].ended {
+        if outcome == Outcome::Succeeded && !self.attempts[attempt].ended {
             let (to, door) = (self.attempts[attempt].backend, self.tries[self.attempts[attempt].one].door);
             let until = self.now + seconds(self.experiment.fleet.idle_s * 0.25);
             let kept = self.idle.entry((door, to)).or_insert((0, until));
@@ -842,7 +855,7 @@
             let way = self.one_way(self.doors[door].place != self.backends[to].place);
             self.post(self.now + way, Happening::Stop { attempt });
         }
-        let from_backend = matches!(outcome, Outcome::Settled | Outcome::Error | Outcome::TurnedAway);
+        let from_backend = matches!(outcome, Outcome::Succeeded | Outcome::Error | Outcome::Rejected);
         let first = self.arrivals.firsts[self.tries[one].first];
         let meter = self.experiment.meter.as_ref().filter(|_| from_backend);
         let metered = meter.and_then(|meter| {
@@ -850,17 +863,17 @@
             self.books[first.customer].metered(self.now, late, meter)
         });
         let guessed = self.experiment.product[first.product.0].guess > 0.0;
-        let ending = Ending {
+        let ending = AttemptReport {
             txn: TxnId(one as u64),
-            no: SubmissionNo(no),
+            attempt: AttemptNumber(no),
             outcome,
-            took: self.now - sent,
+            latency: self.now - sent,
             complete: false,
-            metered,
-            true_cost: (guessed && outcome == Outcome::Settled).then_some(first.true_units),
+            metered_usage: metered,
+            actual_cost: (guessed && outcome == Outcome::Succeeded).then_some(first.true_units),
         };
         let life = self.tries[one].life;
-        self.deliver(door, life, Event::Ended(ending));
+        self.deliver(door, life, Event::AttemptEnded(ending));
     }
 
     fn stop(&mut self, attempt: usize) {
@@ -892,13 +905,13 @@
             .collect();
         for attempt in out {
             let back = self.one_way(false);
-            self.post(self.now + back, Happening::Answer { attempt, outcome: Outcome::Broken });
+            self.post(self.now + back, Happening::Answer { attempt, outcome: Outcome::ConnectionLost });
         }
     }
 
     // Discovery.
 
-    fn changes(&mut self, backend: usize, standing: Standing, late: crate::experiment::Span) {
+    fn changes(&mut self, backend: usize, standing: BackendStatus, late: crate::experiment::Span) {
         let booted = self.backends[backend].booted;
         self.published[backend].2 += 1;
         let version = self.published[backend].2;
@@ -918,7 +931,7 @@
                 continue;
             }
             let entry = Entry { listed: true, standing, booted, stops_at: None };
-            let event = Event::Changes(vec![self.listed(door, backend, &entry)]);
+            let event = Event::BackendChanges(vec![self.listed(door, backend, &entry)]);
             let spread = seconds(self.discovery.unit() * self.experiment.discovery.spread_s);
             let life = self.doors[door].life;
             self.post(self.now + spread, Happening::Deliver { door, life, event });
@@ -927,7 +940,7 @@
 
     // Counter and words.
 
-    fn counts(&mut self, door: usize, name: CountName, step: f64, forget: Tenths) {
+    fn counts(&mut self, door: usize, name: CounterKey, step: f64, forget: Ticks) {
         self.ledger.bill.calls += 1;
         let life = self.doors[door].life;
         let way = self.one_way(self.doors[door].place != 0);
@@ -935,7 +948,7 @@
         self.post(self.now + way, Happening::Call { door, life, name, step, forget, asked });
     }
 
-    fn call(&mut self, door: usize, life: u32, name: CountName, step: f64, forget: Tenths, asked: Tenths) {
+    fn call(&mut self, door: usize, life: u32, name: CounterKey, step: f64, forget: Ticks, asked: Ticks) {
         let Some(told) = &self.experiment.counter else {
             return;
         };
@@ -944,9 +957,9 @@
         let count = self.counter.len();
         let part = &mut self.counter[(name.0 % count.max(1) as u64) as usize];
         let (counted, at) = if self.counter_down {
-            (Counted::Unknown, asked + wait)
+            (CounterReply::Unknown, asked + wait)
         } else if part.busy_until - self.now > wait.times(2.0) {
-            (Counted::NotAdded, self.now + way)
+            (CounterReply::NotAdded, self.now + way)
         } else {
             part.busy_until = part.busy_until.max(self.now) + seconds(1.0 / told.per_s);
             let now = self.now;
@@ -957,21 +970,24 @@
             total.0 += step;
             let back = part.busy_until + way;
             if back - asked > wait {
-                (Counted::Unknown, asked + wait)
+                (CounterReply::Unknown, asked + wait)
             } else {
-                (Counted::Total(total.0), back)
+                (CounterReply::Total(total.0), back)
             }
         };
-        self.ledger.bill.calls_unanswered += u64::from(!matches!(counted, Counted::Total(_)));
-        self.post(at, Happening::Deliver { door, life, event: Event::Counted { name, counted } });
+        self.ledger.bill.calls_unanswered += u64::from(!matches!(counted, CounterReply::Total(_)));
+        self.post(
+            at,
+            Happening::Deliver { door, life, event: Event::CounterReplied { key: name, reply: counted } },
+        );
     }
 
-    fn says(&mut self, door: usize, to: DoorId, word: Word) {
+    fn says(&mut self, door: usize, to: GatewayId, word: PeerMessage) {
         let (Some(peers), true) = (&self.experiment.peers, (to.0 as usize) < self.doors.len()) else {
             return;
         };
         self.ledger.bill.words += 1;
-        self.ledger.bill.word_bytes += letter::write(&word).len() as u64;
+        self.ledger.bill.word_bytes += codec::encode(&word).len() as u64;
         if self.services.unit() < peers.loss {
             return;
         }
@@ -989,7 +1005,7 @@
             return;
         }
         let life = at.life;
-        let event = Event::Heard { from: DoorId(door as u32), word };
+        let event = Event::PeerMessageReceived { from: GatewayId(door as u32), message: word };
         self.post(arrives, Happening::Deliver { door: to, life, event });
     }
 
@@ -1038,14 +1054,14 @@
                 for &to in &struck {
                     self.backends[to].dies();
                     self.reset_all(to);
-                    self.changes(to, Standing::Gone, silent);
+                    self.changes(to, BackendStatus::Gone, silent);
                 }
                 ends(self);
             }
             (Kind::Silent, true) => {
                 for &to in &struck {
                     self.backends[to].state = State::Silent;
-                    self.changes(to, Standing::Gone, silent);
+                    self.changes(to, BackendStatus::Gone, silent);
                 }
                 ends(self);
             }
@@ -1061,7 +1077,7 @@
                 for &to in &struck {
                     self.backends[to].dies();
                     self.reset_all(to);
-                    self.changes(to, Standing::Gone, silent);
+                    self.changes(to, BackendStatus::Gone, silent);
                 }
                 self.post(now + every.times(0.5), Happening::Fault { no, step, begins: false });
                 let begun = self.experiment.fault[no].at_s;
@@ -1092,7 +1108,7 @@
                     return;
                 };
                 self.backends[to].draining = true;
-                self.changes(to, Standing::Draining, late);
+                self.changes(to, BackendStatus::Draining, late);
                 let notice = seconds(fault.every_s);
                 self.post(now + notice, Happening::Fault { no, step, begins: false });
                 let gap = for_s.times(1.0 / struck.len() as f64);
@@ -1155,7 +1171,7 @@
     fn boot(&mut self, to: usize, late: crate::experiment::Span) {
         self.backends[to].boots(self.now);
         if !self.backends[to].fallen {
-            self.changes(to, Standing::Ready, late);
+            self.changes(to, BackendStatus::Ready, late);
         }
     }
 
--- a/crates/simulator/tests/rules.rs
+++ b/crates/simulator/tests/rules.rs
@@ -1,7 +1,7 @@
 //! The lab's own rule checker, against policies that break one rule each and the module, which must not; and the
 //! faults that the rules are there for.
 
-use vanewharf_policy::decide::Door;
+use vanewharf_policy::decide::Balancer;
 use vanewharf_policy::interface::*;
 use vanewharf_simulator::arrivals::drawn;
 use vanewharf_simulator::experiment::Experiment;
@@ -36,7 +36,7 @@
 }
 
 impl<F: FnMut(usize, Vec<Action>) -> Vec<Action>> Policy for Twisted<F> {
-    fn starts(&mut self, door: usize, told: Start) {
+    fn starts(&mut self, door: usize, told: BalancerConfig) {
         self.module.starts(door, told);
     }
 
@@ -47,7 +47,7 @@
     fn decide(
         &mut self,
         door: usize,
-        now: Tenths,
+        now: Ticks,
         events: Vec<Event>,
         seen: &Seen,
         inside: &mut Inside<'_>,
@@ -78,7 +78,7 @@
     let mut left = 3;
     let forgets = move |_, mut actions: Vec<Action>| {
         actions.retain(|action| {
-            let decline = matches!(action, Action::Decline { .. });
+            let decline = matches!(action, Action::Reject { .. });
             left -= i32::from(decline && left > 0);
             !(decline && left > 0)
         });
@@ -92,10 +92,10 @@
 fn a_submission_after_the_answer_breaks_it_too() {
     let sends_on = |_, mut actions: Vec<Action>| {
         let answered = actions.iter().find_map(|action| match action {
-            Action::Decline { txn, .. } => Some(*txn),
+            Action::Reject { txn, .. } => Some(*txn),
             _ => None,
         });
-        actions.extend(answered.map(|txn| Action::Submit { txn, backend: BackendId(0), time_out: None }));
+        actions.extend(answered.map(|txn| Action::SendAttempt { txn, backend: BackendId(0), timeout: None }));
         actions
     };
     assert_eq!(broken(&played(&experiment(""), twisted(sends_on, |_| true))), [Rule::OneAnswer]);
@@ -105,9 +105,9 @@
 fn a_once_only_txn_sent_twice_breaks_the_second() {
     let doubles = |_, actions: Vec<Action>| {
         let both = actions.into_iter().flat_map(|action| match action {
-            Action::Submit { txn, backend, time_out } => {
+            Action::SendAttempt { txn, backend, timeout: time_out } => {
                 let other = BackendId((backend.0 + 1) % 12);
-                vec![action, Action::Submit { txn, backend: other, time_out }]
+                vec![action, Action::SendAttempt { txn, backend: other, timeout: time_out }]
             }
             _ => vec![action],
         });
@@ -125,7 +125,7 @@
     let record = played(&experiment, Module::default());
     assert_eq!(broken(&record), [], "{:?}", record.broken.first());
     // Hears its first list and no change of it.
-    let deaf = twisted(|_, actions| actions, |event| !matches!(event, Event::Changes(_)));
+    let deaf = twisted(|_, actions| actions, |event| !matches!(event, Event::BackendChanges(_)));
     assert!(broken(&played(&experiment, deaf)).contains(&Rule::Drains));
 }
 
@@ -174,35 +174,40 @@
 #[test]
 fn a_lone_door_of_the_module_decides_as_in_the_lab() {
     // The lab hosts the very same doors: one started by hand answers a batch as the lab's policy does.
-    let told = |seed| Start {
+    let told = |seed| BalancerConfig {
         seed,
-        at: Tenths(0),
-        me: DoorId(0),
-        doors: 1,
-        products: vec![Product { sla_time: Tenths(4_000), value: 1.0, repeat: Repeat::InquiryLike }],
+        started_at: Ticks(0),
+        gateway: GatewayId(0),
+        gateway_count: 1,
+        products: vec![Product { sla_time: Ticks(4_000), value: 1.0, idempotency: Idempotency::Idempotent }],
         plans: Vec::new(),
-        allowances: Allowances {
+        allowed: AllowedActions {
             cancel: true,
-            second_copies: true,
+            hedging: true,
             retry_after: true,
-            max_retry_after: Tenths(5_000),
-            most_submissions: 3,
+            max_retry_after: Ticks(5_000),
+            max_attempts: 3,
         },
-        cold: ColdFigures { from: 1.0, ramp_time: Tenths(0) },
-        kept: Tenths(0),
-        meter_period: Tenths(0),
-        counter: None,
-        peers: false,
-        most_cost: 1.0,
+        warm_up: WarmUp { initial_capacity: 1.0, ramp_time: Ticks(0) },
+        idle_timeout: Ticks(0),
+        meter_period: Ticks(0),
+        counter_timeout: None,
+        peer_messages: false,
+        max_cost: 1.0,
     };
     let listing = || {
-        let one =
-            Listed { backend: BackendId(4), standing: Standing::Ready, size: 1.0, near: true, booted: None };
-        vec![Event::Listing(vec![one])]
+        let one = BackendInfo {
+            backend: BackendId(4),
+            status: BackendStatus::Ready,
+            capacity: 1.0,
+            local: true,
+            started_at: None,
+        };
+        vec![Event::BackendList(vec![one])]
     };
     let mut module = Module::default();
     module.starts(0, told(5));
     let seen = Seen { waits: Vec::new(), paces: Vec::new() };
-    let by_lab = module.decide(0, Tenths(10), listing(), &seen, &mut |_| true);
-    assert_eq!(by_lab, Door::start(told(5)).decide(Tenths(10), listing()));
+    let by_lab = module.decide(0, Ticks(10), listing(), &seen, &mut |_| true);
+    assert_eq!(by_lab, Balancer::new(told(5)).decide(Ticks(10), listing()));
 }
--- a/crates/system-simulator/examples/capacity.rs
+++ b/crates/system-simulator/examples/capacity.rs
@@ -24,7 +24,7 @@
 use vanewharf_discovery::{FleetAggregator, summary_for_proxies};
 use vanewharf_gateway::router::RoutingPolicy;
 use vanewharf_http1::Request;
-use vanewharf_policy::interface::Tenths;
+use vanewharf_policy::interface::Ticks;
 use vanewharf_protocol::changes::{Document, ListChanges, RegisterChanges};
 use vanewharf_protocol::messages::{
     Backend, BackendList, Ballot, ControllerEntry, FleetSummary, HostCounts, ProxyEntry, ProxyReport,
@@ -290,17 +290,16 @@
         let first = |routes: usize| {
             let mut rounds = carrier();
             let register = Rc::new(register(1, config(routes, 10, 1, false)));
-            rounds.apply_update(Tenths(10), News::Register(register));
+            rounds.apply_update(Ticks(10), News::Register(register));
             let at = MonotonicClock::start().now();
-            let arranged =
-                took(|| rounds.apply_update(Tenths(20), News::List(Rc::clone(&old), at)).is_some());
+            let arranged = took(|| rounds.apply_update(Ticks(20), News::List(Rc::clone(&old), at)).is_some());
             (rounds, arranged.ms, arranged.held, at)
         };
         let (_, wide, ..) = first(48_000);
         let (mut rounds, ms, held, at) = first(10);
-        let again = took(|| rounds.apply_update(Tenths(30), News::List(Rc::clone(&new), at)).is_some());
+        let again = took(|| rounds.apply_update(Ticks(30), News::List(Rc::clone(&new), at)).is_some());
         let ledger = Rc::new(FleetSummary { quota_divisor: 5_400, ..FleetSummary::default() });
-        let ledger = took(|| rounds.apply_update(Tenths(40), News::Ledger(ledger)).is_some());
+        let ledger = took(|| rounds.apply_update(Ticks(40), News::Ledger(ledger)).is_some());
         println!(
             "| {count} | {}, {} | {:.1}, {:.1} | {:.1} | {:.1}, {}, {}, {:.1} | {ms:.0}, {held:.1} | {wide:.0} | {:.1} | {:.1} |",
             written.out.len(),
--- a/crates/system-simulator/src/door.rs
+++ b/crates/system-simulator/src/door.rs
@@ -17,7 +17,9 @@
 use vanewharf_gateway::dialect::{Admission, HttpDialect};
 use vanewharf_gateway::router::RoutingPolicy;
 use vanewharf_http1::{Request, ServerCodec};
-use vanewharf_policy::interface::{Action, BackendId, Ending, Event, Outcome, SubmissionNo, Tenths, TxnId};
+use vanewharf_policy::interface::{
+    Action, AttemptNumber, AttemptReport, BackendId, Event, Outcome, Ticks, TxnId,
+};
 use vanewharf_proxy::Core;
 use vanewharf_proxy::gate::Wicket;
 use vanewharf_proxy::news::News;
@@ -57,7 +59,7 @@
     next: u64,
     revision: u64,
     txns: BTreeMap<TxnId, Txn>,
-    ends: mpsc::UnboundedSender<Ending>,
+    ends: mpsc::UnboundedSender<AttemptReport>,
 }
 
 fn request(ask: &Ask) -> Option<Request> {
@@ -94,10 +96,10 @@
                 biased;
                 Some(news) = door.core.heard.recv() => door.hear(news),
                 Some(ending) = ended.recv() => {
-                    let settled = ending.outcome == Outcome::Settled;
+                    let settled = ending.outcome == Outcome::Succeeded;
                     let txn = ending.txn;
                     let now = door.now();
-                    let actions = door.core.rounds.decide(now, vec![Event::Ended(ending)]);
+                    let actions = door.core.rounds.decide(now, vec![Event::AttemptEnded(ending)]);
                     if settled {
                         door.over(txn, 200);
                     }
@@ -109,8 +111,8 @@
         }
     }
 
-    fn now(&self) -> Tenths {
-        Tenths(self.core.posted.steady.now().0 as i64)
+    fn now(&self) -> Ticks {
+        Ticks(self.core.posted.steady.now().0 as i64)
     }
 
     fn hear(&mut self, news: News) {
@@ -152,7 +154,7 @@
         self.txns.insert(txn, Txn { ask, submissions: 0 });
         match admitted {
             Some(Admission::Txn(arrival)) => {
-                let actions = self.core.rounds.decide(now, vec![Event::Arrived(arrival)]);
+                let actions = self.core.rounds.decide(now, vec![Event::RequestArrived(arrival)]);
                 self.carry_out(actions);
             }
             Some(Admission::Reject { status, .. }) => self.over(txn, status),
@@ -174,13 +176,16 @@
     fn carry_out(&mut self, actions: Vec<Action>) {
         for action in actions {
             match action {
-                Action::Submit { txn, backend, .. } => self.submit(txn, backend),
-                Action::Decline { txn, retry_after } => {
+                Action::SendAttempt { txn, backend, .. } => self.submit(txn, backend),
+                Action::Reject { txn, retry_after } => {
                     self.over(txn, if retry_after.is_some() { 429 } else { 503 });
                 }
-                Action::Void { txn } => self.over(txn, 502),
+                Action::Fail { txn } => self.over(txn, 502),
                 // The stand-in's submissions always end by themselves.
-                Action::Cancel { .. } | Action::Wake { .. } | Action::Count { .. } | Action::Tell { .. } => {}
+                Action::CancelAttempt { .. }
+                | Action::SetTimer { .. }
+                | Action::IncrementCounter { .. }
+                | Action::SendPeerMessage { .. } => {}
             }
         }
     }
@@ -195,7 +200,7 @@
         let Some(known) = self.txns.get_mut(&txn) else {
             return;
         };
-        let no = SubmissionNo(known.submissions);
+        let no = AttemptNumber(known.submissions);
         known.submissions += 1;
         let left = PATIENCE.saturating_sub(known.ask.sent.elapsed());
         let ask = known.ask.clone();
@@ -210,14 +215,14 @@
             let address = there.map(|there| there.address.ip());
             if address.is_none_or(|address| !network.open(ip, address)) {
                 sleep(NO_DIAL).await;
-                end(&ends, txn, no, Outcome::NoConnection, begun);
+                end(&ends, txn, no, Outcome::ConnectFailed, begun);
                 return;
             }
             sleep(way).await;
             // It may have ended on the way.
             let lives = town.backends.borrow().get(&instance).is_some_and(|one| one.gone.is_none());
             if !lives {
-                end(&ends, txn, no, Outcome::NoConnection, begun);
+                end(&ends, txn, no, Outcome::ConnectFailed, begun);
                 return;
             }
             let Ask { attempt, once_only, key, sent, .. } = ask;
@@ -225,16 +230,31 @@
             let run = Run { at, sent, attempt, once_only, backend: instance, tenant, key, door, revision };
             town.history.borrow_mut().runs.push(run);
             let whole = work + way;
-            let outcome = if begun.elapsed() + whole <= left { Outcome::Settled } else { Outcome::TimedOut };
+            let outcome =
+                if begun.elapsed() + whole <= left { Outcome::Succeeded } else { Outcome::TimedOut };
             sleep(whole.min(left)).await;
             end(&ends, txn, no, outcome, begun);
         });
     }
 }
 
-fn end(ends: &mpsc::UnboundedSender<Ending>, txn: TxnId, no: SubmissionNo, outcome: Outcome, begun: Instant) {
-    let took = Tenths((begun.elapsed().as_micros() / 100) as i64);
-    let complete = outcome == Outcome::Settled;
+fn end(
+    ends: &mpsc::UnboundedSender<AttemptReport>,
+    txn: TxnId,
+    no: AttemptNumber,
+    outcome: Outcome,
+    begun: Instant,
+) {
+    let took = Ticks((begun.elapsed().as_micros() / 100) as i64);
+    let complete = outcome == Outcome::Succeeded;
     // The door that waited for it may be gone.
-    let _ = ends.send(Ending { txn, no, outcome, took, complete, metered: None, true_cost: None });
+    let _ = ends.send(AttemptReport {
+        txn,
+        attempt: no,
+        outcome,
+        latency: took,
+        complete,
+        metered_usage: None,
+        actual_cost: None,
+    });
 }
--- a/programs/gateway/src/answer.rs
+++ b/programs/gateway/src/answer.rs
@@ -6,7 +6,7 @@
 use tokio::net::TcpStream;
 use tokio_util::codec::Framed;
 use vanewharf_http1::{ForwardedReply, PlainReply, Reply, ServerCodec};
-use vanewharf_policy::interface::Tenths;
+use vanewharf_policy::interface::Ticks;
 
 /// A client that accepts no bytes for so long is given up, whatever it requested.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
@@ -21,12 +21,12 @@
     /// The policy declined the request and nothing has run.
     Declined {
         /// Where a quota was exceeded: when the client may come back. None where capacity was short.
-        retry_after: Option<Tenths>,
+        retry_after: Option<Ticks>,
     },
     /// The request cannot be served now and nothing has run.
     Busy {
         /// When the client may come back.
-        retry_after: Tenths,
+        retry_after: Ticks,
     },
     /// The request was rejected for what it says, before any routing decision.
     Rejected {
@@ -83,8 +83,8 @@
 }
 
 /// A span in seconds with four decimals; zero where it is negative.
-fn decimal_seconds(span: Tenths) -> String {
-    let (second, span) = (Tenths::SECOND.0, span.0.max(0));
+fn decimal_seconds(span: Ticks) -> String {
+    let (second, span) = (Ticks::SECOND.0, span.0.max(0));
     format!("{}.{:04}", span / second, span % second)
 }
 
--- a/programs/gateway/src/backend_connection.rs
+++ b/programs/gateway/src/backend_connection.rs
@@ -171,7 +171,7 @@
                 match (dialled, then) {
                     (Ok(connection), _) => connection,
                     (Err(_), Then::Ends(outcome)) => return end(of(outcome), &shared),
-                    (Err(_), _) => return end(of(Outcome::NoConnection), &shared),
+                    (Err(_), _) => return end(of(Outcome::ConnectFailed), &shared),
                 }
             }
         };
@@ -191,7 +191,7 @@
                 continue;
             }
             // No such thing is said of a connection that carries.
-            Then::On | Then::Odd => Outcome::Broken,
+            Then::On | Then::Odd => Outcome::ConnectionLost,
         };
         if job.request.memory_bytes() > SMALL_BUFFER_BYTES {
             *connection.framed.write_buffer_mut() = BytesMut::new();
--- a/programs/gateway/src/client_connection.rs
+++ b/programs/gateway/src/client_connection.rs
@@ -18,7 +18,7 @@
 use tokio::time::{Instant, sleep_until, timeout_at};
 use tokio_util::codec::Framed;
 use vanewharf_http1::{ReadError, Request, ServerCodec};
-use vanewharf_policy::interface::{Tenths, TxnId};
+use vanewharf_policy::interface::{Ticks, TxnId};
 
 /// How long at most a freed descriptor is waited for before accepting is tried again.
 const PAUSE: Duration = Duration::from_millis(50);
@@ -99,7 +99,7 @@
 }
 
 /// What came of reading, and when.
-type Read = (Option<Result<Request, ReadError>>, Tenths);
+type Read = (Option<Result<Request, ReadError>>, Ticks);
 
 impl Client {
     fn new(stream: TcpStream, entry: SocketGuard, shared: Rc<Shared>) -> Client {
--- a/programs/gateway/src/clock.rs
+++ b/programs/gateway/src/clock.rs
@@ -2,38 +2,38 @@
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
-use vanewharf_policy::interface::Tenths;
+use vanewharf_policy::interface::Ticks;
 
 /// A clock that never goes back, also where the system's clock is set.
 #[derive(Clone, Copy)]
 pub struct Clock {
     origin: Instant,
-    unix_origin: Tenths,
+    unix_origin: Ticks,
 }
 
 impl Clock {
     /// A clock that shows the system's Unix time now and goes on monotonically.
     pub fn start() -> Clock {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Clock { origin: Instant::now(), unix_origin: to_tenths(unix) }
+        Clock { origin: Instant::now(), unix_origin: to_ticks(unix) }
     }
 
-    /// Tenths of a millisecond since the Unix epoch.
-    pub fn now(&self) -> Tenths {
-        self.unix_origin + to_tenths(self.origin.elapsed())
+    /// Ticks of a millisecond since the Unix epoch.
+    pub fn now(&self) -> Ticks {
+        self.unix_origin + to_ticks(self.origin.elapsed())
     }
 
     /// The runtime's instant for a time of this clock.
-    pub fn instant(&self, at: Tenths) -> Instant {
+    pub fn instant(&self, at: Ticks) -> Instant {
         self.origin + to_duration(at - self.unix_origin)
     }
 }
 
-fn to_tenths(duration: Duration) -> Tenths {
-    Tenths((duration.as_micros() / 100) as i64)
+fn to_ticks(duration: Duration) -> Ticks {
+    Ticks((duration.as_micros() / 100) as i64)
 }
 
 /// The duration of a span; zero where the span is negative.
-pub fn to_duration(tenths: Tenths) -> Duration {
-    Duration::from_micros(tenths.0.clamp(0, i64::MAX / 100) as u64 * 100)
+pub fn to_duration(ticks: Ticks) -> Duration {
+    Duration::from_micros(ticks.0.clamp(0, i64::MAX / 100) as u64 * 100)
 }
