--- a/programs/gateway/src/connection_pool.rs
+++ b/programs/gateway/src/connection_pool.rs
@@ -3,13 +3,13 @@
 use crate::messages::IdleConnection;
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
-use vanewharf_policy::interface::{BackendId, Listed, Standing, Tenths};
+use vanewharf_policy::interface::{BackendId, BackendInfo, BackendStatus, Ticks};
 
 #[derive(Default)]
 struct Peer {
     address: Option<SocketAddr>,
     ready: bool,
-    booted: Option<Tenths>,
+    booted: Option<Ticks>,
     /// Newest last: the newest is the least likely to have been closed by the other side.
     idle: VecDeque<IdleConnection>,
 }
@@ -17,31 +17,31 @@
 pub struct ConnectionPool {
     peers: BTreeMap<BackendId, Peer>,
     /// Now, and where nothing has shown it to be too long.
-    most_idle: Tenths,
-    told_idle: Tenths,
+    most_idle: Ticks,
+    told_idle: Ticks,
 }
 
 impl ConnectionPool {
     /// `closes`: when a backend closes an idle connection, at the latest.
-    pub fn new(closes: Tenths) -> ConnectionPool {
+    pub fn new(closes: Ticks) -> ConnectionPool {
         let most_idle = vanewharf_gateway_settings::idle_reuse_limit(closes);
         ConnectionPool { peers: BTreeMap::new(), most_idle, told_idle: most_idle }
     }
 
-    pub fn list(&mut self, entry: &Listed, address: Option<SocketAddr>) {
-        if entry.standing == Standing::Gone {
+    pub fn list(&mut self, entry: &BackendInfo, address: Option<SocketAddr>) {
+        if entry.status == BackendStatus::Gone {
             self.peers.remove(&entry.backend);
             return;
         }
         let peer = self.peers.entry(entry.backend).or_default();
         let moved = address.is_some() && address != peer.address;
-        if moved || entry.booted != peer.booted || entry.standing != Standing::Ready {
+        if moved || entry.started_at != peer.booted || entry.status != BackendStatus::Ready {
             // To a process that is gone or may take nothing more.
             peer.idle.clear();
         }
         peer.address = address.or(peer.address);
-        peer.booted = entry.booted;
-        peer.ready = entry.standing == Standing::Ready;
+        peer.booted = entry.started_at;
+        peer.ready = entry.status == BackendStatus::Ready;
     }
 
     /// Those that a whole list does not name are gone.
@@ -63,7 +63,7 @@
         }
     }
 
-    pub fn take(&mut self, id: BackendId, now: Tenths) -> Option<IdleConnection> {
+    pub fn take(&mut self, id: BackendId, now: Ticks) -> Option<IdleConnection> {
         let idle = &mut self.peers.get_mut(&id)?.idle;
         while let Some(one) = idle.pop_back() {
             if now - one.since > self.most_idle {
@@ -80,14 +80,14 @@
 
     /// A connection that had been idle so long ended under its next submission, which may have run: whatever ends
     /// them out there, half as long is kept clear of it.
-    pub fn broke(&mut self, idle: Tenths) {
+    pub fn broke(&mut self, idle: Ticks) {
         self.most_idle = self.most_idle.min(idle.times(0.5));
     }
 
     /// Closes what has been idle too long and forgets what has ended; how many were dropped. Twice as long is tried
     /// again at each, so that what ended connections for a while is not held against them for good.
-    pub fn sweep(&mut self, now: Tenths) -> usize {
-        self.most_idle = self.most_idle.max(Tenths(5)).times(2.0).min(self.told_idle);
+    pub fn sweep(&mut self, now: Ticks) -> usize {
+        self.most_idle = self.most_idle.max(Ticks(5)).times(2.0).min(self.told_idle);
         let mut dropped = 0;
         for peer in self.peers.values_mut() {
             let before = peer.idle.len();
@@ -114,17 +114,17 @@
 
     const ONE: BackendId = BackendId(1);
 
-    fn listed(standing: Standing, booted: Option<Tenths>) -> Listed {
-        Listed { backend: ONE, standing, size: 1.0, near: true, booted }
+    fn listed(standing: BackendStatus, booted: Option<Ticks>) -> BackendInfo {
+        BackendInfo { backend: ONE, status: standing, capacity: 1.0, local: true, started_at: booted }
     }
 
     /// A pool told 40 ms, with connections idle since each of the times.
     fn pool(since: &[i64]) -> (ConnectionPool, Vec<oneshot::Receiver<Attempt>>) {
-        let mut pool = ConnectionPool::new(Tenths(400));
-        pool.list(&listed(Standing::Ready, None), "127.0.0.1:1".parse().ok());
+        let mut pool = ConnectionPool::new(Ticks(400));
+        pool.list(&listed(BackendStatus::Ready, None), "127.0.0.1:1".parse().ok());
         let mut idle = |&since: &i64| {
             let (next, connection) = oneshot::channel();
-            pool.put(ONE, IdleConnection { next, since: Tenths(since) });
+            pool.put(ONE, IdleConnection { next, since: Ticks(since) });
             connection
         };
         let connections = since.iter().map(&mut idle).collect();
@@ -135,49 +135,49 @@
     fn the_newest_goes_first_and_none_is_used_near_its_end() {
         let (mut pool, mut connections) = pool(&[0, 50, 60, 70]);
         connections.pop();
-        assert_eq!(pool.take(ONE, Tenths(100)).map(|idle| idle.since), Some(Tenths(60)), "70 has ended");
-        assert_eq!(pool.sweep(Tenths(101)), 1);
+        assert_eq!(pool.take(ONE, Ticks(100)).map(|idle| idle.since), Some(Ticks(60)), "70 has ended");
+        assert_eq!(pool.sweep(Ticks(101)), 1);
         assert!(connections[0].try_recv().is_err_and(|gone| gone == oneshot::error::TryRecvError::Closed));
-        assert!(pool.take(ONE, Tenths(151)).is_none());
+        assert!(pool.take(ONE, Ticks(151)).is_none());
     }
 
     #[test]
     fn nothing_is_kept_to_what_moved_started_anew_or_takes_nothing_more() {
         let here = "127.0.0.1:1".parse().ok();
         for (entry, address, kept) in [
-            (listed(Standing::Ready, None), here, true),
-            (listed(Standing::Ready, Some(Tenths(5))), here, false),
-            (listed(Standing::Ready, None), "127.0.0.1:2".parse().ok(), false),
-            (listed(Standing::Draining, None), here, false),
-            (listed(Standing::Gone, None), None, false),
+            (listed(BackendStatus::Ready, None), here, true),
+            (listed(BackendStatus::Ready, Some(Ticks(5))), here, false),
+            (listed(BackendStatus::Ready, None), "127.0.0.1:2".parse().ok(), false),
+            (listed(BackendStatus::Draining, None), here, false),
+            (listed(BackendStatus::Gone, None), None, false),
         ] {
             let (mut pool, _connections) = pool(&[0]);
             pool.list(&entry, address);
-            assert_eq!(pool.take(ONE, Tenths(1)).is_some(), kept, "{entry:?}");
+            assert_eq!(pool.take(ONE, Ticks(1)).is_some(), kept, "{entry:?}");
         }
         let (mut pool, _connections) = pool(&[0]);
         pool.keep_only(|_| false);
-        assert!(!pool.ready(ONE) && pool.take(ONE, Tenths(1)).is_none());
+        assert!(!pool.ready(ONE) && pool.take(ONE, Ticks(1)).is_none());
         assert!(pool.peers.is_empty(), "nothing is kept of what is gone");
     }
 
     #[test]
     fn what_was_idle_too_long_for_another_is_not_used() {
         let (mut pool, _connections) = pool(&[0, 60]);
-        pool.broke(Tenths(70));
-        assert_eq!(pool.take(ONE, Tenths(95)).map(|idle| idle.since), Some(Tenths(60)));
-        assert!(pool.take(ONE, Tenths(95)).is_none(), "idle for 95, where 70 was too long");
+        pool.broke(Ticks(70));
+        assert_eq!(pool.take(ONE, Ticks(95)).map(|idle| idle.since), Some(Ticks(60)));
+        assert!(pool.take(ONE, Ticks(95)).is_none(), "idle for 95, where 70 was too long");
         let (mut pool, _connections) = self::pool(&[30]);
-        pool.broke(Tenths(70));
-        assert_eq!(pool.sweep(Tenths(95)), 0, "tried again for 70");
-        assert!(pool.take(ONE, Tenths(95)).is_some());
+        pool.broke(Ticks(70));
+        assert_eq!(pool.sweep(Ticks(95)), 0, "tried again for 70");
+        assert!(pool.take(ONE, Ticks(95)).is_some());
     }
 
     #[test]
     fn the_one_idle_longest_is_shed() {
         let (mut pool, _connections) = pool(&[3, 5]);
         pool.shed();
-        assert_eq!(pool.take(ONE, Tenths(6)).map(|idle| idle.since), Some(Tenths(5)));
-        assert!(pool.take(ONE, Tenths(6)).is_none());
+        assert_eq!(pool.take(ONE, Ticks(6)).map(|idle| idle.since), Some(Ticks(5)));
+        assert!(pool.take(ONE, Ticks(6)).is_none());
     }
 }
--- a/programs/gateway/src/dialect.rs
+++ b/programs/gateway/src/dialect.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 use vanewharf_http1::{Reply, Request};
-use vanewharf_policy::interface::{Arrival, Outcome, Tenths, TxnId};
+use vanewharf_policy::interface::{Arrival, Outcome, Ticks, TxnId};
 
 /// What becomes of a request before any routing decision.
 #[derive(Debug, PartialEq)]
@@ -22,7 +22,7 @@
         reason: &'static str,
     },
     /// The request cannot be served now and nothing has run; the client may come back after this time.
-    RetryAfter(Tenths),
+    RetryAfter(Ticks),
 }
 
 /// Whether a reply on a backend connection answers the request in flight there.
@@ -46,7 +46,7 @@
     /// Fields of a backend's reply that are not forwarded to the client.
     pub response_headers_removed: &'static [&'static str],
     /// When a client may come back that was declined for want of capacity.
-    pub busy_retry_after: Option<Tenths>,
+    pub busy_retry_after: Option<Ticks>,
     /// The longest time from connecting to a complete first request, and from a later request's first byte to its last.
     pub request_timeout: Duration,
     /// How long a connection without a request may stay open.
@@ -68,7 +68,7 @@
     fn forwarding_options(&self) -> ForwardingOptions;
 
     /// Checks a request that was read at `now` and will be known as `txn`.
-    fn admit(&self, request: &Request, now: Tenths, txn: TxnId) -> Admission;
+    fn admit(&self, request: &Request, now: Ticks, txn: TxnId) -> Admission;
 
     /// The id by which clients and backends know the request.
     fn request_id<'a>(&self, request: &'a Request) -> Option<&'a str>;
--- a/programs/gateway/src/discovery.rs
+++ b/programs/gateway/src/discovery.rs
@@ -16,7 +16,7 @@
 use tokio::time::{Instant, timeout};
 use tokio_util::codec::Framed;
 use vanewharf_http1::{ClientCodec, ForwardedRequest, Request};
-use vanewharf_policy::interface::{BackendId, Listed, Standing, Tenths};
+use vanewharf_policy::interface::{BackendId, BackendInfo, BackendStatus, Ticks};
 
 /// For an answer that is due, and for a connection to the agent.
 const PATIENCE: Duration = Duration::from_millis(500);
@@ -56,7 +56,7 @@
 struct Known {
     id: BackendId,
     address: Option<SocketAddr>,
-    booted: Option<Tenths>,
+    booted: Option<Ticks>,
 }
 
 pub struct Discovery {
@@ -105,26 +105,32 @@
     fn enter(&mut self, endpoint: Endpoint, entries: &mut Vec<BackendEntry>) {
         let Endpoint { name, address, zone, status, weight, since_ms } = endpoint;
         let address = address.parse().ok();
-        let booted = (since_ms > 0.0).then_some(Tenths((since_ms * 10.0) as i64));
+        let booted = (since_ms > 0.0).then_some(Ticks((since_ms * 10.0) as i64));
         let mut standing = match status.as_str() {
-            "SERVING" if address.is_some() => Standing::Ready,
-            "DELETED" => Standing::Gone,
+            "SERVING" if address.is_some() => BackendStatus::Ready,
+            "DELETED" => BackendStatus::Gone,
             // What is not understood gets nothing new.
-            _ => Standing::Draining,
+            _ => BackendStatus::Draining,
         };
         let near = zone == self.place;
-        if standing == Standing::Ready {
+        if standing == BackendStatus::Ready {
             // An address is one process's: whoever started there later, the other is gone, listed or not.
             let elsewhere = |known: &Known| known.address != address;
             let newer = |known: &Known| !elsewhere(known) && known.booted > booted;
             if self.backends.iter().any(|(other, known)| *other != name && newer(known)) {
-                standing = Standing::Gone;
+                standing = BackendStatus::Gone;
             } else {
                 self.backends.retain(|other, known| {
                     let stays = *other == name || elsewhere(known);
                     if !stays {
-                        let (backend, standing, booted) = (known.id, Standing::Gone, known.booted);
-                        let listed = Listed { backend, standing, size: weight, near, booted };
+                        let (backend, standing, booted) = (known.id, BackendStatus::Gone, known.booted);
+                        let listed = BackendInfo {
+                            backend,
+                            status: standing,
+                            capacity: weight,
+                            local: near,
+                            started_at: booted,
+                        };
                         entries.push(BackendEntry { listed, address: None });
                     }
                     stays
@@ -137,7 +143,7 @@
                 known.address = address.or(known.address);
                 known.id
             }
-            None if standing == Standing::Gone => return,
+            None if standing == BackendStatus::Gone => return,
             None => {
                 let id = BackendId(self.named);
                 self.named += 1;
@@ -145,11 +151,19 @@
                 id
             }
         };
-        if standing == Standing::Gone {
+        if standing == BackendStatus::Gone {
             self.backends.remove(&name);
         }
-        entries
-            .push(BackendEntry { listed: Listed { backend, standing, size: weight, near, booted }, address });
+        entries.push(BackendEntry {
+            listed: BackendInfo {
+                backend,
+                status: standing,
+                capacity: weight,
+                local: near,
+                started_at: booted,
+            },
+            address,
+        });
     }
 
     pub async fn run(mut self) {
--- a/programs/gateway/src/discovery_pacing.rs
+++ b/programs/gateway/src/discovery_pacing.rs
@@ -8,7 +8,7 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::time::Duration;
-use vanewharf_policy::interface::Tenths;
+use vanewharf_policy::interface::Ticks;
 
 /// How long a watch may wait where lists are pushed to the agent and cost nothing: short, so that an agent
 /// gone silent is soon asked anew.
@@ -30,7 +30,7 @@
 }
 
 impl DiscoveryPacing {
-    pub fn new(ask_within: Option<Tenths>, seed: u64) -> DiscoveryPacing {
+    pub fn new(ask_within: Option<Ticks>, seed: u64) -> DiscoveryPacing {
         DiscoveryPacing {
             ask_within: ask_within.map(to_duration),
             turned_away: 0,
@@ -61,7 +61,7 @@
 mod tests {
     use super::*;
 
-    const WITHIN: Option<Tenths> = Some(Tenths(100_000));
+    const WITHIN: Option<Ticks> = Some(Ticks(100_000));
 
     /// How many of a hundred doors call in the busiest second, where each is turned away at every call.
     fn busiest(mut next: impl FnMut(u64) -> Box<dyn FnMut() -> Duration>) -> usize {
@@ -103,6 +103,6 @@
         let same = waits.iter().filter(|wait| wait.as_secs() == waits[0].as_secs()).count();
         assert!(same < 30, "{same} of 100 end in one second");
         assert_eq!(DiscoveryPacing::new(None, 7).wait(), WAIT, "pushed lists cost nothing");
-        assert_eq!(DiscoveryPacing::new(Some(Tenths(i64::MAX)), 7).wait(), LONGEST);
+        assert_eq!(DiscoveryPacing::new(Some(Ticks(i64::MAX)), 7).wait(), LONGEST);
     }
 }
--- a/programs/gateway/src/main.rs
+++ b/programs/gateway/src/main.rs
@@ -21,7 +21,7 @@
 use vanewharf_gateway::router::{PlatformPolicy, Router};
 use vanewharf_gateway::shared::Shared;
 use vanewharf_gateway::{client_connection, quota_counter};
-use vanewharf_policy::decide::Door;
+use vanewharf_policy::decide::Balancer;
 
 /// New clients keep coming for a while after the front was told that this door stops.
 const KEEP_ACCEPTING: Duration = Duration::from_millis(500);
@@ -96,10 +96,15 @@
     let intake =
         vanewharf_gateway_settings::peer_messages_per_s(&options).map_err(|error| error.to_string())?;
     if call.check {
-        tracing::info!(name, peers = start.peers, counter = start.counter.is_some(), "a door would start");
+        tracing::info!(
+            name,
+            peers = start.peer_messages,
+            counter = start.counter_timeout.is_some(),
+            "a door would start"
+        );
         return Ok(());
     }
-    let repeats = start.products.iter().map(|product| product.repeat).collect();
+    let repeats = start.products.iter().map(|product| product.idempotency).collect();
     let resources = Rc::new(Resources::new(ResourceLimits::within(limits.sockets, limits.memory_mb)));
     let (notes, told) = mpsc::unbounded_channel();
     let place = named.locality.clone();
@@ -118,8 +123,8 @@
     let recall = DiscoveryPacing::new(ask_within, seed);
     let (discovery, known) = Discovery::start(agents, Rc::clone(&shared), place, known, recall);
     // The decisions call the counter only where the settings allow it and the platform names one.
-    start.counter = start.counter.filter(|_| counter.is_some());
-    let calls = match (counter, start.counter) {
+    start.counter_timeout = start.counter_timeout.filter(|_| counter.is_some());
+    let calls = match (counter, start.counter_timeout) {
         (Some(address), Some(wait)) => {
             let (calls, taken) = mpsc::unbounded_channel();
             drop(tokio::task::spawn_local(quota_counter::run(address, wait, taken, Rc::clone(&shared))));
@@ -129,7 +134,7 @@
     };
     let peers = match operator.peers {
         Some(at) => {
-            let listening = Peers::listen(at.listen, at.doors, start.me).await;
+            let listening = Peers::listen(at.listen, at.doors, start.gateway).await;
             let peers =
                 listening.map_err(|error| because(&format!("cannot hear at {}", at.listen), error))?;
             Some(Rc::new(peers))
@@ -139,7 +144,7 @@
     if let Some(peers) = &peers {
         drop(tokio::task::spawn_local(Rc::clone(peers).hear(intake, Rc::clone(&shared))));
     }
-    let decisions = PlatformPolicy { door: Door::start(start), repeats };
+    let decisions = PlatformPolicy { door: Balancer::new(start), repeats };
     let route = Router::new(Rc::clone(&shared), decisions, known, calls, peers);
     let mut routing = tokio::task::spawn_local(route.run(told, mpsc::unbounded_channel().1));
     let mut watching = tokio::task::spawn_local(discovery.run());
--- a/programs/gateway/src/messages.rs
+++ b/programs/gateway/src/messages.rs
@@ -9,7 +9,8 @@
 use vanewharf_exchange::line::CalledOff;
 use vanewharf_http1::{Reply, Request};
 use vanewharf_policy::interface::{
-    Arrival, CountName, Counted, DoorId, Listed, Outcome, SubmissionNo, Tenths, TxnId, Word,
+    Arrival, AttemptNumber, BackendInfo, CounterKey, CounterReply, GatewayId, Outcome, PeerMessage, Ticks,
+    TxnId,
 };
 
 /// An admitted request.
@@ -29,7 +30,7 @@
     /// The request that the attempt was made for.
     pub txn: TxnId,
     /// Which of the request's attempts it was.
-    pub no: SubmissionNo,
+    pub no: AttemptNumber,
     /// What is proved of it.
     pub outcome: Outcome,
     /// The backend's reply, where there was one.
@@ -37,12 +38,12 @@
     /// The attempt's connection, where it can be reused.
     pub idle_connection: Option<IdleConnection>,
     /// How long a reused connection had been idle that ended under the attempt without any reply.
-    pub idle_before_loss: Option<Tenths>,
+    pub idle_before_loss: Option<Ticks>,
 }
 
 impl AttemptResult {
     /// A result without a reply and without a connection to reuse.
-    pub fn without_reply(txn: TxnId, no: SubmissionNo, outcome: Outcome) -> AttemptResult {
+    pub fn without_reply(txn: TxnId, no: AttemptNumber, outcome: Outcome) -> AttemptResult {
         AttemptResult { txn, no, outcome, reply: None, idle_connection: None, idle_before_loss: None }
     }
 }
@@ -60,16 +61,16 @@
     /// Sockets are short: the backend connection that has been idle longest is to be closed.
     CloseIdleConnection,
     /// The shared quota counter's answer to one call.
-    Counted(CountName, Counted),
+    Counted(CounterKey, CounterReply),
     /// A message of another gateway.
-    PeerMessage(DoorId, Word),
+    PeerMessage(GatewayId, PeerMessage),
 }
 
 /// One backend as the routing policy sees it, and where it listens.
 #[derive(Clone, Debug)]
 pub struct BackendEntry {
     /// Its state, under the id that this process has given to its name.
-    pub listed: Listed,
+    pub listed: BackendInfo,
     /// Its address; none where the published one cannot be read or it is gone.
     pub address: Option<SocketAddr>,
 }
@@ -97,11 +98,11 @@
     /// The request's id in this process.
     pub txn: TxnId,
     /// Which of the request's attempts it is.
-    pub no: SubmissionNo,
+    pub no: AttemptNumber,
     /// The request to be forwarded.
     pub request: Rc<Request>,
     /// When the reply is no longer waited for.
-    pub deadline: Tenths,
+    pub deadline: Ticks,
     /// Completes when the router no longer waits for the reply.
     pub cancelled: oneshot::Receiver<CalledOff>,
     /// Header fields for this backend alongside those of the client.
@@ -113,5 +114,5 @@
     /// Hands the next attempt to the connection's task; closed once the connection has ended.
     pub next: oneshot::Sender<Attempt>,
     /// Since when it has been idle.
-    pub since: Tenths,
+    pub since: Ticks,
 }
--- a/programs/gateway/src/peers.rs
+++ b/programs/gateway/src/peers.rs
@@ -9,8 +9,8 @@
 use std::rc::Rc;
 use tokio::net::UdpSocket;
 use tokio::time::Instant;
-use vanewharf_policy::interface::{DoorId, Word};
-use vanewharf_policy::letter;
+use vanewharf_policy::codec;
+use vanewharf_policy::interface::{GatewayId, PeerMessage};
 
 const NUMBER: usize = size_of::<u32>();
 
@@ -18,35 +18,35 @@
     socket: UdpSocket,
     /// By number.
     doors: Vec<SocketAddr>,
-    me: DoorId,
+    me: GatewayId,
 }
 
 impl Peers {
-    pub async fn listen(listen: SocketAddr, doors: Vec<SocketAddr>, me: DoorId) -> std::io::Result<Peers> {
+    pub async fn listen(listen: SocketAddr, doors: Vec<SocketAddr>, me: GatewayId) -> std::io::Result<Peers> {
         Ok(Peers { socket: UdpSocket::bind(listen).await?, doors, me })
     }
 
     /// False where the system takes no more or the door is not listed: the word is lost then, as it might be
     /// on its way.
-    pub fn tell(&self, to: DoorId, word: &Word) -> bool {
-        let datagram = [&self.me.0.to_be_bytes()[..], &letter::write(word)].concat();
+    pub fn tell(&self, to: GatewayId, word: &PeerMessage) -> bool {
+        let datagram = [&self.me.0.to_be_bytes()[..], &codec::encode(word)].concat();
         let address = self.doors.get(to.0 as usize);
         address.is_some_and(|address| self.socket.try_send_to(&datagram, *address).is_ok())
     }
 
-    fn read(&self, datagram: &[u8], address: SocketAddr) -> Option<(DoorId, Word)> {
+    fn read(&self, datagram: &[u8], address: SocketAddr) -> Option<(GatewayId, PeerMessage)> {
         let (number, letter) = datagram.split_first_chunk::<NUMBER>()?;
-        let from = DoorId(u32::from_be_bytes(*number));
+        let from = GatewayId(u32::from_be_bytes(*number));
         // A door answers for its own number only.
         let listed = self.doors.get(from.0 as usize) == Some(&address) && from != self.me;
-        let word = letter::read(letter).filter(|_| listed && letter.len() <= letter::MOST_BYTES)?;
+        let word = codec::decode(letter).filter(|_| listed && letter.len() <= codec::MAX_BYTES)?;
         Some((from, word))
     }
 
     pub async fn hear(self: Rc<Peers>, per_s: f64, shared: Rc<Shared>) {
         let mut intake = Intake { per_s, room: per_s, at: Instant::now() };
         // One byte more than any that is taken, so that a longer one shows.
-        let mut buffer = [0; NUMBER + letter::MOST_BYTES + 1];
+        let mut buffer = [0; NUMBER + codec::MAX_BYTES + 1];
         loop {
             // An error is a word that never came; the system reports some of those.
             let Ok((length, address)) = self.socket.recv_from(&mut buffer).await else {
--- a/programs/gateway/src/platform_dialect.rs
+++ b/programs/gateway/src/platform_dialect.rs
@@ -4,10 +4,12 @@
 use std::time::Duration;
 use vanewharf_gateway_settings::{RequestBounds, SettingNames};
 use vanewharf_http1::{Reply, Request};
-use vanewharf_policy::interface::{Arrival, CustomerId, Outcome, PlanId, ProductId, Tenths, TxnId, Want};
+use vanewharf_policy::interface::{
+    Arrival, CustomerId, Outcome, PlanId, ProductId, QuotaClaim, Ticks, TxnId,
+};
 
 const CORRELATION: &str = "X-Correlation-Id";
-const AGAIN: &str = "X-Repeat";
+const AGAIN: &str = "X-Idempotency";
 /// An id is kept while its txn is open.
 const LONGEST_ID: usize = 64;
 /// Customers are numbered below this.
@@ -47,7 +49,7 @@
 fn arrival(
     request: &Request,
     told: &PlatformDialect,
-    now: Tenths,
+    now: Ticks,
     txn: TxnId,
 ) -> Result<Arrival, &'static str> {
     let PlatformDialect { named, bounds } = told;
@@ -65,7 +67,7 @@
         .and_then(|field| quota(field, bounds))
         .ok_or("X-Quota cannot be read or is out of range")?;
     let left: Option<u32> = request.unique_field(TIME_LEFT).and_then(|text| text.parse().ok());
-    let left = Tenths(i64::from(left.ok_or("X-Time-Left-Ms cannot be read")?) * 10);
+    let left = Ticks(i64::from(left.ok_or("X-Time-Left-Ms cannot be read")?) * 10);
     if left > bounds.max_expiries[product.0] {
         return Err("X-Time-Left-Ms is longer than the product's expiry");
     }
@@ -73,8 +75,8 @@
         return Err("X-Correlation-Id is missing, too long or there are two");
     }
     let again = request.field(AGAIN) == Some("1");
-    let want = Want { customer, plan, first, width, cost, again };
-    Ok(Arrival { txn, product, want, expiry: now + left })
+    let want = QuotaClaim { customer, plan, subset_start: first, subset_size: width, cost, retry: again };
+    Ok(Arrival { txn, product, claim: want, deadline: now + left })
 }
 
 /// By which clients and backends know the txn.
@@ -100,7 +102,7 @@
         }
     }
 
-    fn admit(&self, request: &Request, now: Tenths, txn: TxnId) -> Admission {
+    fn admit(&self, request: &Request, now: Ticks, txn: TxnId) -> Admission {
         match (request.method(), request.target()) {
             ("GET", "/healthz") => Admission::Health,
             ("GET" | "POST", _) => match arrival(request, self, now, txn) {
@@ -117,8 +119,8 @@
 
     fn match_reply(&self, _: &Request, reply: &Reply) -> ReplyMatch {
         ReplyMatch::Current(match reply.status() {
-            200 => Outcome::Settled,
-            503 | 504 if reply.field("X-Unprocessed") == Some("1") => Outcome::TurnedAway,
+            200 => Outcome::Succeeded,
+            503 | 504 if reply.field("X-Unprocessed") == Some("1") => Outcome::Rejected,
             _ => Outcome::Error,
         })
     }
--- a/programs/gateway/src/quota_counter.rs
+++ b/programs/gateway/src/quota_counter.rs
@@ -17,18 +17,18 @@
 use tokio::sync::mpsc;
 use tokio::time::{Instant, sleep_until, timeout};
 use tokio_util::codec::{FramedRead, FramedWrite};
-use vanewharf_policy::interface::{CountName, Counted, Tenths};
+use vanewharf_policy::interface::{CounterKey, CounterReply, Ticks};
 
 /// One call, as the decisions ask for it: `step` units (below 0 takes off) to `name`, which a new name keeps
 /// for `forget_after` (the counter takes 1 ms to 60 s).
 pub struct Call {
-    pub name: CountName,
+    pub name: CounterKey,
     pub step: f64,
-    pub forget_after: Tenths,
+    pub forget_after: Ticks,
 }
 
 struct Out {
-    name: CountName,
+    name: CounterKey,
     until: Instant,
     told: bool,
 }
@@ -40,7 +40,7 @@
 }
 
 /// A total is a bulk string; `-BUSY` and `-ERR` added nothing.
-fn counted(answer: BytesFrame) -> Counted {
+fn counted(answer: BytesFrame) -> CounterReply {
     let total = match answer {
         BytesFrame::BulkString(text) | BytesFrame::SimpleString(text) => {
             std::str::from_utf8(&text).ok().and_then(|text| text.trim().parse::<f64>().ok())
@@ -48,24 +48,19 @@
         BytesFrame::Integer(total) => Some(total as f64),
         _ => None,
     };
-    total.filter(|total| total.is_finite()).map_or(Counted::NotAdded, Counted::Total)
+    total.filter(|total| total.is_finite()).map_or(CounterReply::NotAdded, CounterReply::Total)
 }
 
-pub async fn run(
-    address: SocketAddr,
-    wait: Tenths,
-    calls: mpsc::UnboundedReceiver<Call>,
-    shared: Rc<Shared>,
-) {
+pub async fn run(address: SocketAddr, wait: Ticks, calls: mpsc::UnboundedReceiver<Call>, shared: Rc<Shared>) {
     let tell = |name, counted| shared.notify_router(RouterMessage::Counted(name, counted));
     serve(|| TcpStream::connect(address), wait, calls, tell).await;
 }
 
 async fn serve<D: Future<Output = std::io::Result<TcpStream>>>(
     dial: impl Fn() -> D,
-    wait: Tenths,
+    wait: Ticks,
     mut calls: mpsc::UnboundedReceiver<Call>,
-    tell: impl Fn(CountName, Counted),
+    tell: impl Fn(CounterKey, CounterReply),
 ) {
     let wait = to_duration(wait);
     let mut reader: Option<FramedRead<OwnedReadHalf, Resp2>> = None;
@@ -93,11 +88,11 @@
                             writer = Some(FramedWrite::new(write, Resp2::default()));
                         }
                         _ => {
-                            tell(call.name, Counted::NotAdded);
+                            tell(call.name, CounterReply::NotAdded);
                             // Those made meanwhile have waited as long: another dial each would hold their
                             // txns one wait after the other.
                             while let Ok(call) = calls.try_recv() {
-                                tell(call.name, Counted::NotAdded);
+                                tell(call.name, CounterReply::NotAdded);
                             }
                             continue;
                         }
@@ -109,7 +104,7 @@
                 out.push_back(Out { name: call.name, until: Instant::now() + wait, told: false });
                 if write.send(frame(&call)).await.is_err() {
                     (reader, writer) = (None, None);
-                    out.drain(..).filter(|one| !one.told).for_each(|one| tell(one.name, Counted::Unknown));
+                    out.drain(..).filter(|one| !one.told).for_each(|one| tell(one.name, CounterReply::Unknown));
                 }
             }
             answer = answer => match (answer, out.pop_front()) {
@@ -122,14 +117,14 @@
                 (_, first) => {
                     (reader, writer) = (None, None);
                     let unanswered = first.into_iter().chain(out.drain(..)).filter(|one| !one.told);
-                    unanswered.for_each(|one| tell(one.name, Counted::Unknown));
+                    unanswered.for_each(|one| tell(one.name, CounterReply::Unknown));
                 }
             },
             () = sleep_until(due.unwrap_or_else(Instant::now)), if due.is_some() => {
                 let now = Instant::now();
                 for one in out.iter_mut().filter(|one| !one.told && one.until <= now) {
                     one.told = true;
-                    tell(one.name, Counted::Unknown);
+                    tell(one.name, CounterReply::Unknown);
                 }
             }
         }
@@ -141,7 +136,7 @@
     use super::*;
     use std::cell::RefCell;
 
-    const WAIT: Tenths = Tenths(800);
+    const WAIT: Ticks = Ticks(800);
 
     #[tokio::test(start_paused = true)]
     async fn a_counter_that_takes_no_connection_holds_no_call_longer_than_one_wait() {
@@ -149,7 +144,7 @@
         let told = RefCell::new(Vec::new());
         let began = Instant::now();
         for name in 0..5 {
-            let call = Call { name: CountName(name), step: 1.0, forget_after: Tenths::SECOND };
+            let call = Call { name: CounterKey(name), step: 1.0, forget_after: Ticks::SECOND };
             assert!(calls.send(call).is_ok());
         }
         drop(calls);
@@ -158,7 +153,7 @@
         let told = told.into_inner();
         assert_eq!(told.len(), 5, "{told:?}");
         for (no, (name, counted, took)) in told.iter().enumerate() {
-            assert_eq!((*name, *counted), (CountName(no as u64), Counted::NotAdded));
+            assert_eq!((*name, *counted), (CounterKey(no as u64), CounterReply::NotAdded));
             assert!(*took < to_duration(WAIT) + to_duration(WAIT).div_f64(2.0), "{told:?}");
         }
     }
--- a/programs/gateway/src/router.rs
+++ b/programs/gateway/src/router.rs
@@ -20,21 +20,22 @@
 use vanewharf_exchange::line::CalledOff;
 use vanewharf_exchange::{self as txns, Expiry, Submit, Txns};
 use vanewharf_http1::{Reply, Request};
-use vanewharf_policy::decide::Door;
+use vanewharf_policy::decide::Balancer;
 use vanewharf_policy::interface::{
-    Action, Arrival, BackendId, Counted, Ending, Event, Outcome, Repeat, SubmissionNo, Tenths, TimerId, TxnId,
+    Action, Arrival, AttemptNumber, AttemptReport, BackendId, CounterReply, Event, Idempotency, Outcome,
+    Ticks, TimerId, TxnId,
 };
 
 /// For the answer's way back and one turn of the runtime's timers: the client counts from when it
 /// sent, this door from when it has read.
-const WAY_BACK: Tenths = Tenths(50);
-const SWEEP: Tenths = Tenths::SECOND;
+const WAY_BACK: Ticks = Ticks(50);
+const SWEEP: Ticks = Ticks::SECOND;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Timer {
     Wake(TimerId),
     Expiry(TxnId),
-    TimeOut(TxnId, SubmissionNo),
+    TimeOut(TxnId, AttemptNumber),
     Sweep,
 }
 
@@ -42,12 +43,12 @@
 pub trait RoutingPolicy {
     type Update;
 
-    fn decide(&mut self, now: Tenths, events: Vec<Event>) -> Vec<Action>;
+    fn decide(&mut self, now: Ticks, events: Vec<Event>) -> Vec<Action>;
 
-    fn repeat(&self, arrival: &Arrival) -> Repeat;
+    fn repeat(&self, arrival: &Arrival) -> Idempotency;
 
     /// What it makes of the news, and the backends that the pool is to know by it.
-    fn apply_update(&mut self, now: Tenths, update: Self::Update) -> Option<BackendUpdate>;
+    fn apply_update(&mut self, now: Ticks, update: Self::Update) -> Option<BackendUpdate>;
 
     /// The fields that this backend is told for this txn beside what the client said.
     fn extra_headers(&self, _txn: TxnId, _backend: BackendId) -> Vec<(&'static str, String)> {
@@ -62,22 +63,22 @@
 
 /// The module alone, as it was told at its start.
 pub struct PlatformPolicy {
-    pub door: Door,
-    pub repeats: Vec<Repeat>,
+    pub door: Balancer,
+    pub repeats: Vec<Idempotency>,
 }
 
 impl RoutingPolicy for PlatformPolicy {
     type Update = Infallible;
 
-    fn decide(&mut self, now: Tenths, events: Vec<Event>) -> Vec<Action> {
+    fn decide(&mut self, now: Ticks, events: Vec<Event>) -> Vec<Action> {
         self.door.decide(now, events)
     }
 
-    fn repeat(&self, arrival: &Arrival) -> Repeat {
+    fn repeat(&self, arrival: &Arrival) -> Idempotency {
         self.repeats[arrival.product.0]
     }
 
-    fn apply_update(&mut self, _: Tenths, update: Infallible) -> Option<BackendUpdate> {
+    fn apply_update(&mut self, _: Ticks, update: Infallible) -> Option<BackendUpdate> {
         match update {}
     }
 }
@@ -97,7 +98,7 @@
     pool: ConnectionPool,
     txns: Txns<oneshot::Sender<FinalAnswer>, oneshot::Sender<CalledOff>>,
     held: BTreeMap<TxnId, Held>,
-    timers: BinaryHeap<Reverse<(Tenths, u64, Timer)>>,
+    timers: BinaryHeap<Reverse<(Ticks, u64, Timer)>>,
     timers_set: u64,
     events: Vec<Event>,
     /// None where no counter was named: then the decisions are told that there is none.
@@ -169,7 +170,7 @@
         actions.into_iter().for_each(|action| self.carry_out(action, now));
     }
 
-    fn set(&mut self, at: Tenths, timer: Timer) {
+    fn set(&mut self, at: Ticks, timer: Timer) {
         self.timers_set += 1;
         self.timers.push(Reverse((at, self.timers_set, timer)));
     }
@@ -189,14 +190,14 @@
         Instant::now() + crate::clock::to_duration(SWEEP)
     }
 
-    fn fall_due(&mut self, now: Tenths) {
+    fn fall_due(&mut self, now: Ticks) {
         while let Some(&Reverse((at, _, timer))) = self.timers.peek() {
             if at > now {
                 return;
             }
             self.timers.pop();
             match timer {
-                Timer::Wake(timer) => self.events.push(Event::Due(timer)),
+                Timer::Wake(timer) => self.events.push(Event::TimerFired(timer)),
                 Timer::TimeOut(txn, no) => self.call_off(txn, no, CalledOff::TimedOut),
                 Timer::Expiry(txn) => self.expire(txn),
                 Timer::Sweep => {
@@ -209,33 +210,35 @@
         }
     }
 
-    fn take(&mut self, note: RouterMessage, now: Tenths) {
+    fn take(&mut self, note: RouterMessage, now: Ticks) {
         match note {
             RouterMessage::NewRequest(NewRequest { arrival, request, open_id: _open_id, answer }) => {
                 let repeat = self.decisions.repeat(&arrival);
-                let until = arrival.expiry - WAY_BACK;
+                let until = arrival.deadline - WAY_BACK;
                 self.txns.arrived(arrival.txn, repeat, until, answer);
                 self.held.insert(arrival.txn, Held { request, failure: None, _open_id });
                 self.set(until, Timer::Expiry(arrival.txn));
-                self.events.push(Event::Arrived(arrival));
+                self.events.push(Event::RequestArrived(arrival));
             }
             RouterMessage::ClientLeft(id) => {
                 if self.txns.left(id) {
                     self.shared.resources.count(Counter::ClientsLeft);
-                    self.events.push(Event::Left(id));
+                    self.events.push(Event::ClientDisconnected(id));
                 }
             }
             RouterMessage::AttemptEnded(ended) => self.ended(ended, now),
             RouterMessage::BackendsChanged(told) => self.listed(told),
             RouterMessage::CloseIdleConnection => self.pool.shed(),
-            RouterMessage::PeerMessage(from, word) => self.events.push(Event::Heard { from, word }),
+            RouterMessage::PeerMessage(from, word) => {
+                self.events.push(Event::PeerMessageReceived { from, message: word })
+            }
             RouterMessage::Counted(name, counted) => {
                 self.shared.resources.count(match counted {
-                    Counted::Total(_) => Counter::CounterTotals,
-                    Counted::NotAdded => Counter::CounterNotAdded,
-                    Counted::Unknown => Counter::CounterUnknown,
+                    CounterReply::Total(_) => Counter::CounterTotals,
+                    CounterReply::NotAdded => Counter::CounterNotAdded,
+                    CounterReply::Unknown => Counter::CounterUnknown,
                 });
-                self.events.push(Event::Counted { name, counted });
+                self.events.push(Event::CounterReplied { key: name, reply: counted });
             }
         }
     }
@@ -254,24 +257,24 @@
         self.pooled(&told);
         let listed = |entries: Vec<BackendEntry>| entries.into_iter().map(|entry| entry.listed).collect();
         self.events.push(match told {
-            BackendUpdate::Snapshot(entries) => Event::Listing(listed(entries)),
-            BackendUpdate::Changes(entries) => Event::Changes(listed(entries)),
+            BackendUpdate::Snapshot(entries) => Event::BackendList(listed(entries)),
+            BackendUpdate::Changes(entries) => Event::BackendChanges(listed(entries)),
         });
     }
 
-    fn ended(&mut self, ended: AttemptResult, now: Tenths) {
+    fn ended(&mut self, ended: AttemptResult, now: Ticks) {
         let resources = &self.shared.resources;
         let AttemptResult { txn: id, no, outcome, reply, idle_connection: idle, idle_before_loss: broke } =
             ended;
         resources.count(match outcome {
-            Outcome::Settled => Counter::AttemptsSettled,
+            Outcome::Succeeded => Counter::AttemptsSettled,
             Outcome::Error => Counter::AttemptsError,
-            Outcome::TurnedAway => Counter::AttemptsTurnedAway,
+            Outcome::Rejected => Counter::AttemptsTurnedAway,
             Outcome::TimedOut => Counter::AttemptsTimedOut,
-            Outcome::NoConnection => Counter::AttemptsNoConnection,
-            Outcome::Broken => Counter::AttemptsBroken,
+            Outcome::ConnectFailed => Counter::AttemptsNoConnection,
+            Outcome::ConnectionLost => Counter::AttemptsBroken,
             Outcome::Cancelled => Counter::AttemptsCancelled,
-            Outcome::Moot => Counter::AttemptsMoot,
+            Outcome::NotSent => Counter::AttemptsMoot,
         });
         let ended = self.txns.ended(id, no, outcome, now);
         resources.check(ended.is_ok(), Invariant::EndedOnce);
@@ -299,8 +302,16 @@
             }
             _ => {}
         }
-        let ending = Ending { txn: id, no, outcome, took, complete, metered, true_cost };
-        self.events.push(Event::Ended(ending));
+        let ending = AttemptReport {
+            txn: id,
+            attempt: no,
+            outcome,
+            latency: took,
+            complete,
+            metered_usage: metered,
+            actual_cost: true_cost,
+        };
+        self.events.push(Event::AttemptEnded(ending));
     }
 
     /// What is still out ends as timed out, and the decisions say what becomes of the txn.
@@ -315,14 +326,14 @@
         }
     }
 
-    fn call_off(&mut self, id: TxnId, no: SubmissionNo, why: CalledOff) {
+    fn call_off(&mut self, id: TxnId, no: AttemptNumber, why: CalledOff) {
         if let Some(call_off) = self.txns.call_off(id, no) {
             // Its outcome may be on the way already.
             let _ = call_off.send(why);
         }
     }
 
-    fn decide(&mut self, now: Tenths) {
+    fn decide(&mut self, now: Ticks) {
         while !self.events.is_empty() {
             let events = std::mem::take(&mut self.events);
             for action in self.decisions.decide(now, events) {
@@ -334,17 +345,19 @@
         }
     }
 
-    fn carry_out(&mut self, action: Action, now: Tenths) {
+    fn carry_out(&mut self, action: Action, now: Ticks) {
         match action {
-            Action::Submit { txn, backend, time_out } => self.submit(txn, backend, time_out, now),
-            Action::Cancel { txn, no } => self.call_off(txn, no, CalledOff::Cancelled),
-            Action::Decline { txn, retry_after } => {
+            Action::SendAttempt { txn, backend, timeout: time_out } => {
+                self.submit(txn, backend, time_out, now)
+            }
+            Action::CancelAttempt { txn, attempt: no } => self.call_off(txn, no, CalledOff::Cancelled),
+            Action::Reject { txn, retry_after } => {
                 self.shared.resources.check(self.txns.harmless(txn), Invariant::NoEffectTwice);
                 self.conclude(txn, FinalAnswer::Declined { retry_after });
             }
-            Action::Void { txn } => self.conclude(txn, FinalAnswer::Voided),
-            Action::Wake { after, timer } => self.set(now + after, Timer::Wake(timer)),
-            Action::Tell { to, word } => {
+            Action::Fail { txn } => self.conclude(txn, FinalAnswer::Voided),
+            Action::SetTimer { after, timer } => self.set(now + after, Timer::Wake(timer)),
+            Action::SendPeerMessage { to, message: word } => {
                 let told = self.peers.as_ref().is_some_and(|peers| peers.tell(to, &word));
                 self.shared.resources.count(if told {
                     Counter::PeerMessagesSent
@@ -352,12 +365,12 @@
                     Counter::PeerMessagesUnsent
                 });
             }
-            Action::Count { name, step, forget_after } => {
+            Action::IncrementCounter { key: name, amount: step, expire_after: forget_after } => {
                 self.shared.resources.count(Counter::CounterCalls);
                 let call = Call { name, step, forget_after };
                 // BackendUpdate at once where nobody takes the call, as the counter's own refusal would be.
                 if self.counter.as_ref().is_none_or(|counter| counter.send(call).is_err()) {
-                    self.events.push(Event::Counted { name, counted: Counted::NotAdded });
+                    self.events.push(Event::CounterReplied { key: name, reply: CounterReply::NotAdded });
                 }
             }
         }
@@ -379,15 +392,23 @@
         let _ = give.send(answer);
     }
 
-    fn submit(&mut self, id: TxnId, backend: BackendId, time_out: Option<Tenths>, now: Tenths) {
+    fn submit(&mut self, id: TxnId, backend: BackendId, time_out: Option<Ticks>, now: Ticks) {
         let resources = &self.shared.resources;
         let (no, until) = match self.txns.submit(id, backend, time_out, now) {
             Submit::Unknown => return,
             Submit::Moot { no, complete } => {
                 resources.count(Counter::AttemptsMoot);
-                let (outcome, took) = (Outcome::Moot, Tenths(0));
-                let ending = Ending { txn: id, no, outcome, took, complete, metered: None, true_cost: None };
-                return self.events.push(Event::Ended(ending));
+                let (outcome, took) = (Outcome::NotSent, Ticks(0));
+                let ending = AttemptReport {
+                    txn: id,
+                    attempt: no,
+                    outcome,
+                    latency: took,
+                    complete,
+                    metered_usage: None,
+                    actual_cost: None,
+                };
+                return self.events.push(Event::AttemptEnded(ending));
             }
             Submit::Goes { no, until, allowed } => {
                 resources.check(allowed, Invariant::NoEffectTwice);
@@ -428,7 +449,7 @@
             None => shared.notify_router(RouterMessage::AttemptEnded(AttemptResult::without_reply(
                 id,
                 no,
-                Outcome::NoConnection,
+                Outcome::ConnectFailed,
             ))),
         }
     }
--- a/programs/gateway/tests/peers.rs
+++ b/programs/gateway/tests/peers.rs
@@ -8,8 +8,8 @@
 use std::net::{SocketAddr, UdpSocket};
 use std::process::Command;
 use std::time::Duration;
-use vanewharf_policy::interface::{Verdict, Word};
-use vanewharf_policy::letter;
+use vanewharf_policy::codec;
+use vanewharf_policy::interface::{PeerMessage, QuotaDecision, QuotaRejection};
 
 /// Another door: it hears what is sent to its number, and says what the test has it say.
 struct Peer {
@@ -28,8 +28,8 @@
         self.socket.local_addr().expect("its address")
     }
 
-    fn says(&self, to: SocketAddr, word: &Word) {
-        let datagram = [&self.number.to_be_bytes()[..], &letter::write(word)].concat();
+    fn says(&self, to: SocketAddr, word: &PeerMessage) {
+        let datagram = [&self.number.to_be_bytes()[..], &codec::encode(word)].concat();
         self.socket.send_to(&datagram, to).expect("loopback takes it");
     }
 }
@@ -73,7 +73,7 @@
     let (door, _) = asking(&backend, &[&first, &second]);
     let mut client = door.client();
     // Whichever of the two is asked first: both say the same.
-    let both = |verdict: Verdict| {
+    let both = |verdict: QuotaDecision| {
         for peer in [&first, &second] {
             peer.socket.set_nonblocking(true).expect("its own socket");
         }
@@ -84,11 +84,14 @@
             assert!(begun.elapsed() < LONG, "no ask came");
             for peer in [&first, &second] {
                 if let Ok((length, from)) = peer.socket.recv_from(&mut buffer) {
-                    let word = letter::read(&buffer[4..length]).expect("a word");
-                    if let Word::Ask { no, want } = word {
+                    let word = codec::decode(&buffer[4..length]).expect("a word");
+                    if let PeerMessage::QuotaRequest { request: no, claim: want } = word {
                         assert_eq!(buffer[..4], 2u32.to_be_bytes(), "it says its own number");
-                        assert_eq!((want.cost, want.width, want.again), (1.0, 2, false));
-                        peer.says(from, &Word::Told { no, want, verdict });
+                        assert_eq!((want.cost, want.subset_size, want.retry), (1.0, 2, false));
+                        peer.says(
+                            from,
+                            &PeerMessage::QuotaResponse { request: no, claim: want, decision: verdict },
+                        );
                         heard += 1;
                     }
                 }
@@ -100,7 +103,7 @@
     both(Ok(()));
     assert_eq!(client.answer().status(), 200);
     client.send(&basic());
-    both(Err(Some(vanewharf_policy::interface::Tenths(4_000))));
+    both(Err(QuotaRejection { retry_after: Some(vanewharf_policy::interface::Ticks(4_000)) }));
     let answer = client.answer();
     assert_eq!(answer.status(), 429);
     assert_eq!(answer.field("Retry-After"), Some("0.4000"), "the keeper's own advice");
@@ -128,8 +131,8 @@
     let backend = Backend::new("a", vec![ok("", "seen")]);
     let (door, own) = asking(&backend, &[&first, &second]);
     let stranger = Peer::new(0);
-    let word = Word::Full { customer: vanewharf_policy::interface::CustomerId(9) };
-    let letter = letter::write(&word);
+    let word = PeerMessage::QuotaExhausted { customer: vanewharf_policy::interface::CustomerId(9) };
+    let letter = codec::encode(&word);
     stranger.says(own, &word);
     Peer { socket: first.socket.try_clone().expect("a copy"), number: 1 }.says(own, &word);
     Peer { socket: first.socket.try_clone().expect("a copy"), number: 77 }.says(own, &word);
--- a/programs/proxy/src/gate.rs
+++ b/programs/proxy/src/gate.rs
@@ -9,7 +9,7 @@
 use vanewharf_gateway::dialect::{Admission, ForwardingOptions, HttpDialect, ReplyMatch};
 use vanewharf_health::key_authorization_lapsed;
 use vanewharf_http1::{Reply, Request};
-use vanewharf_policy::interface::{Arrival, Outcome, Tenths, TxnId};
+use vanewharf_policy::interface::{Arrival, Outcome, Ticks, TxnId};
 
 const ID: &str = "Attempt-Id";
 const TIME_LEFT: &str = "Remaining-Milliseconds";
@@ -18,15 +18,15 @@
 /// An id is kept while its request is open.
 const LONGEST_ID: usize = 128;
 /// What a client is told that this door cannot serve yet, or may not by now: another door may.
-const NOT_YET: Tenths = Tenths(1_000);
+const NOT_YET: Ticks = Ticks(1_000);
 /// One that was turned back for want of room.
-const BUSY: Tenths = Tenths(1_500);
+const BUSY: Ticks = Ticks(1_500);
 
 /// What the decisions go by for one request, until they have heard that it arrived.
 pub struct Entry {
     pub rule: Rc<Rule>,
     pub tenant: Option<Rc<Tenant>>,
-    pub expiry: Tenths,
+    pub expiry: Ticks,
     /// Its client has left while it waited.
     pub left: bool,
 }
@@ -51,7 +51,7 @@
 pub struct Wicket(pub Rc<Posted>);
 
 impl Wicket {
-    fn arrival(&self, request: &Request, now: Tenths, txn: TxnId) -> Admission {
+    fn arrival(&self, request: &Request, now: Ticks, txn: TxnId) -> Admission {
         let posted = &self.0;
         let tables = posted.tables.borrow();
         let Some(tables) = &*tables else {
@@ -95,9 +95,9 @@
             None => rule.deadline,
         };
         let span = left.min(rule.deadline);
-        let expiry = now + Tenths((span.as_micros() / 100) as i64);
+        let expiry = now + Ticks((span.as_micros() / 100) as i64);
         posted.entries.borrow_mut().insert(txn, Entry { rule, tenant, expiry, left: false });
-        Admission::Txn(Arrival { txn, expiry, ..Arrival::default() })
+        Admission::Txn(Arrival { txn, deadline: expiry, ..Arrival::default() })
     }
 }
 
@@ -115,7 +115,7 @@
         }
     }
 
-    fn admit(&self, request: &Request, now: Tenths, txn: TxnId) -> Admission {
+    fn admit(&self, request: &Request, now: Ticks, txn: TxnId) -> Admission {
         self.arrival(request, now, txn)
     }
 
@@ -136,12 +136,12 @@
     }
     // Only these say that the request did not run and never will.
     if status == 421 || reply.field("Not-Executed").is_some() && status >= 400 {
-        return ReplyMatch::Current(Outcome::TurnedAway);
+        return ReplyMatch::Current(Outcome::Rejected);
     }
     let encoded = reply.field("Content-Encoding").is_some();
     match status {
         200..300 if told.is_none() || encoded || reply.field(SEAL).is_none() => ReplyMatch::Unidentified,
-        200..300 => ReplyMatch::Current(Outcome::Settled),
+        200..300 => ReplyMatch::Current(Outcome::Succeeded),
         _ => ReplyMatch::Current(Outcome::Error),
     }
 }
--- a/programs/proxy/src/lib.rs
+++ b/programs/proxy/src/lib.rs
@@ -28,7 +28,7 @@
 use vanewharf_gateway::router::Router;
 use vanewharf_gateway::shared::Shared;
 use vanewharf_gateway_settings::ConnectionTimeouts;
-use vanewharf_policy::interface::Tenths;
+use vanewharf_policy::interface::Ticks;
 use vanewharf_protocol::messages::ProxyEntry;
 use vanewharf_rpc::Publisher;
 use vanewharf_rpc::{RpcClient, RpcResponse, serve};
@@ -38,7 +38,7 @@
 const BACKLOG: u32 = 1024;
 /// Backends close idle connections after so long, at the soonest known; a connection not up by then never comes up.
 const CONNECTION_TIMEOUTS: ConnectionTimeouts =
-    ConnectionTimeouts { idle: Tenths(80_000), dial: Tenths(3_000) };
+    ConnectionTimeouts { idle: Ticks(80_000), dial: Ticks(3_000) };
 /// Of the grace that a process is given at its end, clients that still come are taken for so much.
 const TAKES_ON: f64 = 0.7;
 const ENDS_BY: f64 = 0.95;
--- a/programs/proxy/src/rounds.rs
+++ b/programs/proxy/src/rounds.rs
@@ -22,7 +22,7 @@
 use vanewharf_health::{AttemptHistory, is_shared_cause, weight_for_failure_share};
 use vanewharf_health::{RetryBudget, RetryPolicy, SlowStart, pick_weighted, slow_start_share};
 use vanewharf_http1::Reply;
-use vanewharf_policy::decide::Door;
+use vanewharf_policy::decide::Balancer;
 use vanewharf_policy::interface::{self as told, *};
 use vanewharf_protocol::messages::{Backend, BackendList, HostCounts, Register};
 use vanewharf_quota::TokenBuckets;
@@ -32,7 +32,7 @@
 type RoundKey = (Rc<str>, Rc<str>);
 
 struct Round {
-    door: Door,
+    door: Balancer,
     /// What the module tells requests apart by.
     classes: Vec<(Duration, RouteKind, u64)>,
     /// What is out of it, and since when it refuses all though nothing is.
@@ -46,14 +46,14 @@
     /// Cold until then.
     cold_until: Timestamp,
     cold: Option<SlowStart>,
-    shown: Option<Listed>,
+    shown: Option<BackendInfo>,
 }
 
 /// One submission: its round, the number it has there, and whether its end is known.
 struct Sent {
     key: RoundKey,
     backend: BackendId,
-    local: SubmissionNo,
+    local: AttemptNumber,
     ended: bool,
 }
 
@@ -65,7 +65,7 @@
     /// The regions still to be tried, the next one last.
     regions: Vec<Rc<str>>,
     round: Option<RoundKey>,
-    expiry: Tenths,
+    expiry: Ticks,
     sent: Vec<Sent>,
     /// How many each round has asked for, sent or not.
     asked: Vec<(RoundKey, u32)>,
@@ -190,7 +190,7 @@
     }
 
     /// Backends anew by list and register: who is there, in which round, and who may get something.
-    fn arrange(&mut self, now: Tenths) -> BackendUpdate {
+    fn arrange(&mut self, now: Ticks) -> BackendUpdate {
         let at = self.steady.now();
         let (Some((list, listed)), Some(tables)) = (self.list.clone(), self.tables.clone()) else {
             return BackendUpdate::Changes(Vec::new());
@@ -219,14 +219,14 @@
             if !stays {
                 self.ids.remove(&backend.server.id);
                 if let Some(round) = self.rounds.get_mut(&backend.key) {
-                    let gone = Listed {
+                    let gone = BackendInfo {
                         backend: *id,
-                        standing: Standing::Gone,
-                        size: 1.0,
-                        near: false,
-                        booted: None,
+                        status: BackendStatus::Gone,
+                        capacity: 1.0,
+                        local: false,
+                        started_at: None,
                     };
-                    round.door.decide(now, vec![Event::Changes(vec![gone])]);
+                    round.door.decide(now, vec![Event::BackendChanges(vec![gone])]);
                 }
             }
             stays
@@ -256,29 +256,29 @@
             let cold = backend.cold_until.since(at);
             let service = tables.services.get(&backend.server.service);
             let warmup = service.map(|service| service.warmup).unwrap_or_default();
-            let booted = (!cold.is_zero()).then(|| now - tenths(warmup.saturating_sub(cold)));
+            let booted = (!cold.is_zero()).then(|| now - ticks(warmup.saturating_sub(cold)));
             let share = self.ill.get(&backend.server.id).filter(|_| !shared.contains(&backend.key));
-            let entry = Listed {
+            let entry = BackendInfo {
                 backend: id,
-                standing: if shut { Standing::Draining } else { Standing::Ready },
-                size: f64::from(backend.server.capacity)
+                status: if shut { BackendStatus::Draining } else { BackendStatus::Ready },
+                capacity: f64::from(backend.server.capacity)
                     * share.map_or(1.0, |share| weight_for_failure_share(*share)),
-                near: backend.server.zone == self.place.zone,
-                booted,
+                local: backend.server.zone == self.place.zone,
+                started_at: booted,
             };
             let address: Option<SocketAddr> = Some(backend.server.address);
             let shown = backend.shown.as_ref();
             // When it began to be cold is only known roughly, and told once.
             let same = shown.is_some_and(|shown| {
-                let booted = shown.booted.filter(|_| entry.booted.is_some()).or(entry.booted);
-                Listed { booted, ..entry.clone() } == *shown
+                let booted = shown.started_at.filter(|_| entry.started_at.is_some()).or(entry.started_at);
+                BackendInfo { started_at: booted, ..entry.clone() } == *shown
             });
             let key = backend.key.clone();
             let entry = if same { shown.cloned().unwrap_or(entry) } else { entry };
             let changed = !same;
             backend.shown = Some(entry.clone());
             if changed {
-                let event = vec![Event::Changes(vec![entry.clone()])];
+                let event = vec![Event::BackendChanges(vec![entry.clone()])];
                 self.round(&key, now).door.decide(now, event);
             }
             entries.push(BackendEntry { listed: entry, address });
@@ -286,7 +286,7 @@
         BackendUpdate::Snapshot(entries)
     }
 
-    fn round(&mut self, key: &RoundKey, now: Tenths) -> &mut Round {
+    fn round(&mut self, key: &RoundKey, now: Ticks) -> &mut Round {
         if !self.rounds.contains_key(key) {
             let tables = self.tables.as_deref();
             let mut classes: Vec<_> =
@@ -298,12 +298,13 @@
             }
             let warmup = tables.and_then(|tables| tables.services.get(&*key.0)).map(|service| service.warmup);
             let start = start(&classes, warmup.unwrap_or_default(), self.chance.random(), now);
-            self.rounds.insert(key.clone(), Round { door: Door::start(start), classes, out: 0, stuck: None });
+            self.rounds
+                .insert(key.clone(), Round { door: Balancer::new(start), classes, out: 0, stuck: None });
         }
         self.rounds.get_mut(key).expect("just put there")
     }
 
-    fn arrived(&mut self, arrival: Arrival, now: Tenths, actions: &mut Vec<Action>) {
+    fn arrived(&mut self, arrival: Arrival, now: Ticks, actions: &mut Vec<Action>) {
         let id = arrival.txn;
         let entry = {
             let mut entries = self.posted.entries.borrow_mut();
@@ -314,7 +315,7 @@
             entry
         };
         let Some(entry) = entry else {
-            return actions.push(Action::Decline { txn: id, retry_after: None });
+            return actions.push(Action::Reject { txn: id, retry_after: None });
         };
         self.count(&entry.rule);
         let at = self.steady.now();
@@ -324,7 +325,7 @@
             self.pocket.record_request(&tenant, at);
             let pocketed = self.pocket.take_token(&tenant, at);
             // One that has hardly time to wait for an answer goes by what this door has itself.
-            let waits = !pocketed && arrival.expiry - now > tenths(LENT_WITHIN * 2);
+            let waits = !pocketed && arrival.deadline - now > ticks(LENT_WITHIN * 2);
             let more = if self.lenders_far { self.pocket.tokens_to_request(&tenant, at) } else { 0 };
             if waits || more > 0 {
                 // The asks end with the program only.
@@ -334,7 +335,7 @@
                 return self.let_in(arrival, entry, now, actions);
             }
             if waits {
-                self.waiting.insert(id, Entry { expiry: arrival.expiry, ..entry });
+                self.waiting.insert(id, Entry { expiry: arrival.deadline, ..entry });
                 return;
             }
         }
@@ -346,7 +347,7 @@
     }
 
     /// What came of asks for tokens.
-    fn lent(&mut self, loans: Loans, now: Tenths) {
+    fn lent(&mut self, loans: Loans, now: Ticks) {
         let (mut actions, at) = (Vec::new(), self.steady.now());
         if loans.asked.iter().any(|(_, lent)| lent.is_some()) || loans.ahead.iter().any(|(_, lent)| *lent > 0)
         {
@@ -366,15 +367,15 @@
                 }
                 continue;
             }
-            let arrival = Arrival { txn: id, expiry: entry.expiry, ..Arrival::default() };
+            let arrival = Arrival { txn: id, deadline: entry.expiry, ..Arrival::default() };
             match lent {
                 Some(true) => self.let_in(arrival, entry, now, &mut actions),
                 None => self.by_bucket(arrival, entry, now, &mut actions),
                 Some(false) => {
                     let lenders = f64::from(self.lenders.unwrap_or(1));
                     let wait = Duration::from_secs_f64(lenders / tenant.quota.rate.max(1e-3));
-                    let retry_after = Some(tenths(wait.clamp(LEAST_WAIT, Duration::from_secs(30))));
-                    actions.push(Action::Decline { txn: id, retry_after });
+                    let retry_after = Some(ticks(wait.clamp(LEAST_WAIT, Duration::from_secs(30))));
+                    actions.push(Action::Reject { txn: id, retry_after });
                 }
             }
         }
@@ -382,19 +383,19 @@
     }
 
     /// By the tenant's bucket at this door.
-    fn by_bucket(&mut self, arrival: Arrival, entry: Entry, now: Tenths, actions: &mut Vec<Action>) {
+    fn by_bucket(&mut self, arrival: Arrival, entry: Entry, now: Ticks, actions: &mut Vec<Action>) {
         let (id, at) = (arrival.txn, self.steady.now());
         let Entry { tenant, .. } = &entry;
         if let Some(tenant) = tenant
             && let Err(wait) = self.buckets.try_admit(&tenant.name, tenant.quota, at)
         {
-            let retry_after = Some(tenths(wait.max(LEAST_WAIT)));
-            return actions.push(Action::Decline { txn: id, retry_after });
+            let retry_after = Some(ticks(wait.max(LEAST_WAIT)));
+            return actions.push(Action::Reject { txn: id, retry_after });
         }
         self.let_in(arrival, entry, now, actions);
     }
 
-    fn let_in(&mut self, arrival: Arrival, entry: Entry, now: Tenths, actions: &mut Vec<Action>) {
+    fn let_in(&mut self, arrival: Arrival, entry: Entry, now: Ticks, actions: &mut Vec<Action>) {
         let (id, Entry { rule, tenant, .. }) = (arrival.txn, entry);
         let draw = self.chance.random::<f64>();
         let service = pick_weighted(rule.services.iter().map(|(_, weight)| *weight), draw);
@@ -421,7 +422,7 @@
             service,
             regions,
             round: None,
-            expiry: arrival.expiry,
+            expiry: arrival.deadline,
             sent: Vec::new(),
             asked: Vec::new(),
             arrived: false,
@@ -445,7 +446,7 @@
     }
 
     /// To the next region's round; refused where none is left.
-    fn go_on(&mut self, id: TxnId, now: Tenths, actions: &mut Vec<Action>) {
+    fn go_on(&mut self, id: TxnId, now: Ticks, actions: &mut Vec<Action>) {
         let Some(way) = self.ways.get_mut(&id) else {
             return;
         };
@@ -460,7 +461,7 @@
                 }
             }
             self.conclude(id);
-            return actions.push(Action::Decline { txn: id, retry_after: None });
+            return actions.push(Action::Reject { txn: id, retry_after: None });
         };
         let key = (Rc::clone(&way.service), region);
         way.round = Some(key.clone());
@@ -468,10 +469,14 @@
         let (precedence, at) = (way.rule.precedence, self.steady.now());
         let round = self.round(&key, now);
         let product = nearest(&round.classes, target, kind, precedence);
-        let arrival =
-            Arrival { txn: id, product, want: Want { cost: 1.0, width: 1, ..Want::default() }, expiry };
-        let decided = round.door.decide(now, vec![Event::Arrived(arrival)]);
-        let refused = matches!(decided.as_slice(), [Action::Decline { .. }]);
+        let arrival = Arrival {
+            txn: id,
+            product,
+            claim: QuotaClaim { cost: 1.0, subset_size: 1, ..QuotaClaim::default() },
+            deadline: expiry,
+        };
+        let decided = round.door.decide(now, vec![Event::RequestArrived(arrival)]);
+        let refused = matches!(decided.as_slice(), [Action::Reject { .. }]);
         if refused && round.out == 0 {
             let since = *round.stuck.get_or_insert(at);
             if at.since(since) > STUCK {
@@ -485,11 +490,11 @@
 
     /// A module that has learnt of long answers refuses all, and with nothing out never learns of short ones: it is
     /// started anew, with what is known of its backends.
-    fn begin_anew(&mut self, key: &RoundKey, now: Tenths) {
+    fn begin_anew(&mut self, key: &RoundKey, now: Ticks) {
         self.rounds.remove(key);
         let backends = self.backends.values().filter(|backend| backend.key == *key);
         let shown: Vec<_> = backends.filter_map(|backend| backend.shown.clone()).collect();
-        self.round(key, now).door.decide(now, vec![Event::Listing(shown)]);
+        self.round(key, now).door.decide(now, vec![Event::BackendList(shown)]);
     }
 
     fn conclude(&mut self, id: TxnId) {
@@ -499,25 +504,27 @@
         }
     }
 
-    fn carry_out(&mut self, key: &RoundKey, decided: Vec<Action>, now: Tenths, actions: &mut Vec<Action>) {
+    fn carry_out(&mut self, key: &RoundKey, decided: Vec<Action>, now: Ticks, actions: &mut Vec<Action>) {
         for action in decided {
             match action {
-                Action::Submit { txn, backend, .. } => self.submit(key, txn, backend, now, actions),
-                Action::Cancel { txn, no } => {
+                Action::SendAttempt { txn, backend, .. } => self.submit(key, txn, backend, now, actions),
+                Action::CancelAttempt { txn, attempt: no } => {
                     let way = self.ways.get(&txn);
                     let sent = way.and_then(|way| {
                         way.sent.iter().position(|sent| sent.key == *key && sent.local == no)
                     });
-                    let no = sent.map(|no| SubmissionNo(no as u32));
-                    actions.extend(no.map(|no| Action::Cancel { txn, no }));
+                    let no = sent.map(|no| AttemptNumber(no as u32));
+                    actions.extend(no.map(|no| Action::CancelAttempt { txn, attempt: no }));
                 }
-                Action::Decline { txn, .. } => self.go_on(txn, now, actions),
-                Action::Void { txn } => {
+                Action::Reject { txn, .. } => self.go_on(txn, now, actions),
+                Action::Fail { txn } => {
                     self.conclude(txn);
-                    actions.push(Action::Void { txn });
+                    actions.push(Action::Fail { txn });
                 }
                 // Words between doors, the counter and their timers are of other deployments.
-                Action::Wake { .. } | Action::Count { .. } | Action::Tell { .. } => {}
+                Action::SetTimer { .. }
+                | Action::IncrementCounter { .. }
+                | Action::SendPeerMessage { .. } => {}
             }
         }
     }
@@ -527,7 +534,7 @@
         key: &RoundKey,
         txn: TxnId,
         backend: BackendId,
-        now: Tenths,
+        now: Ticks,
         actions: &mut Vec<Action>,
     ) {
         let may = self.may_submit(txn, backend);
@@ -541,17 +548,25 @@
                 &mut way.asked.last_mut().expect("just put there").1
             }
         };
-        let no = SubmissionNo(*asked);
+        let no = AttemptNumber(*asked);
         *asked += 1;
         if may {
             way.sent.push(Sent { key: key.clone(), backend, local: no, ended: false });
             self.rounds.get_mut(key).into_iter().for_each(|round| round.out += 1);
-            return actions.push(Action::Submit { txn, backend, time_out: None });
+            return actions.push(Action::SendAttempt { txn, backend, timeout: None });
         }
         // The module hears that nothing was sent, and looks further or gives up.
-        let (outcome, took) = (Outcome::Moot, Tenths(0));
-        let ending = Ending { txn, no, outcome, took, complete: false, metered: None, true_cost: None };
-        let decided = self.round(key, now).door.decide(now, vec![Event::Ended(ending)]);
+        let (outcome, took) = (Outcome::NotSent, Ticks(0));
+        let ending = AttemptReport {
+            txn,
+            attempt: no,
+            outcome,
+            latency: took,
+            complete: false,
+            metered_usage: None,
+            actual_cost: None,
+        };
+        let decided = self.round(key, now).door.decide(now, vec![Event::AttemptEnded(ending)]);
         self.carry_out(key, decided, now, actions);
     }
 
@@ -582,32 +597,37 @@
         self.repeats.get_mut(&way.service).is_some_and(RetryBudget::try_spend)
     }
 
-    fn ended(&mut self, ending: Ending, now: Tenths, actions: &mut Vec<Action>) {
+    fn ended(&mut self, ending: AttemptReport, now: Ticks, actions: &mut Vec<Action>) {
         let Some(way) = self.ways.get_mut(&ending.txn) else {
             return;
         };
-        let Some(sent) = way.sent.get_mut(ending.no.0 as usize) else {
+        let Some(sent) = way.sent.get_mut(ending.attempt.0 as usize) else {
             return;
         };
         sent.ended = true;
-        way.arrived |= !matches!(ending.outcome, Outcome::Moot | Outcome::NoConnection);
+        way.arrived |= !matches!(ending.outcome, Outcome::NotSent | Outcome::ConnectFailed);
         way.may_have_run |= !ending.outcome.never_ran();
         let (key, no, backend) = (sent.key.clone(), sent.local, sent.backend);
         let id = ending.txn;
         // One that is full or was not asked tells nothing of its health.
-        if !matches!(ending.outcome, Outcome::TurnedAway | Outcome::Cancelled | Outcome::Moot)
+        if !matches!(ending.outcome, Outcome::Rejected | Outcome::Cancelled | Outcome::NotSent)
             && let Some(known) = self.backends.get(&backend)
         {
-            self.seen.record_attempt(&known.server.id, ending.outcome != Outcome::Settled, self.steady.now());
+            self.seen.record_attempt(
+                &known.server.id,
+                ending.outcome != Outcome::Succeeded,
+                self.steady.now(),
+            );
         }
-        if way.concluded || ending.complete || ending.outcome == Outcome::Settled {
+        if way.concluded || ending.complete || ending.outcome == Outcome::Succeeded {
             self.conclude(id);
         }
         let Some(round) = self.rounds.get_mut(&key) else {
             return;
         };
         round.out = round.out.saturating_sub(1);
-        let decided = round.door.decide(now, vec![Event::Ended(Ending { no, ..ending })]);
+        let decided =
+            round.door.decide(now, vec![Event::AttemptEnded(AttemptReport { attempt: no, ..ending })]);
         self.carry_out(&key, decided, now, actions);
     }
 }
@@ -615,7 +635,7 @@
 impl RoutingPolicy for Rounds {
     type Update = News;
 
-    fn decide(&mut self, now: Tenths, events: Vec<Event>) -> Vec<Action> {
+    fn decide(&mut self, now: Ticks, events: Vec<Event>) -> Vec<Action> {
         // Kept until all that is out has ended: the rounds must hear of it.
         for id in std::mem::take(&mut self.over) {
             let over = |way: &Way| way.concluded && way.sent.iter().all(|sent| sent.ended);
@@ -627,18 +647,18 @@
         let mut actions = std::mem::take(&mut self.pending);
         for event in events {
             match event {
-                Event::Arrived(arrival) => self.arrived(arrival, now, &mut actions),
-                Event::Ended(ending) => self.ended(ending, now, &mut actions),
-                Event::Left(id) if self.waiting.contains_key(&id) => {
+                Event::RequestArrived(arrival) => self.arrived(arrival, now, &mut actions),
+                Event::AttemptEnded(ending) => self.ended(ending, now, &mut actions),
+                Event::ClientDisconnected(id) if self.waiting.contains_key(&id) => {
                     self.waiting.get_mut(&id).into_iter().for_each(|entry| entry.left = true);
                 }
-                Event::Left(id) => {
+                Event::ClientDisconnected(id) => {
                     let key = self.ways.get(&id).and_then(|way| way.round.clone());
                     self.conclude(id);
                     if let Some((key, round)) =
                         key.and_then(|key| self.rounds.get_mut(&key).map(|round| (key, round)))
                     {
-                        let decided = round.door.decide(now, vec![Event::Left(id)]);
+                        let decided = round.door.decide(now, vec![Event::ClientDisconnected(id)]);
                         self.carry_out(&key, decided, now, &mut actions);
                     }
                 }
@@ -648,15 +668,15 @@
         actions
     }
 
-    fn repeat(&self, arrival: &Arrival) -> Repeat {
+    fn repeat(&self, arrival: &Arrival) -> Idempotency {
         let entries = self.posted.entries.borrow();
         match entries.get(&arrival.txn).map(|entry| entry.rule.kind) {
-            Some(RouteKind::ReadOnly) => Repeat::InquiryLike,
-            _ => Repeat::OnceOnly,
+            Some(RouteKind::ReadOnly) => Idempotency::Idempotent,
+            _ => Idempotency::NonIdempotent,
         }
     }
 
-    fn apply_update(&mut self, now: Tenths, news: News) -> Option<BackendUpdate> {
+    fn apply_update(&mut self, now: Ticks, news: News) -> Option<BackendUpdate> {
         match news {
             News::Register(register) => {
                 let before = self.register.replace(Rc::clone(&register));
@@ -726,8 +746,8 @@
     }
 }
 
-fn tenths(span: Duration) -> Tenths {
-    Tenths((span.as_micros() / 100).min(i64::MAX as u128) as i64)
+fn ticks(span: Duration) -> Ticks {
+    Ticks((span.as_micros() / 100).min(i64::MAX as u128) as i64)
 }
 
 /// The class of requests that is most like it; what is repeated differently is never taken for it.
@@ -745,41 +765,50 @@
 }
 
 /// What a round's module is told: aims, values by precedence, no quota of its own.
-fn start(classes: &[(Duration, RouteKind, u64)], warmup: Duration, seed: u64, now: Tenths) -> told::Start {
+fn start(
+    classes: &[(Duration, RouteKind, u64)],
+    warmup: Duration,
+    seed: u64,
+    now: Ticks,
+) -> told::BalancerConfig {
     let product = |(target, kind, precedence): &(Duration, RouteKind, u64)| Product {
-        sla_time: tenths(target.mul_f64(PATIENT)),
+        sla_time: ticks(target.mul_f64(PATIENT)),
         value: 1.0 / (1.0 + *precedence as f64),
-        repeat: if *kind == RouteKind::ReadOnly { Repeat::InquiryLike } else { Repeat::OnceOnly },
+        idempotency: if *kind == RouteKind::ReadOnly {
+            Idempotency::Idempotent
+        } else {
+            Idempotency::NonIdempotent
+        },
     };
     let plan = Plan {
         rate: 0.0,
         burst: 0.0,
         value_factor: 1.0,
-        beyond_worth: 0.0,
-        beyond_cost: 0.0,
-        ceiling_rate: 0.0,
-        ceiling_depth: 0.0,
+        excess_value: 0.0,
+        excess_cost: 0.0,
+        hard_limit_rate: 0.0,
+        hard_limit_burst: 0.0,
     };
-    told::Start {
+    told::BalancerConfig {
         seed,
-        at: now,
-        me: DoorId(0),
-        doors: 1,
+        started_at: now,
+        gateway: GatewayId(0),
+        gateway_count: 1,
         products: classes.iter().map(product).collect(),
         plans: vec![plan],
-        allowances: Allowances {
+        allowed: AllowedActions {
             cancel: true,
-            second_copies: true,
+            hedging: true,
             retry_after: true,
-            max_retry_after: Tenths::SECOND,
-            most_submissions: 4,
+            max_retry_after: Ticks::SECOND,
+            max_attempts: 4,
         },
-        cold: ColdFigures { from: 0.2, ramp_time: tenths(warmup) },
-        kept: Tenths(20_000),
-        meter_period: Tenths(0),
-        counter: None,
-        peers: false,
-        most_cost: 1.0,
+        warm_up: WarmUp { initial_capacity: 0.2, ramp_time: ticks(warmup) },
+        idle_timeout: Ticks(20_000),
+        meter_period: Ticks(0),
+        counter_timeout: None,
+        peer_messages: false,
+        max_cost: 1.0,
     }
 }
 
--- a/programs/proxy/src/rounds/tests.rs
+++ b/programs/proxy/src/rounds/tests.rs
@@ -5,7 +5,7 @@
 use std::cell::{Cell, RefCell};
 use vanewharf_protocol::messages::{Ballot, FleetSummary, Membership, Revision, TenantUsage, Version};
 
-const SECOND: Tenths = Tenths::SECOND;
+const SECOND: Ticks = Ticks::SECOND;
 
 struct Stage {
     rounds: Rounds,
@@ -109,22 +109,30 @@
         let txn = TxnId(self.txns);
         let way = self.posted.tables.borrow().as_ref().expect("told").way("h", path, Some("k"));
         let (rule, tenant) = way.unwrap_or_else(|no_way: NoWay| panic!("{no_way:?}"));
-        let expiry = SECOND + Tenths(20_000);
+        let expiry = SECOND + Ticks(20_000);
         let entry = Entry { rule, tenant, expiry, left: false };
         self.posted.entries.borrow_mut().insert(txn, entry);
-        let arrival = Arrival { txn, expiry, ..Arrival::default() };
-        (txn, self.rounds.decide(SECOND, vec![Event::Arrived(arrival)]))
+        let arrival = Arrival { txn, deadline: expiry, ..Arrival::default() };
+        (txn, self.rounds.decide(SECOND, vec![Event::RequestArrived(arrival)]))
     }
 
     fn ends(&mut self, txn: TxnId, no: u32, outcome: Outcome) -> Vec<Action> {
-        let (no, took, complete) = (SubmissionNo(no), Tenths(100), outcome == Outcome::Settled);
-        let ending = Ending { txn, no, outcome, took, complete, metered: None, true_cost: None };
-        self.rounds.decide(SECOND, vec![Event::Ended(ending)])
+        let (no, took, complete) = (AttemptNumber(no), Ticks(100), outcome == Outcome::Succeeded);
+        let ending = AttemptReport {
+            txn,
+            attempt: no,
+            outcome,
+            latency: took,
+            complete,
+            metered_usage: None,
+            actual_cost: None,
+        };
+        self.rounds.decide(SECOND, vec![Event::AttemptEnded(ending)])
     }
 
     /// The instance that a request goes to; none where it goes nowhere.
     fn to(&self, actions: &[Action]) -> Option<String> {
-        let [Action::Submit { txn, backend, .. }] = actions else {
+        let [Action::SendAttempt { txn, backend, .. }] = actions else {
             return None;
         };
         let fields = self.rounds.extra_headers(*txn, *backend);
@@ -138,7 +146,7 @@
 }
 
 fn busy(actions: &[Action]) -> bool {
-    matches!(actions, [Action::Decline { retry_after: None, .. }])
+    matches!(actions, [Action::Reject { retry_after: None, .. }])
 }
 
 #[test]
@@ -146,7 +154,7 @@
     let mut stage = Stage::set(servers(), None);
     let (txn, actions) = stage.arrives("/read/x");
     assert!(stage.to(&actions).is_some_and(|id| id.starts_with('e')), "{actions:?}");
-    stage.ends(txn, 0, Outcome::Settled);
+    stage.ends(txn, 0, Outcome::Succeeded);
     let (_, actions) = stage.arrives("/home/x");
     assert_eq!(stage.to(&actions).as_deref(), Some("w1"), "home is elsewhere");
     let mut shut = servers();
@@ -165,14 +173,14 @@
 #[test]
 fn what_may_have_run_goes_nowhere_else() {
     let mut stage = Stage::set(servers(), None);
-    for outcome in [Outcome::Broken, Outcome::TimedOut, Outcome::Error] {
+    for outcome in [Outcome::ConnectionLost, Outcome::TimedOut, Outcome::Error] {
         let (txn, _) = stage.arrives("/write/x");
-        assert_eq!(stage.ends(txn, 0, outcome), [Action::Void { txn }], "{outcome:?}");
+        assert_eq!(stage.ends(txn, 0, outcome), [Action::Fail { txn }], "{outcome:?}");
     }
     let (txn, _) = stage.arrives("/write/x");
-    let actions = stage.ends(txn, 0, Outcome::NoConnection);
+    let actions = stage.ends(txn, 0, Outcome::ConnectFailed);
     assert!(stage.to(&actions).is_some(), "it never got there");
-    assert!(busy(&stage.ends(txn, 1, Outcome::NoConnection)), "no more tries are allowed");
+    assert!(busy(&stage.ends(txn, 1, Outcome::ConnectFailed)), "no more tries are allowed");
 }
 
 #[test]
@@ -183,9 +191,9 @@
     let mut repeated = 0;
     for _ in 0..8 {
         let (txn, _) = stage.arrives("/read/x");
-        let actions = stage.ends(txn, 0, Outcome::TurnedAway);
+        let actions = stage.ends(txn, 0, Outcome::Rejected);
         repeated += u32::from(stage.to(&actions).is_some());
-        stage.ends(txn, 1, Outcome::Settled);
+        stage.ends(txn, 1, Outcome::Succeeded);
     }
     assert_eq!(repeated, 1);
 }
@@ -196,7 +204,7 @@
     stage.hears(News::Register(register(2, &["east-a"])));
     let (txn, actions) = stage.arrives("/read/x");
     assert_eq!(stage.to(&actions).as_deref(), Some("w1"));
-    stage.ends(txn, 0, Outcome::Settled);
+    stage.ends(txn, 0, Outcome::Succeeded);
     stage.hears(News::Register(register(3, &[])));
     let cold = |stage: &Stage| {
         let known = stage.rounds.backends.values().find(|backend| backend.server.id == "e1");
@@ -231,7 +239,7 @@
         let (txn, actions) = stage.arrives("/read/x");
         if let Some(id) = stage.to(&actions) {
             *to.entry(id).or_default() += 1;
-            stage.ends(txn, 0, Outcome::Settled);
+            stage.ends(txn, 0, Outcome::Succeeded);
         }
     }
     // Four doors may send it 16 in a second between them.
@@ -251,12 +259,12 @@
     for _ in 0..30 {
         let (txn, actions) = stage.arrives("/read/x");
         match actions.as_slice() {
-            [Action::Decline { retry_after: Some(wait), .. }] => refused = Some(*wait),
-            _ => drop(stage.ends(txn, 0, Outcome::Settled)),
+            [Action::Reject { retry_after: Some(wait), .. }] => refused = Some(*wait),
+            _ => drop(stage.ends(txn, 0, Outcome::Succeeded)),
         }
     }
     let wait = refused.expect("a burst of 8");
-    assert!(wait >= Tenths(500) && wait <= Tenths(1_500), "{wait:?}");
+    assert!(wait >= Ticks(500) && wait <= Ticks(1_500), "{wait:?}");
 }
 
 #[test]
@@ -268,13 +276,13 @@
     assert_eq!((asked.txn, &*asked.tenant), (Some(lent), "t"));
     let actions = stage.hears(tokens(lent, Some(true)));
     assert!(stage.to(&actions).is_some());
-    stage.ends(lent, 0, Outcome::Settled);
+    stage.ends(lent, 0, Outcome::Succeeded);
     let (refused, _) = stage.arrives("/read/x");
     let actions = stage.hears(tokens(refused, Some(false)));
-    assert!(matches!(actions.as_slice(), [Action::Decline { retry_after: Some(_), .. }]), "{actions:?}");
+    assert!(matches!(actions.as_slice(), [Action::Reject { retry_after: Some(_), .. }]), "{actions:?}");
     // Its client leaves: the token serves the next one without another ask.
     let (left, _) = stage.arrives("/read/x");
-    stage.rounds.decide(SECOND, vec![Event::Left(left)]);
+    stage.rounds.decide(SECOND, vec![Event::ClientDisconnected(left)]);
     assert_eq!(stage.hears(tokens(left, Some(true))), []);
     while stage.asked.try_recv().is_ok() {}
     let (_, actions) = stage.arrives("/read/x");
@@ -282,7 +290,7 @@
     // Nobody answers: this door's own reserve has not filled yet.
     let (alone, _) = stage.arrives("/read/x");
     let actions = stage.hears(tokens(alone, None));
-    assert!(matches!(actions.as_slice(), [Action::Decline { retry_after: Some(_), .. }]), "{actions:?}");
+    assert!(matches!(actions.as_slice(), [Action::Reject { retry_after: Some(_), .. }]), "{actions:?}");
 }
 
 #[test]
@@ -307,7 +315,7 @@
         for _ in 0..60 {
             let (txn, actions) = stage.arrives("/read/x");
             first += u32::from(stage.to(&actions).as_deref() == Some("e1"));
-            stage.ends(txn, 0, Outcome::Settled);
+            stage.ends(txn, 0, Outcome::Succeeded);
         }
         first
     };
@@ -317,7 +325,7 @@
     stage.rounds.arrange(SECOND);
     let size = |stage: &Stage, id: &str| {
         let known = stage.rounds.backends.values().find(|backend| backend.server.id == id);
-        known.and_then(|known| known.shown.as_ref()).map(|shown| shown.size)
+        known.and_then(|known| known.shown.as_ref()).map(|shown| shown.capacity)
     };
     assert!(size(&stage, "e1").is_some_and(|size| size < 0.2) && size(&stage, "e2") == Some(4.0));
     assert!(even >= 15, "{even} of 60 before");
@@ -325,7 +333,7 @@
     assert_eq!((size(&stage, "e1"), size(&stage, "e2")), (Some(4.0), Some(4.0)), "the cause is shared");
     // What this door saw itself is told.
     let (txn, _) = stage.arrives("/read/x");
-    stage.ends(txn, 0, Outcome::Broken);
+    stage.ends(txn, 0, Outcome::ConnectionLost);
     stage.hears(ill(&[], 4));
     assert_eq!(stage.rounds.reported.tried.borrow().len(), 1);
 }
@@ -337,23 +345,23 @@
     for _ in 0..12 {
         let (txn, actions) = stage.arrives("/write/x");
         if stage.to(&actions).is_some() {
-            let ending = Ending {
+            let ending = AttemptReport {
                 txn,
-                no: SubmissionNo(0),
-                outcome: Outcome::Settled,
-                took: SECOND + SECOND,
+                attempt: AttemptNumber(0),
+                outcome: Outcome::Succeeded,
+                latency: SECOND + SECOND,
                 complete: true,
-                metered: None,
-                true_cost: None,
+                metered_usage: None,
+                actual_cost: None,
             };
-            stage.rounds.decide(SECOND, vec![Event::Ended(ending)]);
+            stage.rounds.decide(SECOND, vec![Event::AttemptEnded(ending)]);
         }
     }
     stage.rounds.buckets = TokenBuckets::new(1000.0, true, stage.posted.steady.now());
     stage.hears(ledger(None));
     let served = |stage: &mut Stage| {
         let (_, actions) = stage.arrives("/write/x");
-        matches!(actions.as_slice(), [Action::Submit { .. }])
+        matches!(actions.as_slice(), [Action::SendAttempt { .. }])
     };
     assert!(!served(&mut stage), "it refuses");
     // As if that had gone on for longer than it may.
--- a/programs/simulator-adapter/src/door.rs
+++ b/programs/simulator-adapter/src/door.rs
@@ -6,12 +6,12 @@
 use std::fmt::Write;
 use std::hash::{Hash, Hasher};
 use vanewharf_gateway_settings::SettingNames;
-use vanewharf_policy::decide::Door;
+use vanewharf_policy::codec;
+use vanewharf_policy::decide::Balancer;
 use vanewharf_policy::interface::{
-    Action, Arrival, BackendId, CountName, Counted, CustomerId, DoorId, Ending, Event, Listed, Outcome,
-    Standing, SubmissionNo, TimerId, TxnId, Want,
+    Action, Arrival, AttemptNumber, AttemptReport, BackendId, BackendInfo, BackendStatus, CounterKey,
+    CounterReply, CustomerId, Event, GatewayId, Outcome, QuotaClaim, TimerId, TxnId,
 };
-use vanewharf_policy::letter;
 
 #[derive(Default)]
 struct Names {
@@ -32,7 +32,7 @@
 }
 
 pub struct Host {
-    pub door: Door,
+    pub door: Balancer,
     pub events: Vec<Event>,
     named: SettingNames,
     backends: Names,
@@ -40,14 +40,14 @@
 
 fn outcome(line: &Line<'_>) -> Result<Outcome, Malformed> {
     Ok(match line.whole::<u32>("state_code")? {
-        0 => Outcome::Settled,
+        0 => Outcome::Succeeded,
         1 => Outcome::Error,
-        2 => Outcome::TurnedAway,
+        2 => Outcome::Rejected,
         3 => Outcome::TimedOut,
-        4 => Outcome::NoConnection,
-        5 => Outcome::Broken,
+        4 => Outcome::ConnectFailed,
+        5 => Outcome::ConnectionLost,
         6 => Outcome::Cancelled,
-        7 => Outcome::Moot,
+        7 => Outcome::NotSent,
         other => return Err(line.fault(format!("field state_code is no outcome: '{other}'"))),
     })
 }
@@ -76,23 +76,23 @@
 }
 
 impl Host {
-    pub fn new(door: Door, named: SettingNames) -> Host {
+    pub fn new(door: Balancer, named: SettingNames) -> Host {
         Host { door, named, events: Vec::new(), backends: Names::default() }
     }
 
-    pub fn entry(&mut self, line: &Line<'_>) -> Result<Listed, Malformed> {
+    pub fn entry(&mut self, line: &Line<'_>) -> Result<BackendInfo, Malformed> {
         let standing = match line.whole::<u32>("mode")? {
-            2 => Standing::Ready,
-            1 => Standing::Draining,
-            3 => Standing::Gone,
+            2 => BackendStatus::Ready,
+            1 => BackendStatus::Draining,
+            3 => BackendStatus::Gone,
             other => return Err(line.fault(format!("field mode is no standing: '{other}'"))),
         };
-        Ok(Listed {
+        Ok(BackendInfo {
             backend: BackendId(self.backends.id(line.need("backend")?)),
-            standing,
-            size: line.number("scale")?.unwrap_or(1.0),
-            near: line.text("hall").unwrap_or_default() == self.named.locality,
-            booted: line.time("boot_time")?.filter(|at| at.0 > 0),
+            status: standing,
+            capacity: line.number("scale")?.unwrap_or(1.0),
+            local: line.text("hall").unwrap_or_default() == self.named.locality,
+            started_at: line.time("boot_time")?.filter(|at| at.0 > 0),
         })
     }
 
@@ -100,63 +100,63 @@
         Ok(Arrival {
             txn: TxnId(line.whole("txn")?),
             product: known(line, "band", &self.named.products)?,
-            want: Want {
+            claim: QuotaClaim {
                 customer: customer(line.need("client_id")?),
                 plan: known(line, "plan", &self.named.plans)?,
-                first: line.number("from_no")?.unwrap_or_default() as u32,
-                width: line.number("width")?.unwrap_or_default() as u32,
+                subset_start: line.number("from_no")?.unwrap_or_default() as u32,
+                subset_size: line.number("width")?.unwrap_or_default() as u32,
                 cost: line.number("cost_units")?.unwrap_or_default(),
-                again: line.whole_or("state_bits", 0u32)? & 2 > 0,
+                retry: line.whole_or("state_bits", 0u32)? & 2 > 0,
             },
-            expiry: line.need_time("client_deadline")?,
+            deadline: line.need_time("client_deadline")?,
         })
     }
 
-    pub fn ending(&self, line: &Line<'_>) -> Result<Ending, Malformed> {
+    pub fn ending(&self, line: &Line<'_>) -> Result<AttemptReport, Malformed> {
         let metered = line.number("quota_use")?.filter(|&told| told >= 1.0);
-        Ok(Ending {
+        Ok(AttemptReport {
             txn: TxnId(line.whole("txn")?),
-            no: SubmissionNo(line.whole("leg")?),
+            attempt: AttemptNumber(line.whole("leg")?),
             outcome: outcome(line)?,
-            took: line.time("delay_seen")?.unwrap_or_default(),
+            latency: line.time("delay_seen")?.unwrap_or_default(),
             complete: line.flag("complete")?,
-            metered: metered.map(|told| (told - 1.0) / 100.0),
-            true_cost: line.number("billed")?.filter(|&cost| cost > 0.0),
+            metered_usage: metered.map(|told| (told - 1.0) / 100.0),
+            actual_cost: line.number("billed")?.filter(|&cost| cost > 0.0),
         })
     }
 
     /// Only what the decisions hear; the other messages are checked and end here.
     pub fn event(&mut self, line: &Line<'_>) -> Result<Option<Event>, Malformed> {
         Ok(match line.message {
-            "ORDER" => Some(Event::Arrived(self.arrival(line)?)),
-            "ATTEMPT_END" => Some(Event::Ended(self.ending(line)?)),
+            "ORDER" => Some(Event::RequestArrived(self.arrival(line)?)),
+            "ATTEMPT_END" => Some(Event::AttemptEnded(self.ending(line)?)),
             "HEAD_RECEIVED" => {
                 line.whole::<u64>("txn")?;
                 None
             }
-            "CLIENT_LEFT" => Some(Event::Left(TxnId(line.whole("txn")?))),
-            "DUE" => Some(Event::Due(TimerId(line.whole("ctx")?))),
+            "CLIENT_LEFT" => Some(Event::ClientDisconnected(TxnId(line.whole("txn")?))),
+            "DUE" => Some(Event::TimerFired(TimerId(line.whole("ctx")?))),
             "CHECKED" => {
                 outcome(line)?;
                 None
             }
             "COUNTER_REPLY" => {
                 let counted = match line.whole::<u32>("state_code")? {
-                    0 => Counted::Total(line.number("result_value")?.unwrap_or_default()),
-                    2 | 4 => Counted::NotAdded,
-                    3 => Counted::Unknown,
+                    0 => CounterReply::Total(line.number("result_value")?.unwrap_or_default()),
+                    2 | 4 => CounterReply::NotAdded,
+                    3 => CounterReply::Unknown,
                     other => {
                         return Err(line.fault(format!("field state_code is no counter's answer: '{other}'")));
                     }
                 };
-                Some(Event::Counted { name: CountName(line.whole("name")?), counted })
+                Some(Event::CounterReplied { key: CounterKey(line.whole("name")?), reply: counted })
             }
             "INBOX" => {
-                let from = DoorId(line.whole("by")?);
+                let from = GatewayId(line.whole("by")?);
                 // What cannot be read is another build's, and none of this one's concern.
                 unhex(line.need("content")?)
-                    .and_then(|letter| letter::read(&letter))
-                    .map(|word| Event::Heard { from, word })
+                    .and_then(|letter| codec::decode(&letter))
+                    .map(|word| Event::PeerMessageReceived { from, message: word })
             }
             _ => return Err(line.fault("unknown message".to_owned())),
         })
@@ -165,7 +165,7 @@
     pub fn write(&self, actions: &[Action], reply: &mut String) {
         for action in actions {
             let written = match *action {
-                Action::Submit { txn, backend, time_out } => {
+                Action::SendAttempt { txn, backend, timeout: time_out } => {
                     let name = &self.backends.in_order[backend.0 as usize];
                     let begun = write!(reply, "TRANSMIT txn={} backend={name}", txn.0);
                     match time_out {
@@ -173,25 +173,25 @@
                         None => begun,
                     }
                 }
-                Action::Cancel { txn, no } => {
+                Action::CancelAttempt { txn, attempt: no } => {
                     write!(reply, "CANCEL txn={} leg={}", txn.0, no.0)
                 }
-                Action::Decline { txn, retry_after: None } => {
+                Action::Reject { txn, retry_after: None } => {
                     write!(reply, "DECLINE txn={}", txn.0)
                 }
-                Action::Decline { txn, retry_after: Some(span) } => {
+                Action::Reject { txn, retry_after: Some(span) } => {
                     write!(reply, "DECLINE txn={} stay_away={}", txn.0, Millis(span))
                 }
-                Action::Void { txn } => write!(reply, "REPORT_FAILURE txn={}", txn.0),
-                Action::Wake { after, timer } => {
+                Action::Fail { txn } => write!(reply, "REPORT_FAILURE txn={}", txn.0),
+                Action::SetTimer { after, timer } => {
                     write!(reply, "SCHEDULE after={} ctx={}", Millis(after), timer.0)
                 }
-                Action::Count { name, step, forget_after } => {
+                Action::IncrementCounter { key: name, amount: step, expire_after: forget_after } => {
                     write!(reply, "INCR name={} step={step} forget_after={}", name.0, Millis(forget_after))
                 }
-                Action::Tell { to, word } => {
+                Action::SendPeerMessage { to, message: word } => {
                     let begun = write!(reply, "NOTIFY to={} content=", to.0);
-                    letter::write(&word)
+                    codec::encode(&word)
                         .iter()
                         .fold(begun, |so_far, byte| so_far.and_then(|()| write!(reply, "{byte:02x}")))
                 }
--- a/programs/simulator-adapter/src/link.rs
+++ b/programs/simulator-adapter/src/link.rs
@@ -6,19 +6,19 @@
 use std::error::Error;
 use std::io::{BufRead, Write};
 use vanewharf_gateway_settings::Options;
-use vanewharf_policy::decide::Door;
-use vanewharf_policy::interface::{Event, Listed, Tenths};
+use vanewharf_policy::decide::Balancer;
+use vanewharf_policy::interface::{BackendInfo, Event, Ticks};
 
 /// A list under way: how many entries are still to come.
 struct Listing {
     whole: bool,
     to_come: usize,
-    entries: Vec<Listed>,
+    entries: Vec<BackendInfo>,
 }
 
 #[derive(Default)]
 struct Batch {
-    now: Option<Tenths>,
+    now: Option<Ticks>,
     current: Option<String>,
     listing: Option<Listing>,
 }
@@ -89,7 +89,7 @@
                 let (start, named) =
                     vanewharf_gateway_settings::policy_start(&options, line.whole("init_seed")?, now)
                         .map_err(|unreadable| line.fault(unreadable.to_string()))?;
-                self.hosts.insert(name.clone(), Host::new(Door::start(start), named));
+                self.hosts.insert(name.clone(), Host::new(Balancer::new(start), named));
                 return Ok(());
             }
             "KILLED" => {
@@ -140,9 +140,9 @@
         let current = self.batch.current.as_ref();
         if let Some(host) = current.and_then(|name| self.hosts.get_mut(name)) {
             host.events.push(if listing.whole {
-                Event::Listing(listing.entries)
+                Event::BackendList(listing.entries)
             } else {
-                Event::Changes(listing.entries)
+                Event::BackendChanges(listing.entries)
             });
         }
     }
--- a/programs/simulator-adapter/src/wire.rs
+++ b/programs/simulator-adapter/src/wire.rs
@@ -3,8 +3,8 @@
 use std::error::Error;
 use std::fmt;
 use std::str::FromStr;
-use vanewharf_gateway_settings::tenths_from_ms;
-use vanewharf_policy::interface::Tenths;
+use vanewharf_gateway_settings::ticks_from_ms;
+use vanewharf_policy::interface::Ticks;
 
 /// What is wrong with the input, and where.
 #[derive(Debug)]
@@ -84,11 +84,11 @@
         }
     }
 
-    pub fn time(&self, name: &str) -> Result<Option<Tenths>, Malformed> {
-        Ok(self.number(name)?.map(tenths_from_ms))
+    pub fn time(&self, name: &str) -> Result<Option<Ticks>, Malformed> {
+        Ok(self.number(name)?.map(ticks_from_ms))
     }
 
-    pub fn need_time(&self, name: &str) -> Result<Tenths, Malformed> {
+    pub fn need_time(&self, name: &str) -> Result<Ticks, Malformed> {
         self.need(name)?;
         Ok(self.time(name)?.unwrap_or_default())
     }
@@ -103,7 +103,7 @@
 }
 
 /// How the wire writes a time.
-pub struct Millis(pub Tenths);
+pub struct Millis(pub Ticks);
 
 impl fmt::Display for Millis {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
