--- /dev/null
+++ b/crates/consensus/src/accept.rs
@@ -0,0 +1,51 @@
+//! The accept round: whether a majority has a proposed register on disk.
+//!
+//! A register that a majority of its own membership has accepted is committed: every later candidate finds it (see
+//! `election`). Until then it may or may not come to be in force, whatever the round's outcome: a voter that was not heard
+//! in time may have accepted it.
+
+use crate::quorum::QuorumTracker;
+use std::net::SocketAddr;
+use std::ops::ControlFlow;
+use vanewharf_protocol::messages::{Register, VoteResponse};
+
+/// A round in which the voters that a register names are to accept it.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+pub struct AcceptRound {
+    tally: QuorumTracker,
+}
+
+/// How an accept round ended.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum AcceptOutcome {
+    /// A majority has the register on disk.
+    Committed,
+    /// So many voters refused that the rest is no majority.
+    Rejected,
+}
+
+impl AcceptRound {
+    /// Begins with the membership that the register itself names.
+    pub fn start(register: &Register) -> AcceptRound {
+        AcceptRound { tally: QuorumTracker::new(register.membership.clone()) }
+    }
+
+    /// Takes in one response. Breaks once the outcome is decided.
+    pub fn record_response(
+        &mut self,
+        voter: SocketAddr,
+        response: VoteResponse,
+    ) -> ControlFlow<AcceptOutcome> {
+        self.tally.record(voter, response);
+        if self.tally.has_quorum() {
+            ControlFlow::Break(AcceptOutcome::Committed)
+        } else if self.tally.is_lost() {
+            ControlFlow::Break(AcceptOutcome::Rejected)
+        } else {
+            ControlFlow::Continue(())
+        }
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/consensus/src/ballot.rs
@@ -0,0 +1,55 @@
+//! Ballots: how a candidate chooses one that nobody else uses, and when it may no longer win by it.
+
+use crate::lease::HeldLease;
+use std::net::{IpAddr, SocketAddr};
+use vanewharf_clock::Timestamp;
+use vanewharf_protocol::messages::Ballot;
+
+/// The low bits of a ballot hold the proposer's address, the high bits a counter.
+const ADDRESS_BITS: u32 = 32;
+const ADDRESS_MASK: u64 = (1 << ADDRESS_BITS) - 1;
+
+/// A ballot above `highest_seen` that no other machine chooses: its low bits are the proposer's IPv4 address. Controllers
+/// have IPv4 addresses alone; of an IPv6 address the last 32 bits would be used.
+pub fn next_ballot(highest_seen: Ballot, proposer: SocketAddr) -> Ballot {
+    let address = match proposer.ip() {
+        IpAddr::V4(ip) => u64::from(ip.to_bits()),
+        IpAddr::V6(ip) => ip.to_bits() as u64 & ADDRESS_MASK,
+    };
+    let counter = (highest_seen.0 >> ADDRESS_BITS) + 1;
+    Ballot((counter << ADDRESS_BITS) | address)
+}
+
+/// The ballot under which a controller seeks the lease or holds it.
+///
+/// A restarted voter may ask the one to which it had promised a ballot whether the lease is still held, so that it need not
+/// stay quiet for a whole lease duration. A controller that answers "no" renounces that ballot for good: votes for it may
+/// still be on their way, and to win by them after that answer would allow two leaseholders at once.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
+pub struct BallotClaim {
+    ballot: Ballot,
+    renounced: bool,
+}
+
+impl BallotClaim {
+    /// A claim on a ballot that was just chosen.
+    pub fn new(ballot: Ballot) -> BallotClaim {
+        BallotClaim { ballot, renounced: false }
+    }
+
+    /// Answers a restarted voter's question whether the lease under `ballot` is still held. Where it is not, the claim on
+    /// that ballot is renounced.
+    pub fn answer_inquiry(&mut self, ballot: Ballot, lease: Option<HeldLease>, now: Timestamp) -> bool {
+        let held = lease.is_some_and(|lease| lease.ballot == ballot && lease.is_valid(now));
+        self.renounced |= !held && self.ballot == ballot;
+        held
+    }
+
+    /// Whether votes for `ballot` may still be acted on.
+    pub fn is_valid_for(&self, ballot: Ballot) -> bool {
+        self.ballot == ballot && !self.renounced
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/consensus/src/follower_tracker.rs
@@ -0,0 +1,165 @@
+//! Tracks which controllers follow the leaseholder, and which of them have the committed register on disk.
+//!
+//! State: for each follower since when it has been in sync, and by which revision it is judged. It is kept by the process
+//! that may hold the lease, and knows nothing of before it took the lease.
+
+use crate::planner::VoterCandidate;
+use std::collections::BTreeMap;
+use std::net::{IpAddr, SocketAddr};
+use std::time::Duration;
+use vanewharf_clock::Timestamp;
+use vanewharf_protocol::messages::{Follower, Revision};
+
+/// A follower that was not in sync for so long is out of sync. Followers pull more often than this.
+pub(crate) const SYNC_TIMEOUT: Duration = Duration::from_millis(1200);
+/// A follower that was not in sync for so long is forgotten.
+const FOLLOWER_RETENTION: Duration = Duration::from_secs(60);
+/// A leaseholder that has the lease again within this time goes on with what it knew.
+const RESUME_WINDOW: Duration = Duration::from_secs(10);
+
+/// What the leaseholder knows of those that follow it.
+#[derive(Debug, Default)]
+pub struct FollowerTracker {
+    /// When the lease was taken. Moved on by the time in which it was lost for a moment.
+    tracking_since: Timestamp,
+    /// When the lease was lost, while it is.
+    lease_lost_at: Option<Timestamp>,
+    followers: BTreeMap<IpAddr, FollowerProgress>,
+}
+
+#[derive(Debug)]
+struct FollowerProgress {
+    zone: String,
+    /// When it was last seen in sync.
+    last_in_sync: Option<Timestamp>,
+    /// Since when it has been in sync without a break.
+    in_sync_since: Timestamp,
+    /// The revision that it has to have on disk, and since when.
+    required_revision: Revision,
+    required_since: Timestamp,
+}
+
+/// The controller that holds the lease, among the candidates.
+#[derive(Clone, Copy, Debug)]
+pub struct LocalMember<'a> {
+    /// Where it is reached.
+    pub address: SocketAddr,
+    /// Its zone.
+    pub zone: &'a str,
+}
+
+impl FollowerTracker {
+    /// The lease is taken. Where it was lost for a moment only, what was known counts on without that time, in which
+    /// nobody followed: a voter that had failed before is not waited for once more.
+    pub fn lease_acquired(&mut self, now: Timestamp) {
+        let gap = self.lease_lost_at.take().map(|lost_at| now.since(lost_at));
+        match gap.filter(|gap| *gap < RESUME_WINDOW) {
+            Some(gap) => self.skip_gap(gap),
+            None => {
+                self.tracking_since = now;
+                self.followers.clear();
+            }
+        }
+    }
+
+    fn skip_gap(&mut self, gap: Duration) {
+        self.tracking_since = self.tracking_since.after(gap);
+        for progress in self.followers.values_mut() {
+            progress.last_in_sync = progress.last_in_sync.map(|seen| seen.after(gap));
+            progress.in_sync_since = progress.in_sync_since.after(gap);
+            progress.required_since = progress.required_since.after(gap);
+        }
+    }
+
+    /// The lease is lost.
+    pub fn lease_lost(&mut self, now: Timestamp) {
+        self.lease_lost_at = Some(now);
+    }
+
+    /// A follower pulls, and reports what it has on disk; `committed` is what it should have soon.
+    pub fn record_pull(&mut self, follower: &Follower, committed: Revision, now: Timestamp) {
+        let entry = self.followers.entry(follower.controller.ip);
+        let progress = entry.or_insert_with(|| FollowerProgress {
+            zone: follower.controller.zone.clone(),
+            last_in_sync: None,
+            in_sync_since: now,
+            required_revision: committed,
+            required_since: now,
+        });
+        progress.update(follower.persisted.map(|rank| rank.revision), committed, now);
+        self.followers.retain(|_, progress| now.since(progress.last_progress()) < FOLLOWER_RETENTION);
+    }
+
+    /// All that may vote: the current voters, whether they were heard from or not, the leaseholder itself, and whoever
+    /// follows it. Nobody is out of sync for longer than the lease was held. `address` tells where the controller of a
+    /// machine is reached.
+    pub fn candidates(
+        &self,
+        voters: &[SocketAddr],
+        local: LocalMember<'_>,
+        address: impl Fn(IpAddr) -> SocketAddr,
+        now: Timestamp,
+    ) -> Vec<VoterCandidate> {
+        let tracked_for = now.since(self.tracking_since);
+        // One that was never in sync is no candidate for promotion, however short the lease was held.
+        let never_in_sync = tracked_for.max(SYNC_TIMEOUT);
+        let followers = self.followers.iter().map(|(ip, progress)| {
+            let out_of_sync_for = match progress.last_in_sync {
+                Some(seen) => now.since(seen.max(self.tracking_since)),
+                None => never_in_sync,
+            };
+            let is_in_sync = out_of_sync_for < SYNC_TIMEOUT;
+            VoterCandidate {
+                address: address(*ip),
+                zone: progress.zone.clone(),
+                out_of_sync_for,
+                in_sync_for: if is_in_sync { now.since(progress.in_sync_since) } else { Duration::ZERO },
+            }
+        });
+        let mut candidates: Vec<_> = followers.filter(|one| one.address != local.address).collect();
+        candidates.push(VoterCandidate {
+            address: local.address,
+            zone: local.zone.to_owned(),
+            out_of_sync_for: Duration::ZERO,
+            in_sync_for: tracked_for,
+        });
+        for &voter in voters {
+            if !candidates.iter().any(|one| one.address == voter) {
+                candidates.push(VoterCandidate {
+                    address: voter,
+                    zone: String::new(),
+                    out_of_sync_for: never_in_sync,
+                    in_sync_for: Duration::ZERO,
+                });
+            }
+        }
+        candidates
+    }
+}
+
+impl FollowerProgress {
+    /// Takes in what the follower has on disk; nothing while it has amnesia.
+    fn update(&mut self, on_disk: Option<Revision>, committed: Revision, now: Timestamp) {
+        let has_required = on_disk.is_some_and(|revision| revision >= self.required_revision);
+        // What was committed a moment ago is still on its way to a follower that had everything before.
+        let is_catching_up =
+            self.last_in_sync.is_some() && on_disk.is_some() && now.since(self.required_since) < SYNC_TIMEOUT;
+        if has_required {
+            (self.required_revision, self.required_since) = (committed, now);
+        }
+        if has_required || is_catching_up {
+            if self.last_in_sync.is_none_or(|seen| now.since(seen) >= SYNC_TIMEOUT) {
+                self.in_sync_since = now;
+            }
+            self.last_in_sync = Some(now);
+        }
+    }
+
+    /// When it was last in sync, or since when it is waited for.
+    fn last_progress(&self) -> Timestamp {
+        self.last_in_sync.unwrap_or(self.required_since)
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- a/crates/consensus/src/group/tests.rs
+++ b/crates/consensus/src/group_commit/tests.rs
@@ -6,14 +6,18 @@
 }
 
 fn replace(revision: u64, mark: &str) -> OperatorChange {
-    OperatorChange::Replace { revision: ConfigRevision(revision), config: body(revision, mark) }
+    OperatorChange::ReplaceConfig { revision: ConfigRevision(revision), config: body(revision, mark) }
 }
 
-fn evacuate(zone: &str, begin: bool) -> OperatorChange {
-    OperatorChange::Evacuate { zone: zone.to_owned(), begin }
+fn begin_evacuation(zone: &str) -> OperatorChange {
+    OperatorChange::BeginEvacuation { zone: zone.to_owned() }
 }
 
-fn held(group: &GroupCommit) -> (&str, Vec<&str>) {
+fn end_evacuation(zone: &str) -> OperatorChange {
+    OperatorChange::EndEvacuation { zone: zone.to_owned() }
+}
+
+fn content(group: &GroupCommit) -> (&str, Vec<&str>) {
     let config = group.register.config.as_ref().map_or("", |config| config.get());
     (config, group.register.evacuated.iter().map(String::as_str).collect())
 }
@@ -21,43 +25,43 @@
 use ChangeOutcome::{Acknowledged, Conflict};
 
 #[test]
-fn a_group_is_the_sum_of_its_orders_and_each_has_its_own_outcome() {
+fn a_group_applies_all_changes_and_each_has_its_own_outcome() {
     let group = apply_changes(
         &Register::empty(),
-        &[replace(3, "a"), evacuate("x", true), replace(3, "b"), replace(2, "c"), evacuate("y", true)],
+        &[replace(3, "a"), begin_evacuation("x"), replace(3, "b"), replace(2, "c"), begin_evacuation("y")],
     );
     assert_eq!(group.outcomes, [Acknowledged, Acknowledged, Conflict, Acknowledged, Acknowledged]);
-    assert_eq!(held(&group), (body(3, "a").get(), vec!["x", "y"]));
-    // The lower number was taken before the higher one of its group, and both are known again.
+    assert_eq!(content(&group), (body(3, "a").get(), vec!["x", "y"]));
+    // The lower revision was applied before the higher one of its group, and both are remembered.
     let again = apply_changes(&group.register, &[replace(2, "c"), replace(3, "a"), replace(2, "d")]);
     assert_eq!((again.changed, again.outcomes), (false, vec![Acknowledged, Acknowledged, Conflict]));
 }
 
 #[test]
-fn evacuations_of_one_zone_are_taken_as_they_came() {
+fn evacuations_of_one_zone_are_applied_in_the_order_in_which_they_came() {
     let group =
-        apply_changes(&Register::empty(), &[evacuate("x", true), evacuate("x", false), evacuate("y", false)]);
-    assert_eq!(held(&group), ("", vec![]));
-    let group = apply_changes(&group.register, &[evacuate("x", false), evacuate("x", true)]);
-    assert_eq!(held(&group), ("", vec!["x"]));
-    assert!(!apply_changes(&group.register, &[evacuate("x", true)]).changed);
+        apply_changes(&Register::empty(), &[begin_evacuation("x"), end_evacuation("x"), end_evacuation("y")]);
+    assert_eq!(content(&group), ("", vec![]));
+    let group = apply_changes(&group.register, &[end_evacuation("x"), begin_evacuation("x")]);
+    assert_eq!(content(&group), ("", vec!["x"]));
+    assert!(!apply_changes(&group.register, &[begin_evacuation("x")]).changed);
 }
 
 #[test]
-fn groups_one_after_the_other_come_to_what_one_group_does() {
+fn changes_split_over_two_groups_come_to_the_same_register_as_in_one() {
     let changes =
-        [replace(2, "a"), evacuate("x", true), replace(4, "b"), evacuate("x", false), replace(9, "c")];
+        [replace(2, "a"), begin_evacuation("x"), replace(4, "b"), end_evacuation("x"), replace(9, "c")];
     let whole = apply_changes(&Register::empty(), &changes);
     for cut in 0..=changes.len() {
         let first = apply_changes(&Register::empty(), &changes[..cut]);
         let second = apply_changes(&first.register, &changes[cut..]);
-        assert_eq!(held(&second), held(&whole), "cut at {cut}");
+        assert_eq!(content(&second), content(&whole), "cut at {cut}");
         assert_eq!(second.register.accepted_configs, whole.register.accepted_configs);
     }
 }
 
 #[test]
-fn what_lost_its_number_is_never_acknowledged_after_newer_ones() {
+fn a_conflicting_configuration_is_still_refused_after_newer_ones() {
     let mut register = apply_changes(&Register::empty(), &[replace(5, "won")]).register;
     for revision in 6..200 {
         register = apply_changes(&register, &[replace(revision, "next")]).register;
@@ -67,7 +71,7 @@
 }
 
 #[test]
-fn a_number_that_was_passed_over_or_is_forgotten_is_acknowledged_and_changes_nothing() {
+fn an_older_revision_that_is_unknown_or_forgotten_is_acknowledged_and_changes_nothing() {
     let mut register = apply_changes(&Register::empty(), &[replace(1, "first")]).register;
     for revision in 2..2 + RETAINED_REVISIONS as u64 {
         register = apply_changes(&register, &[replace(revision * 2, "next")]).register;
@@ -78,7 +82,7 @@
 }
 
 #[test]
-fn a_register_of_before_names_the_one_that_it_holds() {
+fn a_register_without_remembered_configurations_names_the_one_in_force() {
     let old = Register {
         ballot: Ballot(3),
         revision: Revision(8),
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -1,20 +1,61 @@
-//! Leases, votes and membership: pure state machines that are told the time and do no input or output.
+//! The consensus engine of the control plane: which controller holds the lease, and what the operator's register says.
+//!
+//! The engine is pure. It does no input or output, starts no tasks and reads no clock: callers pass the time and the
+//! messages in, and get back what to send and what to write to disk. The controller's replica owns the network, the disk
+//! and the timers; the model checker under `tests/model/` drives the same code through every order of events.
+//!
+//! # Protocol
+//!
+//! * A **voter** ([`Voter`]) promises ballots, grants leases and accepts registers, as an acceptor does in Paxos. Each call
+//!   returns a vote and what has to be on disk before that vote is sent ([`VoterOutput`]).
+//! * A **candidate** checks that it can win ([`PreVoteRound`]), asks for the lease under a ballot of its own
+//!   ([`Election`]), and writes the newest register that it found again under its own ballot ([`AcceptRound`]) before it
+//!   proposes anything new.
+//! * The **leaseholder** ([`HeldLease`]) renews its lease ([`RenewalRound`]), proposes registers ([`apply_changes`],
+//!   [`AcceptRound`]) and changes the set of voters by joint consensus ([`plan_next_voters`], [`next_membership`]).
+//! * A **member with amnesia**, whose disk was lost, takes no part until it has recovered ([`RecoveryRound`]).
+//!
+//! # Safety
+//!
+//! * *One leaseholder at a time*: a lease is granted by a majority, each voter grants one lease at a time, and the holder
+//!   stops [`LEASE_SAFETY_MARGIN`] before the first voter of that majority can forget it (module `lease`).
+//! * *A restarted voter grants nothing for one lease duration*, since leases are not on disk (module `voter`).
+//! * *No committed register is lost*: every later candidate's majority shares a voter with the majority that accepted it
+//!   (modules `election` and `accept`).
+//! * *A change of the set of voters needs a majority of both sets* until it is finished (module `membership`).
+//! * *A vote that a member cast before it lost its disk is not counted* beside one of a voter that knows of the loss
+//!   (module `incarnation`).
 
+#![forbid(unsafe_code)]
+#![warn(missing_docs)]
+
+mod accept;
+mod ballot;
 mod election;
-mod group;
+mod follower_tracker;
+mod group_commit;
+mod incarnation;
+mod lease;
 mod membership;
+mod planner;
+mod pre_vote;
+mod quorum;
+mod recovery;
+mod renewal;
+#[cfg(test)]
+mod test_support;
 mod voter;
 
-pub use election::{
-    AcceptRound, BallotClaim, Election, ElectionOutcome, HeldLease, PreVoteRound, RecoveryRound,
-    RecoveryStep, RenewalOutcome, RenewalRound,
-};
-pub use group::{ChangeOutcome, GroupCommit, OperatorChange, apply_changes};
-pub use membership::{
-    FollowerTracker, VoterCandidate, all_voters, assenting_voters, has_quorum, majority_in_sync,
-    next_membership, plan_next_voters, voter_count_for,
-};
-pub use voter::{
-    DurableWrite, LEASE_DURATION, LEASE_SAFETY_MARGIN, RENEWAL_INTERVAL, Voter, VoterOutput, VoterRecord,
-    next_ballot,
-};
+pub use accept::{AcceptOutcome, AcceptRound};
+pub use ballot::{BallotClaim, next_ballot};
+pub use election::{Election, ElectionOutcome};
+pub use follower_tracker::{FollowerTracker, LocalMember};
+pub use group_commit::{ChangeOutcome, GroupCommit, OperatorChange, apply_changes};
+pub use lease::{HeldLease, LEASE_DURATION, LEASE_SAFETY_MARGIN, RENEWAL_INTERVAL};
+pub use membership::{all_voters, has_quorum, next_membership, voter_count_for};
+pub use planner::{VoterCandidate, majority_in_sync, plan_next_voters};
+pub use pre_vote::PreVoteRound;
+pub use quorum::QuorumTracker;
+pub use recovery::{RecoveryRound, RecoveryStep};
+pub use renewal::{RenewalOutcome, RenewalRound};
+pub use voter::{DurableWrite, StartKind, Voter, VoterOutput, VoterRecord};
--- /dev/null
+++ b/crates/consensus/src/test_support.rs
@@ -0,0 +1,46 @@
+//! What the unit tests of this crate share.
+
+use std::collections::{BTreeMap, BTreeSet};
+use std::net::SocketAddr;
+use vanewharf_clock::Timestamp;
+use vanewharf_protocol::messages::{Ballot, Membership, Register, Revision, Vote, VoteResponse};
+
+/// When each test begins.
+pub const START: Timestamp = Timestamp(1_000_000_000);
+
+pub fn address(number: u8) -> SocketAddr {
+    SocketAddr::from(([10, 0, 0, number], 7600))
+}
+
+pub fn addresses(numbers: &[u8]) -> Vec<SocketAddr> {
+    numbers.iter().copied().map(address).collect()
+}
+
+pub fn address_set(numbers: &[u8]) -> BTreeSet<SocketAddr> {
+    numbers.iter().copied().map(address).collect()
+}
+
+pub fn membership(epoch: u64, voters: &[u8], outgoing: &[u8]) -> Membership {
+    Membership { epoch, voters: addresses(voters), outgoing: addresses(outgoing) }
+}
+
+pub fn register(ballot: u64, revision: u64, membership: Membership) -> Register {
+    Register { ballot: Ballot(ballot), revision: Revision(revision), membership, ..Register::empty() }
+}
+
+/// A vote of a voter that never lost its disk and knows of no other that did.
+pub fn response(vote: Vote) -> VoteResponse {
+    VoteResponse { incarnation: 0, incarnations: BTreeMap::new(), vote }
+}
+
+pub fn granted(register: Register) -> VoteResponse {
+    response(Vote::Granted { register, quota_divisor: 8 })
+}
+
+pub fn refused(promised: u64) -> VoteResponse {
+    response(Vote::Refused { promised: Ballot(promised), leaseholder: None })
+}
+
+pub fn accepted() -> VoteResponse {
+    response(Vote::Accepted)
+}
--- a/crates/consensus/src/voter.rs
+++ b/crates/consensus/src/voter.rs
@@ -1,340 +1,205 @@
-//! One voter of the set that grants the lease and keeps the operator's register.
+//! One voter of the set that grants the lease and accepts the operator's register.
 //!
-//! It promises ballots and accepts values as in a register that one holder at a time writes: what a majority kept under one
-//! ballot is found by whoever gets a majority's grants under a later one, and written again before anything new. An
-//! vote may be said only when what it promises is on disk, so each call gives the vote together with what to save
-//! first; the owner does one after the other.
-
+//! # State
+//!
+//! On disk: the promised ballot and what else is in [`VoterRecord`], and the newest accepted register. In memory only: the
+//! lease that the voter has granted.
+//!
+//! # Invariants
+//!
+//! * The promised ballot never falls, and nothing is accepted under a lower one.
+//! * One lease is granted at a time.
+//! * A vote is sent only when what it promises is on disk ([`VoterOutput`]).
+//! * A restarted voter grants no lease for one lease duration. It does not remember the lease that it may have granted just
+//!   before; by then that one has ended. The wait ends sooner where the one to which the ballot was promised says that it
+//!   holds no lease ([`Voter::end_quiet_period`]). At the first start of a cluster nothing was granted before.
+//! * A voter whose record is missing although the cluster was started before has amnesia: it may have promised anything, and
+//!   votes on nothing until it has recovered ([`Voter::complete_recovery`]).
+
+use crate::lease::{GrantedLease, LEASE_DURATION};
 use crate::membership::initial_membership;
-use serde::{Deserialize, Serialize};
-use std::collections::BTreeMap;
-use std::net::{IpAddr, SocketAddr};
-use std::time::Duration;
+use std::net::SocketAddr;
 use vanewharf_clock::Timestamp;
-use vanewharf_protocol::messages::{Ballot, Register, Vote, VoteRequest, VoteResponse};
+use vanewharf_protocol::messages::{Ballot, Membership, Register, Vote, VoteResponse};
 
-/// How long a granted lease lasts at its voter.
-pub const LEASE_DURATION: Duration = Duration::from_millis(1500);
-/// By how much sooner its holder stops than any voter of its majority forgets it.
-pub const LEASE_SAFETY_MARGIN: Duration = Duration::from_millis(250);
-/// How often it is renewed.
-pub const RENEWAL_INTERVAL: Duration = Duration::from_millis(400);
+mod record;
+mod requests;
 
-/// What a voter has on disk.
-#[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct VoterRecord {
-    pub ballot: Ballot,
-    /// Whom the ballot was promised to.
-    #[serde(rename = "holder")]
-    pub promised_to: Option<SocketAddr>,
-    /// The voters of the first start, until a register names others.
-    #[serde(rename = "founders")]
-    pub initial_members: Vec<SocketAddr>,
-    /// By how many doors quotas were last divided, as far as it knows: after all processes were killed nobody else
-    /// can say, and the doors that come by first are not all.
-    #[serde(rename = "doors", default)]
-    pub proxy_count: u32,
-    /// Goes up whenever this machine comes back without what it had promised.
-    #[serde(default)]
-    pub incarnation: u64,
-    /// What the others have come back as: votes of before count for nothing beside this voter's.
-    #[serde(default)]
-    pub incarnations: BTreeMap<SocketAddr, u64>,
-}
+pub use record::{DurableWrite, VoterOutput, VoterRecord};
 
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-struct Lease {
-    ballot: Ballot,
-    holder: SocketAddr,
-    until: Timestamp,
+/// Whether a cluster starts for the first time.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum StartKind {
+    /// Nothing was ever granted, and the seeds are the voters.
+    Initial,
+    /// The cluster was started before; what is missing on disk was lost.
+    Restart,
 }
 
+/// One voter, as a pure state machine.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Voter {
-    promised: Ballot,
-    /// Whom that was promised to.
-    promised_to: Option<SocketAddr>,
-    proxy_count: u32,
+    /// What it has promised; on disk once `unpersisted` says so.
+    record: VoterRecord,
+    /// The newest accepted register. It is always on disk.
     register: Register,
-    lease: Option<Lease>,
-    /// Grants given before this start may last until then.
+    lease: Option<GrantedLease>,
+    /// A lease that was granted before this start may last until then.
     grants_suspended_until: Timestamp,
-    /// It has forgotten what it promised.
+    /// It has lost its record, and not recovered yet.
     amnesic: bool,
+    /// The controllers that this machine was configured with.
     seeds: Vec<SocketAddr>,
-    initial_members: Vec<SocketAddr>,
-    incarnation: u64,
-    incarnations: BTreeMap<SocketAddr, u64>,
-    /// What is not on disk yet, as that refused it or is slow: saved with the next vote that goes by it.
-    unsaved: Unsaved,
+    unpersisted: UnpersistedFields,
 }
 
+/// What of the record is not known to be on disk, as a write failed or is under way. It is written again with the next vote
+/// that depends on it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
-struct Unsaved {
+struct UnpersistedFields {
     ballot: bool,
-    incarnations: bool,
-}
-
-/// What is to be on disk before the vote is said.
-#[derive(Clone, Debug)]
-pub enum DurableWrite {
-    VoterRecord(VoterRecord),
-    Register(Box<Register>),
-}
-
-pub struct VoterOutput {
-    pub vote: Vote,
-    pub write: Option<DurableWrite>,
-}
-
-impl VoterOutput {
-    fn say(vote: Vote) -> VoterOutput {
-        VoterOutput { vote, write: None }
-    }
+    peer_incarnations: bool,
 }
 
 impl Voter {
-    /// With what was found on disk; `first` where this is the first start of all, so that nothing was ever granted, and the
-    /// seeds are the voters.
+    /// Starts with what was found on disk.
     pub fn start(
-        found: Option<&VoterRecord>,
+        record: Option<&VoterRecord>,
         register: Option<Register>,
         seeds: &[SocketAddr],
-        first: bool,
+        kind: StartKind,
         now: Timestamp,
     ) -> Voter {
-        let nothing = VoterRecord {
-            ballot: Ballot::default(),
-            promised_to: None,
-            initial_members: if first { seeds.to_vec() } else { Vec::new() },
-            proxy_count: 0,
-            incarnation: 0,
-            incarnations: BTreeMap::new(),
-        };
-        let promise = found.cloned().unwrap_or(nothing);
-        let blank = |initial_members: &[SocketAddr]| {
-            let membership = if initial_members.is_empty() {
-                Default::default()
-            } else {
-                initial_membership(initial_members.to_vec())
-            };
-            Register { membership, ..Register::empty() }
-        };
-        let register = register.unwrap_or_else(|| blank(&promise.initial_members));
+        let is_initial = kind == StartKind::Initial;
+        let amnesic = record.is_none() && !is_initial;
+        let mut record = record.cloned().unwrap_or_else(|| VoterRecord {
+            initial_members: if is_initial { seeds.to_vec() } else { Vec::new() },
+            ..VoterRecord::default()
+        });
+        let register = register.unwrap_or_else(|| initial_register(&record.initial_members));
+        record.ballot = record.ballot.max(register.ballot);
         Voter {
-            promised: promise.ballot.max(register.ballot),
-            promised_to: promise.promised_to,
-            proxy_count: promise.proxy_count,
+            record,
             register,
             lease: None,
-            grants_suspended_until: if first { now } else { now.after(LEASE_DURATION) },
-            amnesic: found.is_none() && !first,
+            grants_suspended_until: if is_initial { now } else { now.after(LEASE_DURATION) },
+            amnesic,
             seeds: seeds.to_vec(),
-            initial_members: promise.initial_members,
-            incarnation: promise.incarnation,
-            incarnations: promise.incarnations,
-            unsaved: Unsaved::default(),
+            unpersisted: UnpersistedFields::default(),
         }
     }
 
-    /// What is to be on disk of what it promised.
+    /// What should be on disk of what it has promised.
     pub fn record(&self) -> VoterRecord {
-        VoterRecord {
-            ballot: self.promised,
-            promised_to: self.promised_to,
-            initial_members: self.initial_members.clone(),
-            proxy_count: self.proxy_count,
-            incarnation: self.incarnation,
-            incarnations: self.incarnations.clone(),
-        }
+        self.record.clone()
     }
 
-    /// A vote as it goes out.
+    /// A vote as it is sent: with the incarnations that tell which votes are out of date.
     pub fn response(&self, vote: Vote) -> VoteResponse {
-        VoteResponse { incarnation: self.incarnation, incarnations: self.incarnations.clone(), vote }
+        VoteResponse {
+            incarnation: self.record.incarnation,
+            incarnations: self.record.peer_incarnations.clone(),
+            vote,
+        }
     }
 
-    pub fn proxy_count(&self) -> u32 {
-        self.proxy_count
+    /// The last quota divisor that it knew; 0: none.
+    pub fn quota_divisor(&self) -> u32 {
+        self.record.quota_divisor
     }
 
-    /// Quotas are divided by so many doors now; what to save, where that is news.
-    pub fn update_proxy_count(&mut self, proxy_count: u32) -> Option<DurableWrite> {
-        let news = proxy_count != 0 && proxy_count != self.proxy_count && !self.amnesic;
-        self.proxy_count = if news { proxy_count } else { self.proxy_count };
-        news.then(|| DurableWrite::VoterRecord(self.record()))
+    /// Quotas are divided between so many proxies now (0: that is not known). Returns what to write, where that is new; no vote waits for it.
+    pub fn update_quota_divisor(&mut self, quota_divisor: u32) -> Option<DurableWrite> {
+        if self.amnesic || quota_divisor == 0 || quota_divisor == self.record.quota_divisor {
+            return None;
+        }
+        self.record.quota_divisor = quota_divisor;
+        Some(DurableWrite::VoterRecord(self.record()))
     }
 
+    /// Whether it has lost its record, and not recovered yet.
     pub fn is_amnesic(&self) -> bool {
         self.amnesic
     }
 
+    /// The highest ballot that it has promised.
     pub fn promised_ballot(&self) -> Ballot {
-        self.promised
+        self.record.ballot
     }
 
-    /// Where it has promised a ballot, and that is on disk.
+    /// The promised ballot, where it is known to be on disk. A renewal under it needs no write.
     pub fn persisted_ballot(&self) -> Option<Ballot> {
-        (!self.amnesic && !self.unsaved.ballot).then_some(self.promised)
+        (!self.amnesic && !self.unpersisted.ballot).then_some(self.record.ballot)
     }
 
+    /// The newest register that it has accepted.
     pub fn register(&self) -> &Register {
         &self.register
     }
 
-    /// Whose lease this voter goes by.
+    /// Whose lease is valid at this voter.
     pub fn leaseholder(&self, now: Timestamp) -> Option<SocketAddr> {
-        self.lease.filter(|lease| lease.until > now).map(|lease| lease.holder)
+        self.lease.filter(|lease| lease.is_valid(now)).map(|lease| lease.holder)
     }
 
-    /// Whether it may try for the lease itself.
+    /// Whether this voter's controller may try for the lease itself.
     pub fn may_campaign(&self, now: Timestamp) -> bool {
         !self.amnesic && now >= self.grants_suspended_until && self.leaseholder(now).is_none()
     }
 
-    /// Whether another one holds the lease.
-    fn leased_to_other(&self, holder: SocketAddr, now: Timestamp) -> bool {
-        self.lease.is_some_and(|lease| lease.until > now && lease.holder != holder)
-    }
-
-    pub fn handle_vote_request(&mut self, vote_request: VoteRequest, now: Timestamp) -> VoterOutput {
-        if self.amnesic {
-            return VoterOutput::say(Vote::Amnesic { seeds: self.seeds.clone() });
-        }
-        let refused = Vote::Refused { promised: self.promised, leaseholder: self.leaseholder(now) };
-        match vote_request {
-            VoteRequest::PreVote { candidate: holder } => {
-                let willing = Vote::Willing { promised: self.promised };
-                VoterOutput::say(if self.leased_to_other(holder, now) || now < self.grants_suspended_until {
-                    refused
-                } else {
-                    willing
-                })
-            }
-            VoteRequest::Lease { ballot, candidate: holder } => {
-                if ballot <= self.promised
-                    || self.leased_to_other(holder, now)
-                    || now < self.grants_suspended_until
-                {
-                    return VoterOutput::say(refused);
-                }
-                (self.promised, self.promised_to) = (ballot, Some(holder));
-                self.lease = Some(Lease { ballot, holder, until: now.after(LEASE_DURATION) });
-                let vote = Vote::Granted { register: self.register.clone(), quota_divisor: self.proxy_count };
-                self.unsaved.ballot = true;
-                VoterOutput { vote, write: Some(DurableWrite::VoterRecord(self.record())) }
-            }
-            VoteRequest::Renew { ballot, leaseholder: holder } => {
-                let barred = self.leased_to_other(holder, now) || now < self.grants_suspended_until;
-                if ballot < self.promised || ballot > self.promised && barred {
-                    return VoterOutput::say(refused);
-                }
-                // Promise to before a restart, too: nobody else can have been granted it since. One that heard
-                // nothing of the lease when it was granted joins its majority.
-                let joins = ballot > self.promised;
-                (self.promised, self.promised_to) = (ballot, Some(holder));
-                self.lease = Some(Lease { ballot, holder, until: now.after(LEASE_DURATION) });
-                // A lease goes by the ballot alone: it lasts also while the disk is slow to take anything else.
-                self.unsaved.ballot |= joins;
-                let write = self.unsaved.ballot.then(|| DurableWrite::VoterRecord(self.record()));
-                VoterOutput { vote: Vote::Accepted, write }
-            }
-            VoteRequest::Accept { register } => {
-                // One that names nobody to keep it is none.
-                let unsound = register.membership.epoch == 0;
-                if unsound || register.ballot < self.promised || register.rank() < self.register.rank() {
-                    return VoterOutput::say(refused);
-                }
-                // A holder gives a number once, so it is the same register told again.
-                if register.rank() == self.register.rank() {
-                    return VoterOutput::say(Vote::Accepted);
-                }
-                VoterOutput { vote: Vote::Accepted, write: Some(DurableWrite::Register(Box::new(register))) }
-            }
-            VoteRequest::Release { ballot } => {
-                if self.lease.is_some_and(|lease| lease.ballot == ballot) {
-                    self.lease = None;
-                }
-                VoterOutput::say(Vote::Accepted)
-            }
-            VoteRequest::Recover { member, incarnation } => {
-                let known = self.incarnations.get(&member).copied().unwrap_or(0);
-                if incarnation < known {
-                    return VoterOutput::say(Vote::Superseded { incarnation: known });
-                }
-                self.incarnations.insert(member, incarnation);
-                let vote = Vote::Recovered { promised: self.promised, register: self.register.clone() };
-                self.unsaved.incarnations |= incarnation > known;
-                let unsaved = self.unsaved.incarnations || self.unsaved.ballot;
-                VoterOutput { vote, write: unsaved.then(|| DurableWrite::VoterRecord(self.record())) }
-            }
-        }
-    }
-
-    /// The one it promised to before this start holds nothing any more, as it says itself.
+    /// Ends the suspension of grants after a restart: the one to which `ballot` was promised says that it holds no lease
+    /// under it, and never will (see `ballot::BallotClaim`). Without effect for any other ballot than the promised one.
     pub fn end_quiet_period(&mut self, ballot: Ballot, now: Timestamp) {
-        if ballot == self.promised && self.lease.is_none() {
+        if ballot == self.record.ballot && self.lease.is_none() {
             self.grants_suspended_until = self.grants_suspended_until.min(now);
         }
     }
 
-    /// What is certain to be in force, as its holder makes it known: it is kept whatever has been promised since, as it was
-    /// decided before. Nobody counts this as a vote.
+    /// Takes over a register that the leaseholder has published as committed, where it is newer than the accepted one.
+    /// Whatever was promised since, it was decided before. Returns what to write; nobody counts this as a vote.
     pub fn adopt_committed_register(&self, register: &Register) -> Option<DurableWrite> {
-        let newer = !self.amnesic && register.membership.epoch > 0 && register.rank() > self.register.rank();
-        newer.then(|| DurableWrite::Register(Box::new(register.clone())))
-    }
-
-    /// It is on disk. What could not be saved is never said to be kept.
-    pub fn mark_persisted(&mut self, save: DurableWrite) {
-        match save {
-            DurableWrite::VoterRecord(saved) => {
-                // A later one may be on its way.
-                self.unsaved.ballot &= saved.ballot != self.promised;
-                self.unsaved.incarnations &= saved.incarnations != self.incarnations;
+        let is_newer = register.membership.epoch > 0 && register.rank() > self.register.rank();
+        (!self.amnesic && is_newer).then(|| DurableWrite::Register(Box::new(register.clone())))
+    }
+
+    /// A write that this voter asked for is on disk. To be called only after that: what it has on disk is what it votes by.
+    pub fn mark_persisted(&mut self, write: DurableWrite) {
+        match write {
+            DurableWrite::VoterRecord(written) => {
+                // A newer record may still be on its way to the disk.
+                self.unpersisted.ballot &= written.ballot != self.record.ballot;
+                self.unpersisted.peer_incarnations &=
+                    written.peer_incarnations != self.record.peer_incarnations;
             }
-            // Of two that are on their way the newer one stands.
-            DurableWrite::Register(register) if register.rank() < self.register.rank() => {}
-            DurableWrite::Register(register) => {
-                self.promised = self.promised.max(register.ballot);
-                self.register = *register;
+            // Of two registers that were on their way to the disk at once the newer one stands.
+            DurableWrite::Register(written) if written.rank() < self.register.rank() => {}
+            DurableWrite::Register(written) => {
+                self.record.ballot = self.record.ballot.max(written.ballot);
+                self.register = *written;
             }
         }
     }
 
-    /// What a member with amnesia was told, once that and the new incarnation are on disk.
+    /// A voter with amnesia has recovered what the others know, and both are on disk. It grants nothing for one lease
+    /// duration, like any restarted voter: before it forgot, it may have granted a lease.
     pub fn complete_recovery(&mut self, recovered: &VoterRecord, register: Register, now: Timestamp) {
-        self.promised = recovered.ballot.max(register.ballot);
+        self.record = VoterRecord { ballot: recovered.ballot.max(register.ballot), ..recovered.clone() };
         self.register = register;
-        self.initial_members = recovered.initial_members.clone();
-        self.incarnation = recovered.incarnation;
-        self.incarnations = recovered.incarnations.clone();
-        // What it granted before it forgot.
         self.grants_suspended_until = now.after(LEASE_DURATION);
-        (self.amnesic, self.unsaved) = (false, Unsaved::default());
+        self.amnesic = false;
+        self.unpersisted = UnpersistedFields::default();
     }
 }
 
-/// An incarnation above the one that was heard of, and hardly any other's: a machine that loses its disk twice in a row may
-/// count from the same one.
-pub fn next_incarnation(heard: u64, chance: u64) -> u64 {
-    (((heard >> INCARNATION_BITS) + 1) << INCARNATION_BITS) | chance & ((1 << INCARNATION_BITS) - 1)
-}
-
-const INCARNATION_BITS: u32 = 32;
-
-/// A ballot above all that were seen, and no other machine's: its low bits are the machine's whole IPv4 address (the pages
-/// have no other network; of IPv6 the last 32 bits stand for it).
-pub fn next_ballot(seen: Ballot, me: SocketAddr) -> Ballot {
-    let own = match me.ip() {
-        IpAddr::V4(ip) => u64::from(ip.to_bits()),
-        IpAddr::V6(ip) => ip.to_bits() as u64 & OWN,
+/// The register of a cluster in which none was accepted yet; without a membership where the voters are not known.
+fn initial_register(initial_members: &[SocketAddr]) -> Register {
+    let membership = if initial_members.is_empty() {
+        Membership::default()
+    } else {
+        initial_membership(initial_members.to_vec())
     };
-    Ballot((((seen.0 >> OWN_BITS) + 1) << OWN_BITS) | own)
+    Register { membership, ..Register::empty() }
 }
 
-const OWN_BITS: u32 = 32;
-const OWN: u64 = (1 << OWN_BITS) - 1;
-
 #[cfg(test)]
 mod tests;
--- /dev/null
+++ b/crates/consensus/src/voter/requests.rs
@@ -0,0 +1,126 @@
+//! How a voter answers each kind of request.
+
+use super::{DurableWrite, Voter, VoterOutput};
+use crate::lease::GrantedLease;
+use std::net::SocketAddr;
+use vanewharf_clock::Timestamp;
+use vanewharf_protocol::messages::{Ballot, Register, Vote, VoteRequest};
+
+impl Voter {
+    /// Answers a request. A voter with amnesia answers only that it has amnesia.
+    pub fn handle_vote_request(&mut self, request: VoteRequest, now: Timestamp) -> VoterOutput {
+        if self.amnesic {
+            return VoterOutput::without_write(Vote::Amnesic { seeds: self.seeds.clone() });
+        }
+        match request {
+            VoteRequest::PreVote { candidate } => self.handle_pre_vote(candidate, now),
+            VoteRequest::Lease { ballot, candidate } => self.handle_lease_request(ballot, candidate, now),
+            VoteRequest::Renew { ballot, leaseholder } => self.handle_renewal(ballot, leaseholder, now),
+            VoteRequest::Accept { register } => self.handle_accept(register, now),
+            VoteRequest::Release { ballot } => self.handle_release(ballot),
+            VoteRequest::Recover { member, incarnation } => self.handle_recovery(member, incarnation),
+        }
+    }
+
+    /// Whether it would grant a lease now, without promising anything.
+    fn handle_pre_vote(&self, candidate: SocketAddr, now: Timestamp) -> VoterOutput {
+        if self.may_grant_lease(candidate, now) {
+            VoterOutput::without_write(Vote::Willing { promised: self.record.ballot })
+        } else {
+            self.refuse(now)
+        }
+    }
+
+    /// Promises a higher ballot and grants the lease under it.
+    fn handle_lease_request(&mut self, ballot: Ballot, candidate: SocketAddr, now: Timestamp) -> VoterOutput {
+        if ballot <= self.record.ballot || !self.may_grant_lease(candidate, now) {
+            return self.refuse(now);
+        }
+        self.promise_with_lease(ballot, candidate, now);
+        self.unpersisted.ballot = true;
+        VoterOutput {
+            vote: Vote::Granted { register: self.register.clone(), quota_divisor: self.record.quota_divisor },
+            write: Some(DurableWrite::VoterRecord(self.record())),
+        }
+    }
+
+    /// Extends the lease under the promised ballot. A voter that did not take part in the election joins the majority by a
+    /// renewal under a higher ballot, and only then promises something new.
+    ///
+    /// A renewal under the promised ballot is accepted even while grants are suspended after a restart: a ballot is one
+    /// candidate's alone, and nobody can have been granted a lease under a higher one since.
+    ///
+    /// It needs no write where the ballot is on disk, and so does not wait while the disk is slow with something else: the
+    /// lease itself is in memory only, and what the voter owes after a crash follows from the ballot on disk and from the
+    /// suspension of grants after the restart.
+    fn handle_renewal(&mut self, ballot: Ballot, holder: SocketAddr, now: Timestamp) -> VoterOutput {
+        let joins = ballot > self.record.ballot;
+        if ballot < self.record.ballot || joins && !self.may_grant_lease(holder, now) {
+            return self.refuse(now);
+        }
+        self.promise_with_lease(ballot, holder, now);
+        self.unpersisted.ballot |= joins;
+        let write = self.unpersisted.ballot.then(|| DurableWrite::VoterRecord(self.record()));
+        VoterOutput { vote: Vote::Accepted, write }
+    }
+
+    /// Accepts a register under the promised ballot or a higher one, never one that is older than the accepted one. It
+    /// becomes this voter's register when it is on disk.
+    fn handle_accept(&self, register: Register, now: Timestamp) -> VoterOutput {
+        // A register that names no membership could never be found by a majority again.
+        let names_no_membership = register.membership.epoch == 0;
+        let is_older = register.rank() < self.register.rank();
+        if names_no_membership || register.ballot < self.record.ballot || is_older {
+            return self.refuse(now);
+        }
+        // A leaseholder gives each revision once under its ballot, so this is the same register, sent again.
+        if register.rank() == self.register.rank() {
+            return VoterOutput::without_write(Vote::Accepted);
+        }
+        VoterOutput { vote: Vote::Accepted, write: Some(DurableWrite::Register(Box::new(register))) }
+    }
+
+    /// Ends the lease under that ballot, so that nobody has to wait for its end.
+    fn handle_release(&mut self, ballot: Ballot) -> VoterOutput {
+        if self.lease.is_some_and(|lease| lease.ballot == ballot) {
+            self.lease = None;
+        }
+        VoterOutput::without_write(Vote::Accepted)
+    }
+
+    /// Tells a member with amnesia what this voter has promised and accepted, and remembers its new incarnation. That is
+    /// on disk before the answer is sent, as from then on votes of earlier incarnations must not count beside this voter's.
+    fn handle_recovery(&mut self, member: SocketAddr, incarnation: u64) -> VoterOutput {
+        let known = self.record.peer_incarnations.get(&member).copied().unwrap_or(0);
+        if incarnation < known {
+            return VoterOutput::without_write(Vote::Superseded { incarnation: known });
+        }
+        self.record.peer_incarnations.insert(member, incarnation);
+        self.unpersisted.peer_incarnations |= incarnation > known;
+        // The promised ballot is told, too, so it has to be on disk as well.
+        let needs_write = self.unpersisted.peer_incarnations || self.unpersisted.ballot;
+        VoterOutput {
+            vote: Vote::Recovered { promised: self.record.ballot, register: self.register.clone() },
+            write: needs_write.then(|| DurableWrite::VoterRecord(self.record())),
+        }
+    }
+
+    /// Whether a lease under a sufficient ballot would be granted: no other one is valid here, and none that was granted
+    /// before a restart can be.
+    fn may_grant_lease(&self, candidate: SocketAddr, now: Timestamp) -> bool {
+        let is_held_by_another =
+            self.lease.is_some_and(|lease| lease.is_valid(now) && lease.holder != candidate);
+        !is_held_by_another && now >= self.grants_suspended_until
+    }
+
+    fn promise_with_lease(&mut self, ballot: Ballot, holder: SocketAddr, now: Timestamp) {
+        self.record.ballot = ballot;
+        self.record.promised_to = Some(holder);
+        self.lease = Some(GrantedLease::starting(ballot, holder, now));
+    }
+
+    fn refuse(&self, now: Timestamp) -> VoterOutput {
+        let vote = Vote::Refused { promised: self.record.ballot, leaseholder: self.leaseholder(now) };
+        VoterOutput::without_write(vote)
+    }
+}
--- a/crates/consensus/src/voter/tests.rs
+++ b/crates/consensus/src/voter/tests.rs
@@ -1,229 +1,245 @@
 use super::*;
-use crate::membership::{RecoveryDecision, majority, recovery};
-use vanewharf_protocol::messages::RegisterRank;
-use vanewharf_protocol::messages::Revision;
+use crate::membership::majority;
+use crate::recovery::{RecoveryDecision, decide_recovery};
+use crate::test_support::{START, address, addresses, membership};
+use std::collections::BTreeMap;
+use vanewharf_protocol::messages::{RegisterRank, Revision, VoteRequest};
 
-const START: Timestamp = Timestamp(1_000_000_000);
+/// The incarnation of a member after its first loss of the disk.
+const SECOND_INCARNATION: u64 = 1 << 32;
 
-fn addr(no: u8) -> SocketAddr {
-    SocketAddr::from(([10, 0, 0, no], 7600))
+fn seeds() -> Vec<SocketAddr> {
+    addresses(&[1, 2, 3])
 }
 
-fn lease(ballot: u64, no: u8) -> VoteRequest {
-    VoteRequest::Lease { ballot: Ballot(ballot), candidate: addr(no) }
+fn initial_voter() -> Voter {
+    Voter::start(None, None, &seeds(), StartKind::Initial, START)
 }
 
-fn promised(ballot: u64) -> VoterRecord {
-    VoterRecord { ballot: Ballot(ballot), ..Voter::start(None, None, &seeds(), true, START).record() }
+fn restarted_voter(record: Option<&VoterRecord>, now: Timestamp) -> Voter {
+    Voter::start(record, None, &seeds(), StartKind::Restart, now)
 }
 
-fn seeds() -> Vec<SocketAddr> {
-    (1..4).map(addr).collect()
+fn record_with_ballot(ballot: u64) -> VoterRecord {
+    VoterRecord { ballot: Ballot(ballot), ..initial_voter().record() }
+}
+
+fn lease(ballot: u64, candidate: u8) -> VoteRequest {
+    VoteRequest::Lease { ballot: Ballot(ballot), candidate: address(candidate) }
+}
+
+fn renew(ballot: u64, holder: u8) -> VoteRequest {
+    VoteRequest::Renew { ballot: Ballot(ballot), leaseholder: address(holder) }
+}
+
+fn recover(member: u8, incarnation: u64) -> VoteRequest {
+    VoteRequest::Recover { member: address(member), incarnation }
+}
+
+fn register(ballot: u64, revision: u64) -> Register {
+    crate::test_support::register(ballot, revision, membership(1, &[1, 2, 3], &[]))
+}
+
+/// Sends a register and writes what has to be written; whether it was accepted.
+fn accept(voter: &mut Voter, register: Register, now: Timestamp) -> bool {
+    let output = voter.handle_vote_request(VoteRequest::Accept { register }, now);
+    output.write.into_iter().for_each(|write| voter.mark_persisted(write));
+    matches!(output.vote, Vote::Accepted)
+}
+
+fn voter_with_register(ballot: u64, revision: u64) -> Voter {
+    let mut voter = initial_voter();
+    assert!(accept(&mut voter, register(ballot, revision), START));
+    voter
 }
 
-/// What the others tell one with amnesia, as votes of theirs, and what it goes by then.
-fn recover(me: u8, others: &mut [(u8, &mut Voter)], incarnation: u64) -> Option<(VoterRecord, Register)> {
-    let request = VoteRequest::Recover { member: addr(me), incarnation };
-    let mut told = BTreeMap::new();
-    for (no, voter) in others {
-        let step = voter.handle_vote_request(request.clone(), START);
-        told.insert(addr(*no), voter.response(step.vote));
+/// What a member with amnesia recovers from the answers of the others.
+fn recover_from(
+    member: u8,
+    others: &mut [(u8, &mut Voter)],
+    incarnation: u64,
+) -> Option<(VoterRecord, Register)> {
+    let mut responses = BTreeMap::new();
+    for (number, voter) in others {
+        let output = voter.handle_vote_request(recover(member, incarnation), START);
+        responses.insert(address(*number), voter.response(output.vote));
     }
-    match recovery(addr(me), &seeds(), &told) {
+    match decide_recovery(address(member), &seeds(), &responses) {
         RecoveryDecision::Recover { promised, register } => {
-            let blank = Voter::start(None, None, &seeds(), true, START).record();
-            Some((VoterRecord { ballot: promised, incarnation, ..blank }, *register))
+            Some((VoterRecord { ballot: promised, incarnation, ..initial_voter().record() }, *register))
         }
         RecoveryDecision::Query(_) => None,
     }
 }
 
-fn register(ballot: u64, no: u64) -> Register {
-    let membership = initial_membership(seeds());
-    Register { ballot: Ballot(ballot), revision: Revision(no), membership, ..Register::empty() }
-}
-
-fn keep(voter: &mut Voter, kept: Register, now: Timestamp) -> bool {
-    let step = voter.handle_vote_request(VoteRequest::Accept { register: kept }, now);
-    step.write.into_iter().for_each(|save| voter.mark_persisted(save));
-    matches!(step.vote, Vote::Accepted)
-}
-
 #[test]
-fn one_holder_at_a_time_and_none_right_after_a_restart() {
-    let mut voter = Voter::start(None, None, &seeds(), true, START);
+fn a_lease_is_granted_to_one_at_a_time_and_to_none_right_after_a_restart() {
+    let mut voter = initial_voter();
     assert!(matches!(voter.handle_vote_request(lease(1 << 8, 1), START).vote, Vote::Granted { .. }));
     let (soon, later) = (START.after(LEASE_DURATION / 2), START.after(LEASE_DURATION));
     assert!(
         matches!(voter.handle_vote_request(lease(2 << 8, 2), soon).vote, Vote::Refused { .. }),
-        "it is held"
+        "another one holds it"
     );
-    let renew = |ballot| VoteRequest::Renew { ballot: Ballot(ballot), leaseholder: addr(1) };
-    assert!(matches!(voter.handle_vote_request(renew(1 << 8), soon).vote, Vote::Accepted));
+    assert!(matches!(voter.handle_vote_request(renew(1 << 8, 1), soon).vote, Vote::Accepted));
     assert!(
         matches!(voter.handle_vote_request(lease(2 << 8, 2), later).vote, Vote::Refused { .. }),
         "it was renewed"
     );
-    assert!(matches!(
-        voter.handle_vote_request(lease(2 << 8, 2), soon.after(LEASE_DURATION)).vote,
-        Vote::Granted { .. }
-    ));
-    assert!(matches!(
-        voter.handle_vote_request(renew(1 << 8), later.after(LEASE_DURATION)).vote,
-        Vote::Refused { .. }
-    ));
-    let mut back = Voter::start(Some(&promised(2 << 8)), None, &seeds(), false, START);
+    let expired = soon.after(LEASE_DURATION);
+    assert!(matches!(voter.handle_vote_request(lease(2 << 8, 2), expired).vote, Vote::Granted { .. }));
+    let vote = voter.handle_vote_request(renew(1 << 8, 1), later.after(LEASE_DURATION)).vote;
+    assert!(matches!(vote, Vote::Refused { .. }));
+    let mut restarted = restarted_voter(Some(&record_with_ballot(2 << 8)), START);
     assert!(
-        matches!(back.handle_vote_request(lease(3 << 8, 1), soon).vote, Vote::Refused { .. }),
-        "granted before, perhaps"
+        matches!(restarted.handle_vote_request(lease(3 << 8, 1), soon).vote, Vote::Refused { .. }),
+        "it may have granted one before the restart"
     );
-    assert!(matches!(back.handle_vote_request(lease(3 << 8, 1), later).vote, Vote::Granted { .. }));
+    assert!(matches!(restarted.handle_vote_request(lease(3 << 8, 1), later).vote, Vote::Granted { .. }));
 }
 
 #[test]
-fn a_restart_waits_no_longer_once_the_one_promised_to_disowns_the_lease() {
-    let mut back = Voter::start(Some(&promised(2 << 8)), None, &seeds(), false, START);
-    back.end_quiet_period(Ballot(1 << 8), START);
-    assert!(!back.may_campaign(START), "that is another's");
-    back.end_quiet_period(Ballot(2 << 8), START);
-    assert!(back.may_campaign(START));
+fn a_restarted_voter_waits_no_longer_once_the_promised_candidate_disowns_the_lease() {
+    let mut restarted = restarted_voter(Some(&record_with_ballot(2 << 8)), START);
+    restarted.end_quiet_period(Ballot(1 << 8), START);
+    assert!(!restarted.may_campaign(START), "that is another ballot");
+    restarted.end_quiet_period(Ballot(2 << 8), START);
+    assert!(restarted.may_campaign(START));
 }
 
 #[test]
-fn what_was_kept_under_an_older_ballot_gives_way_and_nothing_older_is_kept() {
-    let mut voter = Voter::start(None, None, &seeds(), true, START);
-    assert!(keep(&mut voter, register(1 << 8, 3), START));
+fn a_register_of_an_older_ballot_gives_way_and_nothing_older_is_accepted() {
+    let mut voter = initial_voter();
+    assert!(accept(&mut voter, register(1 << 8, 3), START));
     assert!(matches!(voter.handle_vote_request(lease(2 << 8, 2), START).vote, Vote::Granted { .. }));
-    assert!(!keep(&mut voter, register(1 << 8, 4), START), "promised to another since");
-    assert!(keep(&mut voter, register(2 << 8, 3), START));
-    assert!(!keep(&mut voter, register(2 << 8, 2), START), "older");
+    assert!(!accept(&mut voter, register(1 << 8, 4), START), "promised to another since");
+    assert!(accept(&mut voter, register(2 << 8, 3), START));
+    assert!(!accept(&mut voter, register(2 << 8, 2), START), "older");
     assert_eq!(voter.register().rank(), RegisterRank { ballot: Ballot(2 << 8), revision: Revision(3) });
 }
 
 #[test]
-fn the_count_of_doors_outlasts_a_restart_and_is_told_with_the_grant() {
-    let mut voter = Voter::start(None, None, &seeds(), true, START);
-    let saved = voter.update_proxy_count(8);
-    assert!(voter.update_proxy_count(8).is_none() && voter.update_proxy_count(0).is_none(), "no news");
-    let Some(DurableWrite::VoterRecord(record)) = saved else { panic!("{saved:?}") };
-    let mut back = Voter::start(Some(&record), None, &seeds(), false, START);
-    let granted = back.handle_vote_request(lease(1 << 8, 1), START.after(LEASE_DURATION)).vote;
-    assert!(matches!(granted, Vote::Granted { quota_divisor: 8, .. }), "{granted:?}");
+fn the_quota_divisor_outlasts_a_restart_and_is_told_with_the_grant() {
+    let mut voter = initial_voter();
+    let write = voter.update_quota_divisor(8);
+    assert!(
+        voter.update_quota_divisor(8).is_none() && voter.update_quota_divisor(0).is_none(),
+        "nothing new"
+    );
+    let Some(DurableWrite::VoterRecord(record)) = write else { panic!("{write:?}") };
+    let mut restarted = restarted_voter(Some(&record), START);
+    let vote = restarted.handle_vote_request(lease(1 << 8, 1), START.after(LEASE_DURATION)).vote;
+    assert!(matches!(vote, Vote::Granted { quota_divisor: 8, .. }), "{vote:?}");
 }
 
 #[test]
-fn what_was_not_saved_is_not_held() {
-    let mut voter = Voter::start(None, None, &seeds(), true, START);
-    let step = voter.handle_vote_request(VoteRequest::Accept { register: register(1 << 8, 1) }, START);
-    assert!(step.write.is_some(), "the disk then refuses it");
+fn a_register_that_was_not_written_is_not_accepted() {
+    let mut voter = initial_voter();
+    let output = voter.handle_vote_request(VoteRequest::Accept { register: register(1 << 8, 1) }, START);
+    assert!(output.write.is_some(), "the write then fails");
     assert_eq!(voter.register().revision, Revision(0));
 }
 
 #[test]
-fn one_with_amnesia_does_nothing_until_it_has_recovered() {
-    let mut voter = Voter::start(None, None, &seeds(), false, START);
-    let asked = VoteRequest::Recover { member: addr(2), incarnation: 1 };
-    for request in [lease(1 << 8, 1), VoteRequest::Accept { register: register(1 << 8, 1) }, asked] {
+fn a_voter_with_amnesia_votes_on_nothing_until_it_has_recovered() {
+    let mut voter = restarted_voter(None, START);
+    let accept_request = VoteRequest::Accept { register: register(1 << 8, 1) };
+    for request in [lease(1 << 8, 1), accept_request, recover(2, 1)] {
         let vote = voter.handle_vote_request(request, START.after(LEASE_DURATION)).vote;
-        assert!(matches!(&vote, Vote::Amnesic { seeds: told } if *told == seeds()), "{vote:?}");
+        assert!(matches!(&vote, Vote::Amnesic { seeds: theirs } if *theirs == seeds()), "{vote:?}");
     }
-    let (mut one, mut other) = (Voter::start(None, None, &seeds(), true, START), voter_at(4 << 8, 6));
+    let (mut one, mut other) = (initial_voter(), voter_with_register(4 << 8, 6));
     one.mark_persisted(DurableWrite::Register(Box::new(register(3 << 8, 7))));
     assert!(matches!(one.handle_vote_request(lease(5 << 8, 1), START).vote, Vote::Granted { .. }));
-    let (promise, register) = recover(1, &mut [(2, &mut one), (3, &mut other)], 1 << 32).expect("both told");
-    assert_eq!(
-        (promise.ballot, register.rank()),
-        (Ballot(5 << 8), RegisterRank { ballot: Ballot(4 << 8), revision: Revision(6) })
-    );
-    voter.complete_recovery(&promise, register, START);
-    assert!(!keep(&mut voter, self::register(4 << 8, 9), START), "the others have promised to 5");
-    assert!(keep(&mut voter, self::register(5 << 8, 9), START));
+    let others = &mut [(2, &mut one), (3, &mut other)];
+    let (record, recovered) = recover_from(1, others, SECOND_INCARNATION).expect("both responded");
+    let recovered_rank = RegisterRank { ballot: Ballot(4 << 8), revision: Revision(6) };
+    assert_eq!((record.ballot, recovered.rank()), (Ballot(5 << 8), recovered_rank));
+    voter.complete_recovery(&record, recovered, START);
+    assert!(!accept(&mut voter, register(4 << 8, 9), START), "the others have promised ballot 5");
+    assert!(accept(&mut voter, register(5 << 8, 9), START));
     assert!(
         matches!(voter.handle_vote_request(lease(6 << 8, 1), START).vote, Vote::Refused { .. }),
-        "it may have granted one"
+        "it may have granted one before it forgot"
     );
 }
 
-fn voter_at(ballot: u64, no: u64) -> Voter {
-    let mut voter = Voter::start(None, None, &seeds(), true, START);
-    assert!(keep(&mut voter, register(ballot, no), START));
-    voter
-}
-
 #[test]
 fn a_later_incarnation_is_kept_on_disk_and_an_earlier_one_is_told_so() {
-    let mut voter = voter_at(4 << 8, 6);
-    let recover = |incarnation| VoteRequest::Recover { member: addr(2), incarnation };
-    let step = voter.handle_vote_request(recover(7 << 32), START);
-    let Some(DurableWrite::VoterRecord(record)) = step.write else { panic!("nothing to save") };
-    let mut back = Voter::start(Some(&record), None, &seeds(), false, START);
-    assert!(
-        matches!(back.handle_vote_request(recover(6 << 32), START).vote, Vote::Superseded { incarnation } if incarnation == 7 << 32)
-    );
-    let again = back.handle_vote_request(recover(7 << 32), START);
+    let mut voter = voter_with_register(4 << 8, 6);
+    let output = voter.handle_vote_request(recover(2, 7 << 32), START);
+    let Some(DurableWrite::VoterRecord(record)) = output.write else { panic!("nothing to write") };
+    let mut restarted = restarted_voter(Some(&record), START);
+    let vote = restarted.handle_vote_request(recover(2, 6 << 32), START).vote;
+    assert!(matches!(vote, Vote::Superseded { incarnation } if incarnation == 7 << 32));
+    let again = restarted.handle_vote_request(recover(2, 7 << 32), START);
     assert!(matches!(again.vote, Vote::Recovered { .. }) && again.write.is_none(), "the answer was lost");
-    assert_eq!(back.response(Vote::StorageFailed).incarnations, BTreeMap::from([(addr(2), 7 << 32)]));
-    let (one, other) = (next_incarnation(7 << 32 | 9, 1), next_incarnation(7 << 32 | 9, u64::MAX));
-    assert!(one > 7 << 32 | 9 && other > one && other < 9 << 32);
+    assert_eq!(restarted.response(Vote::StorageFailed).incarnations, BTreeMap::from([(address(2), 7 << 32)]));
 }
 
 #[test]
-fn a_promise_that_the_disk_refused_is_saved_with_the_next_vote_that_goes_by_it() {
-    let asked = VoteRequest::Recover { member: addr(2), incarnation: 7 << 32 };
-    let renewed = VoteRequest::Renew { ballot: Ballot(5 << 8), leaseholder: addr(1) };
-    for request in [asked, renewed] {
-        let mut voter = voter_at(4 << 8, 6);
-        assert!(
-            voter.handle_vote_request(request.clone(), START).write.is_some(),
-            "the disk then refuses it"
-        );
-        let Some(save) = voter.handle_vote_request(request.clone(), START).write else {
-            panic!("said without being on disk")
+fn a_record_whose_write_failed_is_written_with_the_next_vote_that_depends_on_it() {
+    for request in [recover(2, 7 << 32), renew(5 << 8, 1)] {
+        let mut voter = voter_with_register(4 << 8, 6);
+        assert!(voter.handle_vote_request(request.clone(), START).write.is_some(), "the write then fails");
+        let Some(write) = voter.handle_vote_request(request.clone(), START).write else {
+            panic!("voted without being on disk")
         };
-        voter.mark_persisted(save);
+        voter.mark_persisted(write);
         assert!(voter.handle_vote_request(request, START).write.is_none(), "it is on disk");
     }
 }
 
 #[test]
-fn ballots_of_two_machines_differ_wherever_they_are() {
-    let at = |ip: [u8; 4]| SocketAddr::from((ip, 7600));
-    assert_ne!(next_ballot(Ballot(0), at([10, 1, 2, 3])), next_ballot(Ballot(0), at([11, 1, 2, 3])));
-    let mine = next_ballot(Ballot(0), at([10, 1, 2, 3]));
-    assert!(next_ballot(mine, at([0, 0, 0, 1])) > mine);
+fn the_record_has_the_field_names_that_are_on_disk_already() {
+    let record = VoterRecord {
+        ballot: Ballot(7),
+        promised_to: Some(address(2)),
+        initial_members: seeds(),
+        quota_divisor: 8,
+        incarnation: 5,
+        peer_incarnations: BTreeMap::from([(address(3), 9)]),
+    };
+    let text = concat!(
+        r#"{"ballot":7,"holder":"10.0.0.2:7600","founders":["10.0.0.1:7600","10.0.0.2:7600","10.0.0.3:7600"],"#,
+        r#""doors":8,"incarnation":5,"incarnations":{"10.0.0.3:7600":9}}"#
+    );
+    assert_eq!(serde_json::to_string(&record).expect("JSON"), text);
+    assert_eq!(serde_json::from_str::<VoterRecord>(text).expect("a record"), record);
+    let oldest = r#"{"ballot":7,"holder":null,"founders":[]}"#;
+    let read: VoterRecord = serde_json::from_str(oldest).expect("a record of the first version");
+    assert_eq!(read, VoterRecord { ballot: Ballot(7), ..VoterRecord::default() });
 }
 
-/// All histories of three voters and two holders of a fixed length, by a seeded walk: no two registers are ever kept by
-/// majorities under one number, and none that was is lost to a later holder.
+/// All histories of three voters and two leaseholders of a fixed length, by a seeded walk: no two registers are ever
+/// accepted by majorities under one revision, and none that was is lost to a later leaseholder.
 #[test]
-fn what_a_majority_kept_is_found_by_every_later_holder() {
-    use rand_walk::Walk;
+fn a_register_that_a_majority_accepted_is_found_by_every_later_leaseholder() {
     for seed in 0..400 {
-        let mut walk = Walk(seed);
-        let mut voters: Vec<_> = (0..3).map(|_| Voter::start(None, None, &seeds(), true, START)).collect();
+        let mut walk = random_walk::RandomWalk(seed);
+        let mut voters: Vec<_> = (0..3).map(|_| initial_voter()).collect();
         let mut now = START;
         let mut acknowledged: Option<Register> = None;
         for turn in 1..60u64 {
             now = now.after(LEASE_DURATION);
             let ballot = Ballot(turn << 8);
-            // Some of the voters hear, in any order; one may have lost its disk since, and recovered.
+            // One voter may have lost its disk since, and recovered.
             if walk.draw(6) == 0 {
                 let lost = walk.draw(3) as usize;
-                let mut fresh = Voter::start(None, None, &seeds(), false, now);
-                let others = voters.iter_mut().enumerate().filter(|(no, _)| *no != lost);
-                let mut others: Vec<_> = others.map(|(no, voter)| (no as u8 + 1, voter)).collect();
-                let recovered = recover(lost as u8 + 1, &mut others, turn << 32);
-                let (promise, register) = recovered.expect("both others were heard");
-                fresh.complete_recovery(&promise, register, now);
-                voters[lost] = fresh;
+                let mut recovered = restarted_voter(None, now);
+                let others = voters.iter_mut().enumerate().filter(|(index, _)| *index != lost);
+                let mut others: Vec<_> = others.map(|(index, voter)| (index as u8 + 1, voter)).collect();
+                let from_others = recover_from(lost as u8 + 1, &mut others, turn << 32);
+                let (record, register) = from_others.expect("both others responded");
+                recovered.complete_recovery(&record, register, now);
+                voters[lost] = recovered;
                 now = now.after(LEASE_DURATION);
             }
-            let heard: Vec<_> = (0..3).filter(|_| walk.draw(3) > 0).collect();
+            let reached: Vec<_> = (0..3).filter(|_| walk.draw(3) > 0).collect();
             let mut granted = Vec::new();
-            for &no in &heard {
-                let vote_request = VoteRequest::Lease { ballot, candidate: addr(1) };
-                if let Vote::Granted { register, .. } = voters[no].handle_vote_request(vote_request, now).vote
-                {
+            for &index in &reached {
+                let request = VoteRequest::Lease { ballot, candidate: address(1) };
+                if let Vote::Granted { register, .. } = voters[index].handle_vote_request(request, now).vote {
                     granted.push(register);
                 }
             }
@@ -238,17 +254,18 @@
                 );
                 let same =
                     found.revision > acknowledged.revision || found.evacuated == acknowledged.evacuated;
-                assert!(same, "seed {seed}: two registers under one number");
+                assert!(same, "seed {seed}: two registers under one revision");
             }
             let mut next = Register { ballot, ..found };
-            for fresh in [false, true] {
-                if fresh {
+            for is_new in [false, true] {
+                if is_new {
                     next.revision = Revision(next.revision.0 + 1);
                     next.evacuated = [format!("{turn}")].into();
                 }
-                let kept = (0..3).filter(|_| walk.draw(4) > 0).collect::<Vec<_>>();
-                let kept = kept.into_iter().filter(|&no| keep(&mut voters[no], next.clone(), now)).count();
-                if kept < majority(3) {
+                let reached: Vec<_> = (0..3).filter(|_| walk.draw(4) > 0).collect();
+                let accepting =
+                    reached.iter().filter(|&&index| accept(&mut voters[index], next.clone(), now));
+                if accepting.count() < majority(3) {
                     break;
                 }
                 acknowledged = Some(next.clone());
@@ -257,10 +274,11 @@
     }
 }
 
-mod rand_walk {
-    pub struct Walk(pub u64);
+mod random_walk {
+    /// A seeded sequence of draws.
+    pub struct RandomWalk(pub u64);
 
-    impl Walk {
+    impl RandomWalk {
         pub fn draw(&mut self, below: u64) -> u64 {
             self.0 = self.0.wrapping_mul(6364136223846793005).wrapping_add(1442695040888963407);
             (self.0 >> 33) % below
--- a/crates/consensus/tests/model/drift.rs
+++ b/crates/consensus/tests/model/drift.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 use vanewharf_clock::Timestamp;
 use vanewharf_consensus::HeldLease;
-use vanewharf_consensus::{LEASE_DURATION, LEASE_SAFETY_MARGIN, Voter};
+use vanewharf_consensus::{LEASE_DURATION, LEASE_SAFETY_MARGIN, StartKind, Voter};
 use vanewharf_protocol::messages::{Ballot, Vote, VoteRequest};
 use yare::parameterized;
 
@@ -22,7 +22,7 @@
     let seeds: Vec<_> = (0..3).map(addr).collect();
     (0..20_000u64).any(|tenths| {
         let truly = Duration::from_micros(tenths * 100);
-        let mut one = Voter::start(None, None, &seeds, true, Timestamp(START));
+        let mut one = Voter::start(None, None, &seeds, StartKind::Initial, Timestamp(START));
         // Asked and granted at one moment: the worst for the holder.
         assert!(matches!(one.handle_vote_request(lease(1, 0), Timestamp(START)).vote, Vote::Granted { .. }));
         let granted =
--- a/crates/consensus/tests/model/machine.rs
+++ b/crates/consensus/tests/model/machine.rs
@@ -9,7 +9,7 @@
 use std::net::SocketAddr;
 use vanewharf_clock::Timestamp;
 use vanewharf_consensus::{AcceptRound, BallotClaim, Election, HeldLease, RecoveryRound, RenewalRound};
-use vanewharf_consensus::{Voter, VoterRecord};
+use vanewharf_consensus::{StartKind, Voter, VoterRecord};
 use vanewharf_consensus::{all_voters, has_quorum};
 use vanewharf_protocol::messages::{
     Ballot, Membership, Register, RegisterRank, Revision, VoteRequest, VoteResponse,
@@ -345,9 +345,15 @@
         let member = |place: usize| {
             // Machines that came later have followed the others, and have long recovered.
             let first = place < self.founders;
-            let founded = Voter::start(None, None, &founders, true, Timestamp(ORIGIN));
+            let founded = Voter::start(None, None, &founders, StartKind::Initial, Timestamp(ORIGIN));
             let (promise, seeds) = (founded.record(), self.seeds());
-            let mut voter = Voter::start(Some(&promise), None, &seeds, first, Timestamp(ORIGIN));
+            let mut voter = Voter::start(
+                Some(&promise),
+                None,
+                &seeds,
+                if first { StartKind::Initial } else { StartKind::Restart },
+                Timestamp(ORIGIN),
+            );
             voter.end_quiet_period(Ballot(0), Timestamp(ORIGIN));
             Member {
                 up: true,
--- a/crates/consensus/tests/model/steps.rs
+++ b/crates/consensus/tests/model/steps.rs
@@ -7,10 +7,10 @@
 use vanewharf_clock::Timestamp;
 use vanewharf_consensus::all_voters;
 use vanewharf_consensus::next_membership;
+use vanewharf_consensus::{AcceptOutcome, StartKind, Voter, VoterRecord};
 use vanewharf_consensus::{AcceptRound, BallotClaim, Election, HeldLease, RecoveryRound, RenewalRound};
 use vanewharf_consensus::{DurableWrite, LEASE_DURATION, next_ballot};
 use vanewharf_consensus::{ElectionOutcome, RecoveryStep, RenewalOutcome};
-use vanewharf_consensus::{Voter, VoterRecord};
 use vanewharf_protocol::messages::Vote;
 use vanewharf_protocol::messages::{Ballot, Register, Revision, VoteRequest, VoteResponse};
 
@@ -345,7 +345,8 @@
         let wiped = u64::from(self.budget.wipes - state.left.wipes);
         let member = &mut state.members[place];
         member.up = true;
-        member.voter = Voter::start(member.promise.as_ref(), member.register.clone(), &seeds, false, now);
+        member.voter =
+            Voter::start(member.promise.as_ref(), member.register.clone(), &seeds, StartKind::Restart, now);
         if self.has(Planted::NoQuietTerm) {
             member.voter.end_quiet_period(member.voter.promised_ballot(), now);
         }
@@ -495,8 +496,8 @@
             }
             match keeping.record_response(from, cast) {
                 ControlFlow::Continue(()) => member.keeping = Some((round, purpose, register, keeping)),
-                ControlFlow::Break(true) => self.carried(state, me, purpose, register),
-                ControlFlow::Break(false) => {}
+                ControlFlow::Break(AcceptOutcome::Committed) => self.carried(state, me, purpose, register),
+                ControlFlow::Break(AcceptOutcome::Rejected) => {}
             }
         } else if let Some((_, mut recovering)) = member.recovering.take_if(|now| now.0 == round) {
             self.told(state, (me, round), (voter, request), &mut recovering, cast);
@@ -570,7 +571,7 @@
             Vote::Recovered { promised, register } if self.has(Planted::FirstSeedBelieved) => {
                 let membership = register.membership.clone();
                 let incarnation = recovering.incarnation();
-                let blank = Voter::start(None, None, &membership.voters, true, now).record();
+                let blank = Voter::start(None, None, &membership.voters, StartKind::Initial, now).record();
                 let promise = VoterRecord { ballot: *promised, incarnation, ..blank };
                 Some(RecoveryStep::Restore(Box::new(promise), Box::new(register.clone())))
             }
--- a/programs/controller/src/lib.rs
+++ b/programs/controller/src/lib.rs
@@ -22,7 +22,7 @@
 use storage::{Record, Storage};
 use tokio::time::sleep;
 use vanewharf_config::settings::Settings;
-use vanewharf_consensus::{Voter, VoterRecord};
+use vanewharf_consensus::{StartKind, Voter, VoterRecord};
 use vanewharf_discovery::FleetAggregator;
 use vanewharf_protocol::messages::ControllerEntry;
 use vanewharf_quota::TokenBuckets;
@@ -74,10 +74,13 @@
     let feed = Publisher::new(steady);
     let me = settings.office(settings.ip);
     let promise: Option<VoterRecord> = found.record(Record::Promise);
-    let first = settings.initial_start && found.nothing();
+    let start =
+        if settings.initial_start && found.nothing() { StartKind::Initial } else { StartKind::Restart };
     let seeds: Vec<_> = settings.seeds.iter().map(|seed| settings.office(seed.ip())).collect();
-    let voter = Voter::start(promise.as_ref(), found.record(Record::Register), &seeds, first, steady.now());
-    if first && let Err(error) = disk.save(Record::Promise, &voter.record()).await {
+    let voter = Voter::start(promise.as_ref(), found.record(Record::Register), &seeds, start, steady.now());
+    if start == StartKind::Initial
+        && let Err(error) = disk.save(Record::Promise, &voter.record()).await
+    {
         spdlog::warn!("the set of voters is not on disk: {}", error);
     }
     let amnesic = voter.is_amnesic();
--- a/programs/controller/src/operator_api.rs
+++ b/programs/controller/src/operator_api.rs
@@ -48,14 +48,17 @@
     let config = Config::of(body).map_err(|fault| RpcResponse::status(400, &fault.to_string()))?;
     let text = String::from_utf8(body.to_vec()).map_err(|_| RpcResponse::status(400, "it is no text"))?;
     let raw = RawValue::from_string(text).map_err(|error| RpcResponse::status(400, &error.to_string()))?;
-    Ok(Order::Change(OperatorChange::Replace { revision: config.revision, config: raw }))
+    Ok(Order::Change(OperatorChange::ReplaceConfig { revision: config.revision, config: raw }))
 }
 
 pub fn evacuate(state: &ControllerState, zone: &str, begin: bool) -> Result<Order, RpcResponse> {
     if !state.settings.zones.contains_key(zone) {
         return Err(RpcResponse::status(404, &format!("the zone {zone} is not known")));
     }
-    Ok(Order::Change(OperatorChange::Evacuate { zone: zone.to_owned(), begin }))
+    let zone = zone.to_owned();
+    let change =
+        if begin { OperatorChange::BeginEvacuation { zone } } else { OperatorChange::EndEvacuation { zone } };
+    Ok(Order::Change(change))
 }
 
 /// By the addresses of machines. The one that takes orders knows who keeps up; no change is begun that these could not
--- a/programs/controller/src/replica/election.rs
+++ b/programs/controller/src/replica/election.rs
@@ -65,7 +65,7 @@
                 sleep(Duration::from_millis(50 + self.premises.draw(200))).await;
                 continue;
             };
-            self.doors.set(election.proxy_count());
+            self.doors.set(election.quota_divisor());
             self.term.set(Some(HeldLease::granted(ballot, asked)));
             again = self.hold(ballot, found).await;
             self.term.set(None);
--- a/programs/controller/src/replica/replication.rs
+++ b/programs/controller/src/replica/replication.rs
@@ -7,8 +7,8 @@
 use std::time::Duration;
 use tokio::sync::mpsc;
 use tokio::time::{sleep, timeout};
-use vanewharf_consensus::AcceptRound;
 use vanewharf_consensus::all_voters;
+use vanewharf_consensus::{AcceptOutcome, AcceptRound};
 use vanewharf_protocol::messages::{Register, RegisterRank, Revision, Vote, VoteRequest};
 
 /// For one that does, once.
@@ -45,8 +45,8 @@
         let mut keeping = AcceptRound::start(register);
         let counting = async {
             while let Some((voter, cast)) = votes.recv().await {
-                if let ControlFlow::Break(carried) = keeping.record_response(voter, cast) {
-                    return carried;
+                if let ControlFlow::Break(outcome) = keeping.record_response(voter, cast) {
+                    return outcome == AcceptOutcome::Committed;
                 }
             }
             false
--- a/programs/controller/src/replica/vote_rpc.rs
+++ b/programs/controller/src/replica/vote_rpc.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 use tokio::sync::mpsc;
 use tokio::time::timeout;
-use vanewharf_consensus::{all_voters, assenting_voters, has_quorum};
+use vanewharf_consensus::{QuorumTracker, all_voters};
 use vanewharf_protocol::messages::{Ballot, Membership, Vote, VoteRequest, VoteResponse};
 use vanewharf_rpc::RpcClient;
 
@@ -68,15 +68,11 @@
     }
 
     pub(super) async fn release(self: &Rc<Self>, set: &Membership, ballot: Ballot) {
-        let mut votes = Vec::new();
+        let mut tally = QuorumTracker::new(set.clone());
         let request = VoteRequest::Release { ballot };
         self.poll(&all_voters(set), request, |voter, cast| {
-            votes.push((voter, cast));
-            if has_quorum(set, &assenting_voters(&votes)) {
-                ControlFlow::Break(())
-            } else {
-                ControlFlow::Continue(())
-            }
+            tally.record(voter, cast);
+            if tally.has_quorum() { ControlFlow::Break(()) } else { ControlFlow::Continue(()) }
         })
         .await;
     }
--- a/programs/controller/src/replica/voter_task.rs
+++ b/programs/controller/src/replica/voter_task.rs
@@ -40,7 +40,7 @@
             let (vote_request, reply) = match command {
                 Command::Hear(vote_request, reply) => (vote_request, reply),
                 Command::Count(doors) => {
-                    let save = self.voter.borrow_mut().update_proxy_count(doors);
+                    let save = self.voter.borrow_mut().update_quota_divisor(doors);
                     self.note(&disk, save, "the count of doors");
                     continue;
                 }
@@ -142,7 +142,7 @@
 
     /// Quotas are divided by so many doors: kept, so that a holder after the loss of all processes knows.
     pub fn count(&self, doors: u32) {
-        if doors != self.voter.borrow().proxy_count() {
+        if doors != self.voter.borrow().quota_divisor() {
             // The owner ends with the program only.
             let _ = self.commands.send(Command::Count(doors));
         }
--- a/programs/controller/src/roles/membership_management.rs
+++ b/programs/controller/src/roles/membership_management.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::time::sleep;
-use vanewharf_consensus::{VoterCandidate, plan_next_voters, voter_count_for};
+use vanewharf_consensus::{LocalMember, VoterCandidate, plan_next_voters, voter_count_for};
 use vanewharf_protocol::messages::Membership;
 
 /// How often it is seen whether a voter is missing.
@@ -17,9 +17,9 @@
     /// Who votes, and who may, as the holder sees it.
     pub fn candidates(&self) -> (Membership, Vec<VoterCandidate>) {
         let membership = self.replica.membership();
-        let me = (self.replica.me, self.settings.zone.as_str());
+        let local = LocalMember { address: self.replica.me, zone: &self.settings.zone };
         let (address, now) = (|ip| self.settings.office(ip), self.feed.now());
-        let known = self.following.borrow().candidates(&membership.voters, me, address, now);
+        let known = self.following.borrow().candidates(&membership.voters, local, address, now);
         (membership, known)
     }
 
