--- /dev/null
+++ b/crates/gateway-settings/src/policy_start.rs
@@ -0,0 +1,104 @@
+//! What the policy starts from, and the names that the settings give to what the policy numbers.
+
+use crate::limits::idle_reuse_limit;
+use crate::options::{Options, UnreadableOption};
+use std::collections::HashMap;
+use vanewharf_policy::interface::{
+    AllowedActions, BalancerConfig, GatewayId, Idempotency, Plan, PlanId, Product, ProductId, Ticks, WarmUp,
+};
+
+/// The names that the settings give to what the policy numbers.
+#[derive(Debug, Default)]
+pub struct SettingNames {
+    /// The plan of each name.
+    pub plans: HashMap<String, PlanId>,
+    /// The product of each name.
+    pub products: HashMap<String, ProductId>,
+    /// Where this gateway stands; backends with the same locality are near.
+    pub locality: String,
+}
+
+/// Reads what the policy of one gateway starts from at `at`.
+///
+/// # Errors
+///
+/// Where an option cannot be read.
+pub fn policy_start(
+    options: &Options,
+    seed: u64,
+    at: Ticks,
+) -> Result<(BalancerConfig, SettingNames), UnreadableOption> {
+    let mut names = SettingNames { locality: options.text("locality").to_owned(), ..SettingNames::default() };
+    let products = products(options, &mut names)?;
+    let plans = plans(options, &mut names)?;
+    let start = BalancerConfig {
+        seed,
+        started_at: at,
+        gateway: GatewayId(options.optional("me")?.unwrap_or_default()),
+        gateway_count: options.optional("balancers")?.unwrap_or(1).max(1),
+        products,
+        plans,
+        allowed: allowances(options)?,
+        warm_up: WarmUp {
+            initial_capacity: options.number("rules.cold_from")?,
+            ramp_time: options.time("rules.ramp_time")?,
+        },
+        idle_timeout: idle_reuse_limit(options.time("allowed.conn_idle")?),
+        meter_period: options.time("family_info.use_period")?,
+        counter_timeout: options
+            .flag("family_info.shared_counter")?
+            .then_some(options.time("family_info.count_wait")?),
+        peer_messages: options.flag("allowed.peer_messages")?,
+        max_cost: options.number("family_info.most_units")?,
+    };
+    Ok((start, names))
+}
+
+fn products(options: &Options, names: &mut SettingNames) -> Result<Vec<Product>, UnreadableOption> {
+    let mut products = Vec::new();
+    for item in 0..options.count("classes.count")? {
+        let key = |name: &str| format!("classes.{item}.{name}");
+        let window = options.time(&key("window"))?;
+        let repeat = match options.text(&key("idempotency")) {
+            "retryable" => Idempotency::Idempotent,
+            // Where only some of the backends detect repeats, none is sent.
+            "dedup" if options.text(&key("group")) == "all" => Idempotency::Deduplicated { window },
+            _ => Idempotency::NonIdempotent,
+        };
+        names.products.insert(options.text(&key("name")).to_owned(), ProductId(item));
+        products.push(Product {
+            sla_time: options.time(&key("aim"))?,
+            value: options.number(&key("gain"))?,
+            idempotency: repeat,
+        });
+    }
+    Ok(products)
+}
+
+fn plans(options: &Options, names: &mut SettingNames) -> Result<Vec<Plan>, UnreadableOption> {
+    let mut plans = Vec::new();
+    for item in 0..options.count("tiers_of_service.count")? {
+        let key = |name: &str| format!("tiers_of_service.{item}.{name}");
+        names.plans.insert(options.text(&key("name")).to_owned(), PlanId(item));
+        plans.push(Plan {
+            rate: options.number(&key("rate"))?,
+            burst: options.number(&key("store_size"))?,
+            value_factor: options.number(&key("value_factor"))?,
+            excess_value: options.number(&key("excess_worth"))?,
+            excess_cost: options.number(&key("excess_cost"))?,
+            hard_limit_rate: options.number(&key("ceiling_rate"))?,
+            hard_limit_burst: options.number(&key("never_over_depth"))?,
+        });
+    }
+    Ok(plans)
+}
+
+fn allowances(options: &Options) -> Result<AllowedActions, UnreadableOption> {
+    Ok(AllowedActions {
+        cancel: options.flag("allowed.cancel")?,
+        hedging: options.flag("allowed.second_copies")?,
+        retry_after: options.flag("allowed.retry_after")?,
+        max_retry_after: options.time("allowed.max_retry_after")?,
+        max_attempts: options.count("allowed.most_tries")?,
+    })
+}
--- a/programs/controller/src/replica/voter_task.rs
+++ b/programs/controller/src/replica/voter_task.rs
@@ -40,7 +40,7 @@
             let (vote_request, reply) = match command {
                 Command::Hear(vote_request, reply) => (vote_request, reply),
                 Command::Count(doors) => {
-                    let save = self.voter.borrow_mut().update_proxy_count(doors);
+                    let save = self.voter.borrow_mut().update_quota_divisor(doors);
                     self.note(&disk, save, "the count of doors");
                     continue;
                 }
@@ -59,7 +59,7 @@
                 let (replica, disk) = (Rc::clone(&self), disk.clone());
                 tokio::task::spawn_local(async move {
                     let kept = replica.kept_on(&disk, save).await;
-                    let cast = replica.voter.borrow().response(if kept { vote } else { Vote::Unable });
+                    let cast = replica.voter.borrow().response(if kept { vote } else { Vote::StorageFailed });
                     let _ = reply.send(cast);
                 });
                 continue;
@@ -76,7 +76,7 @@
                     }
                 };
                 if !kept {
-                    vote = Vote::Unable;
+                    vote = Vote::StorageFailed;
                 }
             }
             let cast = self.voter.borrow().response(vote);
@@ -135,14 +135,14 @@
     pub async fn vote(&self, request: VoteRequest) -> VoteResponse {
         let (reply, cast) = oneshot::channel();
         if self.commands.send(Command::Hear(request, reply)).is_err() {
-            return self.voter.borrow().response(Vote::Unable);
+            return self.voter.borrow().response(Vote::StorageFailed);
         }
-        cast.await.unwrap_or_else(|_| self.voter.borrow().response(Vote::Unable))
+        cast.await.unwrap_or_else(|_| self.voter.borrow().response(Vote::StorageFailed))
     }
 
     /// Quotas are divided by so many doors: kept, so that a holder after the loss of all processes knows.
     pub fn count(&self, doors: u32) {
-        if doors != self.voter.borrow().proxy_count() {
+        if doors != self.voter.borrow().quota_divisor() {
             // The owner ends with the program only.
             let _ = self.commands.send(Command::Count(doors));
         }
