--- a/crates/compatibility/tests/data_directory.rs
+++ b/crates/compatibility/tests/data_directory.rs
@@ -33,9 +33,9 @@
         ballot: Ballot(ballot),
         promised_to: Some(voters()[1]),
         initial_members: voters(),
-        proxy_count: 6,
+        quota_divisor: 6,
         incarnation: 2,
-        incarnations: BTreeMap::from([(voters()[2], 5)]),
+        peer_incarnations: BTreeMap::from([(voters()[2], 5)]),
     }
 }
 
@@ -44,11 +44,11 @@
     let config = config.trim_end().to_owned();
     Register {
         ballot: Ballot(256),
-        no: Revision(no),
+        revision: Revision(no),
         config: Some(RawValue::from_string(config).expect("JSON")),
         evacuated: ["west-a".to_owned()].into(),
         membership: Membership { epoch: 4, voters: voters(), outgoing: vec![voters()[0]] },
-        taken: vec![AcceptedConfig { revision: no, digest: 77 }],
+        accepted_configs: vec![AcceptedConfig { revision: no, digest: 77 }],
     }
 }
 
--- a/crates/compatibility/tests/messages.rs
+++ b/crates/compatibility/tests/messages.rs
@@ -10,9 +10,9 @@
 use support::{assert_golden, read_golden};
 use vanewharf_protocol::messages::{
     AcceptedConfig, AttemptCounts, Backend, BackendList, BackendListChange, Ballot, ConfigEdit,
-    ControllerEntry, FleetSummary, Follower, Membership, PeerEntry, ProxyEntry, ProxyReport, PullRequest,
-    PullResponse, Register, RegisterChange, Revision, TenantUsage, TokenCounts, TokenLeaseReport, Version,
-    VersionVector, Vote, VoteRequest, VoteResponse,
+    ControllerEntry, FleetSummary, Follower, HostCounts, Membership, PeerEntry, ProxyEntry, ProxyReport,
+    PullRequest, PullResponse, Register, RegisterChange, RegisterRank, Revision, TenantUsage, TokenCounts,
+    TokenLeaseReport, Version, VersionVector, Vote, VoteRequest, VoteResponse,
 };
 
 fn golden_name(name: &str) -> String {
@@ -63,11 +63,11 @@
 fn full_register() -> Register {
     Register {
         ballot: Ballot(0x0102_0304),
-        no: Revision(17),
+        revision: Revision(17),
         config: Some(raw_json(r#"{ "revision":"r5",  "b":1.50, "a":[ ]}"#)),
         evacuated: text_set(&["east-a", "west-a"]),
         membership: joint_membership(),
-        taken: vec![
+        accepted_configs: vec![
             AcceptedConfig { revision: 4, digest: u64::MAX },
             AcceptedConfig { revision: 5, digest: 7 },
         ],
@@ -75,14 +75,14 @@
 }
 
 fn list_version() -> Version {
-    Version { ballot: Ballot(9), no: 4 }
+    Version { ballot: Ballot(9), number: 4 }
 }
 
 fn vector() -> VersionVector {
     VersionVector {
         register: Revision(17),
-        list: list_version(),
-        ledger: Version { ballot: Ballot(9), no: u64::MAX },
+        backend_list: list_version(),
+        fleet_summary: Version { ballot: Ballot(9), number: u64::MAX },
     }
 }
 
@@ -94,12 +94,12 @@
         zone: "east-a".to_owned(),
         capacity: 250,
         draining: true,
-        cold_ms: 1200,
+        warmup_left_ms: 1200,
     }
 }
 
 fn list() -> BackendList {
-    BackendList { version: list_version(), age_ms: 35, servers: vec![server()] }
+    BackendList { version: list_version(), age_ms: 35, backends: vec![server()] }
 }
 
 fn door_row() -> ProxyEntry {
@@ -131,47 +131,50 @@
 fn full_ledger() -> FleetSummary {
     FleetSummary {
         version: list_version(),
-        doors: vec![door_row()],
-        counted: 6,
-        tenants: [("ana".to_owned(), TenantUsage { per_s: 412.5, slices: 500.0 })].into(),
-        lenders: Some(3),
-        homed: text_set(&["shop.example"]),
-        offices: [office_row()].into(),
-        ill: [("i-1".to_owned(), 0.125)].into(),
+        proxies: vec![door_row()],
+        quota_divisor: 6,
+        tenants: [("ana".to_owned(), TenantUsage { requests_per_s: 412.5, quota_shares: 500.0 })].into(),
+        token_lenders: Some(3),
+        homed_hosts: text_set(&["shop.example"]),
+        controllers: [office_row()].into(),
+        unhealthy: [("i-1".to_owned(), 0.125)].into(),
     }
 }
 
 fn plain_report() -> ProxyReport {
     ProxyReport {
-        door: door_row(),
-        life: 77,
+        proxy: door_row(),
+        incarnation: 77,
         age_ms: 0,
-        counted: 0,
-        let_through: BTreeMap::new(),
-        slices: BTreeMap::new(),
+        quota_divisor: 0,
+        admitted: BTreeMap::new(),
+        quota_shares: BTreeMap::new(),
         hosts: BTreeMap::new(),
-        tried: BTreeMap::new(),
+        attempts: BTreeMap::new(),
     }
 }
 
 fn full_report() -> ProxyReport {
     ProxyReport {
         age_ms: 15,
-        counted: 6,
-        let_through: let_through(),
-        slices: slices(),
-        hosts: [("shop.example".to_owned(), (100, 40))].into(),
-        tried: [("i-1".to_owned(), AttemptCounts { tried: 20, failed: 3 })].into(),
+        quota_divisor: 6,
+        admitted: let_through(),
+        quota_shares: slices(),
+        hosts: [("shop.example".to_owned(), HostCounts { requests: 100, homed: 40 })].into(),
+        attempts: [("i-1".to_owned(), AttemptCounts { attempts: 20, failed: 3 })].into(),
         ..plain_report()
     }
 }
 
 fn lent() -> TokenLeaseReport {
-    TokenLeaseReport { ip: ip_address(1), life: 5, let_through: let_through(), slices: slices() }
+    TokenLeaseReport { ip: ip_address(1), incarnation: 5, admitted: let_through(), quota_shares: slices() }
 }
 
 fn follower() -> Follower {
-    Follower { row: office_row(), kept: Some((Ballot(9), Revision(17))) }
+    Follower {
+        controller: office_row(),
+        persisted: Some(RegisterRank { ballot: Ballot(9), revision: Revision(17) }),
+    }
 }
 
 fn edits() -> Vec<ConfigEdit> {
@@ -189,22 +192,22 @@
 fn register_change(membership: Membership) -> RegisterChange {
     RegisterChange {
         from: Revision(16),
-        no: Revision(17),
+        revision: Revision(17),
         ballot: Ballot(9),
         evacuated: text_set(&["west-a"]),
         membership,
         edits: edits(),
-        sum: 0xdead_beef,
+        checksum: 0xdead_beef,
     }
 }
 
 fn list_change() -> BackendListChange {
     BackendListChange {
-        from: Version { ballot: Ballot(9), no: 3 },
+        from: Version { ballot: Ballot(9), number: 3 },
         version: list_version(),
         age_ms: 12,
-        set: vec![server()],
-        gone: vec!["i-0".to_owned()],
+        upserted: vec![server()],
+        removed: vec!["i-0".to_owned()],
     }
 }
 
@@ -212,12 +215,12 @@
     PullResponse {
         register: Some(full_register()),
         register_changes: vec![register_change(joint_membership())],
-        list: Some(list()),
-        list_changes: vec![list_change()],
-        ledger: Some(full_ledger()),
-        sure_ms: Some(180),
-        held_ms: 90,
-        holder: Some(socket_address(2)),
+        backend_list: Some(list()),
+        backend_list_changes: vec![list_change()],
+        fleet_summary: Some(full_ledger()),
+        attested_age_ms: Some(180),
+        delay_ms: 90,
+        leaseholder: Some(socket_address(2)),
     }
 }
 
@@ -240,7 +243,7 @@
 
 #[test]
 fn register() {
-    assert_message("register_none", &Register::none());
+    assert_message("register_none", &Register::empty());
     assert_message("register_full", &full_register());
     assert_message("taken", &AcceptedConfig { revision: 4, digest: u64::MAX });
 }
@@ -256,7 +259,7 @@
 fn ledger() {
     assert_message("door_row", &door_row());
     assert_message("office_row", &office_row());
-    assert_message("use", &TenantUsage { per_s: 412.5, slices: 500.0 });
+    assert_message("use", &TenantUsage { requests_per_s: 412.5, quota_shares: 500.0 });
     assert_message("ledger_empty", &empty_ledger());
     assert_message("ledger_full", &full_ledger());
 }
@@ -265,15 +268,15 @@
 fn reports() {
     assert_message("report_plain", &plain_report());
     assert_message("report_full", &full_report());
-    assert_message("tried", &AttemptCounts { tried: 20, failed: 3 });
+    assert_message("tried", &AttemptCounts { attempts: 20, failed: 3 });
     assert_message("lent", &lent());
     assert_message("follower_kept", &follower());
-    assert_message("follower_amnesic", &Follower { kept: None, ..follower() });
+    assert_message("follower_amnesic", &Follower { persisted: None, ..follower() });
 }
 
 #[test]
 fn neighbours() {
-    let row = PeerEntry { ip: ip_address(9), region: "east".to_owned(), heard_ms: 400 };
+    let row = PeerEntry { ip: ip_address(9), region: "east".to_owned(), last_contact_ms: 400 };
     let over_ipv6 = PeerEntry { ip: "2001:db8::9".parse().expect("an address"), ..row.clone() };
     assert_message("neighbour", &row);
     assert_message("neighbours", &vec![row, over_ipv6]);
@@ -289,15 +292,15 @@
 #[test]
 fn pull() {
     let by_nobody = PullRequest {
-        have: VersionVector::default(),
+        versions: VersionVector::default(),
         wait_ms: 0,
-        office: None,
-        lent: None,
+        follower: None,
+        token_leases: None,
         reports: Vec::new(),
     };
     let by_door =
-        PullRequest { have: vector(), wait_ms: 300, reports: vec![full_report()], ..by_nobody.clone() };
-    let by_office = PullRequest { office: Some(follower()), lent: Some(lent()), ..by_door.clone() };
+        PullRequest { versions: vector(), wait_ms: 300, reports: vec![full_report()], ..by_nobody.clone() };
+    let by_office = PullRequest { follower: Some(follower()), token_leases: Some(lent()), ..by_door.clone() };
     assert_message("pull_empty", &by_nobody);
     assert_message("pull_door", &by_door);
     assert_message("pull_office", &by_office);
@@ -314,16 +317,22 @@
         "mail_register_changes",
         &PullResponse { register_changes: changes, ..PullResponse::default() },
     );
-    assert_message("mail_list", &PullResponse { list: Some(list()), ..PullResponse::default() });
+    assert_message("mail_list", &PullResponse { backend_list: Some(list()), ..PullResponse::default() });
     assert_message(
         "mail_list_changes",
-        &PullResponse { list_changes: vec![list_change()], ..PullResponse::default() },
+        &PullResponse { backend_list_changes: vec![list_change()], ..PullResponse::default() },
+    );
+    assert_message(
+        "mail_ledger",
+        &PullResponse { fleet_summary: Some(full_ledger()), ..PullResponse::default() },
+    );
+    assert_message(
+        "mail_sure",
+        &PullResponse { attested_age_ms: Some(0), delay_ms: 2000, ..PullResponse::default() },
     );
-    assert_message("mail_ledger", &PullResponse { ledger: Some(full_ledger()), ..PullResponse::default() });
-    assert_message("mail_sure", &PullResponse { sure_ms: Some(0), held_ms: 2000, ..PullResponse::default() });
     assert_message(
         "mail_holder",
-        &PullResponse { holder: Some(socket_address(2)), ..PullResponse::default() },
+        &PullResponse { leaseholder: Some(socket_address(2)), ..PullResponse::default() },
     );
 }
 
@@ -339,9 +348,9 @@
 #[test]
 fn vote_requests() {
     let (ballot, holder) = (Ballot(9), socket_address(2));
-    assert_message("vote_request_pre_vote", &VoteRequest::PreVote { holder });
-    assert_message("vote_request_lease", &VoteRequest::Lease { ballot, holder });
-    assert_message("vote_request_renew", &VoteRequest::Renew { ballot, holder });
+    assert_message("vote_request_pre_vote", &VoteRequest::PreVote { candidate: holder });
+    assert_message("vote_request_lease", &VoteRequest::Lease { ballot, candidate: holder });
+    assert_message("vote_request_renew", &VoteRequest::Renew { ballot, leaseholder: holder });
     assert_message("vote_request_accept", &VoteRequest::Accept { register: full_register() });
     assert_message("vote_request_release", &VoteRequest::Release { ballot });
     let recover = VoteRequest::Recover { member: socket_address(3), incarnation: 2 };
@@ -351,15 +360,15 @@
 #[test]
 fn votes() {
     let promised = Ballot(9);
-    assert_message("vote_granted", &Vote::Granted { register: full_register(), doors: 6 });
+    assert_message("vote_granted", &Vote::Granted { register: full_register(), quota_divisor: 6 });
     assert_message("vote_willing", &Vote::Willing { promised });
     assert_message("vote_accepted", &Vote::Accepted);
-    assert_message("vote_known", &Vote::Known { promised, register: full_register() });
-    assert_message("vote_refused", &Vote::Refused { promised, holder: Some(socket_address(2)) });
-    assert_message("vote_refused_vacant", &Vote::Refused { promised, holder: None });
-    assert_message("vote_outlived", &Vote::Outlived { incarnation: 4 });
+    assert_message("vote_known", &Vote::Recovered { promised, register: full_register() });
+    assert_message("vote_refused", &Vote::Refused { promised, leaseholder: Some(socket_address(2)) });
+    assert_message("vote_refused_vacant", &Vote::Refused { promised, leaseholder: None });
+    assert_message("vote_outlived", &Vote::Superseded { incarnation: 4 });
     assert_message("vote_amnesic", &Vote::Amnesic { seeds: vec![socket_address(1), socket_address(2)] });
-    assert_message("vote_unable", &Vote::Unable);
+    assert_message("vote_unable", &Vote::StorageFailed);
 }
 
 #[test]
@@ -368,7 +377,7 @@
     let full = VoteResponse {
         incarnation: 2,
         incarnations: [(socket_address(3), 5)].into(),
-        vote: Vote::Granted { register: Register::none(), doors: 0 },
+        vote: Vote::Granted { register: Register::empty(), quota_divisor: 0 },
     };
     assert_message("cast_plain", &plain);
     assert_message("cast_full", &full);
