--- a/crates/clock/src/lib.rs
+++ b/crates/clock/src/lib.rs
@@ -39,11 +39,11 @@
 
 impl MonotonicClock {
     pub fn start() -> MonotonicClock {
-        MonotonicClock::at_rate(1.0)
+        MonotonicClock::with_rate(1.0)
     }
 
     /// One that runs fast or slow.
-    pub fn at_rate(rate: f64) -> MonotonicClock {
+    pub fn with_rate(rate: f64) -> MonotonicClock {
         MonotonicClock { begun: Instant::now(), rate }
     }
 
--- a/crates/config/src/config.rs
+++ b/crates/config/src/config.rs
@@ -1,6 +1,6 @@
 //! A configuration as the operator sends it, checked whole: what does not pass here is never in force.
 
-use crate::doc::{self, Checked, Doc};
+use crate::document::{self, DocumentResult, JsonNode};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -20,11 +20,11 @@
     pub path_prefix: String,
     pub kind: RouteKind,
     pub deadline: Duration,
-    pub target: Duration,
+    pub latency_target: Duration,
     pub precedence: u64,
     /// Services, each with its weight.
     pub services: Vec<(String, f64)>,
-    pub tries: u64,
+    pub max_attempts: u64,
     pub public: bool,
     pub home_regions: Vec<String>,
 }
@@ -69,113 +69,113 @@
 const TARGET_ABOVE: Duration = Duration::from_secs(60);
 
 impl Config {
-    pub fn of(text: &[u8]) -> Checked<Config> {
-        let value = doc::read(text)?;
-        let doc = Doc::whole(&value);
-        let at = doc.at("revision")?;
-        let number = at.text()?.strip_prefix('r').and_then(|number| number.parse().ok());
-        let revision = ConfigRevision(number.ok_or_else(|| at.unsound("a version is r and a number"))?);
+    pub fn parse(text: &[u8]) -> DocumentResult<Config> {
+        let value = document::parse(text)?;
+        let doc = JsonNode::root(&value);
+        let at = doc.required("revision")?;
+        let number = at.string()?.strip_prefix('r').and_then(|number| number.parse().ok());
+        let revision = ConfigRevision(number.ok_or_else(|| at.invalid("a version is r and a number"))?);
         let mut services = BTreeMap::new();
-        for (name, doc) in doc.at("services")?.table()? {
+        for (name, doc) in doc.required("services")?.entries()? {
             services.insert(name.to_owned(), service(&doc)?);
         }
         let mut routes = BTreeMap::new();
-        for (name, doc) in doc.at("routes")?.table()? {
+        for (name, doc) in doc.required("routes")?.entries()? {
             let route = route(&doc)?;
             if let Some((unknown, _)) = route.services.iter().find(|(name, _)| !services.contains_key(name)) {
-                return Err(doc.unsound(format!("the service {unknown} is not known")));
+                return Err(doc.invalid(format!("the service {unknown} is not known")));
             }
             routes.insert(name.to_owned(), route);
         }
-        let limits = doc.at("limits")?;
+        let limits = doc.required("limits")?;
         let limits = Limits {
-            max_header_bytes: limits.at("max_header_bytes")?.count()?,
-            max_body_bytes: limits.at("max_body_bytes")?.count()?,
-            header_deadline: limits.at("header_deadline")?.span()?,
-            idle_timeout: limits.at("idle_timeout")?.span()?,
+            max_header_bytes: limits.required("max_header_bytes")?.integer()?,
+            max_body_bytes: limits.required("max_body_bytes")?.integer()?,
+            header_deadline: limits.required("header_deadline")?.duration()?,
+            idle_timeout: limits.required("idle_timeout")?.duration()?,
         };
-        let customers = doc.may("customers")?.map(|doc| customers(&doc)).transpose()?;
+        let customers = doc.optional("customers")?.map(|doc| customers(&doc)).transpose()?;
         Ok(Config { revision, routes, services, limits, customers })
     }
 }
 
-fn route(doc: &Doc<'_>) -> Checked<Route> {
-    let kind = doc.at("route_kind")?;
-    let kind = match kind.text()? {
+fn route(doc: &JsonNode<'_>) -> DocumentResult<Route> {
+    let kind = doc.required("route_kind")?;
+    let kind = match kind.string()? {
         "read_only" => RouteKind::ReadOnly,
         "mutating" => RouteKind::Mutating,
-        _ => return Err(kind.unsound("neither read_only nor mutating")),
+        _ => return Err(kind.invalid("neither read_only nor mutating")),
     };
-    let prefix = doc.at("path_prefix")?;
-    let path_prefix = prefix.text()?.to_owned();
+    let prefix = doc.required("path_prefix")?;
+    let path_prefix = prefix.string()?.to_owned();
     if !(path_prefix.starts_with('/') && path_prefix.ends_with('/')) {
-        return Err(prefix.unsound("a prefix begins and ends with a slash"));
+        return Err(prefix.invalid("a prefix begins and ends with a slash"));
     }
-    let services = match (doc.may("service")?, doc.may("weighted_split")?) {
+    let services = match (doc.optional("service")?, doc.optional("weighted_split")?) {
         (_, Some(split)) => {
-            let part = |doc: &Doc<'_>| -> Checked<_> {
-                Ok((doc.at("service")?.text()?.to_owned(), doc.at("weight")?.number()?))
+            let part = |doc: &JsonNode<'_>| -> DocumentResult<_> {
+                Ok((doc.required("service")?.string()?.to_owned(), doc.required("weight")?.number()?))
             };
-            let services = split.list()?.iter().map(part).collect::<Checked<Vec<_>>>()?;
+            let services = split.items()?.iter().map(part).collect::<DocumentResult<Vec<_>>>()?;
             if services.iter().map(|(_, weight)| weight).sum::<f64>() <= 0.0 {
-                return Err(split.unsound("the weights add up to 0"));
+                return Err(split.invalid("the weights add up to 0"));
             }
             services
         }
-        (Some(service), None) => vec![(service.text()?.to_owned(), 1.0)],
-        (None, None) => return Err(doc.unsound("neither service nor weighted_split")),
+        (Some(service), None) => vec![(service.string()?.to_owned(), 1.0)],
+        (None, None) => return Err(doc.invalid("neither service nor weighted_split")),
     };
-    let (deadline, target) = (doc.at("deadline")?.span()?, doc.at("target")?.span()?);
+    let (deadline, target) = (doc.required("deadline")?.duration()?, doc.required("target")?.duration()?);
     if deadline.is_zero() {
-        return Err(doc.at("deadline")?.unsound("a deadline of 0"));
+        return Err(doc.required("deadline")?.invalid("a deadline of 0"));
     }
     if target >= deadline + TARGET_ABOVE {
-        return Err(doc.at("target")?.unsound("a minute or more above the deadline"));
+        return Err(doc.required("target")?.invalid("a minute or more above the deadline"));
     }
-    let tries = doc.at("tries")?.count()?;
+    let tries = doc.required("tries")?.integer()?;
     if tries == 0 {
-        return Err(doc.at("tries")?.unsound("0 tries"));
+        return Err(doc.required("tries")?.invalid("0 tries"));
     }
     Ok(Route {
-        hostname: doc.at("hostname")?.text()?.to_ascii_lowercase(),
+        hostname: doc.required("hostname")?.string()?.to_ascii_lowercase(),
         path_prefix,
         kind,
         deadline,
-        target,
-        precedence: doc.may("precedence")?.map_or(Ok(0), |doc| doc.count())?,
+        latency_target: target,
+        precedence: doc.optional("precedence")?.map_or(Ok(0), |doc| doc.integer())?,
         services,
-        tries,
-        public: doc.may("public")?.map_or(Ok(false), |doc| doc.flag())?,
-        home_regions: doc.may("home_regions")?.map_or(Ok(Vec::new()), |doc| doc.texts())?,
+        max_attempts: tries,
+        public: doc.optional("public")?.map_or(Ok(false), |doc| doc.boolean())?,
+        home_regions: doc.optional("home_regions")?.map_or(Ok(Vec::new()), |doc| doc.strings())?,
     })
 }
 
-fn service(doc: &Doc<'_>) -> Checked<Service> {
+fn service(doc: &JsonNode<'_>) -> DocumentResult<Service> {
     Ok(Service {
-        health_path: doc.at("health_path")?.text()?.to_owned(),
-        connection_limit: doc.at("connection_limit")?.count()?,
-        warmup: doc.may("warmup")?.map_or(Ok(Duration::ZERO), |doc| doc.span())?,
-        warmup_per_s: doc.may("warmup_per_s")?.map_or(Ok(0.0), |doc| doc.number())?,
+        health_path: doc.required("health_path")?.string()?.to_owned(),
+        connection_limit: doc.required("connection_limit")?.integer()?,
+        warmup: doc.optional("warmup")?.map_or(Ok(Duration::ZERO), |doc| doc.duration())?,
+        warmup_per_s: doc.optional("warmup_per_s")?.map_or(Ok(0.0), |doc| doc.number())?,
     })
 }
 
-fn customers(doc: &Doc<'_>) -> Checked<BTreeMap<String, Customer>> {
+fn customers(doc: &JsonNode<'_>) -> DocumentResult<BTreeMap<String, Customer>> {
     let (mut customers, mut holders) = (BTreeMap::new(), BTreeMap::new());
-    for (name, doc) in doc.table()? {
-        let access_keys = doc.at("access_keys")?.texts()?;
+    for (name, doc) in doc.entries()? {
+        let access_keys = doc.required("access_keys")?.strings()?;
         for key in &access_keys {
             let other = holders.insert(key.clone(), name);
             if let Some(other) = other.filter(|other| *other != name) {
-                return Err(doc.unsound(format!("it shares a key with {other}")));
+                return Err(doc.invalid(format!("it shares a key with {other}")));
             }
         }
-        let figure = |name| doc.may(name)?.map_or(Ok(0.0), |doc| doc.number());
+        let figure = |name| doc.optional(name)?.map_or(Ok(0.0), |doc| doc.number());
         let customer = Customer {
             access_keys,
-            precedence: doc.may("precedence")?.map_or(Ok(0), |doc| doc.count())?,
+            precedence: doc.optional("precedence")?.map_or(Ok(0), |doc| doc.integer())?,
             rate_per_s: figure("rate_per_s")?,
             burst_allowance: figure("burst_allowance")?,
-            home_regions: doc.may("home_regions")?.map_or(Ok(Vec::new()), |doc| doc.texts())?,
+            home_regions: doc.optional("home_regions")?.map_or(Ok(Vec::new()), |doc| doc.strings())?,
         };
         customers.insert(name.to_owned(), customer);
     }
--- a/crates/config/src/config/tests.rs
+++ b/crates/config/src/config/tests.rs
@@ -16,7 +16,7 @@
 
 #[test]
 fn a_whole_one_is_read() {
-    let config = Config::of(body().as_bytes()).expect("sound");
+    let config = Config::parse(body().as_bytes()).expect("sound");
     assert_eq!(config.revision, ConfigRevision(7));
     let (one, two) = (&config.routes["one"], &config.routes["two"]);
     assert_eq!((one.hostname.as_str(), one.services.len()), ("a.example", 2));
@@ -44,5 +44,5 @@
 fn an_invalid_one_is_refused_by_name(from: &str, to: &str, why: &str) {
     let spoilt = body().replace(from, to);
     assert_ne!(spoilt, body());
-    assert_eq!(Config::of(spoilt.as_bytes()).expect_err("invalid").to_string(), why);
+    assert_eq!(Config::parse(spoilt.as_bytes()).expect_err("invalid").to_string(), why);
 }
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,5 +1,5 @@
 //! Settings files and operators' configurations: reading and checking, with errors that name the place.
 
 pub mod config;
-pub mod doc;
+pub mod document;
 pub mod settings;
--- a/crates/config/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -1,6 +1,6 @@
 //! The settings file that the platform writes for each process. Fields that are not known are ignored.
 
-use crate::doc::{self, Checked, Doc};
+use crate::document::{self, DocumentResult, JsonNode};
 use std::collections::BTreeMap;
 use std::net::{IpAddr, SocketAddr};
 use std::path::PathBuf;
@@ -10,19 +10,19 @@
 #[derive(Debug, Error)]
 pub enum SettingsError {
     #[error("VANEWHARF_SETTINGS is not set")]
-    NoPath,
+    PathNotSet,
     #[error("cannot read {0}: {1}")]
-    File(PathBuf, std::io::Error),
+    Unreadable(PathBuf, std::io::Error),
     #[error("cannot read {0}: {1}")]
-    Content(PathBuf, doc::Fault),
+    Malformed(PathBuf, document::DocumentError),
 }
 
 /// The bounds of the rules, as far as the programs go by them.
 #[derive(Clone, Debug)]
-pub struct Bounds {
+pub struct LimitsTable {
     pub revocation_global: bool,
     pub revocation: Duration,
-    pub grace: Duration,
+    pub grace_period: Duration,
     pub ttl_max: Duration,
     pub rate_allowance: f64,
     pub retry_ratio: f64,
@@ -36,7 +36,7 @@
 pub struct CloudApi {
     pub address: SocketAddr,
     pub rate_per_s: f64,
-    pub lag: Duration,
+    pub allowed_lag: Duration,
 }
 
 #[derive(Clone, Debug)]
@@ -47,123 +47,126 @@
     pub region: String,
     /// The region of each zone.
     pub zones: BTreeMap<String, String>,
-    pub listen: BTreeMap<String, SocketAddr>,
-    pub internal: (u16, u16),
+    pub listen_addresses: BTreeMap<String, SocketAddr>,
+    pub internal_ports: (u16, u16),
     pub seeds: Vec<SocketAddr>,
     pub initial_start: bool,
     pub memory_mb: u64,
-    pub descriptors: u64,
-    pub data: Option<PathBuf>,
+    pub file_descriptors: u64,
+    pub data_directory: Option<PathBuf>,
     /// How many machines with a disk may be lost at once.
-    pub losses: u64,
-    pub bounds: Bounds,
-    pub cloud: Option<CloudApi>,
+    pub tolerated_machine_losses: u64,
+    pub limits_table: LimitsTable,
+    pub cloud_api: Option<CloudApi>,
 }
 
 impl Settings {
-    pub fn path() -> Result<PathBuf, SettingsError> {
-        std::env::var_os("VANEWHARF_SETTINGS").map(PathBuf::from).ok_or(SettingsError::NoPath)
+    pub fn path_from_environment() -> Result<PathBuf, SettingsError> {
+        std::env::var_os("VANEWHARF_SETTINGS").map(PathBuf::from).ok_or(SettingsError::PathNotSet)
     }
 
     pub fn read(path: PathBuf) -> Result<Settings, SettingsError> {
-        let text = std::fs::read(&path).map_err(|error| SettingsError::File(path.clone(), error))?;
-        Settings::of(&text).map_err(|fault| SettingsError::Content(path, fault))
+        let text = std::fs::read(&path).map_err(|error| SettingsError::Unreadable(path.clone(), error))?;
+        Settings::parse(&text).map_err(|fault| SettingsError::Malformed(path, fault))
     }
 
-    pub fn of(text: &[u8]) -> Checked<Settings> {
-        let value = doc::read(text)?;
-        let doc = Doc::whole(&value);
-        let ip = address(&doc.at("ip_address")?)?;
+    pub fn parse(text: &[u8]) -> DocumentResult<Settings> {
+        let value = document::parse(text)?;
+        let doc = JsonNode::root(&value);
+        let ip = address(&doc.required("ip_address")?)?;
         let mut zones = BTreeMap::new();
-        for (zone, region) in doc.at("zones")?.table()? {
-            zones.insert(zone.to_owned(), region.text()?.to_owned());
+        for (zone, region) in doc.required("zones")?.entries()? {
+            zones.insert(zone.to_owned(), region.string()?.to_owned());
         }
         let mut listen = BTreeMap::new();
-        for (kind, at) in doc.at("listen_addresses")?.table()? {
+        for (kind, at) in doc.required("listen_addresses")?.entries()? {
             listen.insert(kind.to_owned(), address(&at)?);
         }
-        let ports = doc.at("internal_ports")?;
-        let internal = match ports.list()?.as_slice() {
+        let ports = doc.required("internal_ports")?;
+        let internal = match ports.items()?.as_slice() {
             [first, last] => (port(first)?, port(last)?),
-            _ => return Err(ports.unsound("two ports are wanted, the first and the last")),
+            _ => return Err(ports.invalid("two ports are wanted, the first and the last")),
         };
         if internal.1 < internal.0.saturating_add(2) {
-            return Err(ports.unsound("three ports at least are wanted"));
+            return Err(ports.invalid("three ports at least are wanted"));
         }
-        let seeds = doc.at("seed_nodes")?.list()?.iter().map(address).collect::<Checked<_>>()?;
-        let limits = doc.at("limits")?;
-        let data = doc.may("data_directory")?;
-        let data = data.map(|data| data.text().map(PathBuf::from)).transpose()?;
-        let cloud = match doc.may("cloud_api")? {
+        let seeds =
+            doc.required("seed_nodes")?.items()?.iter().map(address).collect::<DocumentResult<_>>()?;
+        let limits = doc.required("limits")?;
+        let data = doc.optional("data_directory")?;
+        let data = data.map(|data| data.string().map(PathBuf::from)).transpose()?;
+        let cloud = match doc.optional("cloud_api")? {
             Some(cloud) => Some(CloudApi {
-                address: address(&cloud.at("address")?)?,
-                rate_per_s: cloud.at("rate_per_s")?.number()?,
-                lag: cloud.at("allowed_lag")?.span()?,
+                address: address(&cloud.required("address")?)?,
+                rate_per_s: cloud.required("rate_per_s")?.number()?,
+                allowed_lag: cloud.required("allowed_lag")?.duration()?,
             }),
             None => None,
         };
         Ok(Settings {
-            name: doc.at("node_name")?.text()?.to_owned(),
+            name: doc.required("node_name")?.string()?.to_owned(),
             ip,
-            zone: doc.at("zone")?.text()?.to_owned(),
-            region: doc.at("region")?.text()?.to_owned(),
+            zone: doc.required("zone")?.string()?.to_owned(),
+            region: doc.required("region")?.string()?.to_owned(),
             zones,
-            listen,
-            internal,
+            listen_addresses: listen,
+            internal_ports: internal,
             seeds,
-            initial_start: doc.at("initial_start")?.flag()?,
-            memory_mb: limits.at("memory_mb")?.count()?,
-            descriptors: limits.at("file_descriptors")?.count()?,
-            data,
-            losses: doc.may("fault_tolerance")?.map_or(Ok(1), |doc| doc.at("machine_losses")?.count())?,
-            bounds: bounds(&doc.at("limits_table")?)?,
-            cloud,
+            initial_start: doc.required("initial_start")?.boolean()?,
+            memory_mb: limits.required("memory_mb")?.integer()?,
+            file_descriptors: limits.required("file_descriptors")?.integer()?,
+            data_directory: data,
+            tolerated_machine_losses: doc
+                .optional("fault_tolerance")?
+                .map_or(Ok(1), |doc| doc.required("machine_losses")?.integer())?,
+            limits_table: bounds(&doc.required("limits_table")?)?,
+            cloud_api: cloud,
         })
     }
 
     /// Where this process listens for callers of that kind.
-    pub fn listens(&self, kind: &'static str) -> Checked<SocketAddr> {
-        let missing = || doc::Fault::Missing(format!("listen_addresses.{kind}"));
-        self.listen.get(kind).copied().ok_or_else(missing)
+    pub fn listen_address(&self, kind: &'static str) -> DocumentResult<SocketAddr> {
+        let missing = || document::DocumentError::Missing(format!("listen_addresses.{kind}"));
+        self.listen_addresses.get(kind).copied().ok_or_else(missing)
     }
 
     /// Where a postmaster on that machine listens for the system's own calls.
-    pub fn office(&self, ip: IpAddr) -> SocketAddr {
-        SocketAddr::new(ip, self.internal.0)
+    pub fn controller_address(&self, ip: IpAddr) -> SocketAddr {
+        SocketAddr::new(ip, self.internal_ports.0)
     }
 
     /// Where the sorter on that machine listens for other doors.
-    pub fn neighbour(&self, ip: IpAddr) -> SocketAddr {
-        SocketAddr::new(ip, self.internal.0 + 1)
+    pub fn agent_address(&self, ip: IpAddr) -> SocketAddr {
+        SocketAddr::new(ip, self.internal_ports.0 + 1)
     }
 
     /// Where the sorter on this machine listens for its carrier.
-    pub fn loopback(&self) -> SocketAddr {
+    pub fn agent_loopback_address(&self) -> SocketAddr {
         // Where machines are stood in for by loopback addresses, each has its own.
         let ip = if self.ip.is_loopback() { self.ip } else { IpAddr::from([127, 0, 0, 1]) };
-        SocketAddr::new(ip, self.internal.0 + 2)
+        SocketAddr::new(ip, self.internal_ports.0 + 2)
     }
 }
 
-fn bounds(doc: &Doc<'_>) -> Checked<Bounds> {
-    Ok(Bounds {
-        revocation_global: doc.at("revocation_global")?.flag()?,
-        revocation: doc.at("revocation")?.span()?,
-        grace: doc.at("grace_period")?.span()?,
-        ttl_max: doc.at("ttl_max")?.span()?,
-        rate_allowance: doc.at("rate_allowance")?.number()?,
-        retry_ratio: doc.at("retry_ratio")?.number()?,
-        retry_window: doc.at("retry_window")?.span()?,
-        retry_allowance: doc.at("retry_allowance")?.number()?,
-        warmup_overshoot: doc.at("warmup_overshoot")?.number()?,
-        warmup_allowance: doc.at("warmup_allowance")?.number()?,
+fn bounds(doc: &JsonNode<'_>) -> DocumentResult<LimitsTable> {
+    Ok(LimitsTable {
+        revocation_global: doc.required("revocation_global")?.boolean()?,
+        revocation: doc.required("revocation")?.duration()?,
+        grace_period: doc.required("grace_period")?.duration()?,
+        ttl_max: doc.required("ttl_max")?.duration()?,
+        rate_allowance: doc.required("rate_allowance")?.number()?,
+        retry_ratio: doc.required("retry_ratio")?.number()?,
+        retry_window: doc.required("retry_window")?.duration()?,
+        retry_allowance: doc.required("retry_allowance")?.number()?,
+        warmup_overshoot: doc.required("warmup_overshoot")?.number()?,
+        warmup_allowance: doc.required("warmup_allowance")?.number()?,
     })
 }
 
-pub fn address<T: std::str::FromStr>(doc: &Doc<'_>) -> Checked<T> {
-    doc.text()?.parse().map_err(|_| doc.unsound("it is no address"))
+pub fn address<T: std::str::FromStr>(doc: &JsonNode<'_>) -> DocumentResult<T> {
+    doc.string()?.parse().map_err(|_| doc.invalid("it is no address"))
 }
 
-fn port(doc: &Doc<'_>) -> Checked<u16> {
-    u16::try_from(doc.count()?).map_err(|_| doc.unsound("it is no port"))
+fn port(doc: &JsonNode<'_>) -> DocumentResult<u16> {
+    u16::try_from(doc.integer()?).map_err(|_| doc.invalid("it is no port"))
 }
--- a/crates/maintenance/src/lib.rs
+++ b/crates/maintenance/src/lib.rs
@@ -8,7 +8,7 @@
 use jiff::tz::TimeZone;
 use std::collections::BTreeMap;
 use std::time::Duration;
-use vanewharf_config::doc::{self, Checked, Doc};
+use vanewharf_config::document::{self, DocumentResult, JsonNode};
 
 /// How far ahead an opening is looked for, in days, first near and then far; beyond that the file is taken to have none.
 const AHEAD: [i64; 2] = [8, 400];
@@ -67,10 +67,10 @@
 }
 
 impl MaintenanceSchedule {
-    pub fn parse(text: &[u8]) -> Checked<MaintenanceSchedule> {
-        let value = doc::read(text)?;
+    pub fn parse(text: &[u8]) -> DocumentResult<MaintenanceSchedule> {
+        let value = document::parse(text)?;
         let mut contracts = BTreeMap::new();
-        for (name, doc) in Doc::whole(&value).at("contracts")?.table()? {
+        for (name, doc) in JsonNode::root(&value).required("contracts")?.entries()? {
             contracts.insert(name.to_owned(), contract(&doc)?);
         }
         Ok(MaintenanceSchedule { contracts })
@@ -202,46 +202,50 @@
     }
 }
 
-fn contract(doc: &Doc<'_>) -> Checked<Contract> {
-    let at = doc.at("time_zone")?;
-    let zone = TimeZone::get(at.text()?).map_err(|_| at.unsound("no time zone has this name"))?;
+fn contract(doc: &JsonNode<'_>) -> DocumentResult<Contract> {
+    let at = doc.required("time_zone")?;
+    let zone = TimeZone::get(at.string()?).map_err(|_| at.invalid("no time zone has this name"))?;
     let mut hours = Vec::new();
-    for doc in doc.at("hours")?.list()? {
-        let days = doc.at("days")?;
+    for doc in doc.required("hours")?.items()? {
+        let days = doc.required("days")?;
         let day = |name: &String| {
             weekday(name)
-                .ok_or_else(|| days.unsound(format!("{name} is none of mon tue wed thu fri sat sun")))
+                .ok_or_else(|| days.invalid(format!("{name} is none of mon tue wed thu fri sat sun")))
         };
-        let days = days.texts()?.iter().map(day).collect::<Checked<Vec<_>>>()?;
-        hours.push(Hours { days, from: time(&doc.at("from")?)?, to: time(&doc.at("to")?)? });
+        let days = days.strings()?.iter().map(day).collect::<DocumentResult<Vec<_>>>()?;
+        hours.push(Hours { days, from: time(&doc.required("from")?)?, to: time(&doc.required("to")?)? });
     }
     let mut open = Vec::new();
-    for doc in doc.may("open")?.map_or(Ok(Vec::new()), |doc| doc.list())? {
-        open.push((date(&doc.at("date")?)?, time(&doc.at("from")?)?, time(&doc.at("to")?)?));
+    for doc in doc.optional("open")?.map_or(Ok(Vec::new()), |doc| doc.items())? {
+        open.push((
+            date(&doc.required("date")?)?,
+            time(&doc.required("from")?)?,
+            time(&doc.required("to")?)?,
+        ));
     }
     let mut closed = Vec::new();
-    for doc in doc.may("closed")?.map_or(Ok(Vec::new()), |doc| doc.list())? {
-        let (first, last) = (date(&doc.at("from")?)?, date(&doc.at("to")?)?);
+    for doc in doc.optional("closed")?.map_or(Ok(Vec::new()), |doc| doc.items())? {
+        let (first, last) = (date(&doc.required("from")?)?, date(&doc.required("to")?)?);
         if last < first {
-            return Err(doc.unsound("it ends before it begins"));
+            return Err(doc.invalid("it ends before it begins"));
         }
-        closed.push((first, last, doc.at("why")?.text()?.to_owned()));
+        closed.push((first, last, doc.required("why")?.string()?.to_owned()));
     }
-    let nodes = doc.at("nodes")?;
-    let named = |name| nodes.may(name)?.map_or(Ok(Vec::new()), |doc| doc.texts());
+    let nodes = doc.required("nodes")?;
+    let named = |name| nodes.optional(name)?.map_or(Ok(Vec::new()), |doc| doc.strings());
     let nodes =
         CoveredNodes { zones: named("zones")?, services: named("services")?, backends: named("backends")? };
-    let end = doc.at("when_hours_end")?;
-    let on_window_end = match end.text()? {
+    let end = doc.required("when_hours_end")?;
+    let on_window_end = match end.string()? {
         "finish" => WindowEndPolicy::Finish,
         "hold" => WindowEndPolicy::Hold,
         "give_back" => WindowEndPolicy::ReturnToService,
-        _ => return Err(end.unsound("none of finish, hold, give_back")),
+        _ => return Err(end.invalid("none of finish, hold, give_back")),
     };
-    let max_nodes_out = doc.at("most_out")?;
-    let most = max_nodes_out.count()?;
+    let max_nodes_out = doc.required("most_out")?;
+    let most = max_nodes_out.integer()?;
     if most == 0 {
-        return Err(max_nodes_out.unsound("with 0 nothing could ever be drained"));
+        return Err(max_nodes_out.invalid("with 0 nothing could ever be drained"));
     }
     Ok(Contract {
         nodes,
@@ -249,10 +253,10 @@
         hours,
         open,
         closed,
-        max_drain_duration: doc.at("longest_drain")?.span()?,
+        max_drain_duration: doc.required("longest_drain")?.duration()?,
         max_nodes_out: most,
         on_window_end,
-        margin: doc.at("clock_margin")?.span()?,
+        margin: doc.required("clock_margin")?.duration()?,
     })
 }
 
@@ -269,12 +273,12 @@
     all.into_iter().find(|(known, _)| *known == name).map(|(_, day)| day)
 }
 
-fn time(doc: &Doc<'_>) -> Checked<Time> {
-    doc.text()?.parse().map_err(|_| doc.unsound("it is no time such as 01:30"))
+fn time(doc: &JsonNode<'_>) -> DocumentResult<Time> {
+    doc.string()?.parse().map_err(|_| doc.invalid("it is no time such as 01:30"))
 }
 
-fn date(doc: &Doc<'_>) -> Checked<Date> {
-    doc.text()?.parse().map_err(|_| doc.unsound("it is no date such as 2026-12-24"))
+fn date(doc: &JsonNode<'_>) -> DocumentResult<Date> {
+    doc.string()?.parse().map_err(|_| doc.invalid("it is no date such as 2026-12-24"))
 }
 
 #[cfg(test)]
--- a/crates/protocol/src/changes/tests.rs
+++ b/crates/protocol/src/changes/tests.rs
@@ -64,27 +64,28 @@
             let mut servers: Vec<_> = servers.collect();
             servers.sort_by(|one, other| one.id.cmp(&other.id));
             let version = Version { ballot: Ballot(no / 5), number: no };
-            teller.set_list(BackendList { version, age_ms: 0, backends: servers }, now);
+            teller.set_backend_list(BackendList { version, age_ms: 0, backends: servers }, now);
             for reader in 0..readers.len() {
                 if chance.random_bool(0.4) {
                     continue;
                 }
                 // The last one hears through the first.
-                let have = readers[reader].have();
+                let have = readers[reader].versions();
                 let from = if reader == 2 { &readers[0] } else { &teller };
-                let mail: PullResponse = serde_json::to_string(&from.mail(&have, false, Duration::ZERO, now))
-                    .and_then(|text| serde_json::from_str(&text))
-                    .expect("JSON there and back");
+                let mail: PullResponse =
+                    serde_json::to_string(&from.response_to(&have, false, Duration::ZERO, now))
+                        .and_then(|text| serde_json::from_str(&text))
+                        .expect("JSON there and back");
                 changed += mail.register_changes.len();
                 snapshots += usize::from(mail.register.is_some());
-                let expected = (from.register.clone(), from.list.clone(), from.listed);
-                readers[reader].absorb(mail, now, now);
+                let expected = (from.register.clone(), from.backend_list.clone(), from.backend_list_taken_at);
+                readers[reader].apply(mail, now, now);
                 let (mine, theirs) = (readers[reader].register.as_deref(), expected.0.as_deref());
                 assert_eq!(mine.map(value), theirs.map(value), "seed {seed} register {no}");
                 let ids = |list: &BackendList| {
                     list.backends.iter().map(|one| (one.id.clone(), one.draining)).collect::<Vec<_>>()
                 };
-                let lists = (readers[reader].list.as_deref(), expected.1.as_deref());
+                let lists = (readers[reader].backend_list.as_deref(), expected.1.as_deref());
                 assert_eq!(lists.0.map(ids), lists.1.map(ids), "seed {seed} list {no}");
                 let warm = |list: &BackendList| {
                     list.backends.iter().map(|one| one.warmup_left_ms).collect::<Vec<_>>()
@@ -110,23 +111,23 @@
     let routes = |no: u64| (0..40u64).map(|one| (format!("r{one}"), one * no)).collect::<BTreeMap<_, _>>();
     let changed = |no: u64| [(format!("r{no}"), 7)];
     let tell = |teller: &VersionStore, reader: &VersionStore| {
-        teller.mail(&reader.have(), false, Duration::ZERO, START)
+        teller.response_to(&reader.versions(), false, Duration::ZERO, START)
     };
     teller.set_register(Rc::new(register(1, &routes(1), 0)));
-    reader.absorb(tell(&teller, &reader), START, START);
+    reader.apply(tell(&teller, &reader), START, START);
     teller.set_register(Rc::new(register(2, &routes(1).into_iter().chain(changed(2)).collect(), 0)));
     let mut mail = tell(&teller, &reader);
     mail.register_changes[0].edits.pop();
     mail.attested_age_ms = Some(1);
-    assert!(!reader.absorb(mail, START, START).register);
+    assert!(!reader.apply(mail, START, START).register);
     assert_eq!(
-        (reader.register.as_ref().map(|register| register.revision), reader.sure),
+        (reader.register.as_ref().map(|register| register.revision), reader.attested_at),
         (Some(Revision(1)), None)
     );
-    assert_eq!(reader.have(), VersionVector::default(), "as one that has nothing");
+    assert_eq!(reader.versions(), VersionVector::default(), "as one that has nothing");
     let snapshot = tell(&teller, &reader);
-    assert!(snapshot.register.is_some() && reader.absorb(snapshot, START, START).register);
-    assert_eq!(reader.have().register, Revision(2));
+    assert!(snapshot.register.is_some() && reader.apply(snapshot, START, START).register);
+    assert_eq!(reader.versions().register, Revision(2));
 }
 
 #[test]
@@ -137,20 +138,20 @@
         BackendList { version: Version { ballot: Ballot(1), number: no }, age_ms: 0, backends: servers }
     };
     let tell = |teller: &VersionStore, reader: &VersionStore| {
-        let mail = teller.mail(&reader.have(), false, Duration::ZERO, START);
+        let mail = teller.response_to(&reader.versions(), false, Duration::ZERO, START);
         PullResponse { attested_age_ms: Some(0), ..mail }
     };
-    teller.set_list(list(1, false), START);
-    reader.absorb(tell(&teller, &reader), START.before(Duration::from_secs(5)), START);
-    let sure = reader.sure;
-    teller.set_list(list(2, true), START);
+    teller.set_backend_list(list(1, false), START);
+    reader.apply(tell(&teller, &reader), START.before(Duration::from_secs(5)), START);
+    let sure = reader.attested_at;
+    teller.set_backend_list(list(2, true), START);
     let mut mail = tell(&teller, &reader);
     assert_eq!(mail.backend_list_changes.len(), 1);
     mail.backend_list_changes[0].from.number = 7;
-    assert!(!reader.absorb(mail, START, START).list);
-    assert_eq!(reader.sure, sure, "it has not what its teller has");
-    let news = reader.absorb(tell(&teller, &reader), START, START);
-    assert!(news.list && reader.sure == Some(START) && news.sure == Some(START));
+    assert!(!reader.apply(mail, START, START).backend_list);
+    assert_eq!(reader.attested_at, sure, "it has not what its teller has");
+    let news = reader.apply(tell(&teller, &reader), START, START);
+    assert!(news.backend_list && reader.attested_at == Some(START) && news.attested_at == Some(START));
 }
 
 #[test]
@@ -158,11 +159,11 @@
     let (mut teller, mut reader) = (VersionStore::default(), VersionStore::default());
     let routes: BTreeMap<_, _> = (0..40u64).map(|one| (format!("r{one}"), one)).collect();
     let tell = |teller: &VersionStore, reader: &VersionStore| {
-        teller.mail(&reader.have(), false, Duration::ZERO, START)
+        teller.response_to(&reader.versions(), false, Duration::ZERO, START)
     };
     for no in 1..=2 {
         teller.set_register(Rc::new(register(no, &routes, 0)));
-        reader.absorb(tell(&teller, &reader), START, START);
+        reader.apply(tell(&teller, &reader), START, START);
     }
     let document =
         |store: &VersionStore| store.register.as_ref().and_then(|one| one.config.clone()).expect("one");
@@ -178,9 +179,9 @@
         PullResponse { register_changes: mail.register_changes.clone(), ..PullResponse::default() };
     other.register_changes[0].checksum ^= 1;
     let mut doubtful = reader.clone();
-    assert!(!doubtful.absorb(other, START, START).register);
+    assert!(!doubtful.apply(other, START, START).register);
     mail.attested_age_ms = Some(0);
-    assert!(reader.absorb(mail, START, START).register);
-    assert_eq!((document(&reader).get(), reader.have().register), (before.get(), Revision(3)));
+    assert!(reader.apply(mail, START, START).register);
+    assert_eq!((document(&reader).get(), reader.versions().register), (before.get(), Revision(3)));
     assert_eq!(reader.register.as_ref().map(|register| register.membership.clone()), Some(membership));
 }
--- a/crates/protocol/src/deduplication.rs
+++ b/crates/protocol/src/deduplication.rs
@@ -14,13 +14,13 @@
 /// time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallId {
-    pub life: u64,
-    pub no: u64,
+    pub caller: u64,
+    pub sequence: u64,
 }
 
 impl fmt::Display for CallId {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{:x}-{:x}", self.life, self.no)
+        write!(f, "{:x}-{:x}", self.caller, self.sequence)
     }
 }
 
@@ -30,14 +30,14 @@
     fn from_str(text: &str) -> Result<CallId, &'static str> {
         let number = |text: &str| u64::from_str_radix(text, 16).ok();
         let both = text.split_once('-').and_then(|(life, no)| number(life).zip(number(no)));
-        both.map(|(life, no)| CallId { life, no }).ok_or("the call's id cannot be read")
+        both.map(|(life, no)| CallId { caller: life, sequence: no }).ok_or("the call's id cannot be read")
     }
 }
 
 /// Calls whose effect adds up. One that may not have arrived goes out again under the same id, and the callee
 /// gives the answer that it gave before; all others change nothing when they come twice, and go out again as
 /// new ones.
-pub fn adds_up(path: &str) -> bool {
+pub fn has_cumulative_effect(path: &str) -> bool {
     path == "/lend"
 }
 
@@ -71,26 +71,26 @@
 }
 
 impl<T: Clone> CallHistory<T> {
-    pub fn hears(&mut self, id: CallId, now: Instant) -> CallStatus<T> {
-        match self.callers.get_mut(&id.life) {
-            Some(known) if id.no <= known.no => {
-                let answer = known.answer.clone().filter(|_| id.no == known.no);
+    pub fn observe(&mut self, id: CallId, now: Instant) -> CallStatus<T> {
+        match self.callers.get_mut(&id.caller) {
+            Some(known) if id.sequence <= known.no => {
+                let answer = known.answer.clone().filter(|_| id.sequence == known.no);
                 return answer.map_or(CallStatus::Repeated, CallStatus::Answered);
             }
-            Some(known) => *known = Known { no: id.no, answer: None, heard: now },
+            Some(known) => *known = Known { no: id.sequence, answer: None, heard: now },
             None => {
                 if self.callers.len() >= MOST_CALLERS {
                     self.forget();
                 }
-                self.callers.insert(id.life, Known { no: id.no, answer: None, heard: now });
+                self.callers.insert(id.caller, Known { no: id.sequence, answer: None, heard: now });
             }
         }
         CallStatus::New
     }
 
     /// What was answered is kept until its caller's next call.
-    pub fn answered(&mut self, id: CallId, answer: T) {
-        let known = self.callers.get_mut(&id.life).filter(|known| known.no == id.no);
+    pub fn record_answer(&mut self, id: CallId, answer: T) {
+        let known = self.callers.get_mut(&id.caller).filter(|known| known.no == id.sequence);
         known.into_iter().for_each(|known| known.answer = Some(answer.clone()));
     }
 
--- a/crates/rpc/src/call.rs
+++ b/crates/rpc/src/call.rs
@@ -18,7 +18,7 @@
 use tokio::time::{Instant, timeout};
 use tokio_util::codec::Framed;
 use vanewharf_http1::{ClientCodec, PlainReply, ReadError, Request, ServerCodec};
-use vanewharf_protocol::deduplication::{CallHistory, CallId, CallStatus, adds_up};
+use vanewharf_protocol::deduplication::{CallHistory, CallId, CallStatus, has_cumulative_effect};
 use vanewharf_runtime::environment::{Listener, Network, Stream};
 
 /// For a connection to come up: across regions it takes two ways.
@@ -36,17 +36,17 @@
 #[derive(Debug, Error)]
 pub enum RpcError {
     #[error("no connection")]
-    NoConnection,
+    ConnectFailed,
     #[error("no answer in time")]
-    Silent,
+    Timeout,
     #[error("the connection broke")]
-    Broke,
+    ConnectionLost,
     #[error("status {0}")]
     Status(u16),
     #[error("the answer cannot be read")]
-    Unread,
+    Malformed,
     #[error("the answer is to another call")]
-    AnotherCalls,
+    MismatchedCallId,
 }
 
 /// By which the system's own processes know a call, and a callee's word that it was heard before.
@@ -71,12 +71,17 @@
 }
 
 impl RpcClient {
-    pub fn to(address: SocketAddr, net: &Rc<dyn Network>) -> RpcClient {
-        RpcClient { address, net: Rc::clone(net), kept: None, id: CallId { life: net.life(), no: 0 } }
+    pub fn new(address: SocketAddr, net: &Rc<dyn Network>) -> RpcClient {
+        RpcClient {
+            address,
+            net: Rc::clone(net),
+            kept: None,
+            id: CallId { caller: net.unique_id(), sequence: 0 },
+        }
     }
 
     /// Status and body, of one that need not be of the system's own.
-    pub async fn call(
+    pub async fn send(
         &mut self,
         method: &str,
         path: &str,
@@ -93,11 +98,11 @@
         let again = asked.own || asked.method == "GET";
         self.kept = self.kept.take().and_then(still_quiet);
         let kept = self.kept.is_some();
-        self.id.no += 1;
+        self.id.sequence += 1;
         match self.once(&asked, within).await {
-            Err(RpcError::Broke | RpcError::AnotherCalls) if kept && again => {
-                if !adds_up(asked.path) {
-                    self.id.no += 1;
+            Err(RpcError::ConnectionLost | RpcError::MismatchedCallId) if kept && again => {
+                if !has_cumulative_effect(asked.path) {
+                    self.id.sequence += 1;
                 }
                 self.once(&asked, within).await
             }
@@ -126,33 +131,35 @@
             None => Framed::new(self.dial().await?, ClientCodec::with_max_body(MOST_BODY)),
         };
         let sent = timeout(within.max(WHOLE), framed.get_mut().write_all(message.as_bytes())).await;
-        sent.map_err(|_| RpcError::Silent)?.map_err(|_| RpcError::Broke)?;
+        sent.map_err(|_| RpcError::Timeout)?.map_err(|_| RpcError::ConnectionLost)?;
         let begun = Instant::now();
         let read = loop {
             let before = (framed.codec().received_bytes(), framed.read_buffer().len());
             match timeout(within, framed.next()).await {
                 Ok(read) => break read,
                 Err(_) if before == (framed.codec().received_bytes(), framed.read_buffer().len()) => {
-                    return Err(RpcError::Silent);
+                    return Err(RpcError::Timeout);
                 }
-                Err(_) if begun.elapsed() > WHOLE_ANSWER => return Err(RpcError::Silent),
+                Err(_) if begun.elapsed() > WHOLE_ANSWER => return Err(RpcError::Timeout),
                 Err(_) => {}
             }
         };
         let reply = match read {
             Some(Ok(reply)) => reply,
-            None | Some(Err(ReadError::Io(_) | ReadError::UnexpectedEof)) => return Err(RpcError::Broke),
-            Some(Err(_)) => return Err(RpcError::Unread),
+            None | Some(Err(ReadError::Io(_) | ReadError::UnexpectedEof)) => {
+                return Err(RpcError::ConnectionLost);
+            }
+            Some(Err(_)) => return Err(RpcError::Malformed),
         };
         // The connection ends here: whatever else comes on it belongs to no call, either.
         if asked.own && reply.unique_field(CALL_ID).and_then(|id| id.parse().ok()) != Some(self.id) {
-            return Err(RpcError::AnotherCalls);
+            return Err(RpcError::MismatchedCallId);
         }
         let status = reply.status();
         let body = match reply.field("Content-Encoding") {
             None => reply.body().to_vec(),
-            Some(PACKED) => unpacked(reply.body()).ok_or(RpcError::Unread)?,
-            Some(_) => return Err(RpcError::Unread),
+            Some(PACKED) => unpacked(reply.body()).ok_or(RpcError::Malformed)?,
+            Some(_) => return Err(RpcError::Malformed),
         };
         if !reply.closes_connection() && framed.read_buffer().is_empty() {
             if framed.read_buffer().capacity() > SMALL {
@@ -164,29 +171,29 @@
     }
 
     async fn dial(&self) -> Result<Stream, RpcError> {
-        let stream = timeout(DIAL, self.net.dial(self.address)).await;
-        stream.map_err(|_| RpcError::NoConnection)?.map_err(|_| RpcError::NoConnection)
+        let stream = timeout(DIAL, self.net.connect(self.address)).await;
+        stream.map_err(|_| RpcError::ConnectFailed)?.map_err(|_| RpcError::ConnectFailed)
     }
 
     /// A call of the system's own: JSON both ways.
-    pub async fn ask<Q: Serialize, A: DeserializeOwned>(
+    pub async fn post<Q: Serialize, A: DeserializeOwned>(
         &mut self,
         path: &str,
         question: &Q,
         within: Duration,
     ) -> Result<A, RpcError> {
-        let body = serde_json::to_string(question).map_err(|_| RpcError::Unread)?;
+        let body = serde_json::to_string(question).map_err(|_| RpcError::Malformed)?;
         self.own(Asked { method: "POST", path, body: &body, own: true }, within).await
     }
 
     /// One that asks for something and says nothing.
-    pub async fn fetch<A: DeserializeOwned>(&mut self, path: &str, within: Duration) -> Result<A, RpcError> {
+    pub async fn get<A: DeserializeOwned>(&mut self, path: &str, within: Duration) -> Result<A, RpcError> {
         self.own(Asked { method: "GET", path, body: "", own: true }, within).await
     }
 
     async fn own<A: DeserializeOwned>(&mut self, asked: Asked<'_>, within: Duration) -> Result<A, RpcError> {
         match self.request(asked, within).await? {
-            (200, answer) => serde_json::from_slice(&answer).map_err(|_| RpcError::Unread),
+            (200, answer) => serde_json::from_slice(&answer).map_err(|_| RpcError::Malformed),
             (status, _) => Err(RpcError::Status(status)),
         }
     }
@@ -222,37 +229,37 @@
 #[derive(Clone, Debug)]
 pub struct RpcResponse {
     pub status: u16,
-    pub fields: Vec<(&'static str, String)>,
+    pub headers: Vec<(&'static str, String)>,
     pub body: Vec<u8>,
 }
 
 impl RpcResponse {
     /// Made smaller where it is long and the caller can read it so.
-    pub fn packed(self, request: &Request) -> RpcResponse {
+    pub fn compressed_for(self, request: &Request) -> RpcResponse {
         let reads = request.field("Accept-Encoding") == Some(PACKED);
         if !reads || self.body.len() < WORTH_PACKING {
             return self;
         }
         match packed(&self.body) {
             Some(body) => {
-                let mut fields = self.fields;
+                let mut fields = self.headers;
                 fields.push(("Content-Encoding", PACKED.to_owned()));
-                RpcResponse { status: self.status, fields, body }
+                RpcResponse { status: self.status, headers: fields, body }
             }
             None => self,
         }
     }
 
-    pub fn status(status: u16, why: &str) -> RpcResponse {
+    pub fn with_status(status: u16, why: &str) -> RpcResponse {
         let body =
             if status < 300 { "{}".to_owned() } else { serde_json::json!({ "error": why }).to_string() };
-        RpcResponse { status, fields: Vec::new(), body: body.into_bytes() }
+        RpcResponse { status, headers: Vec::new(), body: body.into_bytes() }
     }
 
     pub fn json<T: Serialize>(said: &T) -> RpcResponse {
         match serde_json::to_vec(said) {
-            Ok(body) => RpcResponse { status: 200, fields: Vec::new(), body },
-            Err(_) => RpcResponse::status(500, "the answer cannot be written"),
+            Ok(body) => RpcResponse { status: 200, headers: Vec::new(), body },
+            Err(_) => RpcResponse::with_status(500, "the answer cannot be written"),
         }
     }
 }
@@ -310,24 +317,24 @@
     let id = request.field(CALL_ID).map(str::parse::<CallId>);
     let (id, calls) = match (id, calls) {
         (Some(Ok(id)), Some(calls)) => (id, calls),
-        (Some(Err(why)), Some(_)) => return RpcResponse::status(400, why),
+        (Some(Err(why)), Some(_)) => return RpcResponse::with_status(400, why),
         // From outside, where no id means anything.
         _ => return handler(request).await,
     };
-    let hearing = calls.borrow_mut().hears(id, Instant::now());
+    let hearing = calls.borrow_mut().observe(id, Instant::now());
     match hearing {
         CallStatus::Answered(mut said) => {
-            said.fields.push((REPEATED, "1".to_owned()));
+            said.headers.push((REPEATED, "1".to_owned()));
             said
         }
         CallStatus::Repeated => {
-            RpcResponse::status(409, "this call, or a later one of its caller, was heard before")
+            RpcResponse::with_status(409, "this call, or a later one of its caller, was heard before")
         }
         CallStatus::New => {
-            let kept = adds_up(request.target());
+            let kept = has_cumulative_effect(request.target());
             let said = handler(request).await;
             if kept {
-                calls.borrow_mut().answered(id, said.clone());
+                calls.borrow_mut().record_answer(id, said.clone());
             }
             said
         }
@@ -392,9 +399,13 @@
         let mut call = None;
         let (said, last) = match read {
             None | Some(Err(ReadError::Io(_) | ReadError::UnexpectedEof)) => return,
-            Some(Err(ReadError::HeadTooLarge)) => (RpcResponse::status(431, "the head is too large"), true),
-            Some(Err(ReadError::BodyTooLarge)) => (RpcResponse::status(413, "the body is too large"), true),
-            Some(Err(fault)) => (RpcResponse::status(400, &fault.to_string()), true),
+            Some(Err(ReadError::HeadTooLarge)) => {
+                (RpcResponse::with_status(431, "the head is too large"), true)
+            }
+            Some(Err(ReadError::BodyTooLarge)) => {
+                (RpcResponse::with_status(413, "the body is too large"), true)
+            }
+            Some(Err(fault)) => (RpcResponse::with_status(400, &fault.to_string()), true),
             Some(Ok(request)) => {
                 let last = request.closes_connection();
                 call = request.field(CALL_ID).map(str::to_owned);
@@ -404,7 +415,7 @@
                 }
             }
         };
-        let mut fields: Vec<_> = said.fields.iter().map(|(name, value)| (*name, value.as_str())).collect();
+        let mut fields: Vec<_> = said.headers.iter().map(|(name, value)| (*name, value.as_str())).collect();
         fields.push(("Content-Type", "application/json"));
         fields.extend(call.iter().map(|id| (CALL_ID, id.as_str())));
         let answer = PlainReply { status: said.status, fields: &fields, body: &said.body, close: last };
--- a/crates/rpc/src/call/tests.rs
+++ b/crates/rpc/src/call/tests.rs
@@ -21,7 +21,7 @@
 }
 
 impl Network for Wires {
-    fn dial(&self, _: SocketAddr) -> BoxFuture<'static, io::Result<Stream>> {
+    fn connect(&self, _: SocketAddr) -> BoxFuture<'static, io::Result<Stream>> {
         let (here, there) = duplex(1 << 16);
         let dialled = self.dialled.send(Box::new(there)).map_err(|_| io::ErrorKind::ConnectionRefused.into());
         Box::pin(async move { dialled.map(|()| Box::new(here) as Stream) })
@@ -31,7 +31,7 @@
         Err(io::ErrorKind::Unsupported.into())
     }
 
-    fn life(&self) -> u64 {
+    fn unique_id(&self) -> u64 {
         self.lives.set(self.lives.get() + 1);
         self.lives.get()
     }
@@ -51,7 +51,7 @@
 fn wires() -> (Rc<dyn Network>, RpcClient, mpsc::UnboundedReceiver<Stream>) {
     let (dialled, there) = mpsc::unbounded_channel();
     let net: Rc<dyn Network> = Rc::new(Wires { dialled, lives: Cell::new(0) });
-    let caller = RpcClient::to("10.0.0.1:7600".parse().expect("an address"), &net);
+    let caller = RpcClient::new("10.0.0.1:7600".parse().expect("an address"), &net);
     (net, caller, there)
 }
 
@@ -102,8 +102,8 @@
     within_a_set(async {
         let (_net, mut caller, mut there) = wires();
         let calls = async {
-            assert_eq!(caller.ask::<_, u32>("/pull", &1, WITHIN).await.expect("answered"), 1);
-            caller.ask::<_, u32>("/pull", &2, WITHIN).await
+            assert_eq!(caller.post::<_, u32>("/pull", &1, WITHIN).await.expect("answered"), 1);
+            caller.post::<_, u32>("/pull", &2, WITHIN).await
         };
         let callee = async {
             let mut first = Callee::on(&mut there).await;
@@ -131,7 +131,7 @@
         };
         let (answer, ()) = tokio::join!(calls, callee);
         match wrong {
-            Wrong::Garbled => assert!(matches!(answer, Err(RpcError::Unread)), "{answer:?}"),
+            Wrong::Garbled => assert!(matches!(answer, Err(RpcError::Malformed)), "{answer:?}"),
             _ => assert_eq!(answer.expect("its own"), 2),
         }
     })
@@ -143,8 +143,8 @@
     within_a_set(async {
         let (_net, mut caller, mut there) = wires();
         let calls = async {
-            assert!(matches!(caller.ask::<_, u32>("/pull", &1, WITHIN).await, Err(RpcError::Silent)));
-            caller.ask::<_, u32>("/pull", &2, WITHIN).await.expect("answered")
+            assert!(matches!(caller.post::<_, u32>("/pull", &1, WITHIN).await, Err(RpcError::Timeout)));
+            caller.post::<_, u32>("/pull", &2, WITHIN).await.expect("answered")
         };
         let callee = async {
             let mut first = Callee::on(&mut there).await;
@@ -180,7 +180,7 @@
             for _ in 0..2 {
                 let asked = Asked { method, path, body: "1", own };
                 if let Err(failed) = caller.request(asked, WITHIN).await {
-                    assert!(matches!(failed, RpcError::Broke) && again.is_none(), "{failed:?}");
+                    assert!(matches!(failed, RpcError::ConnectionLost) && again.is_none(), "{failed:?}");
                 }
             }
         };
@@ -241,7 +241,7 @@
             async move { said }
         }));
         let raw = |path: &'static str, id: &'static str| {
-            let dialling = net.dial("10.0.0.1:7600".parse().expect("an address"));
+            let dialling = net.connect("10.0.0.1:7600".parse().expect("an address"));
             async move {
                 let mut framed =
                     Framed::new(dialling.await.expect("up"), ClientCodec::with_max_body(MOST_BODY));
--- a/crates/rpc/src/publisher.rs
+++ b/crates/rpc/src/publisher.rs
@@ -17,19 +17,19 @@
 
 #[derive(Clone)]
 pub struct Publisher {
-    pub steady: MonotonicClock,
+    pub clock: MonotonicClock,
     store: Rc<RefCell<VersionStore>>,
     /// Whoever waits is woken in the order in which they came.
     changed: Rc<Notify>,
 }
 
 impl Publisher {
-    pub fn new(steady: MonotonicClock) -> Publisher {
-        Publisher { steady, store: Rc::default(), changed: Rc::default() }
+    pub fn new(clock: MonotonicClock) -> Publisher {
+        Publisher { clock, store: Rc::default(), changed: Rc::default() }
     }
 
     pub fn now(&self) -> Timestamp {
-        self.steady.now()
+        self.clock.now()
     }
 
     pub fn store(&self) -> Ref<'_, VersionStore> {
@@ -37,7 +37,7 @@
     }
 
     /// Whoever waits is woken where the change says so.
-    pub fn change(&self, change: impl FnOnce(&mut VersionStore) -> bool) {
+    pub fn update(&self, change: impl FnOnce(&mut VersionStore) -> bool) {
         let changed = change(&mut self.store.borrow_mut());
         if changed {
             self.changed.notify_waiters();
@@ -45,14 +45,19 @@
     }
 
     /// The answer to a pull, as soon as there is something new or the reader would wait no longer.
-    pub async fn answer(&self, pull: &PullRequest) -> PullResponse {
+    pub async fn respond(&self, pull: &PullRequest) -> PullResponse {
         let begun = self.now();
-        let until = self.steady.instant(begun.after(Duration::from_millis(pull.wait_ms).min(LONGEST)));
+        let until = self.clock.instant(begun.after(Duration::from_millis(pull.wait_ms).min(LONGEST)));
         loop {
             let now = self.now();
-            if self.store().has_more_than(&pull.versions) || self.steady.instant(now) >= until {
+            if self.store().is_newer_than(&pull.versions) || self.clock.instant(now) >= until {
                 // A postmaster keeps the register as it was sent.
-                return self.store().mail(&pull.versions, pull.follower.is_some(), now.since(begun), now);
+                return self.store().response_to(
+                    &pull.versions,
+                    pull.follower.is_some(),
+                    now.since(begun),
+                    now,
+                );
             }
             // Nothing else runs between the look at the store and the first poll here.
             let _ = timeout_at(until, self.changed.notified()).await;
@@ -63,10 +68,10 @@
     pub async fn pull(&self, from: &mut RpcClient, pull: &PullRequest) -> Result<AppliedUpdates, RpcError> {
         let (asked, wait) = (self.now(), Duration::from_millis(pull.wait_ms));
         let within = wait + ON_THE_WAY;
-        let mail: PullResponse = from.ask("/pull", pull, within).await?;
+        let mail: PullResponse = from.post("/pull", pull, within).await?;
         let mut news = AppliedUpdates::default();
-        self.change(|store| {
-            news = store.absorb(mail, asked, self.steady.now());
+        self.update(|store| {
+            news = store.apply(mail, asked, self.clock.now());
             news.any()
         });
         Ok(news)
--- a/crates/rpc/tests/gone.rs
+++ b/crates/rpc/tests/gone.rs
@@ -19,11 +19,11 @@
 fn on_loopback<F: Future<Output = ()>>(test: impl FnOnce(Box<dyn Listener>, SocketAddr) -> F) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     runtime.block_on(LocalSet::new().run_until(async {
-        let premises = Environment::here(None).expect("no disk is needed");
+        let premises = Environment::of_machine(None).expect("no disk is needed");
         // A port that was free a moment ago.
         let free = std::net::TcpListener::bind("127.0.0.1:0").expect("a port").local_addr();
         let at = free.expect("an address");
-        let ear = premises.net.listen(at).expect("it is free");
+        let ear = premises.network.listen(at).expect("it is free");
         timeout(LONG, test(ear, at)).await.expect("in time");
     }));
 }
@@ -33,7 +33,7 @@
 }
 
 fn said(request: &Request) -> RpcResponse {
-    RpcResponse { status: 200, fields: Vec::new(), body: request.target().as_bytes().to_vec() }
+    RpcResponse { status: 200, headers: Vec::new(), body: request.target().as_bytes().to_vec() }
 }
 
 /// Another caller's whole call.
--- a/crates/runtime/src/environment.rs
+++ b/crates/runtime/src/environment.rs
@@ -32,12 +32,12 @@
 }
 
 pub trait Network {
-    fn dial(&self, to: SocketAddr) -> BoxFuture<'static, io::Result<Stream>>;
+    fn connect(&self, to: SocketAddr) -> BoxFuture<'static, io::Result<Stream>>;
 
     fn listen(&self, at: SocketAddr) -> io::Result<Box<dyn Listener>>;
 
     /// Another number each time, for what must be told apart from all others of its kind on this network.
-    fn life(&self) -> u64;
+    fn unique_id(&self) -> u64;
 }
 
 /// One thing done to a disk.
@@ -56,64 +56,69 @@
         from: String,
         to: String,
     },
-    SyncFolder,
+    SyncDirectory,
 }
 
 /// The folder for what is to outlast the process; none of its files has another one's name.
 pub trait Directory {
     /// All files, at the start.
-    fn read(&self) -> io::Result<BTreeMap<String, Vec<u8>>>;
+    fn read_all(&self) -> io::Result<BTreeMap<String, Vec<u8>>>;
 
     /// In this order, and no further than the first that fails.
-    fn carry_out(&self, deeds: Vec<FileOperation>) -> BoxFuture<'static, io::Result<()>>;
+    fn execute(&self, operations: Vec<FileOperation>) -> BoxFuture<'static, io::Result<()>>;
 }
 
 /// All of it, for one process.
 #[derive(Clone)]
 pub struct Environment {
-    pub net: Rc<dyn Network>,
+    pub network: Rc<dyn Network>,
     /// None where the machine has no disk.
-    pub folder: Option<Rc<dyn Directory>>,
+    pub directory: Option<Rc<dyn Directory>>,
     chance: Rc<RefCell<SmallRng>>,
     /// How fast its steady clock runs.
     rate: f64,
 }
 
 impl Environment {
-    pub fn new(net: Rc<dyn Network>, folder: Option<Rc<dyn Directory>>, seed: u64) -> Environment {
-        Environment { net, folder, chance: Rc::new(RefCell::new(SmallRng::seed_from_u64(seed))), rate: 1.0 }
+    pub fn new(network: Rc<dyn Network>, directory: Option<Rc<dyn Directory>>, seed: u64) -> Environment {
+        Environment {
+            network,
+            directory,
+            chance: Rc::new(RefCell::new(SmallRng::seed_from_u64(seed))),
+            rate: 1.0,
+        }
     }
 
     /// The same with a steady clock that is fast or slow.
-    pub fn at_rate(self, rate: f64) -> Environment {
+    pub fn with_clock_rate(self, rate: f64) -> Environment {
         Environment { rate, ..self }
     }
 
     /// The process' clock, from now on.
-    pub fn steady(&self) -> MonotonicClock {
-        MonotonicClock::at_rate(self.rate)
+    pub fn clock(&self) -> MonotonicClock {
+        MonotonicClock::with_rate(self.rate)
     }
 
     /// The machine's own.
-    pub fn here(data: Option<PathBuf>) -> io::Result<Environment> {
+    pub fn of_machine(data: Option<PathBuf>) -> io::Result<Environment> {
         let folder =
             data.map(|dir| Files::at(dir).map(|files| Rc::new(files) as Rc<dyn Directory>)).transpose()?;
         Ok(Environment::new(Rc::new(Tcp), folder, rand::random()))
     }
 
     /// A whole number below `end`.
-    pub fn draw(&self, end: u64) -> u64 {
+    pub fn random_below(&self, end: u64) -> u64 {
         self.chance.borrow_mut().random_range(0..end.max(1))
     }
 
     /// What tells one life of a process from the others.
-    pub fn life(&self) -> u64 {
-        self.draw(u64::MAX >> 1)
+    pub fn random_incarnation(&self) -> u64 {
+        self.random_below(u64::MAX >> 1)
     }
 
     pub fn shuffle<T>(&self, of: &mut [T]) {
         for last in (1..of.len()).rev() {
-            of.swap(last, self.draw(last as u64 + 1) as usize);
+            of.swap(last, self.random_below(last as u64 + 1) as usize);
         }
     }
 }
@@ -123,7 +128,7 @@
 const BACKLOG: u32 = 512;
 
 impl Network for Tcp {
-    fn dial(&self, to: SocketAddr) -> BoxFuture<'static, io::Result<Stream>> {
+    fn connect(&self, to: SocketAddr) -> BoxFuture<'static, io::Result<Stream>> {
         Box::pin(async move {
             let stream = TcpStream::connect(to).await?;
             let _ = stream.set_nodelay(true);
@@ -138,7 +143,7 @@
         Ok(Box::new(socket.listen(BACKLOG)?))
     }
 
-    fn life(&self) -> u64 {
+    fn unique_id(&self) -> u64 {
         rand::random()
     }
 }
@@ -168,8 +173,9 @@
         let there = dir.clone();
         std::thread::Builder::new().name("disk".to_owned()).stack_size(256 << 10).spawn(move || {
             let mut open = None;
-            while let Ok((deeds, done)) = taken.recv() {
-                let _ = done.send(deeds.iter().try_for_each(|deed| do_it(&there, deed, &mut open)));
+            while let Ok((operations, done)) = taken.recv() {
+                let _ = done
+                    .send(operations.iter().try_for_each(|operation| do_it(&there, operation, &mut open)));
                 open = None;
             }
         })?;
@@ -178,8 +184,8 @@
 }
 
 /// What was written last is synced where it is open.
-fn do_it(dir: &Path, deed: &FileOperation, open: &mut Option<(String, File)>) -> io::Result<()> {
-    match deed {
+fn do_it(dir: &Path, operation: &FileOperation, open: &mut Option<(String, File)>) -> io::Result<()> {
+    match operation {
         FileOperation::Write { file: name, bytes } => {
             let mut file = OpenOptions::new().write(true).create(true).truncate(true).open(dir.join(name))?;
             file.write_all(bytes)?;
@@ -191,12 +197,12 @@
             None => File::open(dir.join(file))?.sync_all(),
         },
         FileOperation::Rename { from, to } => fs::rename(dir.join(from), dir.join(to)),
-        FileOperation::SyncFolder => File::open(dir)?.sync_all(),
+        FileOperation::SyncDirectory => File::open(dir)?.sync_all(),
     }
 }
 
 impl Directory for Files {
-    fn read(&self) -> io::Result<BTreeMap<String, Vec<u8>>> {
+    fn read_all(&self) -> io::Result<BTreeMap<String, Vec<u8>>> {
         let mut files = BTreeMap::new();
         for entry in fs::read_dir(&self.dir)? {
             let entry = entry?;
@@ -207,9 +213,9 @@
         Ok(files)
     }
 
-    fn carry_out(&self, deeds: Vec<FileOperation>) -> BoxFuture<'static, io::Result<()>> {
+    fn execute(&self, operations: Vec<FileOperation>) -> BoxFuture<'static, io::Result<()>> {
         let (done, told) = oneshot::channel();
-        let taken = self.jobs.send((deeds, done));
+        let taken = self.jobs.send((operations, done));
         let gone = || io::Error::other("the disk's thread has ended");
         Box::pin(async move {
             taken.map_err(|_| gone())?;
--- a/crates/runtime/src/program.rs
+++ b/crates/runtime/src/program.rs
@@ -35,9 +35,9 @@
                 term.recv().await;
                 let _ = tell.send(());
             });
-            let data = settings.data.clone();
+            let data = settings.data_directory.clone();
             let premises =
-                Environment::here(data).map_err(|error| format!("the disk cannot be read: {error}"))?;
+                Environment::of_machine(data).map_err(|error| format!("the disk cannot be read: {error}"))?;
             run(settings, premises, end).await
         }),
         Err(error) => Err(format!("no runtime: {error}")),
@@ -81,7 +81,8 @@
         println!("{name} {version}");
         return Called::Over(ExitCode::SUCCESS);
     }
-    let path = matches.opt_str("settings").map(PathBuf::from).map_or_else(Settings::path, Ok);
+    let path =
+        matches.opt_str("settings").map(PathBuf::from).map_or_else(Settings::path_from_environment, Ok);
     let settings: Result<Settings, SettingsError> = path.and_then(Settings::read);
     match settings {
         Ok(_) if matches.opt_present("check") => {
--- a/crates/system-simulator/examples/capacity.rs
+++ b/crates/system-simulator/examples/capacity.rs
@@ -20,7 +20,7 @@
 use tokio::sync::mpsc;
 use vanewharf_clock::{MonotonicClock, Timestamp};
 use vanewharf_config::config::Config;
-use vanewharf_config::settings::Bounds;
+use vanewharf_config::settings::LimitsTable;
 use vanewharf_discovery::{FleetAggregator, summary_for_proxies};
 use vanewharf_gateway::router::RoutingPolicy;
 use vanewharf_http1::Request;
@@ -169,7 +169,7 @@
         let text = config(routes, tenants, 1, false);
         let size = text.get().len() as f64 / 1e6;
         let packing = took(|| packed(text.get().as_bytes()));
-        let read = took(|| Config::of(text.get().as_bytes()).expect("a good configuration"));
+        let read = took(|| Config::parse(text.get().as_bytes()).expect("a good configuration"));
         println!(
             "| {routes} | {tenants} | {size:.2} | {:.2} | {:.0} | {:.0}, {:.1}, {:.1} |",
             packing.out as f64 / 1e6,
@@ -233,11 +233,11 @@
     BackendList { version: Version { ballot: Ballot(1), number: no }, age_ms: 0, backends: servers }
 }
 
-fn bounds() -> Bounds {
-    Bounds {
+fn bounds() -> LimitsTable {
+    LimitsTable {
         revocation_global: true,
         revocation: Duration::from_secs(5),
-        grace: Duration::from_secs(6),
+        grace_period: Duration::from_secs(6),
         ttl_max: Duration::from_secs(5),
         rate_allowance: 100.0,
         retry_ratio: 0.2,
@@ -486,7 +486,8 @@
 /// Answers on loopback for as long as this program runs: tokens as they were asked for, and mails with nothing new.
 fn answering(at: SocketAddr, up: std::sync::mpsc::Sender<()>) {
     local(async {
-        let ear = Environment::here(None).expect("without a disk").net.listen(at).expect("a free port");
+        let ear =
+            Environment::of_machine(None).expect("without a disk").network.listen(at).expect("a free port");
         let _ = up.send(());
         let answered = |request: Request| async move {
             match request.target() {
@@ -496,7 +497,7 @@
                 "/pull" => {
                     let pull: PullRequest = serde_json::from_slice(request.body()).expect("a pull");
                     RpcResponse::json(&PullResponse { delay_ms: pull.wait_ms, ..PullResponse::default() })
-                        .packed(&request)
+                        .compressed_for(&request)
                 }
                 _ => RpcResponse::json(&spent()),
             }
@@ -516,12 +517,12 @@
     (path, asked): (&'static str, Q),
     (callers, each): (usize, usize),
 ) {
-    let net = Environment::here(None).expect("without a disk").net;
+    let net = Environment::of_machine(None).expect("without a disk").network;
     let one = |_| {
-        let (mut caller, asked) = (RpcClient::to(at, &net), asked.clone());
+        let (mut caller, asked) = (RpcClient::new(at, &net), asked.clone());
         tokio::task::spawn_local(async move {
             for _ in 0..each {
-                let _: A = caller.ask(path, &asked, Duration::from_secs(9)).await.expect("an answer");
+                let _: A = caller.post(path, &asked, Duration::from_secs(9)).await.expect("an answer");
             }
         })
     };
@@ -538,8 +539,8 @@
     println!("\n| calls over loopback, 32 callers | calls | callee's processor µs a call | a second |");
     println!("| --- | --- | --- | --- |");
     local(async {
-        let net = Environment::here(None).expect("without a disk").net;
-        let mut asking = RpcClient::to(at, &net);
+        let net = Environment::of_machine(None).expect("without a disk").network;
+        let mut asking = RpcClient::new(at, &net);
         let pull = |report| PullRequest {
             versions: VersionVector::default(),
             wait_ms: 300,
@@ -551,7 +552,7 @@
         let token = TokenCounts::from([("tenant-000123".to_owned(), 1)]);
         for (name, kind) in [("/lend, one token", 0), ("/pull, no tenants", 1), ("/pull, 100 tenants", 2)] {
             let within = Duration::from_secs(9);
-            let before: Duration = asking.ask("/spent", &(), within).await.expect("told");
+            let before: Duration = asking.post("/spent", &(), within).await.expect("told");
             let (began, many) = (Instant::now(), (32, 1_500));
             match kind {
                 0 => calls_of::<_, TokenCounts>(at, ("/lend", token.clone()), many).await,
@@ -559,7 +560,7 @@
                 _ => calls_of::<_, PullResponse>(at, ("/pull", long.clone()), many).await,
             }
             let wall = began.elapsed().as_secs_f64();
-            let after: Duration = asking.ask("/spent", &(), within).await.expect("told");
+            let after: Duration = asking.post("/spent", &(), within).await.expect("told");
             let count = (many.0 * many.1) as f64;
             let each = (after - before).as_secs_f64() * 1e6 / count;
             println!("| {name} | {count} | {each:.1} | {:.0} |", count / wall);
--- a/crates/system-simulator/src/day.rs
+++ b/crates/system-simulator/src/day.rs
@@ -479,12 +479,12 @@
 ) -> Option<(u16, Vec<u8>)> {
     let to = {
         let control = world.control.borrow();
-        control[premises.draw(control.len() as u64) as usize]
+        control[premises.random_below(control.len() as u64) as usize]
     };
     let mut to = world.office(to);
     for _ in 0..3 {
-        let mut caller = RpcClient::to(to, &premises.net);
-        let answer = timeout(WITHIN, caller.call(method, path, body, WITHIN)).await;
+        let mut caller = RpcClient::new(to, &premises.network);
+        let answer = timeout(WITHIN, caller.send(method, path, body, WITHIN)).await;
         let (status, text) = answer.ok()?.ok()?;
         if status != 307 {
             return Some((status, text));
@@ -680,10 +680,10 @@
         all.clear();
         let control = world.control.borrow().clone();
         for no in control.into_iter().filter(|no| world.runs(*no)) {
-            let feed = Publisher::new(premises.steady());
-            let mut there = RpcClient::to(world.inside(no), &premises.net);
+            let feed = Publisher::new(premises.clock());
+            let mut there = RpcClient::new(world.inside(no), &premises.network);
             let pull = PullRequest {
-                versions: feed.store().have(),
+                versions: feed.store().versions(),
                 wait_ms: 0,
                 follower: None,
                 token_leases: None,
@@ -693,7 +693,7 @@
             let register = feed.store().register.clone();
             let revision = |register: &Register| {
                 let config =
-                    register.config.as_ref().and_then(|config| Config::of(config.get().as_bytes()).ok());
+                    register.config.as_ref().and_then(|config| Config::parse(config.get().as_bytes()).ok());
                 config.map_or(0, |config| config.revision.0)
             };
             let had = register.map(|register| (register.revision.0, revision(&register)));
--- a/crates/system-simulator/src/disk.rs
+++ b/crates/system-simulator/src/disk.rs
@@ -150,7 +150,7 @@
             }
             Health::Well | Health::Full => {}
         }
-        if let FileOperation::Sync { .. } | FileOperation::SyncFolder = deed {
+        if let FileOperation::Sync { .. } | FileOperation::SyncDirectory = deed {
             sleep(sync).await;
         }
         let mut platter = self.platter.borrow_mut();
@@ -177,7 +177,7 @@
                 platter.files.insert(to.clone(), bytes);
                 platter.unsynced.push(deed);
             }
-            FileOperation::SyncFolder => {
+            FileOperation::SyncDirectory => {
                 platter.entered = platter.files.keys().cloned().collect();
                 let (renames, rest): (Vec<_>, Vec<_>) = std::mem::take(&mut platter.unsynced)
                     .into_iter()
@@ -197,11 +197,11 @@
 }
 
 impl Directory for Disk {
-    fn read(&self) -> io::Result<Files> {
+    fn read_all(&self) -> io::Result<Files> {
         Ok(self.platter.borrow().files.clone())
     }
 
-    fn carry_out(&self, deeds: Vec<FileOperation>) -> BoxFuture<'static, io::Result<()>> {
+    fn execute(&self, deeds: Vec<FileOperation>) -> BoxFuture<'static, io::Result<()>> {
         let disk = self.clone();
         Box::pin(async move {
             for deed in deeds {
--- a/crates/system-simulator/src/door.rs
+++ b/crates/system-simulator/src/door.rs
@@ -81,13 +81,13 @@
         asks: Rc<std::cell::RefCell<Option<mpsc::UnboundedSender<Ask>>>>,
     ) -> Result<(), String> {
         let settings = Rc::new(settings);
-        let frontend = settings.listens("frontend").map_err(|fault| fault.to_string())?;
+        let frontend = settings.listen_address("frontend").map_err(|fault| fault.to_string())?;
         let core = Core::start(&settings, &premises, frontend);
         town.feeds.borrow_mut().insert(no, core.feed.clone());
         let (tell, mut asked) = mpsc::unbounded_channel();
         *asks.borrow_mut() = Some(tell);
         let (ends, mut ended) = mpsc::unbounded_channel();
-        let (life, ip) = (premises.life(), settings.ip);
+        let (life, ip) = (premises.random_incarnation(), settings.ip);
         let (next, revision, txns) = (0, 0, BTreeMap::new());
         let mut door = Door { no, ip, town, network, premises, core, life, next, revision, txns, ends };
         loop {
@@ -117,7 +117,8 @@
 
     fn hear(&mut self, news: News) {
         if let News::Register(register) = &news {
-            let config = register.config.as_ref().and_then(|config| Config::of(config.get().as_bytes()).ok());
+            let config =
+                register.config.as_ref().and_then(|config| Config::parse(config.get().as_bytes()).ok());
             self.revision = config.map_or(0, |config| config.revision.0);
             let mut hasher = DefaultHasher::new();
             (register.config.as_ref().map(|config| config.get()), &register.evacuated, &register.membership)
@@ -207,7 +208,7 @@
         let there = self.town.backends.borrow().get(&instance).cloned();
         let way =
             there.as_ref().map_or(Duration::ZERO, |there| self.network.delay(self.ip, there.address.ip()));
-        let work = WORK + Duration::from_millis(self.premises.draw(MORE_WORK));
+        let work = WORK + Duration::from_millis(self.premises.random_below(MORE_WORK));
         let (town, network, ends) = (Rc::clone(&self.town), self.network.clone(), self.ends.clone());
         let (ip, door, revision) = (self.ip, self.no, self.revision);
         tokio::task::spawn_local(async move {
--- a/crates/system-simulator/src/net.rs
+++ b/crates/system-simulator/src/net.rs
@@ -208,7 +208,7 @@
 }
 
 impl Network for View {
-    fn dial(&self, to: SocketAddr) -> BoxFuture<'static, io::Result<Stream>> {
+    fn connect(&self, to: SocketAddr) -> BoxFuture<'static, io::Result<Stream>> {
         let (network, from, to) = (self.network.clone(), self.ip, self.there(to));
         Box::pin(async move {
             let (no, way) = {
@@ -266,7 +266,7 @@
         Ok(Box::new(Listening { network: self.network.clone(), at, queue }))
     }
 
-    fn life(&self) -> u64 {
+    fn unique_id(&self) -> u64 {
         let mut map = self.network.map.borrow_mut();
         map.lives += 1;
         scatter(self.network.seed, map.lives)
--- a/crates/system-simulator/src/play.rs
+++ b/crates/system-simulator/src/play.rs
@@ -224,7 +224,7 @@
             let (came, text) = (Instant::now(), String::from_utf8_lossy(&text).into_owned());
             world.town.history.borrow_mut().read_backs.push(ReadBack { sent, came, text });
         }
-        sleep(READ_EACH + Duration::from_millis(premises.draw(100))).await;
+        sleep(READ_EACH + Duration::from_millis(premises.random_below(100))).await;
     }
 }
 
--- a/crates/system-simulator/src/world.rs
+++ b/crates/system-simulator/src/world.rs
@@ -236,7 +236,9 @@
         let ear = ear.expect("nothing else listens there");
         tokio::task::spawn_local(serve(ear, move |request| {
             let page = (request.target().starts_with("/instances")).then(|| town.page());
-            async move { page.map_or(RpcResponse::status(404, "no such call"), |page| RpcResponse::json(&page)) }
+            async move {
+                page.map_or(RpcResponse::with_status(404, "no such call"), |page| RpcResponse::json(&page))
+            }
         }));
     }
 
@@ -265,7 +267,7 @@
                 "warmup_overshoot": 1.5, "warmup_allowance": 5},
             "fault_tolerance": {"machine_losses": (self.shape.offices - 1) / 2, "zones": 1, "region_losses": 0},
             "cloud_api": {"address": self.town.platform.to_string(), "rate_per_s": 44.0, "allowed_lag": "800ms"}});
-        Settings::of(text.to_string().as_bytes()).expect("settings that can be read")
+        Settings::parse(text.to_string().as_bytes()).expect("settings that can be read")
     }
 
     /// Starts what does not run on a machine.
@@ -295,7 +297,8 @@
         let folder = machine.disk.clone().map(|disk| Rc::new(disk) as Rc<dyn Directory>);
         let mixed =
             self.seed.wrapping_mul(0x9e37_79b9).wrapping_add((no as u64) << 16 | machine.starts.get());
-        let premises = Environment::new(self.network.at(machine.ip), folder, mixed).at_rate(machine.rate);
+        let premises =
+            Environment::new(self.network.at(machine.ip), folder, mixed).with_clock_rate(machine.rate);
         let (settings, set) = (self.settings(no), LocalSet::new());
         let (town, name) = (Rc::clone(&self.town), machine.name.clone());
         let said = move |ended: Result<(), String>| {
--- a/crates/system-simulator/tests/cut.rs
+++ b/crates/system-simulator/tests/cut.rs
@@ -91,8 +91,8 @@
     call: (&str, &str, &str),
 ) -> Option<(u16, Option<SocketAddr>)> {
     let (method, path, body) = call;
-    let mut caller = RpcClient::to(office, &premises.net);
-    let (status, text) = caller.call(method, path, body, WITHIN).await.ok()?;
+    let mut caller = RpcClient::new(office, &premises.network);
+    let (status, text) = caller.send(method, path, body, WITHIN).await.ok()?;
     let text: Value = serde_json::from_slice(&text).unwrap_or_default();
     let there = text["location"].as_str().and_then(|text| {
         text.trim_start_matches("http://").split('/').next().and_then(|address| address.parse().ok())
@@ -121,8 +121,8 @@
 async fn read_back(premises: &Environment, office: SocketAddr) -> String {
     let mut to = office;
     for _ in 0..3 {
-        let mut caller = RpcClient::to(to, &premises.net);
-        let read = caller.call("GET", "/-/Configuration.Read", "", WITHIN).await.expect("answered");
+        let mut caller = RpcClient::new(to, &premises.network);
+        let read = caller.send("GET", "/-/Configuration.Read", "", WITHIN).await.expect("answered");
         let text = String::from_utf8(read.1).expect("text");
         if read.0 != 307 {
             return text;
@@ -192,7 +192,7 @@
 }
 
 fn shows(store: &VersionStore, id: &str, draining: bool) -> bool {
-    let list = store.list.as_ref();
+    let list = store.backend_list.as_ref();
     list.is_some_and(|list| list.backends.iter().any(|one| one.id == id && one.draining == draining))
 }
 
@@ -367,10 +367,10 @@
         let mut told = BTreeMap::new();
         for office in 0..offices {
             let at = SocketAddr::new(world.office(office).ip(), 7600);
-            let mut caller = RpcClient::to(at, &premises.net);
+            let mut caller = RpcClient::new(at, &premises.network);
             // As one that is no member of theirs: it leaves no mark that counts.
             let recover = r#"{"Recover":{"member":"10.9.9.9:1","incarnation":0}}"#;
-            let known = caller.call("POST", "/vote", recover, WITHIN).await.expect("answered").1;
+            let known = caller.send("POST", "/vote", recover, WITHIN).await.expect("answered").1;
             let known: Value = serde_json::from_slice(&known).expect("JSON");
             let known = &known["vote"]["Known"];
             told.insert(office, (known["promised"].to_string(), known["register"]["no"].to_string()));
--- a/crates/system-simulator/tests/orders.rs
+++ b/crates/system-simulator/tests/orders.rs
@@ -56,8 +56,8 @@
 async fn call(world: &World, no: u8, office: usize, path: &str, body: &str) -> Option<(u16, Vec<u8>)> {
     let method = if path.ends_with("Read") { "GET" } else { "POST" };
     let net = world.network.at(operator(no));
-    let mut caller = RpcClient::to(world.office(office), &net);
-    timeout(SILENCE, caller.call(method, path, body, SILENCE)).await.ok()?.ok()
+    let mut caller = RpcClient::new(world.office(office), &net);
+    timeout(SILENCE, caller.send(method, path, body, SILENCE)).await.ok()?.ok()
 }
 
 /// At one postmaster after the other until it is clear: the status, or none where that took too long.
@@ -105,8 +105,8 @@
         token_leases: None,
         reports: Vec::new(),
     };
-    let mut caller = RpcClient::to(inside, &world.network.at(operator(7)));
-    let mail: PullResponse = caller.ask("/pull", &pull, SILENCE).await.expect("answered");
+    let mut caller = RpcClient::new(inside, &world.network.at(operator(7)));
+    let mail: PullResponse = caller.post("/pull", &pull, SILENCE).await.expect("answered");
     mail.register.expect("a register").evacuated
 }
 
@@ -174,10 +174,10 @@
             let holder = holder(&world).await;
             // A connection that is up, whose bytes are then held on their way.
             let (here, there) = (operator(0), world.machines[holder].ip);
-            let mut caller = RpcClient::to(world.office(holder), &world.network.at(here));
-            assert_eq!(caller.call("GET", "/-/Configuration.Read", "", SILENCE).await.expect("up").0, 200);
+            let mut caller = RpcClient::new(world.office(holder), &world.network.at(here));
+            assert_eq!(caller.send("GET", "/-/Configuration.Read", "", SILENCE).await.expect("up").0, 200);
             world.network.cut(here, there);
-            assert!(caller.call("POST", finish, "", SILENCE).await.is_err(), "nothing can be heard");
+            assert!(caller.send("POST", finish, "", SILENCE).await.is_err(), "nothing can be heard");
             drop(caller);
             // Sent again by another way, and taken back after that.
             assert_eq!(ordered(&world, 1, finish, "", ACKNOWLEDGE).await, Some(200));
@@ -285,8 +285,8 @@
 }
 
 impl Network for Silencing {
-    fn dial(&self, to: SocketAddr) -> BoxFuture<'static, io::Result<Stream>> {
-        let (dialling, silent_until) = (self.net.dial(to), Rc::clone(&self.silent_until));
+    fn connect(&self, to: SocketAddr) -> BoxFuture<'static, io::Result<Stream>> {
+        let (dialling, silent_until) = (self.net.connect(to), Rc::clone(&self.silent_until));
         self.dialled.set(self.dialled.get() + 1);
         let no = self.dialled.get();
         Box::pin(async move { Ok(Box::new(Line { stream: dialling.await?, no, silent_until }) as Stream) })
@@ -296,8 +296,8 @@
         self.net.listen(at)
     }
 
-    fn life(&self) -> u64 {
-        self.net.life()
+    fn unique_id(&self) -> u64 {
+        self.net.unique_id()
     }
 }
 
@@ -353,7 +353,7 @@
             "rate_allowance": 20, "retry_ratio": 0.2, "retry_window": "10s", "retry_allowance": 56,
             "warmup_overshoot": 1.5, "warmup_allowance": 5},
         "fault_tolerance": {"machine_losses": 1, "zones": 1, "region_losses": 0}});
-    Settings::of(text.to_string().as_bytes()).expect("settings that can be read")
+    Settings::parse(text.to_string().as_bytes()).expect("settings that can be read")
 }
 
 #[test]
@@ -381,7 +381,7 @@
             let to = SocketAddr::new(ip(no as u8 + 1), 8200);
             async move {
                 let (begun, path) = (Instant::now(), format!("/-/Evacuation.Begin/{zone}"));
-                let answer = RpcClient::to(to, &net).call("POST", &path, "", ACKNOWLEDGE).await;
+                let answer = RpcClient::new(to, &net).send("POST", &path, "", ACKNOWLEDGE).await;
                 (answer.ok().map(|(status, _)| status), begun.elapsed())
             }
         };
--- a/crates/testkit/src/town.rs
+++ b/crates/testkit/src/town.rs
@@ -75,7 +75,8 @@
 }
 
 async fn run(program: Program, settings: Settings, end: End) -> Result<(), String> {
-    let premises = Environment::here(settings.data.clone()).map_err(|error| error.to_string())?;
+    let premises =
+        Environment::of_machine(settings.data_directory.clone()).map_err(|error| error.to_string())?;
     match program {
         Program::Carrier => vanewharf_proxy::run(settings, premises, end).await,
         Program::Sorter => vanewharf_agent::run(settings, premises, end).await,
@@ -166,7 +167,7 @@
             "fault_tolerance": {"machine_losses": (self.offices - 1) / 2, "zones": 0, "region_losses": 0},
             "cloud_api": {"address": self.platform.address.to_string(), "rate_per_s": 20.0, "allowed_lag": "500ms"},
             "a_field_of_tomorrow": 1});
-        Settings::of(text.to_string().as_bytes()).expect("settings that can be read")
+        Settings::parse(text.to_string().as_bytes()).expect("settings that can be read")
     }
 
     fn disk(&self, machine: &Machine) -> PathBuf {
--- a/programs/agent/src/lib.rs
+++ b/programs/agent/src/lib.rs
@@ -38,15 +38,15 @@
 type Relayed = Rc<RefCell<BTreeMap<String, (ProxyReport, Timestamp)>>>;
 
 pub async fn run(settings: Settings, premises: Environment, end: End) -> Result<(), String> {
-    let (feed, last) = (Publisher::new(premises.steady()), Last::default());
-    let at = settings.loopback();
-    let listener = premises.net.listen(at).map_err(|error| format!("cannot listen on {at}: {error}"))?;
+    let (feed, last) = (Publisher::new(premises.clock()), Last::default());
+    let at = settings.agent_loopback_address();
+    let listener = premises.network.listen(at).map_err(|error| format!("cannot listen on {at}: {error}"))?;
     let (fed, reported) = (feed.clone(), Rc::clone(&last));
     tokio::task::spawn_local(serve_deduplicated(listener, move |request| {
         let (feed, last) = (fed.clone(), Rc::clone(&reported));
         async move {
             if (request.method(), request.target()) != ("POST", "/pull") {
-                return RpcResponse::status(404, "there is no such call");
+                return RpcResponse::with_status(404, "there is no such call");
             }
             match serde_json::from_slice::<PullRequest>(request.body()) {
                 Ok(mut pull) => {
@@ -55,24 +55,24 @@
                         let made = now.before(Duration::from_millis(report.age_ms));
                         *last.borrow_mut() = Some((report, made));
                     }
-                    RpcResponse::json(&feed.answer(&pull).await)
+                    RpcResponse::json(&feed.respond(&pull).await)
                 }
-                Err(error) => RpcResponse::status(400, &error.to_string()),
+                Err(error) => RpcResponse::with_status(400, &error.to_string()),
             }
         }
     }));
     let view = Rc::new(RefCell::new(PeerView::new(settings.ip, &settings.region)));
-    let beside = settings.neighbour(settings.ip);
+    let beside = settings.agent_address(settings.ip);
     let listener =
-        premises.net.listen(beside).map_err(|error| format!("cannot listen on {beside}: {error}"))?;
+        premises.network.listen(beside).map_err(|error| format!("cannot listen on {beside}: {error}"))?;
     let relayed = Relayed::default();
     let (fed, known, kept, here) = (feed.clone(), Rc::clone(&view), Rc::clone(&relayed), premises.clone());
     tokio::task::spawn_local(serve_deduplicated(listener, move |request| {
         let (feed, view, relayed) = (fed.clone(), Rc::clone(&known), Rc::clone(&kept));
-        let draw = here.draw(1 << 16) as usize;
+        let draw = here.random_below(1 << 16) as usize;
         async move { beside_calls(&feed, &view, &relayed, draw, &request).await }
     }));
-    let grace = settings.bounds.grace;
+    let grace = settings.limits_table.grace_period;
     let settings = Rc::new(settings);
     tokio::task::spawn_local(shuffle(Rc::clone(&settings), premises.clone(), feed.clone(), Rc::clone(&view)));
     tokio::task::spawn_local(keep_pulling(settings, premises, feed, last, view, relayed));
@@ -97,7 +97,7 @@
                 view.borrow_mut().merge(&told, now);
                 RpcResponse::json(&mine)
             }
-            Err(error) => RpcResponse::status(400, &error.to_string()),
+            Err(error) => RpcResponse::with_status(400, &error.to_string()),
         },
         ("POST", "/pull") => match serde_json::from_slice::<PullRequest>(request.body()) {
             Ok(pull) => {
@@ -110,11 +110,11 @@
                         relayed.insert(report.proxy.name.clone(), (report.clone(), made));
                     }
                 }
-                RpcResponse::json(&feed.answer(&pull).await).packed(request)
+                RpcResponse::json(&feed.respond(&pull).await).compressed_for(request)
             }
-            Err(error) => RpcResponse::status(400, &error.to_string()),
+            Err(error) => RpcResponse::with_status(400, &error.to_string()),
         },
-        _ => RpcResponse::status(404, "there is no such call"),
+        _ => RpcResponse::with_status(404, "there is no such call"),
     }
 }
 
@@ -126,15 +126,15 @@
     view: Rc<RefCell<PeerView>>,
 ) {
     loop {
-        let draw = premises.draw(1 << 16) as usize;
+        let draw = premises.random_below(1 << 16) as usize;
         sleep(SHUFFLED + Duration::from_millis(draw as u64 % 400)).await;
         let first = view.borrow().contact_order(draw).first().copied();
         let now = feed.now();
         match first {
             Some(ip) => {
                 let told = view.borrow().sample(draw, now);
-                let mut there = RpcClient::to(settings.neighbour(ip), &premises.net);
-                match there.ask::<_, Vec<PeerEntry>>("/shuffle", &told, BESIDE).await {
+                let mut there = RpcClient::new(settings.agent_address(ip), &premises.network);
+                match there.post::<_, Vec<PeerEntry>>("/shuffle", &told, BESIDE).await {
                     Ok(heard) => view.borrow_mut().merge(&heard, feed.now()),
                     Err(_) => view.borrow_mut().remove(ip),
                 }
@@ -142,8 +142,8 @@
             // It knows no door: a postmaster names some.
             None => {
                 for ip in known(&settings, &feed) {
-                    let mut there = RpcClient::to(settings.office(ip), &premises.net);
-                    if let Ok(heard) = there.fetch::<Vec<PeerEntry>>("/neighbours", BESIDE).await {
+                    let mut there = RpcClient::new(settings.controller_address(ip), &premises.network);
+                    if let Ok(heard) = there.get::<Vec<PeerEntry>>("/neighbours", BESIDE).await {
                         view.borrow_mut().merge(&heard, feed.now());
                         break;
                     }
@@ -164,12 +164,13 @@
 ) {
     let (mut callers, mut sources): (Vec<RpcClient>, SourceSelector) = Default::default();
     loop {
-        let offices: Vec<_> = known(&settings, &feed).into_iter().map(|ip| settings.office(ip)).collect();
+        let offices: Vec<_> =
+            known(&settings, &feed).into_iter().map(|ip| settings.controller_address(ip)).collect();
         let beside: Vec<_> = {
             // From one on that is this door's own, so that not all turn to the same.
             let order =
                 view.borrow().contact_order(usize::from(u8::try_from(settings.name.len()).unwrap_or(0)));
-            order.into_iter().map(|ip| settings.neighbour(ip)).collect()
+            order.into_iter().map(|ip| settings.agent_address(ip)).collect()
         };
         let Some(SourceChoice { source: best, wait }) = sources.choose_next(&offices, &beside, feed.now())
         else {
@@ -177,7 +178,7 @@
             continue;
         };
         let kept = callers.iter().position(|caller| caller.address == best).map(|at| callers.remove(at));
-        let mut caller = kept.unwrap_or_else(|| RpcClient::to(best, &premises.net));
+        let mut caller = kept.unwrap_or_else(|| RpcClient::new(best, &premises.network));
         let now = feed.now();
         let aged = |(report, made): &(ProxyReport, Timestamp)| {
             let age = now.since(*made);
@@ -188,7 +189,7 @@
         let relayed: Vec<_> = relayed.borrow().values().filter_map(aged).collect();
         let others = relayed.into_iter().filter(|report| Some(&report.proxy.name) != name.as_ref());
         let pull = PullRequest {
-            versions: feed.store().have(),
+            versions: feed.store().versions(),
             wait_ms: wait.as_millis() as u64,
             follower: None,
             token_leases: None,
@@ -199,7 +200,7 @@
             Ok(news) => {
                 callers.insert(0, caller);
                 callers.truncate(MOST_CALLERS);
-                if !sources.record_answer(best, news.sure, &beside, feed.now()) {
+                if !sources.record_answer(best, news.attested_at, &beside, feed.now()) {
                     sleep(PAUSE).await;
                 }
             }
@@ -215,7 +216,7 @@
 /// The postmasters that are known, the nearest first.
 fn known(settings: &Settings, feed: &Publisher) -> Vec<IpAddr> {
     let store = feed.store();
-    let rows = store.ledger.iter().flat_map(|ledger| &ledger.controllers);
+    let rows = store.fleet_summary.iter().flat_map(|ledger| &ledger.controllers);
     let place = |zone: &str| {
         let region = settings.zones.get(zone);
         (zone != settings.zone, region != Some(&settings.region))
--- a/programs/cli/src/main.rs
+++ b/programs/cli/src/main.rs
@@ -474,12 +474,12 @@
         return Ok(());
     }
     if whole.get("node_name").is_some() {
-        let settings = Settings::of(text(file)?.as_bytes()).map_err(|fault| named(fault.to_string()))?;
+        let settings = Settings::parse(text(file)?.as_bytes()).map_err(|fault| named(fault.to_string()))?;
         println!("{}: {} of {} would start by these settings", file.display(), settings.name, settings.zone);
         return Ok(());
     }
     if whole.get("routes").is_some() || whole.get("revision").is_some() {
-        let config = SystemConfig::of(text(file)?.as_bytes()).map_err(|fault| named(fault.to_string()))?;
+        let config = SystemConfig::parse(text(file)?.as_bytes()).map_err(|fault| named(fault.to_string()))?;
         let customers = config.customers.as_ref().map_or(0, |customers| customers.len());
         println!(
             "{}: r{} with {} routes to {} services and {customers} tenants would be taken",
--- a/programs/controller/src/internal_api.rs
+++ b/programs/controller/src/internal_api.rs
@@ -12,10 +12,10 @@
 
 /// The system's own calls.
 pub async fn dispatch(state: &ControllerState, request: &vanewharf_http1::Request) -> RpcResponse {
-    let unread = |error: serde_json::Error| RpcResponse::status(400, &error.to_string());
+    let unread = |error: serde_json::Error| RpcResponse::with_status(400, &error.to_string());
     match (request.method(), request.target()) {
         ("POST", "/pull") => match serde_json::from_slice::<PullRequest>(request.body()) {
-            Ok(pull) => RpcResponse::json(&state.pulled(pull).await).packed(request),
+            Ok(pull) => RpcResponse::json(&state.pulled(pull).await).compressed_for(request),
             Err(error) => unread(error),
         },
         ("POST", "/lend") => match serde_json::from_slice::<TokenCounts>(request.body()) {
@@ -32,7 +32,7 @@
         },
         ("GET", "/neighbours") => RpcResponse::json(&state.neighbours()),
         ("GET", "/membership") => RpcResponse::json(&state.replica.membership()),
-        _ => RpcResponse::status(404, "there is no such call"),
+        _ => RpcResponse::with_status(404, "there is no such call"),
     }
 }
 
@@ -66,7 +66,7 @@
                 self.feed.store().register.as_ref().map_or(Revision(0), |register| register.revision);
             self.following.borrow_mut().record_pull(follower, settled, now);
         }
-        let mut mail = self.feed.answer(&pull).await;
+        let mut mail = self.feed.respond(&pull).await;
         mail.leaseholder = self.replica.holder();
         if pull.follower.is_none() {
             mail.fleet_summary = mail.fleet_summary.map(summary_for_proxies);
--- a/programs/controller/src/lib.rs
+++ b/programs/controller/src/lib.rs
@@ -61,22 +61,23 @@
 pub async fn start(settings: Settings, premises: Environment) -> Result<RunningController, String> {
     let because = |what: &str, error: std::io::Error| format!("{what}: {error}");
     let settings = Rc::new(settings);
-    let (control, registry) = (settings.listens("control_plane"), settings.listens("directory_service"));
+    let (control, registry) =
+        (settings.listen_address("control_plane"), settings.listen_address("directory_service"));
     let control = control.map_err(|fault| fault.to_string())?;
-    let folder = premises.folder.clone().ok_or("data_directory is missing: a postmaster needs a disk")?;
+    let folder = premises.directory.clone().ok_or("data_directory is missing: a postmaster needs a disk")?;
     let found = storage::find(&*folder).map_err(|error| because("the disk cannot be read", error))?;
     for aside in &found.spoilt {
         spdlog::warn!("a copy was torn or spoilt and is set aside: {}", aside);
     }
     let disk = Storage::start(folder, &found);
 
-    let steady = premises.steady();
+    let steady = premises.clock();
     let feed = Publisher::new(steady);
-    let me = settings.office(settings.ip);
+    let me = settings.controller_address(settings.ip);
     let promise: Option<VoterRecord> = found.record(Record::Promise);
     let start =
         if settings.initial_start && found.nothing() { StartKind::Initial } else { StartKind::Restart };
-    let seeds: Vec<_> = settings.seeds.iter().map(|seed| settings.office(seed.ip())).collect();
+    let seeds: Vec<_> = settings.seeds.iter().map(|seed| settings.controller_address(seed.ip())).collect();
     let voter = Voter::start(promise.as_ref(), found.record(Record::Register), &seeds, start, steady.now());
     if start == StartKind::Initial
         && let Err(error) = disk.save(Record::Promise, &voter.record()).await
@@ -103,8 +104,12 @@
         settings: Rc::clone(&settings),
         hosts: RefCell::default(),
         lending: RefCell::new(TokenLender {
-            buckets: TokenBuckets::new(settings.bounds.rate_allowance, settings.initial_start, steady.now()),
-            life: premises.life(),
+            buckets: TokenBuckets::new(
+                settings.limits_table.rate_allowance,
+                settings.initial_start,
+                steady.now(),
+            ),
+            life: premises.random_incarnation(),
         }),
         following: RefCell::default(),
     });
@@ -116,7 +121,7 @@
     tokio::task::spawn_local(Rc::clone(&state).tend_membership(orders.clone()));
 
     let inside =
-        premises.net.listen(me).map_err(|error| because(&format!("cannot listen on {me}"), error))?;
+        premises.network.listen(me).map_err(|error| because(&format!("cannot listen on {me}"), error))?;
     let within = Rc::clone(&state);
     tokio::task::spawn_local(serve_deduplicated(inside, move |request| {
         let state = Rc::clone(&within);
@@ -124,7 +129,7 @@
     }));
     for address in [Some(control), registry.ok()].into_iter().flatten() {
         let outside = premises
-            .net
+            .network
             .listen(address)
             .map_err(|error| because(&format!("cannot listen on {address}"), error))?;
         let (state, orders) = (Rc::clone(&state), orders.clone());
--- a/programs/controller/src/operator_api.rs
+++ b/programs/controller/src/operator_api.rs
@@ -19,41 +19,43 @@
         // have lost the lease, and its word is old.
         OrderOutcome::Configuration(_) if !state.replica.holds() => elsewhere(state, request),
         OrderOutcome::Configuration(Some(config)) => {
-            RpcResponse { status: 200, fields: Vec::new(), body: config.get().as_bytes().to_vec() }
+            RpcResponse { status: 200, headers: Vec::new(), body: config.get().as_bytes().to_vec() }
         }
-        OrderOutcome::Configuration(None) => RpcResponse::status(404, "no configuration was sent yet"),
-        OrderOutcome::Conflict { held } => RpcResponse::status(
+        OrderOutcome::Configuration(None) => RpcResponse::with_status(404, "no configuration was sent yet"),
+        OrderOutcome::Conflict { held } => RpcResponse::with_status(
             409,
             &format!("another configuration was taken under its number; r{held} is held"),
         ),
-        OrderOutcome::Uncertain => RpcResponse::status(503, "not certain to hold; send it again"),
+        OrderOutcome::Uncertain => RpcResponse::with_status(503, "not certain to hold; send it again"),
         OrderOutcome::NotHere => elsewhere(state, request),
     }
 }
 
 /// To the door that takes orders now.
 fn elsewhere(state: &ControllerState, request: &Request) -> RpcResponse {
-    let control = state.settings.listens("control_plane").ok();
+    let control = state.settings.listen_address("control_plane").ok();
     let holder = state.replica.holder().filter(|holder| *holder != state.replica.me);
     let Some((holder, control)) = holder.zip(control) else {
-        return RpcResponse::status(503, "nobody takes orders now; try again");
+        return RpcResponse::with_status(503, "nobody takes orders now; try again");
     };
     let there = SocketAddr::new(holder.ip(), control.port());
     let location = format!("http://{there}{}", request.target());
     let body = json!({ "location": location }).to_string().into_bytes();
-    RpcResponse { status: 307, fields: vec![("Location", location)], body }
+    RpcResponse { status: 307, headers: vec![("Location", location)], body }
 }
 
 pub fn replace(body: &[u8]) -> Result<Order, RpcResponse> {
-    let config = Config::of(body).map_err(|fault| RpcResponse::status(400, &fault.to_string()))?;
-    let text = String::from_utf8(body.to_vec()).map_err(|_| RpcResponse::status(400, "it is no text"))?;
-    let raw = RawValue::from_string(text).map_err(|error| RpcResponse::status(400, &error.to_string()))?;
+    let config = Config::parse(body).map_err(|fault| RpcResponse::with_status(400, &fault.to_string()))?;
+    let text =
+        String::from_utf8(body.to_vec()).map_err(|_| RpcResponse::with_status(400, "it is no text"))?;
+    let raw =
+        RawValue::from_string(text).map_err(|error| RpcResponse::with_status(400, &error.to_string()))?;
     Ok(Order::Change(OperatorChange::ReplaceConfig { revision: config.revision, config: raw }))
 }
 
 pub fn evacuate(state: &ControllerState, zone: &str, begin: bool) -> Result<Order, RpcResponse> {
     if !state.settings.zones.contains_key(zone) {
-        return Err(RpcResponse::status(404, &format!("the zone {zone} is not known")));
+        return Err(RpcResponse::with_status(404, &format!("the zone {zone} is not known")));
     }
     let zone = zone.to_owned();
     let change =
@@ -72,8 +74,8 @@
     let address = |text: &str| {
         let ip = text
             .parse()
-            .map_err(|_| RpcResponse::status(400, &format!("{text} is no address of a machine")))?;
-        Ok(state.settings.office(ip))
+            .map_err(|_| RpcResponse::with_status(400, &format!("{text} is no address of a machine")))?;
+        Ok(state.settings.controller_address(ip))
     };
     let (out, into) = (address(out)?, address(into)?);
     if !state.replica.holds() {
@@ -83,7 +85,10 @@
     let mut voters: BTreeSet<_> = membership.voters.iter().copied().collect();
     let why = match (voters.contains(&out), voters.contains(&into)) {
         _ if !membership.outgoing.is_empty() => {
-            return Err(RpcResponse::status(503, "another change of the voters is under way; send it again"));
+            return Err(RpcResponse::with_status(
+                503,
+                "another change of the voters is under way; send it again",
+            ));
         }
         (false, true) => return Err(RpcResponse::json(&json!({}))),
         (false, false) => format!("{out} is no voter; they are {voters:?}"),
@@ -96,10 +101,13 @@
             voters.remove(&out);
             voters.insert(into);
             if !majority_in_sync(&voters, &candidates) {
-                return Err(RpcResponse::status(503, "too few of the new voters keep up now; send it again"));
+                return Err(RpcResponse::with_status(
+                    503,
+                    "too few of the new voters keep up now; send it again",
+                ));
             }
             return Ok(Order::Reconfigure { epoch: membership.epoch, voters });
         }
     };
-    Err(RpcResponse::status(409, &why))
+    Err(RpcResponse::with_status(409, &why))
 }
--- a/programs/controller/src/platform.rs
+++ b/programs/controller/src/platform.rs
@@ -47,11 +47,11 @@
             Some(token) => format!("/instances?page_token={token}"),
             None => "/instances".to_owned(),
         };
-        let page = match platform.call("GET", &path, "", WITHIN).await? {
+        let page = match platform.send("GET", &path, "", WITHIN).await? {
             (200, body) => body,
             (status, _) => return Err(RpcError::Status(status)),
         };
-        let page: Page = serde_json::from_slice(&page).map_err(|_| RpcError::Unread)?;
+        let page: Page = serde_json::from_slice(&page).map_err(|_| RpcError::Malformed)?;
         for (zone, entries) in page.instances {
             servers.extend(entries.into_iter().map(|entry| Backend {
                 id: entry.identifier,
@@ -69,7 +69,7 @@
             return Ok(servers);
         }
     }
-    Err(RpcError::Unread)
+    Err(RpcError::Malformed)
 }
 
 /// Whether doors have to be told: what merely warms up on its way is known to them already.
--- a/programs/controller/src/public_api.rs
+++ b/programs/controller/src/public_api.rs
@@ -17,8 +17,8 @@
         ("POST", ["-", "Evacuation.Begin", zone]) => evacuate(state, zone, true),
         ("POST", ["-", "Evacuation.Finish", zone]) => evacuate(state, zone, false),
         ("POST", ["-", "Voters.Replace", out, into]) => replace_voter(state, request, out, into),
-        (_, ["-", ..]) => Err(RpcResponse::status(404, "there is no such call")),
-        _ => Err(RpcResponse::status(404, "calls begin with /-/")),
+        (_, ["-", ..]) => Err(RpcResponse::with_status(404, "there is no such call")),
+        _ => Err(RpcResponse::with_status(404, "calls begin with /-/")),
     };
     match order {
         Ok(order) => said(state, request, orders.give(order).await),
--- a/programs/controller/src/registry_api.rs
+++ b/programs/controller/src/registry_api.rs
@@ -25,12 +25,13 @@
     let store = state.feed.store();
     let host = field("name").map_or("", |(_, host)| host).to_ascii_lowercase();
     let hosts = state.homes();
-    let homed = store.ledger.as_ref().is_some_and(|ledger| ledger.homed_hosts.contains(&host));
+    let homed = store.fleet_summary.as_ref().is_some_and(|ledger| ledger.homed_hosts.contains(&host));
     let homes = hosts.get(&host).filter(|_| homed);
     let now = state.feed.now();
     let sums = state.sums.borrow();
     // A ledger that is old names doors that are gone; whoever is still there has come to this process by then.
-    let current = store.ledger.as_ref().filter(|_| now.since(store.ledger_at) < CURRENT);
+    let current =
+        store.fleet_summary.as_ref().filter(|_| now.since(store.fleet_summary_received_at) < CURRENT);
     let heard: Vec<_> = sums.live_proxies(now).collect();
     let told = current.iter().flat_map(|ledger| &ledger.proxies);
     let unheard = told.filter(|door| !heard.iter().any(|known| known.name == door.name));
@@ -38,9 +39,9 @@
     let addresses: Vec<_> =
         proxies_for_client(&doors, region, homes, MOST_NAMED).iter().map(|door| door.address).collect();
     if addresses.is_empty() {
-        return RpcResponse::status(503, "no doors are known yet");
+        return RpcResponse::with_status(503, "no doors are known yet");
     }
-    let lifetime = LIFETIME.min(state.settings.bounds.ttl_max);
+    let lifetime = LIFETIME.min(state.settings.limits_table.ttl_max);
     RpcResponse::json(&json!({ "addresses": addresses, "lifetime": format!("{}ms", lifetime.as_millis()) }))
 }
 
--- a/programs/controller/src/replica.rs
+++ b/programs/controller/src/replica.rs
@@ -68,7 +68,7 @@
         premises: Environment,
     ) -> Rc<Replica> {
         let (commands, heard) = mpsc::unbounded_channel();
-        let steady = feed.steady;
+        let steady = feed.clock;
         let replica = Rc::new(Replica {
             me,
             feed,
@@ -134,7 +134,8 @@
         let register = self.feed.store().register.clone();
         let mut read = self.config.borrow_mut();
         if let Some(register) = register.filter(|register| register.revision != read.0) {
-            let config = register.config.as_ref().and_then(|config| Config::of(config.get().as_bytes()).ok());
+            let config =
+                register.config.as_ref().and_then(|config| Config::parse(config.get().as_bytes()).ok());
             *read = (register.revision, config.map(Rc::new));
         }
         read.1.clone()
@@ -151,7 +152,7 @@
             return Some(self.me);
         }
         let other = |holder: &SocketAddr| *holder != self.me;
-        self.voter.borrow().leaseholder(now).filter(other).or(self.feed.store().holder.filter(other))
+        self.voter.borrow().leaseholder(now).filter(other).or(self.feed.store().leaseholder.filter(other))
     }
 
     /// By how many doors, as far as those know who granted the lease in hand.
--- a/programs/controller/src/replica/election.rs
+++ b/programs/controller/src/replica/election.rs
@@ -18,7 +18,7 @@
         let mut again = false;
         loop {
             let place = self.membership().voters.iter().position(|voter| *voter == self.me);
-            let chance = self.premises.draw(60);
+            let chance = self.premises.random_below(60);
             let Some(place) = place else {
                 sleep(WATCH * 5).await;
                 continue;
@@ -40,7 +40,7 @@
                 .poll(&all_voters(&set), request, |voter, cast| canvass.record_response(voter, cast))
                 .await;
             let Some(promised) = promised else {
-                sleep(Duration::from_millis(50 + self.premises.draw(200))).await;
+                sleep(Duration::from_millis(50 + self.premises.random_below(200))).await;
                 continue;
             };
             let ballot = next_ballot(
@@ -62,7 +62,7 @@
             };
             let Some(found) = found.filter(|_| self.claim.get().is_valid_for(ballot)) else {
                 self.release(election.membership(), ballot).await;
-                sleep(Duration::from_millis(50 + self.premises.draw(200))).await;
+                sleep(Duration::from_millis(50 + self.premises.random_below(200))).await;
                 continue;
             };
             self.doors.set(election.quota_divisor());
--- a/programs/controller/src/replica/recovery.rs
+++ b/programs/controller/src/replica/recovery.rs
@@ -23,8 +23,8 @@
             let held = if holder == self.me {
                 Some(self.holds_by(promised.ballot))
             } else {
-                RpcClient::to(holder, &self.premises.net)
-                    .ask("/holds", &promised.ballot, QUICK / 3)
+                RpcClient::new(holder, &self.premises.network)
+                    .post("/holds", &promised.ballot, QUICK / 3)
                     .await
                     .ok()
             };
@@ -39,7 +39,8 @@
     /// A voter with amnesia asks those who have a say what they promised and accepted, and promises that again: a machine
     /// that lost its disk is a new member of its old name until then.
     pub async fn recover(self: Rc<Self>, disk: Storage) {
-        let mut recovering = RecoveryRound::start(self.me, self.seeds.clone(), self.premises.life());
+        let mut recovering =
+            RecoveryRound::start(self.me, self.seeds.clone(), self.premises.random_incarnation());
         let mut hear: BTreeSet<_> = self.seeds.iter().copied().filter(|seed| *seed != self.me).collect();
         while self.voter.borrow().is_amnesic() {
             let incarnation = recovering.incarnation();
@@ -49,7 +50,7 @@
                 ControlFlow::<()>::Continue(())
             })
             .await;
-            match recovering.next_step(self.premises.life()) {
+            match recovering.next_step(self.premises.random_incarnation()) {
                 RecoveryStep::Restore(promise, register) => {
                     while !(disk.save(Record::Register, &*register).await.is_ok()
                         && disk.save(Record::Promise, &*promise).await.is_ok())
--- a/programs/controller/src/replica/renewal.rs
+++ b/programs/controller/src/replica/renewal.rs
@@ -69,8 +69,8 @@
         };
         self.term.set(Some(HeldLease { register_committed: true, ..term }));
         let me = self.me;
-        self.feed.change(|store| {
-            store.holder = Some(me);
+        self.feed.update(|store| {
+            store.leaseholder = Some(me);
             store.set_register(Rc::new(register));
             true
         });
--- a/programs/controller/src/replica/replication.rs
+++ b/programs/controller/src/replica/replication.rs
@@ -97,7 +97,7 @@
         if !self.kept(&register).await || !self.holds() || self.ballot() != register.ballot {
             return false;
         }
-        self.feed.change(|store| store.set_register(Rc::new(register)));
+        self.feed.update(|store| store.set_register(Rc::new(register)));
         true
     }
 
--- a/programs/controller/src/replica/vote_rpc.rs
+++ b/programs/controller/src/replica/vote_rpc.rs
@@ -36,8 +36,8 @@
             return timeout(within, self.vote(request.clone())).await.ok();
         }
         let kept = self.callers.borrow_mut().get_mut(&voter).and_then(Vec::pop);
-        let mut caller = kept.unwrap_or_else(|| RpcClient::to(voter, &self.premises.net));
-        let cast = caller.ask("/vote", request, within).await.ok();
+        let mut caller = kept.unwrap_or_else(|| RpcClient::new(voter, &self.premises.network));
+        let cast = caller.post("/vote", request, within).await.ok();
         if cast.is_some() {
             self.callers.borrow_mut().entry(voter).or_default().push(caller);
         }
--- a/programs/controller/src/roles/backend_polling.rs
+++ b/programs/controller/src/roles/backend_polling.rs
@@ -16,10 +16,10 @@
 
 impl ControllerState {
     pub async fn ask_platform(self: Rc<Self>) {
-        let Some(api) = &self.settings.cloud else {
+        let Some(api) = &self.settings.cloud_api else {
             return;
         };
-        let mut platform = RpcClient::to(api.address, &self.premises.net);
+        let mut platform = RpcClient::new(api.address, &self.premises.network);
         loop {
             if !self.replica.holds() {
                 sleep(ALERT).await;
@@ -30,8 +30,8 @@
                 Ok(servers) => {
                     let (last, known) = {
                         let store = self.feed.store();
-                        let known = store.list.as_ref().map(|list| list.backends.clone());
-                        (store.have().backend_list, known)
+                        let known = store.backend_list.as_ref().map(|list| list.backends.clone());
+                        (store.versions().backend_list, known)
                     };
                     // A holder before may have told some doors of a list that never came here: what is the
                     // same as the one in hand is new to them.
@@ -39,7 +39,7 @@
                     let differs = others || known.is_none_or(|known| platform::differs(&known, &servers));
                     if differs && self.replica.holds() {
                         let list = BackendList { version: self.version(last), age_ms: 0, backends: servers };
-                        self.feed.change(|store| store.set_list(list, asked));
+                        self.feed.update(|store| store.set_backend_list(list, asked));
                     }
                     sleep(LISTED).await;
                 }
--- a/programs/controller/src/roles/freshness_attestation.rs
+++ b/programs/controller/src/roles/freshness_attestation.rs
@@ -16,8 +16,8 @@
             // later.
             let now = self.feed.now();
             if self.replica.holds() {
-                self.feed.change(|store| {
-                    store.be_sure(now);
+                self.feed.update(|store| {
+                    store.attest(now);
                     false
                 });
             }
--- a/programs/controller/src/roles/leaseholder_follower.rs
+++ b/programs/controller/src/roles/leaseholder_follower.rs
@@ -28,13 +28,13 @@
                 continue;
             };
             if !callers.iter().any(|caller| caller.address == from) {
-                callers.push(RpcClient::to(from, &self.premises.net));
+                callers.push(RpcClient::new(from, &self.premises.network));
             }
             let Some(caller) = callers.iter_mut().find(|caller| caller.address == from) else {
                 continue;
             };
             let pull = PullRequest {
-                versions: self.feed.store().have(),
+                versions: self.feed.store().versions(),
                 wait_ms: FOLLOW.as_millis() as u64,
                 follower: Some(Follower {
                     controller: self.row.clone(),
@@ -48,18 +48,18 @@
                     if news.register {
                         self.replica.adopt();
                     }
-                    if news.ledger {
+                    if news.fleet_summary {
                         self.read_ledger();
                     }
-                    if self.feed.store().holder != Some(from) {
+                    if self.feed.store().leaseholder != Some(from) {
                         turn += 1;
                         sleep(ALONE).await;
                     }
                 }
                 Err(failed) => {
                     spdlog::debug!("nothing from {}: {}", from, failed);
-                    self.feed.change(|store| {
-                        store.holder = None;
+                    self.feed.update(|store| {
+                        store.leaseholder = None;
                         false
                     });
                     turn += 1;
--- a/programs/controller/src/roles/membership_management.rs
+++ b/programs/controller/src/roles/membership_management.rs
@@ -18,7 +18,7 @@
     pub fn candidates(&self) -> (Membership, Vec<VoterCandidate>) {
         let membership = self.replica.membership();
         let local = LocalMember { address: self.replica.me, zone: &self.settings.zone };
-        let (address, now) = (|ip| self.settings.office(ip), self.feed.now());
+        let (address, now) = (|ip| self.settings.controller_address(ip), self.feed.now());
         let known = self.following.borrow().candidates(&membership.voters, local, address, now);
         (membership, known)
     }
@@ -42,7 +42,11 @@
             let voters = match membership.outgoing.is_empty() {
                 // What another holder began.
                 false => Some(membership.voters.iter().copied().collect()),
-                true => plan_next_voters(&membership, &known, voter_count_for(self.settings.losses)),
+                true => plan_next_voters(
+                    &membership,
+                    &known,
+                    voter_count_for(self.settings.tolerated_machine_losses),
+                ),
             };
             if let Some(voters) = voters {
                 spdlog::info!("the voters are to be {:?} after epoch {}", voters, membership.epoch);
--- a/programs/controller/src/roles/report_aggregation.rs
+++ b/programs/controller/src/roles/report_aggregation.rs
@@ -21,21 +21,21 @@
         loop {
             let holds = self.replica.holds();
             if holds && !std::mem::replace(&mut held, holds) {
-                let (now, before) = (self.feed.now(), self.feed.store().ledger.clone());
+                let (now, before) = (self.feed.now(), self.feed.store().fleet_summary.clone());
                 self.sums.borrow_mut().start_aggregating(self.replica.doors(), now);
                 before.iter().for_each(|ledger| self.sums.borrow_mut().inherit_summary(ledger, now));
             }
             held = holds;
             let ready = self.sums.borrow().is_ready(self.feed.now());
             if holds && ready {
-                let (now, last) = (self.feed.now(), self.feed.store().have().fleet_summary);
-                let allowance = self.settings.bounds.rate_allowance;
+                let (now, last) = (self.feed.now(), self.feed.store().versions().fleet_summary);
+                let allowance = self.settings.limits_table.rate_allowance;
                 let mut sums = self.sums.borrow_mut();
                 sums.record_controller(self.row.clone(), now);
                 sums.record_lease_report(self.lent(), now);
                 let ledger = sums.summarize(self.version(last), allowance, now);
                 drop(sums);
-                self.feed.change(|store| store.set_ledger(ledger, now));
+                self.feed.update(|store| store.set_fleet_summary(ledger, now));
                 self.read_ledger();
             }
             // A new holder is waited for by all doors.
--- a/programs/controller/src/roles/token_lender.rs
+++ b/programs/controller/src/roles/token_lender.rs
@@ -31,7 +31,7 @@
 
     /// A new ledger tells how many lend, and how much.
     pub fn read_ledger(&self) {
-        let ledger = self.feed.store().ledger.clone();
+        let ledger = self.feed.store().fleet_summary.clone();
         let (mut lending, now) = (self.lending.borrow_mut(), self.feed.now());
         let config = self.replica.config();
         let none = Quota { rate: 0.0, burst: 0.0 };
--- a/programs/controller/src/storage.rs
+++ b/programs/controller/src/storage.rs
@@ -86,7 +86,7 @@
 }
 
 pub fn find(folder: &dyn Directory) -> io::Result<StoredRecords> {
-    let (mut found, mut files) = (StoredRecords::default(), folder.read()?);
+    let (mut found, mut files) = (StoredRecords::default(), folder.read_all()?);
     for record in RECORDS {
         for copy in 0..2 {
             let name = record.file(copy);
@@ -113,7 +113,7 @@
     let (file, number) = (record.file(write % 2), write.to_string());
     let head = format!("{:08x} {number} {}\n", checksum(&number, body), body.len());
     let bytes = [head.as_bytes(), body].concat();
-    let folder = (!named).then_some(FileOperation::SyncFolder);
+    let folder = (!named).then_some(FileOperation::SyncDirectory);
     [FileOperation::Write { file: file.clone(), bytes }, FileOperation::Sync { file }]
         .into_iter()
         .chain(folder)
@@ -130,20 +130,20 @@
             for (from, to) in aside {
                 // Left where it is, it is written over in its turn.
                 let _ = folder
-                    .carry_out(vec![FileOperation::Rename { from, to }, FileOperation::SyncFolder])
+                    .execute(vec![FileOperation::Rename { from, to }, FileOperation::SyncDirectory])
                     .await;
             }
             // Whose names are in the folder for good.
             let mut named = BTreeSet::new();
             while let Some(Job { work, done }) = taken.recv().await {
                 let carried_out = match work {
-                    Work::Confirm => folder.carry_out(vec![FileOperation::SyncFolder]).await,
+                    Work::Confirm => folder.execute(vec![FileOperation::SyncDirectory]).await,
                     Work::Write { record, body } => {
                         // A write that failed is tried over the same copy, never over the one that stands.
                         let next = writes[record as usize] + 1;
                         let file = record.file(next % 2);
                         let deeds = copy(record, next, &body, named.contains(&file));
-                        let written = folder.carry_out(deeds).await;
+                        let written = folder.execute(deeds).await;
                         if written.is_ok() {
                             writes[record as usize] = next;
                             named.insert(file);
--- a/programs/controller/src/storage/tests.rs
+++ b/programs/controller/src/storage/tests.rs
@@ -4,7 +4,7 @@
 use vanewharf_runtime::environment::Environment;
 
 fn folder(dir: &Path) -> Rc<dyn Directory> {
-    Environment::here(Some(dir.to_owned())).expect("a folder").folder.expect("there is one")
+    Environment::of_machine(Some(dir.to_owned())).expect("a folder").directory.expect("there is one")
 }
 
 fn bodies(dir: &Path) -> (Option<String>, usize) {
@@ -19,7 +19,7 @@
     let runtime = tokio::runtime::Builder::new_current_thread().build().expect("a runtime");
     for (write, body) in [(1, "\"one\""), (2, "\"two\""), (3, "\"three\"")] {
         assert_eq!(bodies(dir.path()).0.as_deref(), [None, Some("one"), Some("two")][write as usize - 1]);
-        let written = folder(dir.path()).carry_out(copy(Record::Register, write, body.as_bytes(), false));
+        let written = folder(dir.path()).execute(copy(Record::Register, write, body.as_bytes(), false));
         runtime.block_on(written).expect("written");
     }
     let path = dir.path().join(Record::Register.file(1));
--- a/programs/proxy/src/lend.rs
+++ b/programs/proxy/src/lend.rs
@@ -78,13 +78,13 @@
         }
         for _ in 0..2 {
             let ip = self.nearest()?;
-            let address = self.settings.office(ip);
+            let address = self.settings.controller_address(ip);
             let kept = {
                 let mut callers = self.callers.borrow_mut();
                 callers.iter().position(|caller| caller.address == address).map(|at| callers.swap_remove(at))
             };
-            let mut caller = kept.unwrap_or_else(|| RpcClient::to(address, &self.premises.net));
-            match caller.ask("/lend", &wanted, LENT_WITHIN).await {
+            let mut caller = kept.unwrap_or_else(|| RpcClient::new(address, &self.premises.network));
+            match caller.post("/lend", &wanted, LENT_WITHIN).await {
                 Ok(given) => {
                     self.callers.borrow_mut().push(caller);
                     return Some(given);
@@ -105,7 +105,7 @@
         let (now, store) = (self.feed.now(), self.feed.store());
         let spared = self.spared.borrow();
         let settings = &self.settings;
-        let rows = store.ledger.as_ref()?.controllers.iter();
+        let rows = store.fleet_summary.as_ref()?.controllers.iter();
         let open = rows.filter(|row| spared.get(&row.ip).is_none_or(|at| now.since(*at) > SPARED));
         let far =
             |zone: &String| (*zone != settings.zone, settings.zones.get(zone) != Some(&settings.region));
--- a/programs/proxy/src/lib.rs
+++ b/programs/proxy/src/lib.rs
@@ -56,15 +56,15 @@
 impl Core {
     /// With the link to the sorter and the loans running.
     pub fn start(settings: &Rc<Settings>, premises: &Environment, frontend: SocketAddr) -> Core {
-        let (steady, life) = (premises.steady(), premises.life());
+        let (steady, life) = (premises.clock(), premises.random_incarnation());
         let (feed, told) = (Publisher::new(steady), Rc::<Told>::default());
         let posted = Rc::new(Posted {
             tables: RefCell::default(),
             entries: RefCell::default(),
             sure: Cell::new(None),
             steady,
-            revocation_global: settings.bounds.revocation_global,
-            revocation: settings.bounds.revocation,
+            revocation_global: settings.limits_table.revocation_global,
+            revocation: settings.limits_table.revocation,
         });
         let place = Place {
             zone: settings.zone.clone(),
@@ -72,7 +72,7 @@
             zones: settings.zones.clone(),
         };
         let (asks, asked) = mpsc::unbounded_channel();
-        let bounds = settings.bounds.clone();
+        let bounds = settings.limits_table.clone();
         let start = rounds::Start { place, bounds, first: settings.initial_start, seed: life };
         let rounds = Rounds::start(start, Rc::clone(&posted), Rc::clone(&told), asks);
         let (news, heard) = mpsc::unbounded_channel();
@@ -86,7 +86,7 @@
             region: settings.region.clone(),
             ready: false,
         };
-        let sorter = RpcClient::to(settings.loopback(), &premises.net);
+        let sorter = RpcClient::new(settings.agent_loopback_address(), &premises.network);
         let (posting, telling) = (Rc::clone(&posted), Rc::clone(&told));
         let link = Link { feed: feed.clone(), sorter, row, life, posted: posting, told: telling, news };
         tokio::task::spawn_local(link.run());
@@ -96,12 +96,12 @@
 
 pub async fn run(settings: Settings, premises: Environment, end: End) -> Result<(), String> {
     let settings = Rc::new(settings);
-    let frontend = settings.listens("frontend").map_err(|fault| fault.to_string())?;
-    let readiness = settings.listens("readiness").map_err(|fault| fault.to_string())?;
+    let frontend = settings.listen_address("frontend").map_err(|fault| fault.to_string())?;
+    let readiness = settings.listen_address("readiness").map_err(|fault| fault.to_string())?;
     let Core { posted, told, feed, rounds, heard } = Core::start(&settings, &premises, frontend);
 
     let limits = ResourceLimits::within(
-        settings.descriptors.saturating_sub(256) as usize,
+        settings.file_descriptors.saturating_sub(256) as usize,
         settings.memory_mb as usize,
     );
     let resources = Rc::new(Resources::new(limits));
@@ -127,17 +127,19 @@
     let stop = Rc::new(Notify::new());
     let accepting =
         tokio::task::spawn_local(client_connection::accept(listener, Rc::clone(&shared), Rc::clone(&stop)));
-    let asked =
-        premises.net.listen(readiness).map_err(|error| format!("cannot listen on {readiness}: {error}"))?;
+    let asked = premises
+        .network
+        .listen(readiness)
+        .map_err(|error| format!("cannot listen on {readiness}: {error}"))?;
     let (known, said) = (Rc::clone(&posted), Rc::clone(&told));
     tokio::task::spawn_local(serve(asked, move |request| {
         let ready = Link::ready(&known, &said, &feed);
         let target = (request.method() == "GET" && request.target() == "/-/readiness").then_some(ready);
         async move {
             match target {
-                Some(true) => RpcResponse::status(200, ""),
-                Some(false) => RpcResponse::status(503, "not ready"),
-                None => RpcResponse::status(404, "there is no such call"),
+                Some(true) => RpcResponse::with_status(200, ""),
+                Some(false) => RpcResponse::with_status(503, "not ready"),
+                None => RpcResponse::with_status(404, "there is no such call"),
             }
         }
     }));
@@ -147,10 +149,10 @@
         ended = &mut routing => return Err(format!("route ended: {ended:?}")),
     }
     // Clients hold on to what they were told for a while; each answer from here on ends its connection.
-    let by = Instant::now() + settings.bounds.grace.mul_f64(ENDS_BY);
+    let by = Instant::now() + settings.limits_table.grace_period.mul_f64(ENDS_BY);
     told.ending.set(true);
     resources.begin_drain();
-    sleep(settings.bounds.grace.mul_f64(TAKES_ON)).await;
+    sleep(settings.limits_table.grace_period.mul_f64(TAKES_ON)).await;
     stop.notify_one();
     let _ = timeout_at(by, accepting).await;
     let emptied = async {
--- a/programs/proxy/src/link.rs
+++ b/programs/proxy/src/link.rs
@@ -26,8 +26,9 @@
 impl Link {
     /// Whether this door may be named to clients.
     pub fn ready(posted: &Posted, told: &Told, feed: &Publisher) -> bool {
-        let known =
-            posted.tables.borrow().is_some() && feed.store().list.is_some() && feed.store().ledger.is_some();
+        let known = posted.tables.borrow().is_some()
+            && feed.store().backend_list.is_some()
+            && feed.store().fleet_summary.is_some();
         known && !told.ending.get() && !posted.lapsed()
     }
 
@@ -38,7 +39,12 @@
                 proxy: ProxyEntry { ready, ..self.row.clone() },
                 incarnation: self.life,
                 age_ms: 0,
-                quota_divisor: self.feed.store().ledger.as_ref().map_or(0, |ledger| ledger.quota_divisor),
+                quota_divisor: self
+                    .feed
+                    .store()
+                    .fleet_summary
+                    .as_ref()
+                    .map_or(0, |ledger| ledger.quota_divisor),
                 admitted: self.told.let_through.borrow().clone(),
                 quota_shares: self.told.slices.borrow().clone(),
                 hosts: self.told.hosts.borrow().clone(),
@@ -46,7 +52,7 @@
             };
             let wait_ms = WAIT.as_millis() as u64;
             let pull = PullRequest {
-                versions: self.feed.store().have(),
+                versions: self.feed.store().versions(),
                 wait_ms,
                 follower: None,
                 token_leases: None,
@@ -55,11 +61,12 @@
             match self.feed.pull(&mut self.sorter, &pull).await {
                 Ok(fresh) => {
                     let store = self.feed.store();
-                    self.posted.sure.set(store.sure);
+                    self.posted.sure.set(store.attested_at);
                     let register = store.register.clone().filter(|_| fresh.register).map(News::Register);
-                    let list = store.list.clone().filter(|_| fresh.list);
-                    let list = list.map(|list| News::List(list, store.listed));
-                    let ledger = store.ledger.clone().filter(|_| fresh.ledger).map(News::Ledger);
+                    let list = store.backend_list.clone().filter(|_| fresh.backend_list);
+                    let list = list.map(|list| News::List(list, store.backend_list_taken_at));
+                    let ledger =
+                        store.fleet_summary.clone().filter(|_| fresh.fleet_summary).map(News::Ledger);
                     // Route ends with the program only.
                     for news in [register, list, ledger].into_iter().flatten() {
                         let _ = self.news.send(news);
--- a/programs/proxy/src/rounds.rs
+++ b/programs/proxy/src/rounds.rs
@@ -15,7 +15,7 @@
 use tokio::sync::mpsc;
 use vanewharf_clock::{MonotonicClock, Timestamp};
 use vanewharf_config::config::RouteKind;
-use vanewharf_config::settings::Bounds;
+use vanewharf_config::settings::LimitsTable;
 use vanewharf_gateway::answer::FinalAnswer;
 use vanewharf_gateway::messages::{BackendEntry, BackendUpdate};
 use vanewharf_gateway::router::RoutingPolicy;
@@ -85,7 +85,7 @@
 /// What a carrier's decisions start from.
 pub struct Start {
     pub place: Place,
-    pub bounds: Bounds,
+    pub bounds: LimitsTable,
     /// The first start of all.
     pub first: bool,
     pub seed: u64,
@@ -93,7 +93,7 @@
 
 pub struct Rounds {
     place: Place,
-    bounds: Bounds,
+    bounds: LimitsTable,
     posted: Rc<Posted>,
     steady: MonotonicClock,
     first: bool,
@@ -185,7 +185,7 @@
     }
 
     fn repeat_rule(&self) -> RetryPolicy {
-        let Bounds { retry_ratio: ratio, retry_allowance: allowance, .. } = self.bounds;
+        let LimitsTable { retry_ratio: ratio, retry_allowance: allowance, .. } = self.bounds;
         RetryPolicy { ratio, allowance, proxies: self.doors }
     }
 
@@ -584,7 +584,7 @@
         if known.cold_until > at {
             let service = self.tables.as_ref().and_then(|tables| tables.services.get(&known.server.service));
             let per_s = service.map_or(0.0, |service| service.warmup_per_s);
-            let Bounds { warmup_overshoot, warmup_allowance, .. } = self.bounds;
+            let LimitsTable { warmup_overshoot, warmup_allowance, .. } = self.bounds;
             let part = slow_start_share(per_s, warmup_overshoot, warmup_allowance, self.doors);
             if !known.cold.get_or_insert_with(|| SlowStart::new(part, at)).try_spend(part, at) {
                 return false;
--- a/programs/proxy/src/rounds/tests.rs
+++ b/programs/proxy/src/rounds/tests.rs
@@ -72,10 +72,10 @@
         let zones = zones.map(|(zone, region)| (zone.to_owned(), region.to_owned())).into();
         let place = Place { zone: "east-a".to_owned(), region: "east".to_owned(), zones };
         let second = Duration::from_secs(1);
-        let bounds = Bounds {
+        let bounds = LimitsTable {
             revocation_global: false,
             revocation: second * 5,
-            grace: second * 6,
+            grace_period: second * 6,
             ttl_max: second * 5,
             rate_allowance: 0.0,
             retry_ratio: 0.2,
--- a/programs/proxy/src/tables.rs
+++ b/programs/proxy/src/tables.rs
@@ -51,7 +51,7 @@
 impl Tables {
     /// None where the register has no configuration yet; what cannot be read was never acknowledged.
     pub fn of(register: &Register) -> Option<Tables> {
-        let config = Config::of(register.config.as_ref()?.get().as_bytes()).ok()?;
+        let config = Config::parse(register.config.as_ref()?.get().as_bytes()).ok()?;
         let Config { routes, services, limits, customers, .. } = config;
         let mut hosts: HashMap<String, Vec<(String, Rc<Rule>)>> = HashMap::new();
         for route in routes.into_values() {
@@ -61,10 +61,10 @@
                 host: Rc::from(route.hostname.as_str()),
                 kind: route.kind,
                 deadline: route.deadline,
-                target: route.target,
+                target: route.latency_target,
                 precedence: route.precedence,
                 services,
-                tries: route.tries.min(16) as usize,
+                tries: route.max_attempts.min(16) as usize,
                 public: route.public,
                 homes: route.home_regions,
             };
