--- a/crates/compatibility/tests/calls.rs
+++ b/crates/compatibility/tests/calls.rs
@@ -55,11 +55,11 @@
     let at = subnet.socket(OTHER, CONTROL_INSIDE);
     let recorder = Recorder::start(at, |_, _| Some("[]".to_owned()));
     on_local_runtime(async {
-        let environment = Environment::here(None).expect("a network");
-        let mut caller = RpcClient::to(at, &environment.net);
-        caller.ask::<_, Vec<u8>>("/asked", &json!({"a": 1}), WITHIN).await.expect("an answer");
-        caller.fetch::<Vec<u8>>("/fetched", WITHIN).await.expect("an answer");
-        caller.call("GET", "/called", "", WITHIN).await.expect("an answer");
+        let environment = Environment::of_machine(None).expect("a network");
+        let mut caller = RpcClient::new(at, &environment.network);
+        caller.post::<_, Vec<u8>>("/asked", &json!({"a": 1}), WITHIN).await.expect("an answer");
+        caller.get::<Vec<u8>>("/fetched", WITHIN).await.expect("an answer");
+        caller.send("GET", "/called", "", WITHIN).await.expect("an answer");
     });
     assert_call("client_ask", subnet, &recorder.first("POST /asked", ""));
     assert_call("client_fetch", subnet, &recorder.first("GET /fetched", ""));
@@ -73,11 +73,12 @@
     let at = subnet.socket(SELF, CONTROL_INSIDE);
     std::thread::spawn(move || {
         on_local_runtime(async move {
-            let environment = Environment::here(None).expect("a network");
-            let listener = environment.net.listen(at).expect("an address of our own");
+            let environment = Environment::of_machine(None).expect("a network");
+            let listener = environment.network.listen(at).expect("an address of our own");
             let handler = |request: Request| async move {
                 let long = request.target() == "/long";
-                RpcResponse::json(&if long { "a".repeat(4000) } else { "b".to_owned() }).packed(&request)
+                RpcResponse::json(&if long { "a".repeat(4000) } else { "b".to_owned() })
+                    .compressed_for(&request)
             };
             serve_deduplicated(listener, handler).await;
         });
--- a/crates/compatibility/tests/data_directory.rs
+++ b/crates/compatibility/tests/data_directory.rs
@@ -56,8 +56,10 @@
 fn write_records<P: Serialize, R: Serialize>(to: &Path, promises: [P; 2], registers: [R; 2]) {
     let runtime = Builder::new_current_thread().enable_all().build_local(LocalOptions::default());
     runtime.expect("a runtime").block_on(async {
-        let folder =
-            Environment::here(Some(to.to_owned())).expect("a directory").folder.expect("a directory");
+        let folder = Environment::of_machine(Some(to.to_owned()))
+            .expect("a directory")
+            .directory
+            .expect("a directory");
         let found = find(&*folder).expect("a directory that can be read");
         let disk = Storage::start(folder, &found);
         for promise in promises {
--- a/crates/compatibility/tests/documents.rs
+++ b/crates/compatibility/tests/documents.rs
@@ -31,11 +31,11 @@
 }
 
 fn read_configuration(text: &[u8]) -> Result<Config, String> {
-    Config::of(text).map_err(|error| error.to_string())
+    Config::parse(text).map_err(|error| error.to_string())
 }
 
 fn read_settings(text: &[u8]) -> Result<Settings, String> {
-    Settings::of(text).map_err(|error| error.to_string())
+    Settings::parse(text).map_err(|error| error.to_string())
 }
 
 #[test]
@@ -45,9 +45,9 @@
     let (read, split) = (&config.routes["r-read"], &config.routes["r-split"]);
     assert_eq!((read.hostname.as_str(), read.path_prefix.as_str()), ("shop.example", "/read/"));
     assert_eq!((read.kind, split.kind), (RouteKind::ReadOnly, RouteKind::Mutating));
-    assert_eq!((read.deadline.as_millis(), read.target.as_millis()), (2000, 500));
-    assert_eq!((read.precedence, read.tries, read.public), (1, 2, false));
-    assert_eq!((split.precedence, split.tries, split.public), (0, 1, false));
+    assert_eq!((read.deadline.as_millis(), read.latency_target.as_millis()), (2000, 500));
+    assert_eq!((read.precedence, read.max_attempts, read.public), (1, 2, false));
+    assert_eq!((split.precedence, split.max_attempts, split.public), (0, 1, false));
     assert_eq!(read.home_regions, ["east"]);
     assert_eq!(read.services, [("reads".to_owned(), 1.0)]);
     assert_eq!(split.services, [("reads".to_owned(), 1.0), ("writes".to_owned(), 2.5)]);
@@ -122,29 +122,29 @@
     assert_eq!((settings.name.as_str(), settings.ip.to_string().as_str()), ("central-0", "10.0.0.1"));
     assert_eq!((settings.zone.as_str(), settings.region.as_str()), ("east-a", "east"));
     assert_eq!(settings.zones["west-a"], "west");
-    let listens = |kind| settings.listens(kind).expect("it listens there").to_string();
+    let listens = |kind| settings.listen_address(kind).expect("it listens there").to_string();
     assert_eq!(listens("control_plane"), "10.0.0.1:8200");
     assert_eq!(listens("directory_service"), "10.0.0.1:8201");
     assert_eq!(listens("frontend"), "10.0.0.1:8206");
     assert_eq!(listens("readiness"), "10.0.0.1:8207");
-    assert_eq!(settings.internal, (7600, 7615));
+    assert_eq!(settings.internal_ports, (7600, 7615));
     let peer = "10.0.0.2".parse().expect("an address");
-    assert_eq!(settings.office(peer).to_string(), "10.0.0.2:7600");
-    assert_eq!(settings.neighbour(peer).to_string(), "10.0.0.2:7601");
-    assert_eq!(settings.loopback().to_string(), "127.0.0.1:7602");
+    assert_eq!(settings.controller_address(peer).to_string(), "10.0.0.2:7600");
+    assert_eq!(settings.agent_address(peer).to_string(), "10.0.0.2:7601");
+    assert_eq!(settings.agent_loopback_address().to_string(), "127.0.0.1:7602");
     assert_eq!(settings.seeds[1].to_string(), "10.0.0.2:8200");
-    assert_eq!((settings.initial_start, settings.memory_mb, settings.descriptors), (true, 200, 1024));
-    assert_eq!(settings.data.as_deref(), Some(Path::new("/var/lib/vanewharf")));
-    assert_eq!(settings.losses, 2);
-    let bounds = &settings.bounds;
+    assert_eq!((settings.initial_start, settings.memory_mb, settings.file_descriptors), (true, 200, 1024));
+    assert_eq!(settings.data_directory.as_deref(), Some(Path::new("/var/lib/vanewharf")));
+    assert_eq!(settings.tolerated_machine_losses, 2);
+    let bounds = &settings.limits_table;
     assert!(!bounds.revocation_global);
-    let spans = [bounds.revocation, bounds.grace, bounds.ttl_max, bounds.retry_window];
+    let spans = [bounds.revocation, bounds.grace_period, bounds.ttl_max, bounds.retry_window];
     assert_eq!(spans.map(|span| span.as_millis()), [5000, 2000, 5000, 10000]);
     assert_eq!((bounds.rate_allowance, bounds.retry_ratio, bounds.retry_allowance), (20.0, 0.2, 50.0));
     assert_eq!((bounds.warmup_overshoot, bounds.warmup_allowance), (1.5, 5.0));
-    let cloud = settings.cloud.expect("a platform");
+    let cloud = settings.cloud_api.expect("a platform");
     assert_eq!((cloud.address.to_string().as_str(), cloud.rate_per_s), ("10.0.0.9:80", 20.0));
-    assert_eq!(cloud.lag.as_millis(), 500);
+    assert_eq!(cloud.allowed_lag.as_millis(), 500);
 }
 
 #[test]
@@ -202,8 +202,12 @@
         document.as_object_mut().expect("an object").remove(name);
     }
     let settings = read_settings(document.to_string().as_bytes()).expect("they are valid");
-    assert_eq!((settings.data, settings.losses, settings.cloud.is_none()), (None, 1, true));
-    let readiness = |settings: &Settings| settings.listens("readiness").map_err(|error| error.to_string());
+    assert_eq!(
+        (settings.data_directory, settings.tolerated_machine_losses, settings.cloud_api.is_none()),
+        (None, 1, true)
+    );
+    let readiness =
+        |settings: &Settings| settings.listen_address("readiness").map_err(|error| error.to_string());
     document["listen_addresses"] = json!({});
     let settings = read_settings(document.to_string().as_bytes()).expect("they are valid");
     assert_eq!(readiness(&settings), Err("listen_addresses.readiness is missing".to_owned()));
--- a/crates/compatibility/tests/support/programs.rs
+++ b/crates/compatibility/tests/support/programs.rs
@@ -28,13 +28,13 @@
 
 impl Running {
     pub fn start(program: Program, settings: &Value) -> Running {
-        let settings = Settings::of(settings.to_string().as_bytes()).expect("settings that can be read");
+        let settings = Settings::parse(settings.to_string().as_bytes()).expect("settings that can be read");
         let (end, ended) = oneshot::channel();
         let thread = thread::spawn(move || {
             let runtime = Builder::new_current_thread().enable_all().build_local(LocalOptions::default());
             let outcome = runtime.expect("a runtime").block_on(async move {
-                let environment =
-                    Environment::here(settings.data.clone()).map_err(|error| error.to_string())?;
+                let environment = Environment::of_machine(settings.data_directory.clone())
+                    .map_err(|error| error.to_string())?;
                 match program {
                     Program::DataPlane => vanewharf_proxy::run(settings, environment, ended).await,
                     Program::Agent => vanewharf_agent::run(settings, environment, ended).await,
