--- a/crates/compatibility/tests/data_directory.rs
+++ b/crates/compatibility/tests/data_directory.rs
@@ -15,7 +15,7 @@
 use tempfile::TempDir;
 use tokio::runtime::{Builder, LocalOptions};
 use vanewharf_consensus::VoterRecord;
-use vanewharf_controller::storage::{Record, Storage, find};
+use vanewharf_controller::storage::{Record, Storage, StoredRecords};
 use vanewharf_protocol::messages::{AcceptedConfig, Ballot, Membership, Register, Revision};
 use vanewharf_runtime::environment::Environment;
 
@@ -60,10 +60,10 @@
             .expect("a directory")
             .directory
             .expect("a directory");
-        let found = find(&*folder).expect("a directory that can be read");
-        let disk = Storage::start(folder, &found);
+        let stored = StoredRecords::load(&*folder).expect("a directory that can be read");
+        let disk = Storage::start(folder, &stored);
         for promise in promises {
-            disk.save(Record::Promise, &promise).await.expect("it is written");
+            disk.save(Record::Voter, &promise).await.expect("it is written");
         }
         for register in registers {
             disk.save(Record::Register, &register).await.expect("it is written");
--- a/crates/system-simulator/src/world.rs
+++ b/crates/system-simulator/src/world.rs
@@ -320,7 +320,7 @@
                             }
                             std::future::pending::<()>().await;
                         }
-                        Err(why) => said(Err(why)),
+                        Err(error) => said(Err(error.to_string())),
                     }
                 });
             }
--- a/programs/controller/src/internal_api.rs
+++ b/programs/controller/src/internal_api.rs
@@ -1,76 +1,83 @@
-//! The system's own calls.
+//! The HTTP API for the system's own programs: agents and other controllers.
 
 use crate::state::ControllerState;
+use serde::de::DeserializeOwned;
 use vanewharf_discovery::summary_for_proxies;
-use vanewharf_protocol::messages::{
-    Ballot, PeerEntry, ProxyEntry, PullRequest, PullResponse, Revision, TokenCounts, VoteRequest,
-};
+use vanewharf_http1::Request;
+use vanewharf_protocol::messages::{PeerEntry, ProxyEntry, PullRequest, PullResponse, Revision};
 use vanewharf_rpc::RpcResponse;
 
-/// How many doors one that knows none is told of.
-const NEIGHBOURS: usize = 4;
+/// How many proxies are named to one that knows no other.
+const MAX_PEERS: usize = 4;
 
-/// The system's own calls.
-pub async fn dispatch(state: &ControllerState, request: &vanewharf_http1::Request) -> RpcResponse {
-    let unread = |error: serde_json::Error| RpcResponse::with_status(400, &error.to_string());
-    match (request.method(), request.target()) {
-        ("POST", "/pull") => match serde_json::from_slice::<PullRequest>(request.body()) {
-            Ok(pull) => RpcResponse::json(&state.pulled(pull).await).compressed_for(request),
-            Err(error) => unread(error),
-        },
-        ("POST", "/lend") => match serde_json::from_slice::<TokenCounts>(request.body()) {
-            Ok(wanted) => RpcResponse::json(&state.lend(wanted)),
-            Err(error) => unread(error),
-        },
-        ("POST", "/vote") => match serde_json::from_slice::<VoteRequest>(request.body()) {
-            Ok(request) => RpcResponse::json(&state.replica.vote(request).await),
-            Err(error) => unread(error),
-        },
-        ("POST", "/holds") => match serde_json::from_slice::<Ballot>(request.body()) {
-            Ok(ballot) => RpcResponse::json(&state.replica.holds_by(ballot)),
-            Err(error) => unread(error),
-        },
-        ("GET", "/neighbours") => RpcResponse::json(&state.neighbours()),
+/// Handles one request.
+///
+/// # Cancel safety
+/// Dropped where the caller closes its connection. A pull has recorded its reports by the time it first waits; a vote
+/// request that was queued is answered by the voter all the same, and the answer is dropped.
+pub async fn dispatch(state: &ControllerState, request: &Request) -> RpcResponse {
+    handle(state, request).await.unwrap_or_else(|refusal| refusal)
+}
+
+async fn handle(state: &ControllerState, request: &Request) -> Result<RpcResponse, RpcResponse> {
+    Ok(match (request.method(), request.target()) {
+        ("POST", "/pull") => {
+            let pull = decode_body(request)?;
+            RpcResponse::json(&handle_pull(state, pull).await).compressed_for(request)
+        }
+        ("POST", "/lend") => RpcResponse::json(&state.lease_tokens(decode_body(request)?)),
+        ("POST", "/vote") => {
+            let vote_request = decode_body(request)?;
+            RpcResponse::json(&state.replica.handle_vote_request(vote_request).await)
+        }
+        ("POST", "/holds") => RpcResponse::json(&state.replica.confirm_lease(decode_body(request)?)),
+        ("GET", "/neighbours") => RpcResponse::json(&choose_peers(state)),
         ("GET", "/membership") => RpcResponse::json(&state.replica.membership()),
-        _ => RpcResponse::with_status(404, "there is no such call"),
-    }
+        _ => return Err(RpcResponse::with_status(404, "there is no such call")),
+    })
 }
 
-impl ControllerState {
-    /// A few of the doors that this process hears, for one that knows no other.
-    pub fn neighbours(&self) -> Vec<PeerEntry> {
-        let (now, sums) = (self.feed.now(), self.sums.borrow());
-        let mut heard: Vec<_> = sums.live_proxies(now).collect();
-        self.premises.shuffle(&mut heard);
-        let of = |door: &ProxyEntry| PeerEntry {
-            ip: door.address.ip(),
-            region: door.region.clone(),
-            last_contact_ms: 0,
-        };
-        heard.into_iter().take(NEIGHBOURS).map(of).collect()
+fn decode_body<T: DeserializeOwned>(request: &Request) -> Result<T, RpcResponse> {
+    serde_json::from_slice(request.body()).map_err(|error| RpcResponse::with_status(400, &error.to_string()))
+}
+
+/// A pull by an agent or another controller: records its reports, and answers with the versions that it lacks.
+async fn handle_pull(state: &ControllerState, request: PullRequest) -> PullResponse {
+    record_reports(state, &request);
+    let mut response = state.publisher.respond(&request).await;
+    response.leaseholder = state.replica.leaseholder();
+    let is_controller = request.follower.is_some();
+    if !is_controller {
+        response.fleet_summary = response.fleet_summary.map(summary_for_proxies);
     }
+    response
+}
 
-    /// A pull by a sorter or by another postmaster: takes its reports and gives it what it lacks.
-    pub async fn pulled(&self, pull: PullRequest) -> PullResponse {
-        let now = self.feed.now();
-        {
-            let mut sums = self.sums.borrow_mut();
-            pull.follower
-                .iter()
-                .for_each(|follower| sums.record_controller(follower.controller.clone(), now));
-            pull.token_leases.iter().for_each(|lent| sums.record_lease_report(lent.clone(), now));
-            pull.reports.iter().for_each(|report| sums.record_report(report.clone(), now));
-        }
-        if let Some(follower) = &pull.follower {
-            let settled =
-                self.feed.store().register.as_ref().map_or(Revision(0), |register| register.revision);
-            self.following.borrow_mut().record_pull(follower, settled, now);
-        }
-        let mut mail = self.feed.respond(&pull).await;
-        mail.leaseholder = self.replica.holder();
-        if pull.follower.is_none() {
-            mail.fleet_summary = mail.fleet_summary.map(summary_for_proxies);
-        }
-        mail
+fn record_reports(state: &ControllerState, request: &PullRequest) {
+    let now = state.publisher.now();
+    let mut aggregator = state.aggregator.borrow_mut();
+    if let Some(follower) = &request.follower {
+        aggregator.record_controller(follower.controller.clone(), now);
+        let store = state.publisher.store();
+        let published = store.register.as_ref().map_or(Revision(0), |register| register.revision);
+        state.followers.borrow_mut().record_pull(follower, published, now);
+    }
+    if let Some(report) = &request.token_leases {
+        aggregator.record_lease_report(report.clone(), now);
+    }
+    for report in &request.reports {
+        aggregator.record_report(report.clone(), now);
     }
 }
+
+/// Some of the proxies that this process has reports of, chosen at random.
+fn choose_peers(state: &ControllerState) -> Vec<PeerEntry> {
+    let aggregator = state.aggregator.borrow();
+    let mut proxies: Vec<_> = aggregator.live_proxies(state.publisher.now()).collect();
+    state.environment.shuffle(&mut proxies);
+    proxies.into_iter().take(MAX_PEERS).map(peer_entry).collect()
+}
+
+fn peer_entry(proxy: &ProxyEntry) -> PeerEntry {
+    PeerEntry { ip: proxy.address.ip(), region: proxy.region.clone(), last_contact_ms: 0 }
+}
--- a/programs/controller/src/lib.rs
+++ b/programs/controller/src/lib.rs
@@ -1,5 +1,13 @@
-//! The control plane's program: keeps the operator's register, lists and sums what all doors need, and is the registry that
-//! clients ask where to go.
+//! The controller: the program of the control plane.
+//!
+//! Controllers elect a leaseholder among them, which executes operator orders, replicates the configuration register to a
+//! majority of the voters, aggregates what proxies report and polls the platform for backends. All controllers serve what
+//! the leaseholder publishes to the proxies' agents, and answer the clients' registry queries.
+//!
+//! Everything runs on one thread, in tasks of the current local set.
+
+#![forbid(unsafe_code)]
+#![warn(missing_docs)]
 
 mod internal_api;
 mod operator_api;
@@ -14,25 +22,51 @@
 
 use orders::OrderQueue;
 use replica::Replica;
-use roles::token_lender::TokenLender;
+use roles::backend_polling::poll_platform;
+use roles::freshness_attestation::attest_freshness;
+use roles::leaseholder_following::follow_leaseholder;
+use roles::membership_management::manage_membership;
+use roles::report_aggregation::aggregate_reports;
 use state::ControllerState;
-use std::cell::RefCell;
+use std::io;
+use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
-use storage::{Record, Storage};
+use storage::{Record, Storage, StoredRecords};
+use thiserror::Error;
+use tokio::task::spawn_local;
 use tokio::time::sleep;
+use vanewharf_config::document::DocumentError;
 use vanewharf_config::settings::Settings;
 use vanewharf_consensus::{StartKind, Voter, VoterRecord};
-use vanewharf_discovery::FleetAggregator;
-use vanewharf_protocol::messages::ControllerEntry;
-use vanewharf_quota::TokenBuckets;
-use vanewharf_rpc::Publisher;
-use vanewharf_rpc::{serve, serve_deduplicated};
-use vanewharf_runtime::environment::Environment;
+use vanewharf_rpc::{Publisher, serve, serve_deduplicated};
+use vanewharf_runtime::environment::{Environment, Listener};
 use vanewharf_runtime::program::End;
 
-/// Calls that are under way at the end are answered.
-const LAST_ANSWERS: Duration = Duration::from_millis(600);
+/// How long requests that are in flight at the shutdown may take.
+const SHUTDOWN_GRACE: Duration = Duration::from_millis(600);
+
+/// Why a controller cannot be started. Its text is printed to whoever starts the program.
+#[derive(Debug, Error)]
+pub enum StartError {
+    /// The settings lack the address of the operator's API.
+    #[error("{0}")]
+    Settings(#[from] DocumentError),
+    /// The settings name no directory for the controller's records.
+    #[error("data_directory is missing: a postmaster needs a disk")]
+    NoDataDirectory,
+    /// The controller's records cannot be read.
+    #[error("the disk cannot be read: {0}")]
+    ReadRecords(#[source] io::Error),
+    /// An address cannot be listened on.
+    #[error("cannot listen on {address}: {source}")]
+    Listen {
+        /// Of the internal API, the operator's or the registry.
+        address: SocketAddr,
+        /// What the system says.
+        source: io::Error,
+    },
+}
 
 /// A controller whose tasks run on the current local set.
 pub struct RunningController {
@@ -42,101 +76,120 @@
 impl RunningController {
     /// Whether it holds the lease, and so executes operator orders, now.
     pub fn holds_lease(&self) -> bool {
-        self.replica.holds()
+        self.replica.holds_lease()
     }
 
+    /// Releases the lease, and waits until requests that are in flight have been answered.
     pub async fn shut_down(&self) {
-        self.replica.leave().await;
-        sleep(LAST_ANSWERS).await;
+        self.replica.shut_down().await;
+        sleep(SHUTDOWN_GRACE).await;
     }
 }
 
-pub async fn run(settings: Settings, premises: Environment, end: End) -> Result<(), String> {
-    let controller = start(settings, premises).await?;
+/// Runs a controller until it is told to end.
+///
+/// # Errors
+/// Where it cannot be started: see [`start`].
+pub async fn run(settings: Settings, environment: Environment, end: End) -> Result<(), String> {
+    let controller = start(settings, environment).await.map_err(|error| error.to_string())?;
     let _ = end.await;
     controller.shut_down().await;
     Ok(())
 }
 
-pub async fn start(settings: Settings, premises: Environment) -> Result<RunningController, String> {
-    let because = |what: &str, error: std::io::Error| format!("{what}: {error}");
+/// Starts a controller on the current local set.
+///
+/// # Errors
+/// Where the settings lack something, the records cannot be read, or an address cannot be listened on.
+pub async fn start(settings: Settings, environment: Environment) -> Result<RunningController, StartError> {
     let settings = Rc::new(settings);
-    let (control, registry) =
-        (settings.listen_address("control_plane"), settings.listen_address("directory_service"));
-    let control = control.map_err(|fault| fault.to_string())?;
-    let folder = premises.directory.clone().ok_or("data_directory is missing: a postmaster needs a disk")?;
-    let found = storage::find(&*folder).map_err(|error| because("the disk cannot be read", error))?;
-    for aside in &found.spoilt {
-        spdlog::warn!("a copy was torn or spoilt and is set aside: {}", aside);
+    let operator_address = settings.listen_address("control_plane")?;
+    let registry_address = settings.listen_address("directory_service").ok();
+    let publisher = Publisher::new(environment.clock());
+    let replica = start_replica(&settings, &environment, &publisher).await?;
+    let state =
+        ControllerState::new(Rc::clone(&replica), publisher, environment.clone(), Rc::clone(&settings));
+    let state = Rc::new(state);
+    let orders = start_roles(&state);
+
+    let internal_listener = listen(&environment, replica.address)?;
+    spawn_local(serve_internal_api(internal_listener, Rc::clone(&state)));
+    for address in [Some(operator_address), registry_address].into_iter().flatten() {
+        let public_listener = listen(&environment, address)?;
+        spawn_local(serve_public_api(public_listener, Rc::clone(&state), orders.clone()));
     }
-    let disk = Storage::start(folder, &found);
-
-    let steady = premises.clock();
-    let feed = Publisher::new(steady);
-    let me = settings.controller_address(settings.ip);
-    let promise: Option<VoterRecord> = found.record(Record::Promise);
-    let start =
-        if settings.initial_start && found.nothing() { StartKind::Initial } else { StartKind::Restart };
-    let seeds: Vec<_> = settings.seeds.iter().map(|seed| settings.controller_address(seed.ip())).collect();
-    let voter = Voter::start(promise.as_ref(), found.record(Record::Register), &seeds, start, steady.now());
-    if start == StartKind::Initial
-        && let Err(error) = disk.save(Record::Promise, &voter.record()).await
-    {
-        spdlog::warn!("the set of voters is not on disk: {}", error);
+    Ok(RunningController { replica })
+}
+
+/// Reads the controller's records and starts the replica from them.
+async fn start_replica(
+    settings: &Settings,
+    environment: &Environment,
+    publisher: &Publisher,
+) -> Result<Rc<Replica>, StartError> {
+    let directory = environment.directory.clone().ok_or(StartError::NoDataDirectory)?;
+    let stored = StoredRecords::load(&*directory).map_err(StartError::ReadRecords)?;
+    for file in &stored.corrupt_files {
+        spdlog::warn!(
+            "a stored record is torn or corrupt; the file is renamed and the other copy is used",
+            kv: { event = "record_corrupt", file = file.as_str() }
+        );
     }
-    let amnesic = voter.is_amnesic();
-    let replica = Replica::start(me, seeds, voter, disk.clone(), feed.clone(), premises.clone());
-    if let Some(promise) = promise {
-        tokio::task::spawn_local(Rc::clone(&replica).inquire(promise));
+    let storage = Storage::start(directory, &stored);
+    let seeds: Vec<SocketAddr> =
+        settings.seeds.iter().map(|seed| settings.controller_address(seed.ip())).collect();
+    let is_first_start = settings.initial_start && stored.is_empty();
+    let start_kind = if is_first_start { StartKind::Initial } else { StartKind::Restart };
+    let voter_record: Option<VoterRecord> = stored.decode(Record::Voter);
+    let register = stored.decode(Record::Register);
+    let voter = Voter::start(voter_record.as_ref(), register, &seeds, start_kind, publisher.now());
+    if is_first_start && let Err(error) = storage.save(Record::Voter, &voter.record()).await {
+        spdlog::warn!(
+            "the initial members are not on disk",
+            kv: { event = "initial_members_not_persisted", error: }
+        );
     }
-    if amnesic {
-        tokio::task::spawn_local(Rc::clone(&replica).recover(disk));
+    let address = settings.controller_address(settings.ip);
+    let is_amnesic = voter.is_amnesic();
+    let replica =
+        Replica::start(address, seeds, voter, storage.clone(), publisher.clone(), environment.clone());
+    if let Some(voter_record) = voter_record {
+        spawn_local(Rc::clone(&replica).query_earlier_leaseholder(voter_record));
     }
+    if is_amnesic {
+        spawn_local(Rc::clone(&replica).recover_from_amnesia(storage));
+    }
+    Ok(replica)
+}
 
-    let sums = Rc::new(RefCell::new(FleetAggregator::default()));
-    let row = ControllerEntry { ip: settings.ip, zone: settings.zone.clone() };
-    let state = Rc::new(ControllerState {
-        replica: Rc::clone(&replica),
-        feed: feed.clone(),
-        premises: premises.clone(),
-        sums,
-        row,
-        settings: Rc::clone(&settings),
-        hosts: RefCell::default(),
-        lending: RefCell::new(TokenLender {
-            buckets: TokenBuckets::new(
-                settings.limits_table.rate_allowance,
-                settings.initial_start,
-                steady.now(),
-            ),
-            life: premises.random_incarnation(),
-        }),
-        following: RefCell::default(),
-    });
-    tokio::task::spawn_local(Rc::clone(&state).follow());
-    tokio::task::spawn_local(Rc::clone(&state).sum());
-    tokio::task::spawn_local(Rc::clone(&state).ask_platform());
-    tokio::task::spawn_local(Rc::clone(&state).attest());
-    let orders = OrderQueue::start(Rc::clone(&replica));
-    tokio::task::spawn_local(Rc::clone(&state).tend_membership(orders.clone()));
-
-    let inside =
-        premises.network.listen(me).map_err(|error| because(&format!("cannot listen on {me}"), error))?;
-    let within = Rc::clone(&state);
-    tokio::task::spawn_local(serve_deduplicated(inside, move |request| {
-        let state = Rc::clone(&within);
+/// The order in which tasks are spawned is that in which the runtime first polls them.
+fn start_roles(state: &Rc<ControllerState>) -> OrderQueue {
+    spawn_local(follow_leaseholder(Rc::clone(state)));
+    spawn_local(aggregate_reports(Rc::clone(state)));
+    spawn_local(poll_platform(Rc::clone(state)));
+    spawn_local(attest_freshness(Rc::clone(state)));
+    let orders = OrderQueue::start(Rc::clone(&state.replica));
+    spawn_local(manage_membership(Rc::clone(state), orders.clone()));
+    orders
+}
+
+fn listen(environment: &Environment, address: SocketAddr) -> Result<Box<dyn Listener>, StartError> {
+    environment.network.listen(address).map_err(|source| StartError::Listen { address, source })
+}
+
+async fn serve_internal_api(listener: Box<dyn Listener>, state: Rc<ControllerState>) {
+    let handler = move |request| {
+        let state = Rc::clone(&state);
         async move { internal_api::dispatch(&state, &request).await }
-    }));
-    for address in [Some(control), registry.ok()].into_iter().flatten() {
-        let outside = premises
-            .network
-            .listen(address)
-            .map_err(|error| because(&format!("cannot listen on {address}"), error))?;
-        let (state, orders) = (Rc::clone(&state), orders.clone());
-        tokio::task::spawn_local(serve(outside, move |request| {
-            let (state, orders) = (Rc::clone(&state), orders.clone());
-            async move { public_api::dispatch(&state, &orders, &request).await }
-        }));
-    }
-    Ok(RunningController { replica })
+    };
+    serve_deduplicated(listener, handler).await;
+}
+
+async fn serve_public_api(listener: Box<dyn Listener>, state: Rc<ControllerState>, orders: OrderQueue) {
+    let handler = move |request| {
+        let state = Rc::clone(&state);
+        let orders = orders.clone();
+        async move { public_api::dispatch(&state, &orders, &request).await }
+    };
+    serve(listener, handler).await;
 }
--- a/programs/controller/src/platform.rs
+++ b/programs/controller/src/platform.rs
@@ -1,85 +1,126 @@
-//! The platform's list of backends. Only the lease holder asks for it.
+//! Client of the platform's API that lists backends. Only the leaseholder calls it.
 
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
+use std::rc::Rc;
 use std::time::Duration;
 use vanewharf_protocol::messages::Backend;
 use vanewharf_rpc::{RpcClient, RpcError};
+use vanewharf_runtime::environment::Network;
 
-const WITHIN: Duration = Duration::from_millis(900);
-/// More pages than any deployment has: the list never ends by itself where the platform errs.
-const MOST_PAGES: usize = 64;
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(900);
+/// More pages than any deployment has: a platform that errs may send `next_token` for ever.
+const MAX_PAGES: usize = 64;
+/// The lifecycle of a backend that takes requests; in all others it drains.
+const AVAILABLE: &str = "available";
+/// How much longer than before a backend may be said to warm up before that is a change.
+const WARMUP_TOLERANCE_MS: u64 = 200;
 
+/// One page of the platform's answer.
 #[derive(Deserialize)]
-struct Page {
-    instances: BTreeMap<String, Vec<Entry>>,
+struct InstancePage {
+    /// By zone.
+    instances: BTreeMap<String, Vec<Instance>>,
     next_token: Option<String>,
 }
 
 #[derive(Deserialize)]
-struct Entry {
+struct Instance {
     identifier: String,
     service: String,
     address: SocketAddr,
+    /// Where it is empty, the zone is the one that the instance is listed under.
     #[serde(default)]
     zone: String,
     #[serde(default)]
     capacity: u32,
     lifecycle: String,
+    /// A duration, as `1500ms` or `2.5s`.
     #[serde(default)]
     warmup_left: String,
 }
 
-fn milliseconds(text: &str) -> u64 {
-    let (digits, scale) = match text.strip_suffix("ms") {
-        Some(digits) => (digits, 1.0),
-        None => (text.trim_end_matches('s'), 1000.0),
-    };
-    digits.parse::<f64>().map_or(0, |number| (number * scale).ceil().max(0.0) as u64)
+impl Instance {
+    fn into_backend(self, listed_zone: &str) -> Backend {
+        Backend {
+            id: self.identifier,
+            service: self.service,
+            address: self.address,
+            zone: if self.zone.is_empty() { listed_zone.to_owned() } else { self.zone },
+            capacity: self.capacity.max(1),
+            draining: self.lifecycle != AVAILABLE,
+            warmup_left_ms: parse_milliseconds(&self.warmup_left),
+        }
+    }
 }
 
-/// The whole list, in the order of the identifiers.
-pub async fn list(platform: &mut RpcClient) -> Result<Vec<Backend>, RpcError> {
-    let (mut servers, mut token) = (Vec::new(), None);
-    for _ in 0..MOST_PAGES {
-        let path = match &token {
+/// A client of the platform's API.
+pub struct PlatformClient {
+    rpc: RpcClient,
+}
+
+impl PlatformClient {
+    /// A client that connects at its first request.
+    pub fn new(address: SocketAddr, network: &Rc<dyn Network>) -> PlatformClient {
+        PlatformClient { rpc: RpcClient::new(address, network) }
+    }
+
+    /// All backends, in the order of their identifiers.
+    ///
+    /// # Errors
+    /// Where one of the pages cannot be had or read, or where there are more than [`MAX_PAGES`].
+    ///
+    /// # Cancel safety
+    /// A list that is only partly read is dropped; the platform's state does not change.
+    pub async fn list_backends(&mut self) -> Result<Vec<Backend>, RpcError> {
+        let mut backends = Vec::new();
+        let mut page_token = None;
+        for _ in 0..MAX_PAGES {
+            let page = self.fetch_page(page_token.as_deref()).await?;
+            for (zone, instances) in page.instances {
+                backends.extend(instances.into_iter().map(|instance| instance.into_backend(&zone)));
+            }
+            page_token = page.next_token;
+            if page_token.is_none() {
+                backends.sort_by(|one, other| one.id.cmp(&other.id));
+                return Ok(backends);
+            }
+        }
+        Err(RpcError::Malformed)
+    }
+
+    async fn fetch_page(&mut self, page_token: Option<&str>) -> Result<InstancePage, RpcError> {
+        let path = match page_token {
             Some(token) => format!("/instances?page_token={token}"),
             None => "/instances".to_owned(),
         };
-        let page = match platform.send("GET", &path, "", WITHIN).await? {
-            (200, body) => body,
-            (status, _) => return Err(RpcError::Status(status)),
-        };
-        let page: Page = serde_json::from_slice(&page).map_err(|_| RpcError::Malformed)?;
-        for (zone, entries) in page.instances {
-            servers.extend(entries.into_iter().map(|entry| Backend {
-                id: entry.identifier,
-                service: entry.service,
-                address: entry.address,
-                zone: if entry.zone.is_empty() { zone.clone() } else { entry.zone },
-                capacity: entry.capacity.max(1),
-                draining: entry.lifecycle != "available",
-                warmup_left_ms: milliseconds(&entry.warmup_left),
-            }));
-        }
-        token = page.next_token;
-        if token.is_none() {
-            servers.sort_by(|one, other| one.id.cmp(&other.id));
-            return Ok(servers);
+        match self.rpc.send("GET", &path, "", REQUEST_TIMEOUT).await? {
+            (200, body) => serde_json::from_slice(&body).map_err(|_| RpcError::Malformed),
+            (status, _) => Err(RpcError::Status(status)),
         }
     }
-    Err(RpcError::Malformed)
 }
 
-/// Whether doors have to be told: what merely warms up on its way is known to them already.
-pub fn differs(one: &[Backend], other: &[Backend]) -> bool {
-    one.len() != other.len()
-        || one.iter().zip(other).any(|(one, other)| {
-            let colder = other.warmup_left_ms > one.warmup_left_ms.saturating_add(200);
-            let same = Backend { warmup_left_ms: one.warmup_left_ms, ..other.clone() } == *one;
-            !same || colder
-        })
+/// Milliseconds, rounded up; 0 where the text is no duration.
+fn parse_milliseconds(text: &str) -> u64 {
+    let (digits, milliseconds_per_unit) = match text.strip_suffix("ms") {
+        Some(digits) => (digits, 1.0),
+        None => (text.trim_end_matches('s'), 1000.0),
+    };
+    digits.parse::<f64>().map_or(0, |number| (number * milliseconds_per_unit).ceil().max(0.0) as u64)
+}
+
+/// Whether proxies have to be notified of a new list. They know already that a backend which warms up has less warm-up
+/// left; they have to know of one that has more.
+pub fn needs_publication(known: &[Backend], listed: &[Backend]) -> bool {
+    known.len() != listed.len() || known.iter().zip(listed).any(|(known, listed)| has_changed(known, listed))
+}
+
+fn has_changed(known: &Backend, listed: &Backend) -> bool {
+    let has_more_warmup = listed.warmup_left_ms > known.warmup_left_ms.saturating_add(WARMUP_TOLERANCE_MS);
+    let is_same_otherwise = Backend { warmup_left_ms: known.warmup_left_ms, ..listed.clone() } == *known;
+    has_more_warmup || !is_same_otherwise
 }
 
 #[cfg(test)]
--- a/programs/controller/src/platform/tests.rs
+++ b/programs/controller/src/platform/tests.rs
@@ -1,20 +1,28 @@
 use super::*;
 
-#[test]
-fn what_warms_up_is_not_told_again_and_what_turns_cold_is() {
-    let server = |cold_ms, draining| Backend {
+fn backend(warmup_left_ms: u64, draining: bool) -> Backend {
+    Backend {
         id: "i-1".to_owned(),
         service: "s".to_owned(),
         address: "10.0.0.1:80".parse().expect("an address"),
         zone: "z".to_owned(),
         capacity: 3,
         draining,
-        warmup_left_ms: cold_ms,
-    };
-    let differ = |one, other| differs(&[one], &[other]);
-    assert!(!differ(server(3000, false), server(2200, false)));
-    assert!(differ(server(0, false), server(2200, false)));
-    assert!(differ(server(0, false), server(0, true)));
-    assert!(differs(&[server(0, false)], &[]));
-    assert_eq!((milliseconds("1500ms"), milliseconds("2.5s"), milliseconds("odd")), (1500, 2500, 0));
+        warmup_left_ms,
+    }
+}
+
+#[test]
+fn a_backend_is_published_when_it_needs_warmup_again_and_not_while_its_warmup_goes_on() {
+    let needs = |known, listed| needs_publication(&[known], &[listed]);
+    assert!(!needs(backend(3000, false), backend(2200, false)));
+    assert!(needs(backend(0, false), backend(2200, false)));
+    assert!(needs(backend(0, false), backend(0, true)));
+    assert!(needs_publication(&[backend(0, false)], &[]));
+}
+
+#[test]
+fn durations_are_read_in_seconds_and_milliseconds_and_anything_else_as_zero() {
+    let milliseconds = ["1500ms", "2.5s", "odd"].map(parse_milliseconds);
+    assert_eq!(milliseconds, [1500, 2500, 0]);
 }
--- a/programs/controller/src/replica/reconfiguration.rs
+++ b/programs/controller/src/replica/reconfiguration.rs
@@ -1,38 +1,43 @@
-//! Changes of the set of voters.
+//! Changes of the set of voters, by joint consensus: first majorities of both sets are needed, then one of the new set. A
+//! voter leaves only when a majority of the new set has persisted all that was committed.
 
-use super::Replica;
+use super::{Replica, ReplicationOutcome};
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use std::rc::Rc;
-use vanewharf_consensus::RenewalOutcome;
-use vanewharf_consensus::next_membership;
+use vanewharf_consensus::{RenewalOutcome, next_membership};
 use vanewharf_protocol::messages::{Membership, Register};
 
 impl Replica {
-    /// The set of the register in force.
-    fn settled_set(&self) -> Membership {
-        self.feed.store().register.as_ref().map(|register| register.membership.clone()).unwrap_or_default()
-    }
-
-    /// Another set of voters by joint consensus: first both sets decide, then the new one alone. A voter leaves only when a
-    /// majority of the new set has all that was kept.
-    pub async fn reconfigure(self: &Rc<Self>, voters: BTreeSet<SocketAddr>) -> bool {
-        // One that a holder before this one began is concluded first.
-        while let Some(membership) = next_membership(&self.settled_set(), &voters) {
-            // Between the two the lease is renewed by both sets: a holder that went by votes of the old one alone could
-            // be overtaken by one whom the new one elects.
-            let concludes = membership.outgoing.is_empty();
-            if concludes && self.renew(self.ballot()).await != RenewalOutcome::Renewed {
-                return false;
+    /// Replaces the set of voters. A change that a leaseholder before this one began is concluded first.
+    ///
+    /// # Cancel safety
+    /// A change that is cancelled midway stays in progress; the next one concludes it.
+    pub async fn reconfigure(self: &Rc<Self>, voters: BTreeSet<SocketAddr>) -> ReplicationOutcome {
+        while let Some(membership) = next_membership(&self.committed_membership(), &voters) {
+            let is_final_step = membership.outgoing.is_empty();
+            // Before the final step both sets renew the lease: one that only the old set had granted could be overtaken by
+            // a leaseholder that the new set elects.
+            if is_final_step && self.renew_lease(self.ballot()).await != RenewalOutcome::Renewed {
+                return ReplicationOutcome::Uncertain;
             }
-            if !self.acknowledge(|register| Register { membership, ..register.clone() }).await {
-                return false;
+            let outcome = self.commit_change(|register| Register { membership, ..register }).await;
+            if outcome == ReplicationOutcome::Uncertain {
+                return ReplicationOutcome::Uncertain;
             }
-            if concludes {
-                let now = self.membership();
-                spdlog::info!("epoch {}: the voters are {:?}", now.epoch, now.voters);
+            if is_final_step {
+                let Membership { epoch, voters, .. } = self.membership();
+                spdlog::info!(
+                    "membership change is in force",
+                    kv: { event = "reconfiguration_end", epoch, voters:? }
+                );
             }
         }
-        true
+        ReplicationOutcome::Committed
+    }
+
+    fn committed_membership(&self) -> Membership {
+        let store = self.publisher.store();
+        store.register.as_ref().map(|register| register.membership.clone()).unwrap_or_default()
     }
 }
--- a/programs/controller/src/replica/recovery.rs
+++ b/programs/controller/src/replica/recovery.rs
@@ -1,78 +1,104 @@
-//! Recovery after a restart, with the disk or without.
+//! Recovery after a restart: of the time to wait for an earlier lease, and of a voter that has lost its disk (amnesia).
 
-use super::{PERSIST_RETRY_INTERVAL, QUICK, Replica, WATCH};
-use crate::storage::{Record, Storage};
+use super::{PERSIST_RETRY_INTERVAL, Replica};
+use crate::storage::{Record, Storage, StorageError};
 use std::collections::BTreeSet;
+use std::net::SocketAddr;
 use std::ops::ControlFlow;
 use std::rc::Rc;
+use std::time::Duration;
 use tokio::time::sleep;
-use vanewharf_consensus::{LEASE_DURATION, VoterRecord};
-use vanewharf_consensus::{RecoveryRound, RecoveryStep};
-use vanewharf_protocol::messages::VoteRequest;
+use vanewharf_consensus::{LEASE_DURATION, RecoveryRound, RecoveryStep, VoterRecord};
+use vanewharf_protocol::messages::{Register, VoteRequest};
 use vanewharf_rpc::RpcClient;
 
+/// For one answer of the earlier leaseholder.
+const LEASE_QUERY_TIMEOUT: Duration = Duration::from_millis(200);
+const LEASE_QUERY_INTERVAL: Duration = Duration::from_millis(50);
+
 impl Replica {
-    /// After a restart the one that was promised to may still hold its lease; one that says otherwise need not be waited
-    /// for.
-    pub async fn inquire(self: Rc<Self>, promised: VoterRecord) {
-        let Some(holder) = promised.promised_to else {
+    /// Asks the replica that this voter promised a ballot to before its restart whether it still holds the lease. Where it
+    /// does not, its lease need not be waited for.
+    pub async fn query_earlier_leaseholder(self: Rc<Self>, record: VoterRecord) {
+        let Some(leaseholder) = record.promised_to else {
             return;
         };
-        let ends = self.now().after(LEASE_DURATION);
-        while self.now() < ends {
-            let held = if holder == self.me {
-                Some(self.holds_by(promised.ballot))
+        let deadline = self.now().after(LEASE_DURATION);
+        while self.now() < deadline {
+            let holds_lease = if leaseholder == self.address {
+                Some(self.confirm_lease(record.ballot))
             } else {
-                RpcClient::new(holder, &self.premises.network)
-                    .post("/holds", &promised.ballot, QUICK / 3)
-                    .await
-                    .ok()
+                let mut client = RpcClient::new(leaseholder, &self.environment.network);
+                client.post("/holds", &record.ballot, LEASE_QUERY_TIMEOUT).await.ok()
             };
-            match held {
-                Some(false) => return self.voter.borrow_mut().end_quiet_period(promised.ballot, self.now()),
+            match holds_lease {
                 Some(true) => return,
-                None => sleep(WATCH / 2).await,
+                Some(false) => {
+                    let now = self.now();
+                    return self.voter.borrow_mut().end_quiet_period(record.ballot, now);
+                }
+                None => sleep(LEASE_QUERY_INTERVAL).await,
             }
         }
     }
 
-    /// A voter with amnesia asks those who have a say what they promised and accepted, and promises that again: a machine
-    /// that lost its disk is a new member of its old name until then.
-    pub async fn recover(self: Rc<Self>, disk: Storage) {
-        let mut recovering =
-            RecoveryRound::start(self.me, self.seeds.clone(), self.premises.random_incarnation());
-        let mut hear: BTreeSet<_> = self.seeds.iter().copied().filter(|seed| *seed != self.me).collect();
+    /// Recovers a voter with amnesia: asks the members what they have promised and accepted, and promises that again under
+    /// a new incarnation. Until then the voter takes part in nothing.
+    pub async fn recover_from_amnesia(self: Rc<Self>, storage: Storage) {
+        let seeds = self.seeds.clone();
+        let mut round = RecoveryRound::start(self.address, seeds, self.environment.random_incarnation());
+        let other_seeds = self.seeds.iter().copied().filter(|seed| *seed != self.address);
+        let mut members: BTreeSet<SocketAddr> = other_seeds.collect();
         while self.voter.borrow().is_amnesic() {
-            let incarnation = recovering.incarnation();
-            let request = VoteRequest::Recover { member: self.me, incarnation };
-            self.poll(&hear, request, |member, cast| {
-                recovering.record_response(member, cast);
-                ControlFlow::<()>::Continue(())
-            })
-            .await;
-            match recovering.next_step(self.premises.random_incarnation()) {
-                RecoveryStep::Restore(promise, register) => {
-                    while !(disk.save(Record::Register, &*register).await.is_ok()
-                        && disk.save(Record::Promise, &*promise).await.is_ok())
-                    {
-                        sleep(PERSIST_RETRY_INTERVAL).await;
-                    }
-                    let no = register.revision;
-                    self.voter.borrow_mut().complete_recovery(&promise, *register, self.now());
+            let incarnation = round.incarnation();
+            self.query_members(&members, &mut round).await;
+            match round.next_step(self.environment.random_incarnation()) {
+                RecoveryStep::Restore(record, register) => {
+                    let revision = register.revision;
+                    self.complete_recovery(&storage, &record, *register).await;
                     spdlog::warn!(
-                        "recovered register {} from {} others",
-                        no.0,
-                        recovering.respondents().len()
+                        "the voter lost its disk and is recovered from other members",
+                        kv: { event = "recovered", revision = revision.0, members = round.respondents().len() }
                     );
                 }
                 RecoveryStep::Query(others) => {
-                    hear = others;
-                    // One that counts anew asks anew at once.
-                    if recovering.incarnation() == incarnation {
+                    members = others;
+                    // A round that has begun a new incarnation makes it known at once.
+                    let is_same_incarnation = round.incarnation() == incarnation;
+                    if is_same_incarnation {
                         sleep(PERSIST_RETRY_INTERVAL).await;
                     }
                 }
             }
         }
     }
+
+    /// Waits until all members have responded or timed out.
+    async fn query_members(self: &Rc<Self>, members: &BTreeSet<SocketAddr>, round: &mut RecoveryRound) {
+        let request = VoteRequest::Recover { member: self.address, incarnation: round.incarnation() };
+        let record_response = |member, response| {
+            round.record_response(member, response);
+            ControlFlow::<()>::Continue(())
+        };
+        self.collect_votes(members, request, record_response).await;
+    }
+
+    /// The register is persisted first: a voter record without its register would be taken for that of a voter that has
+    /// never accepted any.
+    async fn complete_recovery(&self, storage: &Storage, record: &VoterRecord, register: Register) {
+        while persist_recovered(storage, record, &register).await.is_err() {
+            sleep(PERSIST_RETRY_INTERVAL).await;
+        }
+        let now = self.now();
+        self.voter.borrow_mut().complete_recovery(record, register, now);
+    }
+}
+
+async fn persist_recovered(
+    storage: &Storage,
+    record: &VoterRecord,
+    register: &Register,
+) -> Result<(), StorageError> {
+    storage.save(Record::Register, register).await?;
+    storage.save(Record::Voter, record).await
 }
--- a/programs/controller/src/replica/renewal.rs
+++ b/programs/controller/src/replica/renewal.rs
@@ -1,78 +1,100 @@
-//! Renewal of the lease.
+//! Holding the lease: commits the register that was found in the election, and renews the lease while a majority agrees.
 
-use super::Replica;
+use super::{Replica, ReplicationOutcome};
 use std::rc::Rc;
 use tokio::time::sleep;
-use vanewharf_consensus::RENEWAL_INTERVAL;
-use vanewharf_consensus::all_voters;
-use vanewharf_consensus::{HeldLease, RenewalOutcome, RenewalRound};
+use vanewharf_consensus::{HeldLease, RENEWAL_INTERVAL, RenewalOutcome, RenewalRound, all_voters};
 use vanewharf_protocol::messages::{Ballot, Register, Revision, VoteRequest};
 
+/// How a lease ended.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum LeaseEnd {
+    /// It expired, was won by another replica, or is given up.
+    Lost,
+    /// A voter has promised a higher ballot, which did not win. That voter accepts nothing under this lease any more, so
+    /// that the lease has to be won again under a higher one.
+    Preempted,
+}
+
 impl Replica {
-    /// Holds on for as long as a majority renews; stops before the lease ends. True where it should be had again at once,
-    /// under a higher ballot: a voter that has promised one takes no part any more.
-    pub(super) async fn hold(self: &Rc<Self>, ballot: Ballot, found: Register) -> bool {
-        spdlog::info!("holds the lease under ballot {}, found register {}", ballot.0, found.revision.0);
-        self.next.set(Revision(found.revision.0 + 1));
-        let settling = {
-            let replica = Rc::clone(self);
-            tokio::task::spawn_local(async move {
-                let register = Register { ballot, ..found };
-                if register.revision == Revision(0) || replica.kept(&register).await {
-                    replica.settle(register);
-                }
-            })
+    /// Holds a lease that was won, with the register that was found in the election, until it ends.
+    pub(super) async fn hold_lease(self: &Rc<Self>, ballot: Ballot, found: Register) -> LeaseEnd {
+        spdlog::info!(
+            "lease acquired",
+            kv: { event = "lease_acquired", ballot = ballot.0, revision = found.revision.0 }
+        );
+        self.next_revision.set(Revision(found.revision.0 + 1));
+        let register = Register { ballot, ..found };
+        let commit_found = tokio::task::spawn_local(Rc::clone(self).commit_found_register(register));
+        let lease_end = self.renew_until_end(ballot).await;
+        // Cancelled at an await: the register is published at one go, or not at all. Voters may still persist it, which the
+        // next election finds.
+        commit_found.abort();
+        lease_end
+    }
+
+    /// Orders may be executed once the register of the leaseholders before is committed under this ballot, too.
+    async fn commit_found_register(self: Rc<Self>, register: Register) {
+        let is_initial = register.revision == Revision(0);
+        if is_initial || self.replicate(&register).await == ReplicationOutcome::Committed {
+            self.begin_serving(register);
+        }
+    }
+
+    fn begin_serving(&self, register: Register) {
+        let Some(lease) = self.lease.get().filter(|lease| lease.ballot == register.ballot) else {
+            return;
         };
-        let again = loop {
+        self.lease.set(Some(HeldLease { register_committed: true, ..lease }));
+        self.publisher.update(|store| {
+            store.leaseholder = Some(self.address);
+            store.set_register(Rc::new(register));
+            true
+        });
+    }
+
+    async fn renew_until_end(self: &Rc<Self>, ballot: Ballot) -> LeaseEnd {
+        loop {
             sleep(RENEWAL_INTERVAL).await;
-            // One that has left the set hands the lease over.
-            if self.leaving.get() || !self.membership().voters.contains(&self.me) {
-                break false;
+            let is_voter = self.membership().voters.contains(&self.address);
+            if self.is_shutting_down.get() || !is_voter {
+                return LeaseEnd::Lost;
             }
-            if self.renew(ballot).await == RenewalOutcome::Superseded {
-                break false;
+            if self.renew_lease(ballot).await == RenewalOutcome::Superseded {
+                return LeaseEnd::Lost;
             }
-            if self.term.get().is_none_or(|term| !term.is_valid(self.now())) {
-                break false;
+            if self.lease.get().is_none_or(|lease| !lease.is_valid(self.now())) {
+                return LeaseEnd::Lost;
             }
-            if self.barred.get() > ballot {
-                spdlog::info!("a voter has promised ballot {}", self.barred.get().0);
-                break true;
+            let refused_ballot = self.highest_refused_ballot.get();
+            if refused_ballot > ballot {
+                spdlog::info!(
+                    "a voter has promised a higher ballot; the lease is given up and campaigned for again",
+                    kv: { event = "lease_preempted", ballot = ballot.0, promised_ballot = refused_ballot.0 }
+                );
+                return LeaseEnd::Preempted;
             }
-        };
-        settling.abort();
-        again
+        }
     }
 
-    /// For another term, by all who have a say now.
-    pub(super) async fn renew(self: &Rc<Self>, ballot: Ballot) -> RenewalOutcome {
-        let (asked, set) = (self.now(), self.membership());
-        let request = VoteRequest::Renew { ballot, leaseholder: self.me };
-        let mut renewing = RenewalRound::start(ballot, set);
-        let voters = all_voters(renewing.membership());
-        self.poll(&voters, request, |voter, cast| renewing.record_response(voter, cast)).await;
+    /// Renews the lease, by a majority of the voters that there are now.
+    pub(super) async fn renew_lease(self: &Rc<Self>, ballot: Ballot) -> RenewalOutcome {
+        let requested_at = self.now();
+        let request = VoteRequest::Renew { ballot, leaseholder: self.address };
+        let mut round = RenewalRound::start(ballot, self.membership());
+        let voters = all_voters(round.membership());
+        self.collect_votes(&voters, request, |voter, response| round.record_response(voter, response)).await;
+        // This process may have told a restarted voter meanwhile that it does not hold the lease.
         if !self.claim.get().is_valid_for(ballot) {
             return RenewalOutcome::Superseded;
         }
-        let outcome = renewing.outcome();
+        let outcome = round.outcome();
+        let lease = self.lease.get().filter(|lease| lease.ballot == ballot);
         if outcome == RenewalOutcome::Renewed
-            && let Some(term) = self.term.get().filter(|term| term.ballot == ballot)
+            && let Some(lease) = lease
         {
-            self.term.set(Some(term.renewed(asked)));
+            self.lease.set(Some(lease.renewed(requested_at)));
         }
         outcome
     }
-
-    pub(super) fn settle(&self, register: Register) {
-        let Some(term) = self.term.get().filter(|term| term.ballot == register.ballot) else {
-            return;
-        };
-        self.term.set(Some(HeldLease { register_committed: true, ..term }));
-        let me = self.me;
-        self.feed.update(|store| {
-            store.leaseholder = Some(me);
-            store.set_register(Rc::new(register));
-            true
-        });
-    }
 }
--- a/programs/controller/src/replica/vote_rpc.rs
+++ b/programs/controller/src/replica/vote_rpc.rs
@@ -1,6 +1,6 @@
-//! Vote requests to other replicas.
+//! Vote requests to the voters, this process' own among them.
 
-use super::{QUICK, Replica};
+use super::Replica;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use std::ops::ControlFlow;
@@ -12,68 +12,90 @@
 use vanewharf_protocol::messages::{Ballot, Membership, Vote, VoteRequest, VoteResponse};
 use vanewharf_rpc::RpcClient;
 
-impl Replica {
-    pub(super) async fn ask(
-        &self,
-        voter: SocketAddr,
-        request: &VoteRequest,
-        within: Duration,
-    ) -> Option<VoteResponse> {
-        let cast = self.asked(voter, request, within).await?;
-        if let Vote::Refused { promised, .. } = cast.vote {
-            self.barred.set(promised.max(self.barred.get()));
-        }
-        Some(cast)
-    }
-
-    async fn asked(
-        &self,
-        voter: SocketAddr,
-        request: &VoteRequest,
-        within: Duration,
-    ) -> Option<VoteResponse> {
-        if voter == self.me {
-            return timeout(within, self.vote(request.clone())).await.ok();
-        }
-        let kept = self.callers.borrow_mut().get_mut(&voter).and_then(Vec::pop);
-        let mut caller = kept.unwrap_or_else(|| RpcClient::new(voter, &self.premises.network));
-        let cast = caller.post("/vote", request, within).await.ok();
-        if cast.is_some() {
-            self.callers.borrow_mut().entry(voter).or_default().push(caller);
-        }
-        cast
-    }
+/// For a response to a request that decides who holds the lease, or recovers a member.
+pub(super) const VOTE_TIMEOUT: Duration = Duration::from_millis(600);
 
-    /// Asks these at once; ends when what they say decides it, or with nothing once all have spoken or are silent.
-    pub(super) async fn poll<T>(
+impl Replica {
+    /// Sends a request to all of these voters at once, and hands each response to `record_response`. Returns what that
+    /// breaks with, or `None` once all voters have responded or timed out.
+    ///
+    /// # Cancel safety
+    /// Each request is sent by a task of its own, which goes on when the outcome is decided or the caller stops waiting:
+    /// voters that are slow receive the request all the same, and a ballot by which one refuses is recorded. Responses
+    /// that come then are dropped. No task outlasts [`VOTE_TIMEOUT`] by more than the time that a connection takes.
+    pub(super) async fn collect_votes<T>(
         self: &Rc<Self>,
         voters: &BTreeSet<SocketAddr>,
         request: VoteRequest,
-        mut hear: impl FnMut(SocketAddr, VoteResponse) -> ControlFlow<T>,
+        mut record_response: impl FnMut(SocketAddr, VoteResponse) -> ControlFlow<T>,
     ) -> Option<T> {
-        let (said, mut votes) = mpsc::unbounded_channel();
+        let (responses, mut received) = mpsc::unbounded_channel();
         for &voter in voters {
-            let (replica, request, said) = (Rc::clone(self), request.clone(), said.clone());
+            let replica = Rc::clone(self);
+            let request = request.clone();
+            let responses = responses.clone();
             tokio::task::spawn_local(async move {
-                let _ = said.send((voter, replica.ask(voter, &request, QUICK).await));
+                let response = replica.request_vote(voter, &request, VOTE_TIMEOUT).await;
+                // Nobody receives it once the outcome is decided.
+                let _ = responses.send((voter, response));
             });
         }
-        drop(said);
-        while let Some((voter, cast)) = votes.recv().await {
-            if let Some(ControlFlow::Break(decided)) = cast.map(|cast| hear(voter, cast)) {
-                return Some(decided);
+        // The tasks hold the remaining senders: the channel is closed when the last one ends.
+        drop(responses);
+        while let Some((voter, response)) = received.recv().await {
+            if let Some(response) = response
+                && let ControlFlow::Break(outcome) = record_response(voter, response)
+            {
+                return Some(outcome);
             }
         }
         None
     }
 
-    pub(super) async fn release(self: &Rc<Self>, set: &Membership, ballot: Ballot) {
-        let mut tally = QuorumTracker::new(set.clone());
+    /// Sends a request to one voter. Returns its response, or `None` where there was none in time.
+    pub(super) async fn request_vote(
+        &self,
+        voter: SocketAddr,
+        request: &VoteRequest,
+        response_timeout: Duration,
+    ) -> Option<VoteResponse> {
+        let response = if voter == self.address {
+            timeout(response_timeout, self.handle_vote_request(request.clone())).await.ok()?
+        } else {
+            self.call_voter(voter, request, response_timeout).await?
+        };
+        if let Vote::Refused { promised, .. } = response.vote {
+            self.highest_refused_ballot.set(promised.max(self.highest_refused_ballot.get()));
+        }
+        Some(response)
+    }
+
+    /// A connection is used by one request at a time, and is kept only where that was answered. One that is cancelled
+    /// midway closes its connection.
+    async fn call_voter(
+        &self,
+        voter: SocketAddr,
+        request: &VoteRequest,
+        response_timeout: Duration,
+    ) -> Option<VoteResponse> {
+        let idle_client = self.idle_clients.borrow_mut().get_mut(&voter).and_then(Vec::pop);
+        let mut client = idle_client.unwrap_or_else(|| RpcClient::new(voter, &self.environment.network));
+        let response = client.post("/vote", request, response_timeout).await.ok()?;
+        self.idle_clients.borrow_mut().entry(voter).or_default().push(client);
+        Some(response)
+    }
+
+    /// Tells the voters that this process does not want the lease under that ballot any more, until a quorum has heard.
+    pub(super) async fn release_lease(self: &Rc<Self>, membership: &Membership, ballot: Ballot) {
+        let mut tracker = QuorumTracker::new(membership.clone());
         let request = VoteRequest::Release { ballot };
-        self.poll(&all_voters(set), request, |voter, cast| {
-            tally.record(voter, cast);
-            if tally.has_quorum() { ControlFlow::Break(()) } else { ControlFlow::Continue(()) }
-        })
-        .await;
+        let record_response = |voter, response| {
+            tracker.record(voter, response);
+            match tracker.has_quorum() {
+                true => ControlFlow::Break(()),
+                false => ControlFlow::Continue(()),
+            }
+        };
+        self.collect_votes(&all_voters(membership), request, record_response).await;
     }
 }
--- a/programs/controller/src/replica/voter_task.rs
+++ b/programs/controller/src/replica/voter_task.rs
@@ -1,7 +1,11 @@
-//! The task that owns the voter.
+//! The task that owns the order in which the voter handles requests.
+//!
+//! Requests are handled one after the other, and a vote is sent only once what it promises is on disk. Two kinds of request
+//! do not wait for a disk that is slow: renewals of the lease that the voter has promised already, which need no write, and
+//! everything while a recovery of another member is written, which is answered when that is done.
 
 use super::{PERSIST_RETRY_INTERVAL, Replica};
-use crate::storage::{Record, Storage};
+use crate::storage::{Record, Storage, StorageError};
 use std::collections::VecDeque;
 use std::rc::Rc;
 use tokio::sync::{mpsc, oneshot};
@@ -9,152 +13,218 @@
 use vanewharf_consensus::DurableWrite;
 use vanewharf_protocol::messages::{Register, Vote, VoteRequest, VoteResponse};
 
-/// What the voter's owner works through.
-pub(super) enum Command {
-    Hear(VoteRequest, oneshot::Sender<VoteResponse>),
-    /// Quotas are divided by so many doors.
-    Count(u32),
-    /// What a holder has made known.
-    Learn(Rc<Register>),
+/// What the task does.
+pub(super) enum VoterCommand {
+    HandleRequest {
+        request: VoteRequest,
+        reply: oneshot::Sender<VoteResponse>,
+    },
+    /// Persists by how many proxies quotas are divided.
+    RecordProxyCount(u32),
+    /// Persists a register that is known to be committed.
+    PersistRegister(Rc<Register>),
 }
 
-pub(super) type Commands = mpsc::UnboundedSender<Command>;
+/// Owns the commands that wait for the disk.
+pub(super) struct VoterTask {
+    replica: Rc<Replica>,
+    storage: Storage,
+    /// Commands that were received while a vote was being persisted.
+    deferred: VecDeque<VoterCommand>,
+}
 
-impl Replica {
-    /// The voter hears one request after the other; what a vote promises is on disk before it is said.
-    pub(super) async fn own(self: Rc<Self>, mut heard: mpsc::UnboundedReceiver<Command>, disk: Storage) {
-        // Nothing is voted by what may be gone with the power.
-        while let Err(error) = disk.confirm().await {
-            spdlog::warn!("the folder cannot be synced: {}", error);
-            sleep(PERSIST_RETRY_INTERVAL).await;
-        }
-        let mut waiting = VecDeque::new();
-        loop {
-            let command = match waiting.pop_front() {
-                Some(command) => command,
-                None => match heard.recv().await {
-                    Some(command) => command,
-                    None => return,
-                },
-            };
-            let (vote_request, reply) = match command {
-                Command::Hear(vote_request, reply) => (vote_request, reply),
-                Command::Count(doors) => {
-                    let save = self.voter.borrow_mut().update_quota_divisor(doors);
-                    self.note(&disk, save, "the count of doors");
-                    continue;
+impl VoterTask {
+    pub(super) fn new(replica: Rc<Replica>, storage: Storage) -> VoterTask {
+        VoterTask { replica, storage, deferred: VecDeque::new() }
+    }
+
+    pub(super) async fn run(mut self, mut commands: mpsc::UnboundedReceiver<VoterCommand>) {
+        self.sync_storage().await;
+        while let Some(command) = self.next_command(&mut commands).await {
+            match command {
+                VoterCommand::HandleRequest { request, reply } => {
+                    self.handle_request(request, reply, &mut commands).await;
                 }
-                Command::Learn(register) => {
-                    let save = self.voter.borrow().adopt_committed_register(&register);
-                    self.note(&disk, save, "a register that is in force");
-                    continue;
+                VoterCommand::RecordProxyCount(proxy_count) => {
+                    let write = self.replica.voter.borrow_mut().update_quota_divisor(proxy_count);
+                    self.persist_in_background(write, "proxy count");
                 }
-            };
-            let recovers = matches!(vote_request, VoteRequest::Recover { .. });
-            let step = self.voter.borrow_mut().handle_vote_request(vote_request, self.now());
-            let mut vote = step.vote;
-            // Nobody's lease waits until a slow disk has taken what another one's recovery wants written down: what is
-            // known counts at once, and is told when it is on disk.
-            if let Some(save) = step.write.as_ref().filter(|_| recovers).cloned() {
-                let (replica, disk) = (Rc::clone(&self), disk.clone());
-                tokio::task::spawn_local(async move {
-                    let kept = replica.kept_on(&disk, save).await;
-                    let cast = replica.voter.borrow().response(if kept { vote } else { Vote::StorageFailed });
-                    let _ = reply.send(cast);
-                });
-                continue;
-            }
-            if let Some(save) = step.write {
-                let saving = self.kept_on(&disk, save);
-                tokio::pin!(saving);
-                // A lease that is renewed needs no disk.
-                let kept = loop {
-                    tokio::select! {
-                        biased;
-                        kept = &mut saving => break kept,
-                        Some(command) = heard.recv() => waiting.extend(self.renewed(command)),
-                    }
-                };
-                if !kept {
-                    vote = Vote::StorageFailed;
+                VoterCommand::PersistRegister(register) => {
+                    let write = self.replica.voter.borrow().adopt_committed_register(&register);
+                    self.persist_in_background(write, "committed register");
                 }
             }
-            let cast = self.voter.borrow().response(vote);
-            let _ = reply.send(cast);
         }
     }
 
-    /// Whether the disk has it now.
-    async fn kept_on(&self, disk: &Storage, save: DurableWrite) -> bool {
-        match self.save(disk, &save).await {
-            Ok(()) => self.voter.borrow_mut().mark_persisted(save),
-            Err(error) => {
-                spdlog::warn!("nothing is promised, as the disk takes nothing: {}", error);
-                return false;
+    /// Nothing is voted by records that a loss of power could still take away.
+    async fn sync_storage(&self) {
+        while let Err(error) = self.storage.sync_directory().await {
+            spdlog::warn!(
+                "fsync of the data directory failed; the voter does not start",
+                kv: { event = "directory_sync_failed", error: }
+            );
+            sleep(PERSIST_RETRY_INTERVAL).await;
+        }
+    }
+
+    async fn next_command(
+        &mut self,
+        commands: &mut mpsc::UnboundedReceiver<VoterCommand>,
+    ) -> Option<VoterCommand> {
+        match self.deferred.pop_front() {
+            Some(command) => Some(command),
+            None => commands.recv().await,
+        }
+    }
+
+    async fn handle_request(
+        &mut self,
+        request: VoteRequest,
+        reply: oneshot::Sender<VoteResponse>,
+        commands: &mut mpsc::UnboundedReceiver<VoterCommand>,
+    ) {
+        let is_recovery = matches!(request, VoteRequest::Recover { .. });
+        let now = self.replica.now();
+        let output = self.replica.voter.borrow_mut().handle_vote_request(request, now);
+        match output.write {
+            None => self.replica.send_vote(output.vote, reply),
+            Some(write) if is_recovery => self.reply_when_persisted(output.vote, write, reply),
+            Some(write) => {
+                let persisted = self.persist_while_renewing(write, commands).await;
+                self.replica.send_vote(vote_if_persisted(output.vote, persisted), reply);
             }
         }
-        true
     }
 
-    /// Answers what asks for another term of a lease that is promised; whatever else it is has to wait.
-    fn renewed(&self, command: Command) -> Option<Command> {
-        let promised = self.voter.borrow().persisted_ballot();
-        match command {
-            Command::Hear(request @ VoteRequest::Renew { .. }, reply) if matches!(request, VoteRequest::Renew { ballot, .. } if Some(ballot) == promised) =>
-            {
-                let step = self.voter.borrow_mut().handle_vote_request(request, self.now());
-                let _ = reply.send(self.voter.borrow().response(step.vote));
-                None
+    /// What a recovering member makes known counts at once, and is answered when it is on disk. The lease does not wait for
+    /// that.
+    fn reply_when_persisted(&self, vote: Vote, write: DurableWrite, reply: oneshot::Sender<VoteResponse>) {
+        let replica = Rc::clone(&self.replica);
+        let storage = self.storage.clone();
+        tokio::task::spawn_local(async move {
+            let persisted = replica.persist(&storage, write).await;
+            replica.send_vote(vote_if_persisted(vote, persisted), reply);
+        });
+    }
+
+    /// Persists a write. Meanwhile renewals are answered, and all other commands are deferred.
+    async fn persist_while_renewing(
+        &mut self,
+        write: DurableWrite,
+        commands: &mut mpsc::UnboundedReceiver<VoterCommand>,
+    ) -> Result<(), StorageError> {
+        let persisting = self.replica.persist(&self.storage, write);
+        tokio::pin!(persisting);
+        loop {
+            // Cancel safety: `persisting` is polled by reference and goes on in the next iteration; `recv` loses no command
+            // where the other branch is taken.
+            tokio::select! {
+                biased;
+                persisted = &mut persisting => return persisted,
+                Some(command) = commands.recv() => {
+                    self.deferred.extend(self.replica.answer_renewal(command));
+                }
             }
-            command => Some(command),
         }
     }
 
-    /// What nobody waits for.
-    fn note(self: &Rc<Self>, disk: &Storage, save: Option<DurableWrite>, what: &'static str) {
-        let Some(save) = save else {
+    /// Persists what no vote depends on.
+    fn persist_in_background(&self, write: Option<DurableWrite>, what: &'static str) {
+        let Some(write) = write else {
             return;
         };
-        let (replica, disk) = (Rc::clone(self), disk.clone());
+        let replica = Rc::clone(&self.replica);
+        let storage = self.storage.clone();
         tokio::task::spawn_local(async move {
-            match replica.save(&disk, &save).await {
-                Ok(()) => replica.voter.borrow_mut().mark_persisted(save),
-                Err(error) => spdlog::warn!("{} is not on disk: {}", what, error),
+            if let Err(error) = replica.persist(&storage, write).await {
+                spdlog::warn!(
+                    "a record cannot be written to disk; it is written with the next vote or update",
+                    kv: { event = "record_persist_failed", record = what, error: }
+                );
             }
         });
     }
+}
 
-    async fn save(&self, disk: &Storage, save: &DurableWrite) -> std::io::Result<()> {
-        match save {
-            DurableWrite::VoterRecord(promise) => disk.save(Record::Promise, promise).await,
-            DurableWrite::Register(register) => disk.save(Record::Register, register).await,
+/// A vote that is not on disk must not be sent.
+fn vote_if_persisted(vote: Vote, persisted: Result<(), StorageError>) -> Vote {
+    match persisted {
+        Ok(()) => vote,
+        Err(error) => {
+            spdlog::warn!(
+                "write or fsync of a vote's record failed; the vote is not sent",
+                kv: { event = "vote_persist_failed", error: }
+            );
+            Vote::StorageFailed
         }
     }
+}
+
+impl Replica {
+    /// This process' vote.
+    ///
+    /// # Cancel safety
+    /// A request that was queued is handled also where the caller stops waiting: its promise holds.
+    pub async fn handle_vote_request(&self, request: VoteRequest) -> VoteResponse {
+        let (reply, response) = oneshot::channel();
+        // Sending or receiving fails only when the voter task has ended.
+        let command = VoterCommand::HandleRequest { request, reply };
+        if self.voter_commands.send(command).is_err() {
+            return self.unable_response();
+        }
+        response.await.unwrap_or_else(|_| self.unable_response())
+    }
+
+    fn unable_response(&self) -> VoteResponse {
+        self.voter.borrow().response(Vote::StorageFailed)
+    }
 
-    /// This process' own voter.
-    pub async fn vote(&self, request: VoteRequest) -> VoteResponse {
-        let (reply, cast) = oneshot::channel();
-        if self.commands.send(Command::Hear(request, reply)).is_err() {
-            return self.voter.borrow().response(Vote::StorageFailed);
+    /// Persists by how many proxies quotas are divided, so that a leaseholder after the loss of all processes knows.
+    pub fn record_proxy_count(&self, proxy_count: u32) {
+        if proxy_count != self.voter.borrow().quota_divisor() {
+            // The voter task ends with the program only.
+            let _ = self.voter_commands.send(VoterCommand::RecordProxyCount(proxy_count));
         }
-        cast.await.unwrap_or_else(|_| self.voter.borrow().response(Vote::StorageFailed))
     }
 
-    /// Quotas are divided by so many doors: kept, so that a holder after the loss of all processes knows.
-    pub fn count(&self, doors: u32) {
-        if doors != self.voter.borrow().quota_divisor() {
-            // The owner ends with the program only.
-            let _ = self.commands.send(Command::Count(doors));
+    /// Persists the register that the leaseholder has published, where it is newer than the one on this disk.
+    pub fn persist_published_register(&self) {
+        let register = self.publisher.store().register.clone();
+        let is_newer = |register: &Rc<Register>| register.rank() > self.voter.borrow().register().rank();
+        if let Some(register) = register.filter(is_newer) {
+            // The voter task ends with the program only.
+            let _ = self.voter_commands.send(VoterCommand::PersistRegister(register));
         }
     }
 
-    /// What the holder made known is kept here too, where it is newer than what this disk has.
-    pub fn adopt(&self) {
-        let register = self.feed.store().register.clone();
-        let newer = |register: &Rc<Register>| register.rank() > self.voter.borrow().register().rank();
-        if let Some(register) = register.filter(newer) {
-            // The owner ends with the program only.
-            let _ = self.commands.send(Command::Learn(register));
+    /// Answers the renewal of a lease whose ballot is promised on disk, and gives back any other command.
+    fn answer_renewal(&self, command: VoterCommand) -> Option<VoterCommand> {
+        let persisted_ballot = self.voter.borrow().persisted_ballot();
+        match command {
+            VoterCommand::HandleRequest { request: request @ VoteRequest::Renew { ballot, .. }, reply }
+                if Some(ballot) == persisted_ballot =>
+            {
+                let output = self.voter.borrow_mut().handle_vote_request(request, self.now());
+                self.send_vote(output.vote, reply);
+                None
+            }
+            command => Some(command),
+        }
+    }
+
+    /// Whoever stopped waiting needs no vote.
+    fn send_vote(&self, vote: Vote, reply: oneshot::Sender<VoteResponse>) {
+        let _ = reply.send(self.voter.borrow().response(vote));
+    }
+
+    /// Persists a write, and notes in the voter that it is durable.
+    async fn persist(&self, storage: &Storage, write: DurableWrite) -> Result<(), StorageError> {
+        match &write {
+            DurableWrite::VoterRecord(record) => storage.save(Record::Voter, record).await?,
+            DurableWrite::Register(register) => storage.save(Record::Register, register).await?,
         }
+        self.voter.borrow_mut().mark_persisted(write);
+        Ok(())
     }
 }
--- a/programs/controller/src/roles/backend_polling.rs
+++ b/programs/controller/src/roles/backend_polling.rs
@@ -1,54 +1,65 @@
-//! Polls the platform's list of backends.
+//! Polls the platform for its list of backends, and publishes it where it has changed.
 
-use super::ALERT;
-use crate::platform;
+use super::LEASE_CHECK_INTERVAL;
+use crate::platform::{PlatformClient, needs_publication};
 use crate::state::ControllerState;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::time::sleep;
-use vanewharf_protocol::messages::BackendList;
-use vanewharf_rpc::{RpcClient, RpcError};
+use vanewharf_clock::Timestamp;
+use vanewharf_protocol::messages::{Backend, BackendList};
+use vanewharf_rpc::RpcError;
 
-/// Of the time in which a drain must be followed, this goes by before it is seen.
-const LISTED: Duration = Duration::from_millis(600);
-const LISTED_AGAIN: Duration = Duration::from_millis(1200);
-const ALONE: Duration = Duration::from_millis(100);
+/// A part of the time within which a draining backend must get no more requests: it may pass before the drain is seen.
+const POLL_INTERVAL: Duration = Duration::from_millis(600);
+/// After the platform has refused a request as one too many.
+const RATE_LIMITED_INTERVAL: Duration = Duration::from_millis(1200);
+const RETRY_INTERVAL: Duration = Duration::from_millis(300);
+const TOO_MANY_REQUESTS: u16 = 429;
 
-impl ControllerState {
-    pub async fn ask_platform(self: Rc<Self>) {
-        let Some(api) = &self.settings.cloud_api else {
-            return;
-        };
-        let mut platform = RpcClient::new(api.address, &self.premises.network);
-        loop {
-            if !self.replica.holds() {
-                sleep(ALERT).await;
-                continue;
+/// Polls the platform while this process holds the lease. Returns at once where no platform is set, else never.
+pub async fn poll_platform(state: Rc<ControllerState>) {
+    let Some(api) = &state.settings.cloud_api else {
+        return;
+    };
+    let mut platform = PlatformClient::new(api.address, &state.environment.network);
+    loop {
+        if !state.replica.holds_lease() {
+            sleep(LEASE_CHECK_INTERVAL).await;
+            continue;
+        }
+        let requested_at = state.publisher.now();
+        let interval = match platform.list_backends().await {
+            Ok(backends) => {
+                publish_if_changed(&state, backends, requested_at);
+                POLL_INTERVAL
             }
-            let asked = self.feed.now();
-            match platform::list(&mut platform).await {
-                Ok(servers) => {
-                    let (last, known) = {
-                        let store = self.feed.store();
-                        let known = store.backend_list.as_ref().map(|list| list.backends.clone());
-                        (store.versions().backend_list, known)
-                    };
-                    // A holder before may have told some doors of a list that never came here: what is the
-                    // same as the one in hand is new to them.
-                    let others = last.ballot != self.replica.ballot();
-                    let differs = others || known.is_none_or(|known| platform::differs(&known, &servers));
-                    if differs && self.replica.holds() {
-                        let list = BackendList { version: self.version(last), age_ms: 0, backends: servers };
-                        self.feed.update(|store| store.set_backend_list(list, asked));
-                    }
-                    sleep(LISTED).await;
-                }
-                Err(RpcError::Status(429)) => sleep(LISTED_AGAIN).await,
-                Err(failed) => {
-                    spdlog::debug!("no list from the platform: {}", failed);
-                    sleep(ALONE * 3).await;
-                }
+            Err(RpcError::Status(TOO_MANY_REQUESTS)) => RATE_LIMITED_INTERVAL,
+            Err(error) => {
+                spdlog::debug!(
+                    "list of backends cannot be read from the platform",
+                    kv: { event = "platform_poll_failed", error: }
+                );
+                RETRY_INTERVAL
             }
-        }
+        };
+        sleep(interval).await;
+    }
+}
+
+/// `requested_at` is when the list was asked for: it is at most as old as that.
+fn publish_if_changed(state: &ControllerState, backends: Vec<Backend>, requested_at: Timestamp) {
+    let (last_version, has_changed) = {
+        let store = state.publisher.store();
+        let known = store.backend_list.as_ref().map(|list| list.backends.as_slice());
+        (store.versions().backend_list, known.is_none_or(|known| needs_publication(known, &backends)))
+    };
+    // A leaseholder before this one may have sent some proxies a list that was never received here: one that is equal to
+    // the list known here may be new to them.
+    let is_from_another_ballot = last_version.ballot != state.replica.ballot();
+    if !(is_from_another_ballot || has_changed) || !state.replica.holds_lease() {
+        return;
     }
+    let list = BackendList { version: state.next_version(last_version), age_ms: 0, backends };
+    state.publisher.update(|store| store.set_backend_list(list, requested_at));
 }
--- /dev/null
+++ b/programs/controller/src/roles/leaseholder_following.rs
@@ -0,0 +1,106 @@
+//! Follows the leaseholder: pulls what it publishes, and reports to it what this process has received.
+//!
+//! Where the leaseholder is not known, or does not respond, the peers are tried one after the other: any of them may know
+//! it, and what it has published is worth having.
+
+use crate::state::ControllerState;
+use std::collections::BTreeMap;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::time::sleep;
+use vanewharf_protocol::messages::{Follower, PullRequest};
+use vanewharf_protocol::store::AppliedUpdates;
+use vanewharf_rpc::{RpcClient, RpcError};
+
+/// How long the source may hold a pull back while it has nothing new.
+const LONG_POLL: Duration = Duration::from_millis(400);
+/// Between two pulls, where the first one led nowhere.
+const RETRY_INTERVAL: Duration = Duration::from_millis(100);
+
+/// Follows the leaseholder whenever that is another process; never returns.
+pub async fn follow_leaseholder(state: Rc<ControllerState>) {
+    let mut follower = LeaseholderFollower { state, clients: BTreeMap::new(), next_peer: 0 };
+    loop {
+        match follower.choose_source() {
+            Some(source) => follower.pull_from(source).await,
+            None => sleep(RETRY_INTERVAL).await,
+        }
+    }
+}
+
+struct LeaseholderFollower {
+    state: Rc<ControllerState>,
+    /// One connection to each source.
+    clients: BTreeMap<SocketAddr, RpcClient>,
+    /// Counts on whenever a source led nowhere; which peer is next follows from it.
+    next_peer: usize,
+}
+
+impl LeaseholderFollower {
+    /// Whom to pull from, or nobody where this process holds the lease or knows no peer.
+    fn choose_source(&self) -> Option<SocketAddr> {
+        let replica = &self.state.replica;
+        if replica.holds_lease() {
+            return None;
+        }
+        let leaseholder = replica.leaseholder().filter(|leaseholder| *leaseholder != replica.address);
+        leaseholder.or_else(|| {
+            let peers = replica.peers();
+            peers.get(self.next_peer % peers.len().max(1)).copied()
+        })
+    }
+
+    async fn pull_from(&mut self, source: SocketAddr) {
+        let network = &self.state.environment.network;
+        let client = self.clients.entry(source).or_insert_with(|| RpcClient::new(source, network));
+        let request = pull_request(&self.state);
+        match self.state.publisher.pull(client, &request).await {
+            Ok(updates) => self.handle_updates(source, updates).await,
+            Err(error) => self.handle_error(source, &error).await,
+        }
+    }
+
+    async fn handle_updates(&mut self, source: SocketAddr, updates: AppliedUpdates) {
+        if updates.register {
+            self.state.replica.persist_published_register();
+        }
+        if updates.fleet_summary {
+            self.state.apply_fleet_summary();
+        }
+        let source_is_leaseholder = self.state.publisher.store().leaseholder == Some(source);
+        if !source_is_leaseholder {
+            self.try_next_peer().await;
+        }
+    }
+
+    async fn handle_error(&mut self, source: SocketAddr, error: &RpcError) {
+        spdlog::debug!(
+            "pull from a controller failed",
+            kv: { event = "pull_failed", peer: = source, error: = error }
+        );
+        self.state.publisher.update(|store| {
+            store.leaseholder = None;
+            false
+        });
+        self.try_next_peer().await;
+    }
+
+    async fn try_next_peer(&mut self) {
+        self.next_peer += 1;
+        sleep(RETRY_INTERVAL).await;
+    }
+}
+
+fn pull_request(state: &ControllerState) -> PullRequest {
+    PullRequest {
+        versions: state.publisher.store().versions(),
+        wait_ms: LONG_POLL.as_millis() as u64,
+        follower: Some(Follower {
+            controller: state.entry.clone(),
+            persisted: state.replica.persisted_rank(),
+        }),
+        token_leases: Some(state.token_lease_report()),
+        reports: state.aggregator.borrow().recent_reports(state.publisher.now()),
+    }
+}
--- a/programs/controller/src/roles/membership_management.rs
+++ b/programs/controller/src/roles/membership_management.rs
@@ -1,61 +1,69 @@
-//! Manages the set of voters.
+//! Manages the set of voters: enlarges it to what the number of losses to be tolerated needs, and replaces lost voters with
+//! controllers that keep up, one change after the other.
 
-use crate::orders::{Order, OrderOutcome, OrderQueue};
+use crate::orders::{Order, OrderOutcome, OrderQueue, Reconfiguration};
 use crate::state::ControllerState;
+use std::collections::BTreeSet;
+use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::time::sleep;
 use vanewharf_consensus::{LocalMember, VoterCandidate, plan_next_voters, voter_count_for};
 use vanewharf_protocol::messages::Membership;
 
-/// How often it is seen whether a voter is missing.
-const TENDED: Duration = Duration::from_millis(250);
-/// A change that could not be kept is not tried again before.
-const HELD_OFF: Duration = Duration::from_secs(3);
+/// How often the set of voters is looked at.
+const CHECK_INTERVAL: Duration = Duration::from_millis(250);
+/// Operators' orders wait while a change of the set is tried: one that failed is not tried again before.
+const RETRY_INTERVAL: Duration = Duration::from_secs(3);
 
-impl ControllerState {
-    /// Who votes, and who may, as the holder sees it.
-    pub fn candidates(&self) -> (Membership, Vec<VoterCandidate>) {
-        let membership = self.replica.membership();
-        let local = LocalMember { address: self.replica.me, zone: &self.settings.zone };
-        let (address, now) = (|ip| self.settings.controller_address(ip), self.feed.now());
-        let known = self.following.borrow().candidates(&membership.voters, local, address, now);
-        (membership, known)
+/// Manages the membership while this process holds the lease; never returns.
+pub async fn manage_membership(state: Rc<ControllerState>, orders: OrderQueue) {
+    let mut held_lease = false;
+    loop {
+        sleep(CHECK_INTERVAL).await;
+        let holds_lease = state.replica.holds_lease();
+        let now = state.publisher.now();
+        match (held_lease, holds_lease) {
+            (false, true) => state.followers.borrow_mut().lease_acquired(now),
+            (true, false) => state.followers.borrow_mut().lease_lost(now),
+            (false, false) | (true, true) => {}
+        }
+        held_lease = holds_lease;
+        if holds_lease && let Some(reconfiguration) = choose_reconfiguration(&state) {
+            submit_reconfiguration(&orders, reconfiguration).await;
+        }
     }
+}
 
-    /// The set of voters, as it should be: enlarged to what the losses to be borne want, a lost voter replaced by a machine
-    /// that keeps up, one change after the other.
-    pub async fn tend_membership(self: Rc<Self>, orders: OrderQueue) {
-        let mut held = false;
-        loop {
-            sleep(TENDED).await;
-            let (holds, now) = (self.replica.holds(), self.feed.now());
-            match (std::mem::replace(&mut held, holds), holds) {
-                (false, true) => self.following.borrow_mut().lease_acquired(now),
-                (true, false) => self.following.borrow_mut().lease_lost(now),
-                _ => {}
-            }
-            if !holds {
-                continue;
-            }
-            let (membership, known) = self.candidates();
-            let voters = match membership.outgoing.is_empty() {
-                // What another holder began.
-                false => Some(membership.voters.iter().copied().collect()),
-                true => plan_next_voters(
-                    &membership,
-                    &known,
-                    voter_count_for(self.settings.tolerated_machine_losses),
-                ),
-            };
-            if let Some(voters) = voters {
-                spdlog::info!("the voters are to be {:?} after epoch {}", voters, membership.epoch);
-                let done = orders.give(Order::Reconfigure { epoch: membership.epoch, voters }).await;
-                // Operators' orders wait while a change of the set is tried.
-                if let OrderOutcome::Uncertain = done {
-                    sleep(HELD_OFF).await;
-                }
-            }
-        }
+/// The next change, where one is due.
+fn choose_reconfiguration(state: &ControllerState) -> Option<Reconfiguration> {
+    let (membership, candidates) = membership_and_candidates(state);
+    let change_is_in_progress = !membership.outgoing.is_empty();
+    let voters: BTreeSet<SocketAddr> = if change_is_in_progress {
+        // A leaseholder before this one began it: it is concluded first.
+        membership.voters.iter().copied().collect()
+    } else {
+        plan_next_voters(&membership, &candidates, voter_count_for(state.settings.tolerated_machine_losses))?
+    };
+    Some(Reconfiguration { epoch: membership.epoch, voters })
+}
+
+async fn submit_reconfiguration(orders: &OrderQueue, reconfiguration: Reconfiguration) {
+    spdlog::info!(
+        "membership change begins",
+        kv: { event = "reconfiguration_begin", epoch = reconfiguration.epoch, voters:? = reconfiguration.voters }
+    );
+    if let OrderOutcome::Uncertain = orders.submit(Order::Reconfigure(reconfiguration)).await {
+        sleep(RETRY_INTERVAL).await;
     }
 }
+
+/// The membership, and all controllers that may become voters, as the leaseholder knows them.
+pub fn membership_and_candidates(state: &ControllerState) -> (Membership, Vec<VoterCandidate>) {
+    let membership = state.replica.membership();
+    let local_member = LocalMember { address: state.replica.address, zone: &state.settings.zone };
+    let address_of = |ip| state.settings.controller_address(ip);
+    let now = state.publisher.now();
+    let candidates = state.followers.borrow().candidates(&membership.voters, local_member, address_of, now);
+    (membership, candidates)
+}
--- a/programs/controller/src/roles/report_aggregation.rs
+++ b/programs/controller/src/roles/report_aggregation.rs
@@ -1,45 +1,57 @@
-//! Aggregates proxies' reports.
+//! Aggregates the reports of all proxies into the fleet summary, and publishes it.
 
-use super::ALERT;
+use super::LEASE_CHECK_INTERVAL;
 use crate::state::ControllerState;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// By then all that start together have been heard.
-const GATHERED: Duration = Duration::from_millis(1500);
-/// About a meter period.
-const SUMMED: Duration = Duration::from_millis(700);
+/// At the first start of all, proxies that start together have reported by then.
+const INITIAL_GATHERING: Duration = Duration::from_millis(1500);
+/// Between two summaries: about the interval over which proxies measure rates.
+const SUMMARY_INTERVAL: Duration = Duration::from_millis(700);
 
-impl ControllerState {
-    pub async fn sum(self: Rc<Self>) {
-        let mut held = false;
-        // Timestamp the first start of all, buckets are full: nobody may divide by fewer than there are.
-        if self.settings.initial_start {
-            sleep(GATHERED).await;
+/// Publishes summaries while this process holds the lease; never returns.
+pub async fn aggregate_reports(state: Rc<ControllerState>) {
+    let mut held_lease = false;
+    // At the first start of all, buckets are full: quotas must not be divided by fewer proxies than there are.
+    if state.settings.initial_start {
+        sleep(INITIAL_GATHERING).await;
+    }
+    loop {
+        let holds_lease = state.replica.holds_lease();
+        if holds_lease && !held_lease {
+            begin_aggregation(&state);
         }
-        loop {
-            let holds = self.replica.holds();
-            if holds && !std::mem::replace(&mut held, holds) {
-                let (now, before) = (self.feed.now(), self.feed.store().fleet_summary.clone());
-                self.sums.borrow_mut().start_aggregating(self.replica.doors(), now);
-                before.iter().for_each(|ledger| self.sums.borrow_mut().inherit_summary(ledger, now));
-            }
-            held = holds;
-            let ready = self.sums.borrow().is_ready(self.feed.now());
-            if holds && ready {
-                let (now, last) = (self.feed.now(), self.feed.store().versions().fleet_summary);
-                let allowance = self.settings.limits_table.rate_allowance;
-                let mut sums = self.sums.borrow_mut();
-                sums.record_controller(self.row.clone(), now);
-                sums.record_lease_report(self.lent(), now);
-                let ledger = sums.summarize(self.version(last), allowance, now);
-                drop(sums);
-                self.feed.update(|store| store.set_fleet_summary(ledger, now));
-                self.read_ledger();
-            }
-            // A new holder is waited for by all doors.
-            sleep(if holds && ready { SUMMED } else { ALERT }).await;
+        held_lease = holds_lease;
+        let publishes = holds_lease && state.aggregator.borrow().is_ready(state.publisher.now());
+        if publishes {
+            publish_summary(&state);
         }
+        // All proxies wait for the first summary of a new leaseholder.
+        sleep(if publishes { SUMMARY_INTERVAL } else { LEASE_CHECK_INTERVAL }).await;
+    }
+}
+
+/// Starts from what the leaseholder before this one published.
+fn begin_aggregation(state: &ControllerState) {
+    let now = state.publisher.now();
+    let mut aggregator = state.aggregator.borrow_mut();
+    aggregator.start_aggregating(state.replica.elected_proxy_count(), now);
+    if let Some(summary) = &state.publisher.store().fleet_summary {
+        aggregator.inherit_summary(summary, now);
     }
 }
+
+fn publish_summary(state: &ControllerState) {
+    let now = state.publisher.now();
+    let version = state.next_version(state.publisher.store().versions().fleet_summary);
+    let summary = {
+        let mut aggregator = state.aggregator.borrow_mut();
+        aggregator.record_controller(state.entry.clone(), now);
+        aggregator.record_lease_report(state.token_lease_report(), now);
+        aggregator.summarize(version, state.settings.limits_table.rate_allowance, now)
+    };
+    state.publisher.update(|store| store.set_fleet_summary(summary, now));
+    state.apply_fleet_summary();
+}
--- a/programs/controller/src/storage.rs
+++ b/programs/controller/src/storage.rs
@@ -1,180 +1,223 @@
-//! What this machine has on disk: each record in two files that are written in turn, so that one whole copy stands
-//! whatever happens to the other.
+//! Durable storage of a controller's records.
+//!
+//! Each record has two files, and writes alternate between them: a write that is torn by a loss of power, or that fails,
+//! leaves the other copy as it was. One task owns the write counters and carries out one operation at a time, so a file is
+//! never written by two operations at once.
+//!
+//! Invariant: a save is acknowledged only once the copy, and the directory entry that names it, have been synced.
 
+mod record_file;
+
+use record_file::{encode_copy, read_copy};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use std::collections::BTreeSet;
 use std::io;
 use std::rc::Rc;
+use thiserror::Error;
 use tokio::sync::{mpsc, oneshot};
 use vanewharf_runtime::environment::{Directory, FileOperation};
 
-/// A record by its name on disk.
+/// A kind of record that is stored.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Record {
-    /// The newest ballot promised, and the set of voters.
-    Promise,
-    /// The operator's register.
+    /// What the voter has promised, and the initial members.
+    Voter,
+    /// The newest register that the voter has accepted.
     Register,
 }
 
-const RECORDS: [Record; 2] = [Record::Promise, Record::Register];
+const RECORDS: [Record; 2] = [Record::Voter, Record::Register];
+/// How many files each record alternates between.
+const COPIES: u64 = 2;
 
 impl Record {
-    fn file(self, copy: u64) -> String {
-        let name = match self {
-            Record::Promise => "promise",
+    /// The name of the file that holds the copy which the write of that number goes to. File names are fixed by what is on
+    /// the disks of installations.
+    fn file_name(self, write_number: u64) -> String {
+        let stem = match self {
+            Record::Voter => "promise",
             Record::Register => "register",
         };
-        format!("{name}-{copy}.json")
+        format!("{stem}-{}.json", write_number % COPIES)
     }
 }
 
-enum Work {
-    /// What was found is to last, with the files' names.
-    Confirm,
-    Write {
-        record: Record,
-        body: Vec<u8>,
-    },
-}
-
-struct Job {
-    work: Work,
-    done: oneshot::Sender<io::Result<()>>,
-}
-
-#[derive(Clone)]
-pub struct Storage {
-    jobs: mpsc::UnboundedSender<Job>,
+/// Why a record, or the directory of the records, is not certain to be on disk.
+#[derive(Debug, Error)]
+pub enum StorageError {
+    /// The record has no JSON form.
+    #[error("the record cannot be encoded: {0}")]
+    Encode(#[from] serde_json::Error),
+    /// Writing a file, or a sync of it or of the directory, failed.
+    #[error("{0}")]
+    Io(#[from] io::Error),
+    /// The task that writes records has ended, as it does with the program.
+    #[error("the storage task has ended")]
+    Stopped,
 }
 
-/// What was found at the start.
+/// The records that were found on disk at the start.
 #[derive(Debug, Default)]
 pub struct StoredRecords {
     bodies: [Option<Vec<u8>>; RECORDS.len()],
-    /// Copies that were torn or spoilt, to be set aside.
-    pub spoilt: Vec<String>,
-    writes: [u64; RECORDS.len()],
+    /// The number of the newest write of each record.
+    write_numbers: [u64; RECORDS.len()],
+    /// Files whose content is torn or corrupt; [`Storage::start`] renames them.
+    pub corrupt_files: Vec<String>,
 }
 
 impl StoredRecords {
-    pub fn record<T: DeserializeOwned>(&self, record: Record) -> Option<T> {
+    /// Reads the newest intact copy of each record.
+    ///
+    /// # Errors
+    /// Where the directory or one of its files cannot be read.
+    pub fn load(directory: &dyn Directory) -> io::Result<StoredRecords> {
+        let mut stored = StoredRecords::default();
+        let mut files = directory.read_all()?;
+        for record in RECORDS {
+            for copy in 0..COPIES {
+                let file_name = record.file_name(copy);
+                if let Some(content) = files.remove(&file_name) {
+                    stored.add_copy(record, file_name, &content);
+                }
+            }
+        }
+        Ok(stored)
+    }
+
+    fn add_copy(&mut self, record: Record, file_name: String, content: &[u8]) {
+        let newest_write = &mut self.write_numbers[record as usize];
+        match read_copy(content) {
+            Some(copy) if copy.write_number >= *newest_write => {
+                *newest_write = copy.write_number;
+                self.bodies[record as usize] = Some(copy.body.to_vec());
+            }
+            Some(_) => {}
+            // The file was created, and the power went before its content was written.
+            None if content.is_empty() => {}
+            None => self.corrupt_files.push(file_name),
+        }
+    }
+
+    /// The record, or `None` where it was never written or cannot be decoded.
+    pub fn decode<T: DeserializeOwned>(&self, record: Record) -> Option<T> {
         serde_json::from_slice(self.bodies[record as usize].as_deref()?).ok()
     }
 
-    pub fn nothing(&self) -> bool {
+    /// Whether no record was found.
+    pub fn is_empty(&self) -> bool {
         self.bodies.iter().all(Option::is_none)
     }
 }
 
-/// The number of the write and the body, where the copy is whole.
-fn whole(text: &[u8]) -> Option<(u64, &[u8])> {
-    let head = text.iter().position(|&byte| byte == b'\n')?;
-    let (head, body) = (std::str::from_utf8(&text[..head]).ok()?, &text[head + 1..]);
-    let mut parts = head.split(' ');
-    let (sum, write, length) = (parts.next()?, parts.next()?, parts.next()?);
-    let sound = u32::from_str_radix(sum, 16).ok()? == checksum(write, body);
-    (sound && length.parse() == Ok(body.len())).then_some((write.parse().ok()?, body))
-}
-
-fn checksum(write: &str, body: &[u8]) -> u32 {
-    let mut sum = crc32fast::Hasher::new();
-    sum.update(write.as_bytes());
-    sum.update(body);
-    sum.finalize()
+enum Operation {
+    SyncDirectory,
+    Write { record: Record, body: Vec<u8> },
 }
 
-pub fn find(folder: &dyn Directory) -> io::Result<StoredRecords> {
-    let (mut found, mut files) = (StoredRecords::default(), folder.read_all()?);
-    for record in RECORDS {
-        for copy in 0..2 {
-            let name = record.file(copy);
-            let Some(text) = files.remove(&name) else {
-                continue;
-            };
-            match whole(&text) {
-                Some((write, body)) if write >= found.writes[record as usize] => {
-                    found.writes[record as usize] = write;
-                    found.bodies[record as usize] = Some(body.to_vec());
-                }
-                Some(_) => {}
-                // An empty one was begun and never written.
-                None if text.is_empty() => {}
-                None => found.spoilt.push(name),
-            }
-        }
-    }
-    Ok(found)
+struct Request {
+    operation: Operation,
+    reply: oneshot::Sender<io::Result<()>>,
 }
 
-/// One copy, and not before it is on disk for good; a new file's name, too, which lasts with its folder's sync alone.
-fn copy(record: Record, write: u64, body: &[u8], named: bool) -> Vec<FileOperation> {
-    let (file, number) = (record.file(write % 2), write.to_string());
-    let head = format!("{:08x} {number} {}\n", checksum(&number, body), body.len());
-    let bytes = [head.as_bytes(), body].concat();
-    let folder = (!named).then_some(FileOperation::SyncDirectory);
-    [FileOperation::Write { file: file.clone(), bytes }, FileOperation::Sync { file }]
-        .into_iter()
-        .chain(folder)
-        .collect()
+/// A handle of the task that writes records. Clones share the task.
+#[derive(Clone)]
+pub struct Storage {
+    requests: mpsc::UnboundedSender<Request>,
 }
 
 impl Storage {
-    pub fn start(folder: Rc<dyn Directory>, found: &StoredRecords) -> Storage {
-        let (jobs, mut taken) = mpsc::unbounded_channel::<Job>();
-        let mut writes = found.writes;
-        let aside: Vec<_> =
-            found.spoilt.iter().map(|name| (name.clone(), format!("{name}.spoilt"))).collect();
-        tokio::task::spawn_local(async move {
-            for (from, to) in aside {
-                // Left where it is, it is written over in its turn.
-                let _ = folder
-                    .execute(vec![FileOperation::Rename { from, to }, FileOperation::SyncDirectory])
-                    .await;
-            }
-            // Whose names are in the folder for good.
-            let mut named = BTreeSet::new();
-            while let Some(Job { work, done }) = taken.recv().await {
-                let carried_out = match work {
-                    Work::Confirm => folder.execute(vec![FileOperation::SyncDirectory]).await,
-                    Work::Write { record, body } => {
-                        // A write that failed is tried over the same copy, never over the one that stands.
-                        let next = writes[record as usize] + 1;
-                        let file = record.file(next % 2);
-                        let deeds = copy(record, next, &body, named.contains(&file));
-                        let written = folder.execute(deeds).await;
-                        if written.is_ok() {
-                            writes[record as usize] = next;
-                            named.insert(file);
-                        }
-                        written
-                    }
-                };
-                // Whoever gave up waiting asks again.
-                let _ = done.send(carried_out);
-            }
-        });
-        Storage { jobs }
+    /// Starts the task on the current local set. Corrupt files are renamed before the first operation.
+    pub fn start(directory: Rc<dyn Directory>, stored: &StoredRecords) -> Storage {
+        let (requests, received) = mpsc::unbounded_channel();
+        let writer = Writer { directory, write_numbers: stored.write_numbers, synced_names: BTreeSet::new() };
+        tokio::task::spawn_local(writer.run(stored.corrupt_files.clone(), received));
+        Storage { requests }
+    }
+
+    /// Writes a record and waits until it is durable.
+    ///
+    /// # Errors
+    /// The record may or may not be on disk then; the copy that was durable before still is.
+    ///
+    /// # Cancel safety
+    /// A write that was requested is carried out also where the caller stops waiting.
+    pub async fn save<T: Serialize>(&self, record: Record, value: &T) -> Result<(), StorageError> {
+        let body = serde_json::to_vec(value)?;
+        self.request(Operation::Write { record, body }).await
+    }
+
+    /// Syncs the directory: what was read at the start may have been written by a process that ended between the sync of
+    /// a file and the sync of its directory.
+    ///
+    /// # Errors
+    /// Where the directory cannot be synced.
+    pub async fn sync_directory(&self) -> Result<(), StorageError> {
+        self.request(Operation::SyncDirectory).await
+    }
+
+    async fn request(&self, operation: Operation) -> Result<(), StorageError> {
+        let (reply, result) = oneshot::channel();
+        self.requests.send(Request { operation, reply }).map_err(|_| StorageError::Stopped)?;
+        Ok(result.await.map_err(|_| StorageError::Stopped)??)
     }
+}
+
+/// Owns the write counters and carries out operations in the order in which they are requested.
+struct Writer {
+    directory: Rc<dyn Directory>,
+    write_numbers: [u64; RECORDS.len()],
+    /// Files whose directory entry this process has synced.
+    synced_names: BTreeSet<String>,
+}
 
-    /// Whether it is on disk for good.
-    pub async fn save<T: Serialize>(&self, record: Record, what: &T) -> io::Result<()> {
-        let body = serde_json::to_vec(what).map_err(io::Error::other)?;
-        self.carried_out(Work::Write { record, body }).await
+impl Writer {
+    async fn run(mut self, corrupt_files: Vec<String>, mut requests: mpsc::UnboundedReceiver<Request>) {
+        for from in corrupt_files {
+            let to = format!("{from}.spoilt");
+            let operations = vec![FileOperation::Rename { from, to }, FileOperation::SyncDirectory];
+            // Where this fails, the file is overwritten by a later write.
+            let _ = self.directory.execute(operations).await;
+        }
+        while let Some(Request { operation, reply }) = requests.recv().await {
+            let result = match operation {
+                Operation::SyncDirectory => self.directory.execute(vec![FileOperation::SyncDirectory]).await,
+                Operation::Write { record, body } => self.write(record, &body).await,
+            };
+            // A caller that has stopped waiting needs no result.
+            let _ = reply.send(result);
+        }
     }
 
-    /// Whether what was found at the start lasts: the program may have ended between a file's sync and its folder's.
-    pub async fn confirm(&self) -> io::Result<()> {
-        self.carried_out(Work::Confirm).await
+    /// A write that failed is retried over the same copy, so that the durable one is never overwritten.
+    async fn write(&mut self, record: Record, body: &[u8]) -> io::Result<()> {
+        let write_number = self.write_numbers[record as usize] + 1;
+        let file_name = record.file_name(write_number);
+        let name_is_synced = self.synced_names.contains(&file_name);
+        let operations = write_operations(record, write_number, body, name_is_synced);
+        self.directory.execute(operations).await?;
+        self.write_numbers[record as usize] = write_number;
+        self.synced_names.insert(file_name);
+        Ok(())
     }
+}
 
-    async fn carried_out(&self, work: Work) -> io::Result<()> {
-        let (done, saved) = oneshot::channel();
-        let gone = || io::Error::other("nothing is written any more");
-        self.jobs.send(Job { work, done }).map_err(|_| gone())?;
-        saved.await.map_err(|_| gone())?
+/// Writes and syncs one copy. The directory entry of a new file is durable only once the directory has been synced, too.
+fn write_operations(
+    record: Record,
+    write_number: u64,
+    body: &[u8],
+    name_is_synced: bool,
+) -> Vec<FileOperation> {
+    let file = record.file_name(write_number);
+    let bytes = encode_copy(write_number, body);
+    let mut operations =
+        vec![FileOperation::Write { file: file.clone(), bytes }, FileOperation::Sync { file }];
+    if !name_is_synced {
+        operations.push(FileOperation::SyncDirectory);
     }
+    operations
 }
 
 #[cfg(test)]
