--- a/crates/compatibility/tests/support/programs.rs
+++ b/crates/compatibility/tests/support/programs.rs
@@ -36,7 +36,9 @@
                 let environment = Environment::of_machine(settings.data_directory.clone())
                     .map_err(|error| error.to_string())?;
                 match program {
-                    Program::DataPlane => vanewharf_proxy::run(settings, environment, ended).await,
+                    Program::DataPlane => vanewharf_proxy::run(settings, environment, ended)
+                        .await
+                        .map_err(|error| error.to_string()),
                     Program::Agent => vanewharf_agent::run(settings, environment, ended).await,
                     Program::ControlPlane => vanewharf_controller::run(settings, environment, ended).await,
                 }
--- a/crates/system-simulator/examples/capacity.rs
+++ b/crates/system-simulator/examples/capacity.rs
@@ -9,7 +9,6 @@
 use serde_json::json;
 use serde_json::value::RawValue;
 use std::alloc::{GlobalAlloc, Layout, System};
-use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
 use std::hint::black_box;
 use std::io::Write;
@@ -30,9 +29,10 @@
     Backend, BackendList, Ballot, ControllerEntry, FleetSummary, HostCounts, ProxyEntry, ProxyReport,
     PullRequest, PullResponse, Register, Revision, TokenCounts, TokenLeaseReport, Version, VersionVector,
 };
-use vanewharf_proxy::gate::Posted;
-use vanewharf_proxy::rounds::{News, Place, Rounds, Start};
-use vanewharf_proxy::tables::Tables;
+use vanewharf_proxy::pools::{BackendPools, Location, PoolsConfig};
+use vanewharf_proxy::routing::RoutingTables;
+use vanewharf_proxy::snapshot::Snapshot;
+use vanewharf_proxy::update::Update;
 use vanewharf_quota::{Quota, TokenBuckets};
 use vanewharf_rpc::{RpcClient, RpcResponse, serve};
 use vanewharf_runtime::environment::Environment;
@@ -183,7 +183,7 @@
         let (made, held) = (document.ms, document.held);
         drop(document);
         let (older, newer) = (register(1, text), register(2, config(routes, tenants, 2, true)));
-        let tables = took(|| Tables::of(&newer).expect("tables"));
+        let tables = took(|| RoutingTables::from_register(&newer).expect("tables"));
         let (tables_ms, tables_held, tables_most) = (tables.ms, tables.held, tables.most);
         drop(tables);
         let mut teller = RegisterChanges::default();
@@ -248,19 +248,12 @@
     }
 }
 
-fn carrier() -> Rounds {
-    let steady = MonotonicClock::start();
-    let posted = Rc::new(Posted {
-        tables: RefCell::default(),
-        entries: RefCell::default(),
-        sure: Cell::new(None),
-        steady,
-        revocation_global: true,
-        revocation: Duration::from_secs(5),
-    });
-    let place = Place { zone: zone(0), region: "region-00".to_owned(), zones: zones() };
-    let start = Start { place, bounds: bounds(), first: false, seed: 1 };
-    Rounds::start(start, posted, Rc::default(), mpsc::unbounded_channel().0)
+fn carrier() -> BackendPools {
+    let limits = bounds();
+    let snapshot = Rc::new(Snapshot::new(MonotonicClock::start(), &limits));
+    let location = Location { zone: zone(0), region: "region-00".to_owned(), zones: zones() };
+    let config = PoolsConfig { location, limits, initial_start: false, seed: 1 };
+    BackendPools::start(config, snapshot, Rc::default(), mpsc::unbounded_channel().0)
 }
 
 fn lists() {
@@ -290,16 +283,24 @@
         let first = |routes: usize| {
             let mut rounds = carrier();
             let register = Rc::new(register(1, config(routes, 10, 1, false)));
-            rounds.apply_update(Ticks(10), News::Register(register));
+            rounds.apply_update(Ticks(10), Update::Register(register));
             let at = MonotonicClock::start().now();
-            let arranged = took(|| rounds.apply_update(Ticks(20), News::List(Rc::clone(&old), at)).is_some());
+            let arranged = took(|| {
+                rounds
+                    .apply_update(Ticks(20), Update::BackendList { list: Rc::clone(&old), taken_at: at })
+                    .is_some()
+            });
             (rounds, arranged.ms, arranged.held, at)
         };
         let (_, wide, ..) = first(48_000);
         let (mut rounds, ms, held, at) = first(10);
-        let again = took(|| rounds.apply_update(Ticks(30), News::List(Rc::clone(&new), at)).is_some());
+        let again = took(|| {
+            rounds
+                .apply_update(Ticks(30), Update::BackendList { list: Rc::clone(&new), taken_at: at })
+                .is_some()
+        });
         let ledger = Rc::new(FleetSummary { quota_divisor: 5_400, ..FleetSummary::default() });
-        let ledger = took(|| rounds.apply_update(Ticks(40), News::Ledger(ledger)).is_some());
+        let ledger = took(|| rounds.apply_update(Ticks(40), Update::FleetSummary(ledger)).is_some());
         println!(
             "| {count} | {}, {} | {:.1}, {:.1} | {:.1} | {:.1}, {}, {}, {:.1} | {ms:.0}, {held:.1} | {wide:.0} | {:.1} | {:.1} |",
             written.out.len(),
--- a/crates/system-simulator/src/door.rs
+++ b/crates/system-simulator/src/door.rs
@@ -20,9 +20,9 @@
 use vanewharf_policy::interface::{
     Action, AttemptNumber, AttemptReport, BackendId, Event, Outcome, Ticks, TxnId,
 };
-use vanewharf_proxy::Core;
-use vanewharf_proxy::gate::Wicket;
-use vanewharf_proxy::news::News;
+use vanewharf_proxy::data_plane::DataPlane;
+use vanewharf_proxy::request_gate::RequestGate;
+use vanewharf_proxy::update::Update;
 use vanewharf_runtime::environment::Environment;
 
 /// A request that a client sends.
@@ -54,7 +54,7 @@
     town: Rc<Town>,
     network: SimulatedNetwork,
     premises: Environment,
-    core: Core,
+    data_plane: DataPlane,
     life: u64,
     next: u64,
     revision: u64,
@@ -82,24 +82,24 @@
     ) -> Result<(), String> {
         let settings = Rc::new(settings);
         let frontend = settings.listen_address("frontend").map_err(|fault| fault.to_string())?;
-        let core = Core::start(&settings, &premises, frontend);
-        town.feeds.borrow_mut().insert(no, core.feed.clone());
+        let data_plane = DataPlane::start(&settings, &premises, frontend);
+        town.feeds.borrow_mut().insert(no, data_plane.feed.clone());
         let (tell, mut asked) = mpsc::unbounded_channel();
         *asks.borrow_mut() = Some(tell);
         let (ends, mut ended) = mpsc::unbounded_channel();
         let (life, ip) = (premises.random_incarnation(), settings.ip);
         let (next, revision, txns) = (0, 0, BTreeMap::new());
-        let mut door = Door { no, ip, town, network, premises, core, life, next, revision, txns, ends };
+        let mut door = Door { no, ip, town, network, premises, data_plane, life, next, revision, txns, ends };
         loop {
             let now = door.now();
             tokio::select! {
                 biased;
-                Some(news) = door.core.heard.recv() => door.hear(news),
+                Some(news) = door.data_plane.updates.recv() => door.hear(news),
                 Some(ending) = ended.recv() => {
                     let settled = ending.outcome == Outcome::Succeeded;
                     let txn = ending.txn;
                     let now = door.now();
-                    let actions = door.core.rounds.decide(now, vec![Event::AttemptEnded(ending)]);
+                    let actions = door.data_plane.pools.decide(now, vec![Event::AttemptEnded(ending)]);
                     if settled {
                         door.over(txn, 200);
                     }
@@ -112,11 +112,11 @@
     }
 
     fn now(&self) -> Ticks {
-        Ticks(self.core.posted.steady.now().0 as i64)
+        Ticks(self.data_plane.snapshot.clock.now().0 as i64)
     }
 
-    fn hear(&mut self, news: News) {
-        if let News::Register(register) = &news {
+    fn hear(&mut self, news: Update) {
+        if let Update::Register(register) = &news {
             let config =
                 register.config.as_ref().and_then(|config| Config::parse(config.get().as_bytes()).ok());
             self.revision = config.map_or(0, |config| config.revision.0);
@@ -133,8 +133,8 @@
             });
         }
         let now = self.now();
-        self.core.rounds.apply_update(now, news);
-        let actions = self.core.rounds.decide(now, Vec::new());
+        self.data_plane.pools.apply_update(now, news);
+        let actions = self.data_plane.pools.decide(now, Vec::new());
         self.carry_out(actions);
     }
 
@@ -150,12 +150,12 @@
             took: Duration::ZERO,
         };
         self.town.history.borrow_mut().asked.insert(ask.attempt, asked);
-        let gate = Wicket(Rc::clone(&self.core.posted));
+        let gate = RequestGate(Rc::clone(&self.data_plane.snapshot));
         let admitted = request(&ask).map(|request| gate.admit(&request, now, txn));
         self.txns.insert(txn, Txn { ask, submissions: 0 });
         match admitted {
             Some(Admission::Txn(arrival)) => {
-                let actions = self.core.rounds.decide(now, vec![Event::RequestArrived(arrival)]);
+                let actions = self.data_plane.pools.decide(now, vec![Event::RequestArrived(arrival)]);
                 self.carry_out(actions);
             }
             Some(Admission::Reject { status, .. }) => self.over(txn, status),
@@ -192,7 +192,7 @@
     }
 
     fn submit(&mut self, txn: TxnId, backend: BackendId) {
-        let fields = self.core.rounds.extra_headers(txn, backend);
+        let fields = self.data_plane.pools.extra_headers(txn, backend);
         let field = |name: &str| {
             let found = fields.iter().find(|(known, _)| *known == name);
             found.map(|(_, value)| value.clone()).unwrap_or_default()
--- a/crates/testkit/src/town.rs
+++ b/crates/testkit/src/town.rs
@@ -78,7 +78,9 @@
     let premises =
         Environment::of_machine(settings.data_directory.clone()).map_err(|error| error.to_string())?;
     match program {
-        Program::Carrier => vanewharf_proxy::run(settings, premises, end).await,
+        Program::Carrier => {
+            vanewharf_proxy::run(settings, premises, end).await.map_err(|error| error.to_string())
+        }
         Program::Sorter => vanewharf_agent::run(settings, premises, end).await,
         Program::Postmaster => vanewharf_controller::run(settings, premises, end).await,
     }
--- a/programs/proxy/src/rounds.rs
+++ b/programs/proxy/src/pools.rs
@@ -2,10 +2,10 @@
 //! picks among its backends. Here stands what is decided before and round it: the tenant's bucket, which rounds a request
 //! may go, how often it may be sent on, what a cold backend may be given.
 
-use crate::gate::{Entry, Posted};
-pub use crate::news::{Ask, Loans, News};
-use crate::news::{LENT_WITHIN, Told as Reported};
-use crate::tables::{Rule, Tables, Tenant};
+use crate::routing::{RequestClass, RouteRule, RoutingTables, Tenant};
+use crate::snapshot::{AuthorizedRequest, Snapshot};
+use crate::status::ProxyStatus;
+use crate::update::{TOKEN_REQUEST_TIMEOUT, TokenAnswer, TokenGrants, TokenRequest, Update};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -29,12 +29,12 @@
 use vanewharf_quota::TokenReserve;
 
 /// One service in one region.
-type RoundKey = (Rc<str>, Rc<str>);
+type PoolKey = (Rc<str>, Rc<str>);
 
-struct Round {
+struct BackendPool {
     door: Balancer,
     /// What the module tells requests apart by.
-    classes: Vec<(Duration, RouteKind, u64)>,
+    classes: Vec<RequestClass>,
     /// What is out of it, and since when it refuses all though nothing is.
     out: usize,
     stuck: Option<Timestamp>,
@@ -42,7 +42,7 @@
 
 struct PooledBackend {
     server: Backend,
-    key: RoundKey,
+    key: PoolKey,
     /// Cold until then.
     cold_until: Timestamp,
     cold: Option<SlowStart>,
@@ -50,73 +50,80 @@
 }
 
 /// One submission: its round, the number it has there, and whether its end is known.
-struct Sent {
-    key: RoundKey,
+struct Attempt {
+    key: PoolKey,
     backend: BackendId,
     local: AttemptNumber,
     ended: bool,
 }
 
 /// One request under way.
-struct Way {
-    rule: Rc<Rule>,
+struct RequestInFlight {
+    rule: Rc<RouteRule>,
     tenant: Option<Rc<Tenant>>,
     service: Rc<str>,
     /// The regions still to be tried, the next one last.
     regions: Vec<Rc<str>>,
-    round: Option<RoundKey>,
+    round: Option<PoolKey>,
     expiry: Ticks,
-    sent: Vec<Sent>,
+    sent: Vec<Attempt>,
     /// How many each round has asked for, sent or not.
-    asked: Vec<(RoundKey, u32)>,
+    asked: Vec<(PoolKey, u32)>,
     /// One of them reached a backend.
     arrived: bool,
     may_have_run: bool,
     concluded: bool,
 }
 
-pub struct Place {
+/// Where this proxy stands, and where all zones are.
+pub struct Location {
+    /// This proxy's zone.
     pub zone: String,
+    /// This proxy's region.
     pub region: String,
     /// The region of each zone.
     pub zones: BTreeMap<String, String>,
 }
 
-/// What a carrier's decisions start from.
-pub struct Start {
-    pub place: Place,
-    pub bounds: LimitsTable,
-    /// The first start of all.
-    pub first: bool,
+/// What the decisions of one proxy start from.
+pub struct PoolsConfig {
+    /// Where this proxy stands.
+    pub location: Location,
+    /// The limits that the rules set.
+    pub limits: LimitsTable,
+    /// The system starts for the first time: nothing can have been spent before.
+    pub initial_start: bool,
+    /// Seeds all random draws.
     pub seed: u64,
 }
 
-pub struct Rounds {
-    place: Place,
-    bounds: LimitsTable,
-    posted: Rc<Posted>,
-    steady: MonotonicClock,
-    first: bool,
+/// All decisions of one proxy.
+pub struct BackendPools {
+    location: Location,
+    limits: LimitsTable,
+    snapshot: Rc<Snapshot>,
+    clock: MonotonicClock,
+    initial_start: bool,
     chance: SmallRng,
     /// What the tables were made from.
     register: Option<Rc<Register>>,
-    tables: Option<Rc<Tables>>,
+    tables: Option<Rc<RoutingTables>>,
     list: Option<(Rc<BackendList>, Timestamp)>,
-    rounds: BTreeMap<RoundKey, Round>,
+    rounds: BTreeMap<PoolKey, BackendPool>,
     backends: BTreeMap<BackendId, PooledBackend>,
     ids: HashMap<String, BackendId>,
     named: u32,
-    ways: BTreeMap<TxnId, Way>,
+    ways: BTreeMap<TxnId, RequestInFlight>,
     over: Vec<TxnId>,
     buckets: TokenBuckets,
-    reported: Rc<Reported>,
+    reported: Rc<ProxyStatus>,
     repeats: BTreeMap<Rc<str>, RetryBudget>,
     doors: f64,
     /// Where postmasters lend: their number, and the asks to them.
     lenders: Option<u32>,
-    asks: mpsc::UnboundedSender<Ask>,
+    asks: mpsc::UnboundedSender<TokenRequest>,
     /// Requests that wait for a token.
-    waiting: BTreeMap<TxnId, Entry>,
+    waiting: BTreeMap<TxnId, AuthorizedRequest>,
     /// Tokens that were lent and wait for their requests.
     pocket: TokenReserve,
     /// No lender is in this door's region.
@@ -138,22 +145,23 @@
 /// The wait before a refusal by the bucket is worth another try, at least.
 const LEAST_WAIT: Duration = Duration::from_millis(50);
 
-impl Rounds {
+impl BackendPools {
+    /// Decisions that know no configuration and no backends yet.
     pub fn start(
-        start: Start,
-        posted: Rc<Posted>,
-        told: Rc<Reported>,
-        asks: mpsc::UnboundedSender<Ask>,
-    ) -> Rounds {
-        let Start { place, bounds, first, seed } = start;
-        let steady = posted.steady;
-        let buckets = TokenBuckets::new(bounds.rate_allowance, first, steady.now());
-        Rounds {
-            place,
-            bounds,
-            posted,
-            steady,
-            first,
+        config: PoolsConfig,
+        snapshot: Rc<Snapshot>,
+        reported: Rc<ProxyStatus>,
+        asks: mpsc::UnboundedSender<TokenRequest>,
+    ) -> BackendPools {
+        let PoolsConfig { location, limits, initial_start, seed } = config;
+        let clock = snapshot.clock;
+        let buckets = TokenBuckets::new(limits.rate_allowance, initial_start, clock.now());
+        BackendPools {
+            location,
+            limits,
+            snapshot,
+            clock,
+            initial_start,
             chance: SmallRng::seed_from_u64(seed),
             register: None,
             tables: None,
@@ -165,7 +173,7 @@
             ways: BTreeMap::new(),
             over: Vec::new(),
             buckets,
-            reported: told,
+            reported,
             repeats: BTreeMap::new(),
             doors: 1.0,
             lenders: None,
@@ -181,17 +189,17 @@
     }
 
     fn region(&self, zone: &str) -> Rc<str> {
-        Rc::from(self.place.zones.get(zone).map_or("", String::as_str))
+        Rc::from(self.location.zones.get(zone).map_or("", String::as_str))
     }
 
     fn repeat_rule(&self) -> RetryPolicy {
-        let LimitsTable { retry_ratio: ratio, retry_allowance: allowance, .. } = self.bounds;
+        let LimitsTable { retry_ratio: ratio, retry_allowance: allowance, .. } = self.limits;
         RetryPolicy { ratio, allowance, proxies: self.doors }
     }
 
     /// Backends anew by list and register: who is there, in which round, and who may get something.
     fn arrange(&mut self, now: Ticks) -> BackendUpdate {
-        let at = self.steady.now();
+        let at = self.clock.now();
         let (Some((list, listed)), Some(tables)) = (self.list.clone(), self.tables.clone()) else {
             return BackendUpdate::Changes(Vec::new());
         };
@@ -232,12 +240,12 @@
             stays
         });
         // How many of each round's are ill: where most are, the cause is shared.
-        let mut parts: BTreeMap<&RoundKey, (usize, usize)> = BTreeMap::new();
+        let mut parts: BTreeMap<&PoolKey, (usize, usize)> = BTreeMap::new();
         for backend in self.backends.values() {
             let (ill, all) = parts.entry(&backend.key).or_default();
             (*ill, *all) = (*ill + usize::from(self.ill.contains_key(&backend.server.id)), *all + 1);
         }
-        let shared: BTreeSet<RoundKey> = parts
+        let shared: BTreeSet<PoolKey> = parts
             .iter()
             .filter(|(_, (ill, all))| is_shared_cause(*ill, *all))
             .map(|(key, _)| (*key).clone())
@@ -263,7 +271,7 @@
                 status: if shut { BackendStatus::Draining } else { BackendStatus::Ready },
                 capacity: f64::from(backend.server.capacity)
                     * share.map_or(1.0, |share| weight_for_failure_share(*share)),
-                local: backend.server.zone == self.place.zone,
+                local: backend.server.zone == self.location.zone,
                 started_at: booted,
             };
             let address: Option<SocketAddr> = Some(backend.server.address);
@@ -286,20 +294,22 @@
         BackendUpdate::Snapshot(entries)
     }
 
-    fn round(&mut self, key: &RoundKey, now: Ticks) -> &mut Round {
+    fn round(&mut self, key: &PoolKey, now: Ticks) -> &mut BackendPool {
         if !self.rounds.contains_key(key) {
             let tables = self.tables.as_deref();
             let mut classes: Vec<_> =
-                tables.map(|tables| tables.classes()).unwrap_or_default().into_iter().collect();
+                tables.map(|tables| tables.request_classes()).unwrap_or_default().into_iter().collect();
             for kind in [RouteKind::ReadOnly, RouteKind::Mutating] {
-                if !classes.iter().any(|(_, known, _)| *known == kind) {
-                    classes.push((Duration::from_millis(500), kind, 1));
+                if !classes.iter().any(|class| class.kind == kind) {
+                    classes.push(RequestClass { target: Duration::from_millis(500), kind, precedence: 1 });
                 }
             }
             let warmup = tables.and_then(|tables| tables.services.get(&*key.0)).map(|service| service.warmup);
             let start = start(&classes, warmup.unwrap_or_default(), self.chance.random(), now);
-            self.rounds
-                .insert(key.clone(), Round { door: Balancer::new(start), classes, out: 0, stuck: None });
+            self.rounds.insert(
+                key.clone(),
+                BackendPool { door: Balancer::new(start), classes, out: 0, stuck: None },
+            );
         }
         self.rounds.get_mut(key).expect("just put there")
     }
@@ -307,7 +317,7 @@
     fn arrived(&mut self, arrival: Arrival, now: Ticks, actions: &mut Vec<Action>) {
         let id = arrival.txn;
         let entry = {
-            let mut entries = self.posted.entries.borrow_mut();
+            let mut entries = self.snapshot.authorized.borrow_mut();
             // Those before it were turned back after all.
             let later = entries.split_off(&TxnId(id.0 + 1));
             let entry = entries.remove(&id);
@@ -318,24 +328,24 @@
             return actions.push(Action::Reject { txn: id, retry_after: None });
         };
         self.count(&entry.rule);
-        let at = self.steady.now();
+        let at = self.clock.now();
         let limited = entry.tenant.as_ref().filter(|tenant| tenant.quota.rate > 0.0).cloned();
         if let (Some(tenant), Some(_)) = (limited, self.lenders) {
             let tenant = Rc::clone(&tenant.name);
             self.pocket.record_request(&tenant, at);
             let pocketed = self.pocket.take_token(&tenant, at);
             // One that has hardly time to wait for an answer goes by what this door has itself.
-            let waits = !pocketed && arrival.deadline - now > ticks(LENT_WITHIN * 2);
+            let waits = !pocketed && arrival.deadline - now > ticks(TOKEN_REQUEST_TIMEOUT * 2);
             let more = if self.lenders_far { self.pocket.tokens_to_request(&tenant, at) } else { 0 };
             if waits || more > 0 {
                 // The asks end with the program only.
-                let _ = self.asks.send(Ask { txn: waits.then_some(id), tenant, more });
+                let _ = self.asks.send(TokenRequest { waiting: waits.then_some(id), tenant, prefetch: more });
             }
             if pocketed {
                 return self.let_in(arrival, entry, now, actions);
             }
             if waits {
-                self.waiting.insert(id, Entry { expiry: arrival.deadline, ..entry });
+                self.waiting.insert(id, AuthorizedRequest { expiry: arrival.deadline, ..entry });
                 return;
             }
         }
@@ -343,35 +353,36 @@
     }
 
     fn pocket_one(&mut self, tenant: &Rc<str>) {
-        self.pocket.add_tokens(tenant, 1, self.steady.now());
+        self.pocket.add_tokens(tenant, 1, self.clock.now());
     }
 
     /// What came of asks for tokens.
-    fn lent(&mut self, loans: Loans, now: Ticks) {
-        let (mut actions, at) = (Vec::new(), self.steady.now());
-        if loans.asked.iter().any(|(_, lent)| lent.is_some()) || loans.ahead.iter().any(|(_, lent)| *lent > 0)
+    fn lent(&mut self, loans: TokenGrants, now: Ticks) {
+        let (mut actions, at) = (Vec::new(), self.clock.now());
+        if loans.waiting.iter().any(|(_, answer)| *answer != TokenAnswer::NoAnswer)
+            || loans.prefetched.iter().any(|(_, lent)| *lent > 0)
         {
             self.buckets.record_lender_answer(at);
         }
-        loans.ahead.iter().for_each(|(tenant, tokens)| self.pocket.record_lease(tenant, *tokens, at));
-        for (id, lent) in loans.asked {
+        loans.prefetched.iter().for_each(|(tenant, tokens)| self.pocket.record_lease(tenant, *tokens, at));
+        for (id, lent) in loans.waiting {
             let Some(entry) = self.waiting.remove(&id) else {
                 continue;
             };
             let Some(tenant) = entry.tenant.clone() else {
                 continue;
             };
-            if entry.left {
-                if lent == Some(true) {
+            if entry.abandoned {
+                if lent == TokenAnswer::Granted {
                     self.pocket_one(&tenant.name);
                 }
                 continue;
             }
             let arrival = Arrival { txn: id, deadline: entry.expiry, ..Arrival::default() };
             match lent {
-                Some(true) => self.let_in(arrival, entry, now, &mut actions),
-                None => self.by_bucket(arrival, entry, now, &mut actions),
-                Some(false) => {
+                TokenAnswer::Granted => self.let_in(arrival, entry, now, &mut actions),
+                TokenAnswer::NoAnswer => self.by_bucket(arrival, entry, now, &mut actions),
+                TokenAnswer::Refused => {
                     let lenders = f64::from(self.lenders.unwrap_or(1));
                     let wait = Duration::from_secs_f64(lenders / tenant.quota.rate.max(1e-3));
                     let retry_after = Some(ticks(wait.clamp(LEAST_WAIT, Duration::from_secs(30))));
@@ -383,9 +394,15 @@
     }
 
     /// By the tenant's bucket at this door.
-    fn by_bucket(&mut self, arrival: Arrival, entry: Entry, now: Ticks, actions: &mut Vec<Action>) {
-        let (id, at) = (arrival.txn, self.steady.now());
-        let Entry { tenant, .. } = &entry;
+    fn by_bucket(
+        &mut self,
+        arrival: Arrival,
+        entry: AuthorizedRequest,
+        now: Ticks,
+        actions: &mut Vec<Action>,
+    ) {
+        let (id, at) = (arrival.txn, self.clock.now());
+        let AuthorizedRequest { tenant, .. } = &entry;
         if let Some(tenant) = tenant
             && let Err(wait) = self.buckets.try_admit(&tenant.name, tenant.quota, at)
         {
@@ -395,28 +412,28 @@
         self.let_in(arrival, entry, now, actions);
     }
 
-    fn let_in(&mut self, arrival: Arrival, entry: Entry, now: Ticks, actions: &mut Vec<Action>) {
-        let (id, Entry { rule, tenant, .. }) = (arrival.txn, entry);
+    fn let_in(&mut self, arrival: Arrival, entry: AuthorizedRequest, now: Ticks, actions: &mut Vec<Action>) {
+        let (id, AuthorizedRequest { rule, tenant, .. }) = (arrival.txn, entry);
         let draw = self.chance.random::<f64>();
-        let service = pick_weighted(rule.services.iter().map(|(_, weight)| *weight), draw);
-        let service = Rc::clone(&rule.services[service].0);
+        let service = pick_weighted(rule.services.iter().map(|service| service.weight), draw);
+        let service = Rc::clone(&rule.services[service].name);
         let homes = |region: &str| {
             let within = |homes: &[String]| homes.is_empty() || homes.iter().any(|home| home == region);
-            within(&rule.homes) && tenant.as_ref().is_none_or(|tenant| within(&tenant.homes))
+            within(&rule.home_regions) && tenant.as_ref().is_none_or(|tenant| within(&tenant.home_regions))
         };
         let mut regions: Vec<Rc<str>> = Vec::new();
-        for region in self.place.zones.values().filter(|region| homes(region)) {
+        for region in self.location.zones.values().filter(|region| homes(region)) {
             if !regions.iter().any(|known| **known == **region) {
                 regions.push(Rc::from(region.as_str()));
             }
         }
         // This door's own comes first: the next one is taken from the end.
-        regions.sort_by_key(|region| **region == *self.place.region);
+        regions.sort_by_key(|region| **region == *self.location.region);
         let rule_now = self.repeat_rule();
-        let first = self.first;
+        let first = self.initial_start;
         let start = || RetryBudget::new(&rule_now, first);
         self.repeats.entry(Rc::clone(&service)).or_insert_with(start).record_request(&rule_now);
-        let way = Way {
+        let way = RequestInFlight {
             rule,
             tenant,
             service,
@@ -434,14 +451,14 @@
     }
 
     /// Where requests must be served, by host: the registry sends clients by it.
-    fn count(&self, rule: &Rule) {
+    fn count(&self, rule: &RouteRule) {
         let mut hosts = self.reported.hosts.borrow_mut();
         if !hosts.contains_key(&*rule.host) {
             hosts.insert(rule.host.to_string(), HostCounts::default());
         }
         if let Some(counts) = hosts.get_mut(&*rule.host) {
             counts.requests += 1;
-            counts.homed += u64::from(!rule.homes.is_empty());
+            counts.homed += u64::from(!rule.home_regions.is_empty());
         }
     }
 
@@ -450,8 +467,8 @@
         let Some(way) = self.ways.get_mut(&id) else {
             return;
         };
-        let spent =
-            way.sent.len() >= way.rule.tries || way.may_have_run && way.rule.kind == RouteKind::Mutating;
+        let spent = way.sent.len() >= way.rule.max_attempts
+            || way.may_have_run && way.rule.kind == RouteKind::Mutating;
         let next = if spent { None } else { way.regions.pop() };
         let Some(region) = next else {
             if let Some(tenant) = way.tenant.clone().filter(|_| !way.arrived) {
@@ -466,7 +483,7 @@
         let key = (Rc::clone(&way.service), region);
         way.round = Some(key.clone());
         let (target, kind, expiry) = (way.rule.target, way.rule.kind, way.expiry);
-        let (precedence, at) = (way.rule.precedence, self.steady.now());
+        let (precedence, at) = (way.rule.precedence, self.clock.now());
         let round = self.round(&key, now);
         let product = nearest(&round.classes, target, kind, precedence);
         let arrival = Arrival {
@@ -490,7 +507,7 @@
 
     /// A module that has learnt of long answers refuses all, and with nothing out never learns of short ones: it is
     /// started anew, with what is known of its backends.
-    fn begin_anew(&mut self, key: &RoundKey, now: Ticks) {
+    fn begin_anew(&mut self, key: &PoolKey, now: Ticks) {
         self.rounds.remove(key);
         let backends = self.backends.values().filter(|backend| backend.key == *key);
         let shown: Vec<_> = backends.filter_map(|backend| backend.shown.clone()).collect();
@@ -504,7 +521,7 @@
         }
     }
 
-    fn carry_out(&mut self, key: &RoundKey, decided: Vec<Action>, now: Ticks, actions: &mut Vec<Action>) {
+    fn carry_out(&mut self, key: &PoolKey, decided: Vec<Action>, now: Ticks, actions: &mut Vec<Action>) {
         for action in decided {
             match action {
                 Action::SendAttempt { txn, backend, .. } => self.submit(key, txn, backend, now, actions),
@@ -531,7 +548,7 @@
 
     fn submit(
         &mut self,
-        key: &RoundKey,
+        key: &PoolKey,
         txn: TxnId,
         backend: BackendId,
         now: Ticks,
@@ -551,7 +568,7 @@
         let no = AttemptNumber(*asked);
         *asked += 1;
         if may {
-            way.sent.push(Sent { key: key.clone(), backend, local: no, ended: false });
+            way.sent.push(Attempt { key: key.clone(), backend, local: no, ended: false });
             self.rounds.get_mut(key).into_iter().for_each(|round| round.out += 1);
             return actions.push(Action::SendAttempt { txn, backend, timeout: None });
         }
@@ -571,11 +588,11 @@
     }
 
     fn may_submit(&mut self, txn: TxnId, backend: BackendId) -> bool {
-        let at = self.steady.now();
+        let at = self.clock.now();
         let Some(way) = self.ways.get(&txn) else {
             return false;
         };
-        if way.sent.len() >= way.rule.tries {
+        if way.sent.len() >= way.rule.max_attempts {
             return false;
         }
         let Some(known) = self.backends.get_mut(&backend) else {
@@ -584,7 +601,7 @@
         if known.cold_until > at {
             let service = self.tables.as_ref().and_then(|tables| tables.services.get(&known.server.service));
             let per_s = service.map_or(0.0, |service| service.warmup_per_s);
-            let LimitsTable { warmup_overshoot, warmup_allowance, .. } = self.bounds;
+            let LimitsTable { warmup_overshoot, warmup_allowance, .. } = self.limits;
             let part = slow_start_share(per_s, warmup_overshoot, warmup_allowance, self.doors);
             if !known.cold.get_or_insert_with(|| SlowStart::new(part, at)).try_spend(part, at) {
                 return false;
@@ -616,7 +633,7 @@
             self.seen.record_attempt(
                 &known.server.id,
                 ending.outcome != Outcome::Succeeded,
-                self.steady.now(),
+                self.clock.now(),
             );
         }
         if way.concluded || ending.complete || ending.outcome == Outcome::Succeeded {
@@ -632,25 +649,25 @@
     }
 }
 
-impl RoutingPolicy for Rounds {
-    type Update = News;
+impl RoutingPolicy for BackendPools {
+    type Update = Update;
 
     fn decide(&mut self, now: Ticks, events: Vec<Event>) -> Vec<Action> {
         // Kept until all that is out has ended: the rounds must hear of it.
         for id in std::mem::take(&mut self.over) {
-            let over = |way: &Way| way.concluded && way.sent.iter().all(|sent| sent.ended);
+            let over = |way: &RequestInFlight| way.concluded && way.sent.iter().all(|sent| sent.ended);
             if self.ways.get(&id).is_some_and(over) {
                 self.ways.remove(&id);
             }
         }
-        self.buckets.shrink_when_cut_off(self.steady.now());
+        self.buckets.shrink_when_cut_off(self.clock.now());
         let mut actions = std::mem::take(&mut self.pending);
         for event in events {
             match event {
                 Event::RequestArrived(arrival) => self.arrived(arrival, now, &mut actions),
                 Event::AttemptEnded(ending) => self.ended(ending, now, &mut actions),
                 Event::ClientDisconnected(id) if self.waiting.contains_key(&id) => {
-                    self.waiting.get_mut(&id).into_iter().for_each(|entry| entry.left = true);
+                    self.waiting.get_mut(&id).into_iter().for_each(|entry| entry.abandoned = true);
                 }
                 Event::ClientDisconnected(id) => {
                     let key = self.ways.get(&id).and_then(|way| way.round.clone());
@@ -669,42 +686,42 @@
     }
 
     fn repeat(&self, arrival: &Arrival) -> Idempotency {
-        let entries = self.posted.entries.borrow();
+        let entries = self.snapshot.authorized.borrow();
         match entries.get(&arrival.txn).map(|entry| entry.rule.kind) {
             Some(RouteKind::ReadOnly) => Idempotency::Idempotent,
             _ => Idempotency::NonIdempotent,
         }
     }
 
-    fn apply_update(&mut self, now: Ticks, news: News) -> Option<BackendUpdate> {
+    fn apply_update(&mut self, now: Ticks, news: Update) -> Option<BackendUpdate> {
         match news {
-            News::Register(register) => {
+            Update::Register(register) => {
                 let before = self.register.replace(Rc::clone(&register));
                 if before.is_some_and(|before| before.routes_like(&register)) {
                     return None;
                 }
-                let tables = Rc::new(Tables::of(&register)?);
+                let tables = Rc::new(RoutingTables::from_register(&register)?);
                 if let Some(before) = &self.tables {
-                    let at = self.steady.now();
+                    let at = self.clock.now();
                     for zone in before.evacuated.difference(&tables.evacuated) {
                         self.thawing.insert(zone.clone(), at);
                     }
                 }
                 self.tables = Some(Rc::clone(&tables));
-                *self.posted.tables.borrow_mut() = Some(tables);
+                *self.snapshot.tables.borrow_mut() = Some(tables);
             }
-            News::List(list, at) => self.list = Some((list, at)),
-            News::Lent(lent) => {
+            Update::BackendList { list, taken_at } => self.list = Some((list, taken_at)),
+            Update::TokenGrants(lent) => {
                 self.lent(lent, now);
                 return None;
             }
-            News::Ledger(ledger) if ledger.quota_divisor == 0 => return None,
-            News::Ledger(ledger) => {
+            Update::FleetSummary(ledger) if ledger.quota_divisor == 0 => return None,
+            Update::FleetSummary(ledger) => {
                 self.lenders = ledger.token_lenders;
-                let region = |zone: &str| self.place.zones.get(zone);
+                let region = |zone: &str| self.location.zones.get(zone);
                 self.lenders_far =
-                    !ledger.controllers.iter().any(|row| region(&row.zone) == Some(&self.place.region));
-                self.pocket.drop_idle_tenants(self.steady.now());
+                    !ledger.controllers.iter().any(|row| region(&row.zone) == Some(&self.location.region));
+                self.pocket.drop_idle_tenants(self.clock.now());
                 self.buckets.set_token_leasing(ledger.token_lenders.is_some());
                 self.doors = f64::from(ledger.quota_divisor);
                 let tables = self.tables.clone();
@@ -712,10 +729,10 @@
                     let none = vanewharf_quota::Quota { rate: 0.0, burst: 0.0 };
                     tables.as_ref().map_or(none, |tables| tables.quota(tenant))
                 };
-                self.buckets.apply_usage(ledger.quota_divisor, &ledger.tenants, quota, self.steady.now());
-                *self.reported.let_through.borrow_mut() = self.buckets.admitted_counts();
+                self.buckets.apply_usage(ledger.quota_divisor, &ledger.tenants, quota, self.clock.now());
+                *self.reported.admitted.borrow_mut() = self.buckets.admitted_counts();
                 *self.reported.slices.borrow_mut() = self.buckets.slices();
-                *self.reported.tried.borrow_mut() = self.seen.failing_backends(self.steady.now());
+                *self.reported.attempts.borrow_mut() = self.seen.failing_backends(self.clock.now());
                 if ledger.unhealthy == self.ill {
                     return None;
                 }
@@ -751,27 +768,17 @@
 }
 
 /// The class of requests that is most like it; what is repeated differently is never taken for it.
-fn nearest(
-    classes: &[(Duration, RouteKind, u64)],
-    target: Duration,
-    kind: RouteKind,
-    precedence: u64,
-) -> ProductId {
-    let alike = classes.iter().enumerate().filter(|(_, (_, known, _))| *known == kind);
-    let far = |(_, (known, _, rank)): &(usize, &(Duration, RouteKind, u64))| {
-        (known.abs_diff(target), rank.abs_diff(precedence))
+fn nearest(classes: &[RequestClass], target: Duration, kind: RouteKind, precedence: u64) -> ProductId {
+    let alike = classes.iter().enumerate().filter(|(_, class)| class.kind == kind);
+    let far = |(_, class): &(usize, &RequestClass)| {
+        (class.target.abs_diff(target), class.precedence.abs_diff(precedence))
     };
     ProductId(alike.min_by_key(far).map_or(0, |(no, _)| no))
 }
 
 /// What a round's module is told: aims, values by precedence, no quota of its own.
-fn start(
-    classes: &[(Duration, RouteKind, u64)],
-    warmup: Duration,
-    seed: u64,
-    now: Ticks,
-) -> told::BalancerConfig {
-    let product = |(target, kind, precedence): &(Duration, RouteKind, u64)| Product {
+fn start(classes: &[RequestClass], warmup: Duration, seed: u64, now: Ticks) -> told::BalancerConfig {
+    let product = |RequestClass { target, kind, precedence }: &RequestClass| Product {
         sla_time: ticks(target.mul_f64(PATIENT)),
         value: 1.0 / (1.0 + *precedence as f64),
         idempotency: if *kind == RouteKind::ReadOnly {
--- /dev/null
+++ b/programs/proxy/src/routing.rs
@@ -0,0 +1,199 @@
+//! Routing tables: which route and tenant a request belongs to, and what both allow. Built from one register and never
+//! changed; a newer register makes new ones.
+
+use std::collections::{BTreeMap, BTreeSet, HashMap};
+use std::rc::Rc;
+use std::time::Duration;
+use thiserror::Error;
+use vanewharf_config::config::{Config, Customer, Limits, Route, RouteKind, Service};
+use vanewharf_protocol::messages::Register;
+use vanewharf_quota::Quota;
+
+/// Attempts for one request at most, whatever its route says.
+const MAX_ATTEMPTS: u64 = 16;
+
+/// A service that a route sends requests to, and the weight of its share among the route's services.
+#[derive(Clone, Debug, PartialEq)]
+pub struct WeightedService {
+    /// The service's name.
+    pub name: Rc<str>,
+    /// Its part of the route's requests, in proportion to the other weights.
+    pub weight: f64,
+}
+
+/// One route, as its requests in flight go by it.
+#[derive(Debug, PartialEq)]
+pub struct RouteRule {
+    /// The host name that it is for, without a port.
+    pub host: Rc<str>,
+    /// Whether its requests may be repeated.
+    pub kind: RouteKind,
+    /// The longest that a client waits.
+    pub deadline: Duration,
+    /// The latency target.
+    pub target: Duration,
+    /// The lower, the more its requests are worth.
+    pub precedence: u64,
+    /// The services that share its requests.
+    pub services: Vec<WeightedService>,
+    /// Attempts for one request at most, the first one counted.
+    pub max_attempts: usize,
+    /// Needs no API key.
+    pub public: bool,
+    /// Regions that may serve it; all where there are none.
+    pub home_regions: Vec<String>,
+}
+
+/// A customer with a quota.
+#[derive(Debug)]
+pub struct Tenant {
+    /// Its name in the configuration.
+    pub name: Rc<str>,
+    /// Regions that may serve it; all where there are none.
+    pub home_regions: Vec<String>,
+    /// Over all proxies.
+    pub quota: Quota,
+}
+
+/// The latency target, kind and precedence of a route: what the policy tells requests apart by.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct RequestClass {
+    /// The latency target.
+    pub target: Duration,
+    /// Whether the requests may be repeated.
+    pub kind: RouteKind,
+    /// The lower, the more the requests are worth.
+    pub precedence: u64,
+}
+
+/// A route of one host and the prefix of the paths that belong to it.
+#[derive(Debug)]
+struct PrefixRoute {
+    path_prefix: String,
+    rule: Rc<RouteRule>,
+}
+
+/// What one register says of routes, services and tenants.
+#[derive(Debug)]
+pub struct RoutingTables {
+    /// Limits on requests and clients.
+    pub limits: Limits,
+    /// The services by name.
+    pub services: BTreeMap<String, Service>,
+    /// Zones whose backends get no new requests.
+    pub evacuated: BTreeSet<String>,
+    /// By host, the longest prefix first.
+    routes_by_host: HashMap<String, Vec<PrefixRoute>>,
+    keys_required: bool,
+    tenants_by_key: HashMap<String, Rc<Tenant>>,
+    tenants: BTreeMap<Rc<str>, Rc<Tenant>>,
+}
+
+/// The route and the tenant of one request.
+#[derive(Debug)]
+pub struct ResolvedRoute {
+    /// The route that it matched.
+    pub rule: Rc<RouteRule>,
+    /// Whose API key it bears; none on public routes.
+    pub tenant: Option<Rc<Tenant>>,
+}
+
+/// Why a request cannot be routed.
+#[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
+pub enum RoutingError {
+    /// No route has its host and path.
+    #[error("no route matches host and path")]
+    NoRoute,
+    /// Its route needs an API key, and it bears none that is known.
+    #[error("the API key is missing or unknown")]
+    UnknownKey,
+}
+
+impl RoutingTables {
+    /// None where the register has no configuration yet; what cannot be read was never acknowledged.
+    pub fn from_register(register: &Register) -> Option<RoutingTables> {
+        let config = Config::parse(register.config.as_ref()?.get().as_bytes()).ok()?;
+        let Config { routes, services, limits, customers, .. } = config;
+        let keys_required = customers.is_some();
+        let mut tables = RoutingTables {
+            limits,
+            services,
+            evacuated: register.evacuated.clone(),
+            routes_by_host: HashMap::new(),
+            keys_required,
+            tenants_by_key: HashMap::new(),
+            tenants: BTreeMap::new(),
+        };
+        routes.into_values().for_each(|route| tables.add_route(route));
+        for routes in tables.routes_by_host.values_mut() {
+            routes.sort_by(|one, other| {
+                let longest_first = other.path_prefix.len().cmp(&one.path_prefix.len());
+                longest_first.then_with(|| one.path_prefix.cmp(&other.path_prefix))
+            });
+        }
+        for (name, customer) in customers.unwrap_or_default() {
+            tables.add_tenant(name, customer);
+        }
+        Some(tables)
+    }
+
+    fn add_route(&mut self, route: Route) {
+        let service = |(name, weight): (String, f64)| WeightedService { name: Rc::from(name), weight };
+        let rule = RouteRule {
+            host: Rc::from(route.hostname.as_str()),
+            kind: route.kind,
+            deadline: route.deadline,
+            target: route.latency_target,
+            precedence: route.precedence,
+            services: route.services.into_iter().map(service).collect(),
+            max_attempts: route.max_attempts.min(MAX_ATTEMPTS) as usize,
+            public: route.public,
+            home_regions: route.home_regions,
+        };
+        let entry = PrefixRoute { path_prefix: route.path_prefix, rule: Rc::new(rule) };
+        self.routes_by_host.entry(route.hostname).or_default().push(entry);
+    }
+
+    fn add_tenant(&mut self, name: String, customer: Customer) {
+        let Customer { access_keys, rate_per_s: rate, burst_allowance: burst, home_regions, .. } = customer;
+        let name: Rc<str> = Rc::from(name);
+        let tenant = Rc::new(Tenant { name: Rc::clone(&name), home_regions, quota: Quota { rate, burst } });
+        self.tenants_by_key.extend(access_keys.into_iter().map(|key| (key, Rc::clone(&tenant))));
+        self.tenants.insert(name, tenant);
+    }
+
+    /// The route of the longest prefix of `path` at `host`, and the tenant of `key`.
+    ///
+    /// # Errors
+    ///
+    /// Where no route matches, or the route needs a key and `key` is not known.
+    pub fn resolve(&self, host: &str, path: &str, key: Option<&str>) -> Result<ResolvedRoute, RoutingError> {
+        // A port is no part of a route's host.
+        let host = host.rsplit_once(':').map_or(host, |(host, _)| host).to_ascii_lowercase();
+        let routes = self.routes_by_host.get(&host).ok_or(RoutingError::NoRoute)?;
+        let matching = routes.iter().find(|route| path.starts_with(&route.path_prefix));
+        let rule = Rc::clone(&matching.ok_or(RoutingError::NoRoute)?.rule);
+        if !self.keys_required || rule.public {
+            return Ok(ResolvedRoute { rule, tenant: None });
+        }
+        let tenant = key.and_then(|key| self.tenants_by_key.get(key)).ok_or(RoutingError::UnknownKey)?;
+        Ok(ResolvedRoute { rule, tenant: Some(Rc::clone(tenant)) })
+    }
+
+    /// The tenant's quota. A tenant that is no longer configured has none (a rate of 0 is no limit): without a key,
+    /// none of its requests is admitted anyway.
+    pub fn quota(&self, tenant: &str) -> Quota {
+        self.tenants.get(tenant).map_or(Quota { rate: 0.0, burst: 0.0 }, |tenant| tenant.quota)
+    }
+
+    /// The classes that the routes fall into.
+    pub fn request_classes(&self) -> BTreeSet<RequestClass> {
+        let rules = self.routes_by_host.values().flatten().map(|route| &route.rule);
+        rules
+            .map(|rule| RequestClass { target: rule.target, kind: rule.kind, precedence: rule.precedence })
+            .collect()
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/programs/proxy/src/token_client/tests.rs
@@ -0,0 +1,21 @@
+use super::*;
+use vanewharf_policy::interface::TxnId;
+
+#[test]
+fn waiting_requests_come_before_prefetches_and_no_answer_is_no_refusal() {
+    let tenant: Rc<str> = Rc::from("t");
+    let request = |waiting: Option<u64>, prefetch| TokenRequest {
+        waiting: waiting.map(TxnId),
+        tenant: Rc::clone(&tenant),
+        prefetch,
+    };
+    let batch = [request(None, 3), request(Some(1), 2), request(Some(2), 0)];
+    let leased = |tokens| Some(TokenCounts::from([("t".to_owned(), tokens)]));
+    let grants = distribute(&batch, leased(4));
+    assert_eq!(grants.waiting, [(TxnId(1), TokenAnswer::Granted), (TxnId(2), TokenAnswer::Granted)]);
+    assert_eq!(grants.prefetched.iter().map(|(_, tokens)| *tokens).collect::<Vec<_>>(), [2, 0]);
+    let grants = distribute(&batch, leased(1));
+    assert_eq!(grants.waiting, [(TxnId(1), TokenAnswer::Granted), (TxnId(2), TokenAnswer::Refused)]);
+    let unanswered = distribute(&batch, None);
+    assert_eq!(unanswered.waiting, [(TxnId(1), TokenAnswer::NoAnswer), (TxnId(2), TokenAnswer::NoAnswer)]);
+}
