--- a/crates/policy/src/decide.rs
+++ b/crates/policy/src/decide.rs
@@ -1,165 +1,119 @@
-//! All decisions of one door: `start` takes what it is told, `decide` gives a batch's actions, in order.
-//! Backends, till and desk are actors with inboxes that talk by notes only; `settle_mail` empties them all.
+//! All decisions of one gateway. Backends, quotas and admission control each own their state and an inbox and know each
+//! other by messages only; `deliver` empties the inboxes in a fixed order.
 
 mod account;
+mod admission;
 mod backend;
-mod desk;
-mod till;
+mod quota;
 
+use crate::backends::BackendTable;
 use crate::interface::*;
+use crate::measure::*;
+use crate::messages::*;
 use crate::state::*;
-use rand::rngs::SmallRng;
-use rand::{Rng, SeedableRng};
-use std::collections::{BTreeMap, BTreeSet, VecDeque};
+use rand::{Rng, SeedableRng, rngs::SmallRng};
 
 // Figures without a site of their own; docs/results.md and the journal have what else was tried.
-/// Above all asks' timers.
-const BEAT_TIMER: TimerId = TimerId(1 << 32);
-/// Seconds between a door's beats, and what each leaves of the longest stall that they showed.
-const BEAT: (f64, f64) = (0.25, 0.99);
-/// Seconds of settling that tell the pace of the fleet.
-const SETTLE_SPAN: f64 = 2.0;
-/// Long against an answer, short against a failure.
-const REST: Ticks = Ticks(80_000);
-/// Further submissions for each first one, and the most saved up: enough for one silent backend's txns.
-const COPIES: (f64, f64) = (0.1, 12.0);
+/// Seconds between a gateway's heartbeats to itself, and what each leaves of the longest stall that they showed.
+const HEARTBEAT_PERIOD: f64 = 0.25;
+const STALL_DECAY: f64 = 0.99;
+/// Seconds over which the rates of attempts and of successes are averaged.
+const RATE_SPAN: f64 = 2.0;
+/// Long against a response, short against a failure.
+const EJECTION: Ticks = Ticks(80_000);
+/// Retries for each first attempt, and the most saved up: enough for one unresponsive backend's requests.
+const RETRY_RATIO: f64 = 0.1;
+const MAX_RETRY_BUDGET: f64 = 12.0;
 
+/// The decisions of one gateway: pure, and the same for the same configuration and events.
 pub struct Balancer {
-    told: BalancerConfig,
+    config: BalancerConfig,
     now: Ticks,
-    chance: SmallRng,
-    desk: Desk,
-    till: Till,
-    yard: BTreeMap<BackendId, Backend>,
-    /// Those with notes in their inboxes, and those to whom time alone may matter.
-    posted: VecDeque<BackendId>,
-    stirring: BTreeSet<BackendId>,
+    rng: SmallRng,
+    admission: AdmissionControl,
+    quota: QuotaEnforcer,
+    backends: BackendTable,
     actions: Vec<Action>,
-    heard: Ticks,
 }
 
 impl Balancer {
-    pub fn new(told: BalancerConfig) -> Balancer {
-        let guess = |mean| Norm { mean, spread: mean, seen: 0.0 };
-        let norms = told.products.iter().map(|product| guess(product.sla_time.seconds() / 4.0)).collect();
-        let desk = Desk { norms, rated_at: told.started_at, spare: COPIES.1, ..Desk::default() };
-        let fits = vec![0.5; told.plans.len()];
-        let till = Till { calling: 1.0, reach: 1.0, answered: 1.0, fits, ..Till::default() };
-        let (now, yard) = (told.started_at, BTreeMap::new());
-        let (posted, stirring, actions) = (VecDeque::new(), BTreeSet::new(), Vec::new());
-        let chance = SmallRng::seed_from_u64(told.seed);
-        let mut door =
-            Balancer { now, told, desk, till, yard, posted, stirring, chance, actions, heard: now };
-        door.beat();
-        door
+    /// A gateway that has just started.
+    pub fn new(config: BalancerConfig) -> Balancer {
+        let guess = |product: &Product| LatencyEstimate::guess(product.sla_time.seconds() / 4.0);
+        let latencies = config.products.iter().map(guess).collect();
+        let (now, retry_budget) = (config.started_at, MAX_RETRY_BUDGET);
+        let success_rate = DecayingRate::new(now);
+        let admission = AdmissionControl { latencies, success_rate, retry_budget, ..Default::default() };
+        let (call_rate, counter_reach, counted_rate) = (1.0, 1.0, 1.0);
+        let fit_rates = vec![0.5; config.plans.len()];
+        let quota = QuotaEnforcer { call_rate, counter_reach, counted_rate, fit_rates, ..Default::default() };
+        let (rng, backends) = (SmallRng::seed_from_u64(config.seed), BackendTable::default());
+        let mut balancer = Balancer { config, now, rng, admission, quota, backends, actions: Vec::new() };
+        balancer.heartbeat();
+        balancer
     }
 
+    /// Handles a batch of events at a time and gives the actions to carry out, in order.
     pub fn decide(&mut self, now: Ticks, events: Vec<Event>) -> Vec<Action> {
+        let last_batch_at = self.now;
         self.now = self.now.max(now);
-        // Against holding txns that no stall leaves time for: the next one may come at any moment.
-        self.till.stall = self.till.stall.max(self.now - self.heard);
-        self.heard = self.now;
-        for event in events {
-            match event {
-                Event::BackendList(entries) => {
-                    let named = |id: &BackendId| entries.iter().any(|entry| entry.backend == *id);
-                    let missing: Vec<_> = self.yard.keys().copied().filter(|id| !named(id)).collect();
-                    self.list(entries);
-                    missing.into_iter().for_each(|id| self.post(id, ToBackend::Unlisted));
-                }
-                Event::BackendChanges(entries) => self.list(entries),
-                Event::RequestArrived(arrival) => self.desk.inbox.push_back(ToDesk::Arrived(arrival)),
-                Event::AttemptEnded(ending) => self.desk.inbox.push_back(ToDesk::Ended(ending)),
-                Event::ClientDisconnected(txn) => self.desk.inbox.push_back(ToDesk::Left(txn)),
-                Event::TimerFired(BEAT_TIMER) => self.beat(),
-                Event::TimerFired(TimerId(ask)) => {
-                    self.till.inbox.push_back(ToTill::Overdue(QuotaRequestId(ask as u32)))
-                }
-                Event::PeerMessageReceived { from, message: word } => {
-                    self.till.inbox.push_back(ToTill::Heard(from, word))
-                }
-                Event::CounterReplied { key: name, reply: counted } => {
-                    self.till.inbox.push_back(ToTill::Counted(name, counted))
-                }
-            }
-        }
-        self.settle_mail();
-        // Judged after the events: a door held up itself must not take its own backlog for silence.
+        // Against holding requests that no stall leaves time for: the next one may come at any moment.
+        self.quota.longest_stall = self.quota.longest_stall.max(self.now - last_batch_at);
+        events.into_iter().for_each(|event| self.dispatch(event));
+        self.deliver();
+        // Judged after the events: a gateway held up itself must not take its own backlog for a backend's silence.
         self.tick();
-        self.settle_mail();
+        self.deliver();
         std::mem::take(&mut self.actions)
     }
 
-    /// Where txns are held for other doors' words, a door must know when it stood still itself.
-    fn beat(&mut self) {
-        if self.told.peer_messages {
-            self.till.stall = self.till.stall.times(BEAT.1);
-            self.actions.push(Action::SetTimer { after: Ticks::SECOND.times(BEAT.0), timer: BEAT_TIMER });
-        }
-    }
-
-    fn list(&mut self, entries: Vec<BackendInfo>) {
-        for entry in entries {
-            self.yard.entry(entry.backend).or_insert_with(|| Backend::new(self.now));
-            self.post(entry.backend, ToBackend::Listed(entry));
+    fn dispatch(&mut self, event: Event) {
+        match Notification::from(event) {
+            Notification::BackendList(entries) => self.backends.replace(entries, self.now),
+            Notification::BackendChanges(entries) => self.backends.update(entries, self.now),
+            Notification::Admission(message) => self.admission.inbox.push_back(message),
+            Notification::Quota(message) => self.quota.inbox.push_back(message),
+            Notification::Heartbeat => self.heartbeat(),
         }
     }
 
-    fn post(&mut self, id: BackendId, note: ToBackend) {
-        if let Some(actor) = self.yard.get_mut(&id) {
-            actor.inbox.push_back(note);
-            self.posted.push_back(id);
+    /// Where requests are held for other gateways' messages, a gateway must know when it stood still itself.
+    fn heartbeat(&mut self) {
+        if self.config.peer_messages {
+            self.quota.longest_stall = self.quota.longest_stall.times(STALL_DECAY);
+            let after = Ticks::SECOND.times(HEARTBEAT_PERIOD);
+            self.actions.push(Action::SetTimer { after, timer: HEARTBEAT_TIMER });
         }
     }
 
-    /// Time is told to those alone that have something out, rest or warm up: in a wide fleet few of all.
+    /// Only backends with attempts in flight, ejected or warming up are ticked: in a wide fleet few of all.
     fn tick(&mut self) {
-        let warm = self.desk.board.values().filter(|offer| !offer.cold && !offer.bad);
-        let (rate, size) = warm.fold((0.0, 1e-6), |(rate, size), offer| {
-            (rate + offer.sent_rate * faded(offer.rated_at, self.now), size + offer.size)
+        let ctx = Context { now: self.now, config: &self.config };
+        let ready = self.admission.backends.values().filter(|backend| backend.is_ready());
+        let (rate, capacity) = ready.fold((0.0, 1e-6), |(rate, capacity), backend| {
+            (rate + backend.sent_rate.value(RATE_SPAN, ctx), capacity + backend.capacity)
         });
-        let (warm_rate, patience) = (rate / size, self.desk.patience());
-        // The random part keeps doors that rested a backend together from returning to it together.
-        let rest = REST.times(1.0 + 0.5 * self.chance.random::<f64>());
-        for id in std::mem::take(&mut self.stirring) {
-            self.post(id, ToBackend::Tick { patience, warm_rate, rest });
-        }
+        let (ready_rate, patience) = (rate / capacity, self.admission.patience());
+        // The random part keeps gateways that ejected a backend together from returning to it together.
+        let ejection = EJECTION.times(1.0 + 0.5 * self.rng.random::<f64>());
+        self.backends.notify_active(BackendMessage::Tick { patience, ready_rate, ejection });
     }
 
-    /// Backends first, then the till, so that the desk never acts on a board that is behind.
-    fn settle_mail(&mut self) {
+    /// Backends first, then quotas, so that admission control never acts on snapshots that are behind.
+    fn deliver(&mut self) {
         loop {
-            while let Some(id) = self.posted.pop_front() {
-                let Some(actor) = self.yard.get_mut(&id).filter(|actor| !actor.inbox.is_empty()) else {
-                    continue;
-                };
-                while let Some(note) = actor.inbox.pop_front() {
-                    actor.hear(note, self.now, &self.told.warm_up);
-                }
-                if actor.stirs(self.now, &self.told.warm_up) {
-                    self.stirring.insert(id);
-                }
-                let offer = actor.listed.then(|| actor.offer(self.now, &self.told.warm_up));
-                if !actor.listed && actor.out.is_empty() {
-                    self.yard.remove(&id);
+            let ctx = Context { now: self.now, config: &self.config };
+            self.backends.deliver(&mut self.admission.backends, ctx);
+            if let Some(message) = self.quota.inbox.pop_front() {
+                if let Some(answer) = self.quota.handle(message, ctx) {
+                    self.admission.inbox.push_front(answer);
                 }
-                self.desk.board.remove(&id);
-                self.desk.board.extend(offer.map(|offer| (id, offer)));
-            }
-            if let Some(note) = self.till.inbox.pop_front() {
-                if let Some(answer) = self.till.hear(note, self.now, &self.told) {
-                    self.desk.inbox.push_front(answer);
-                }
-                self.actions.append(&mut self.till.calls);
-            } else if let Some(note) = self.desk.inbox.pop_front() {
-                self.hear(note);
+                self.actions.append(&mut self.quota.actions);
+            } else if let Some(message) = self.admission.inbox.pop_front() {
+                self.handle(message);
             } else {
                 return;
             }
         }
     }
 }
-
-fn faded(since: Ticks, now: Ticks) -> f64 {
-    (-(now - since).seconds() / SETTLE_SPAN).exp()
-}
--- a/crates/policy/src/decide/account.rs
+++ b/crates/policy/src/decide/account.rs
@@ -1,129 +1,133 @@
-//! One customer's store: the design, and mechanism 1, ceiling: an even part by this instance's own time.
+//! One customer's account: the design's share, and mechanism 1, the hard limit: an even part, by this instance's time.
 
 use super::*;
 
-/// Seconds over a few meter readings, so that one reading moves a slice little.
-const SLICE_SPAN: f64 = 2.0;
+/// Seconds over a few meter readings, so that one reading moves a share little.
+const SHARE_SPAN: f64 = 2.0;
 /// Seconds that readings come late; longer than most, as an early share sums past the quota.
 const METER_LAG: f64 = 1.5;
-/// A share out of fewer txns than this is mostly chance.
-const PRIOR_TXNS: f64 = 12.0;
-/// A door must be able to learn that traffic has come back to it.
-const SLICE_FLOOR: f64 = 0.25;
-/// The part of a slice's burst that lets in a txn of any size.
-const ENOUGH: f64 = 0.5;
-/// The part of a whole burst that lending leaves, for each part of its worth that use beyond the quota costs.
-const KEPT: f64 = 0.25;
-/// Seconds of asking that show a surge.
+/// A share out of fewer requests than this is mostly chance.
+const PRIOR_REQUESTS: f64 = 12.0;
+/// Of the even share: a gateway must be able to learn that traffic has come back to it.
+const MIN_SHARE: f64 = 0.25;
+/// The part of a share's burst that admits a request of any cost.
+const SUFFICIENT_PART: f64 = 0.5;
+/// The part of a burst that lending leaves, for each part of its value that use beyond the quota costs.
+const LENDING_RESERVE: f64 = 0.25;
+/// Seconds of requests that show a surge.
 const SURGE_SPAN: f64 = 0.5;
 
 impl Account {
-    pub(super) fn new(plan: PlanId, width: f64, now: Ticks, told: &BalancerConfig) -> Account {
-        let figures = &told.plans[plan.0];
-        let (slice, tokens, filled, reviewed) = (1.0 / width, figures.burst / width, now, now);
-        let mut account = Account { plan, width, slice, tokens, filled, reviewed, ..Account::default() };
+    pub(super) fn new(plan: PlanId, subset_size: f64, ctx: Context) -> Account {
+        let limits = ctx.plan(plan);
+        let (share, tokens) = (1.0 / subset_size, limits.burst / subset_size);
+        let (refilled_at, reviewed_at) = (ctx.now, ctx.now);
+        let mut account =
+            Account { plan, subset_size, share, tokens, refilled_at, reviewed_at, ..Account::default() };
         // What was spent before this instance began is unknown, so only time since then counts as refilled.
-        let since = (now - told.started_at).seconds();
+        let since = ctx.since(ctx.config.started_at);
         // What others spent before is unknown too: of what may be lent, the even part.
-        account.unclaimed = figures.burst * (KEPT + (1.0 - KEPT) / width);
-        account.ceiling = (since * figures.hard_limit_rate / width).min(account.ceiling_most(figures));
+        account.unclaimed = limits.burst * (LENDING_RESERVE + (1.0 - LENDING_RESERVE) / subset_size);
+        let refilled = since * limits.hard_limit_rate / subset_size;
+        account.limit_tokens = refilled.min(account.max_limit_tokens(limits));
         account
     }
 
-    pub(super) fn ceiling_most(&self, plan: &Plan) -> f64 {
-        plan.hard_limit_burst / self.width
+    pub(super) fn max_limit_tokens(&self, plan: &Plan) -> f64 {
+        plan.hard_limit_burst / self.subset_size
     }
 
-    pub(super) fn refill(&mut self, now: Ticks, plan: &Plan, told: &BalancerConfig) {
-        let gap = (now - self.filled).seconds();
-        self.filled = now;
-        self.tokens = (self.tokens + plan.rate * self.slice * gap).min(plan.burst * self.slice);
+    pub(super) fn refill(&mut self, plan: &Plan, ctx: Context) {
+        let gap = ctx.since(self.refilled_at);
+        self.refilled_at = ctx.now;
+        self.tokens = (self.tokens + plan.rate * self.share * gap).min(plan.burst * self.share);
         // The meter is late: others have half of a surge at once, and with no reading all that is theirs.
-        self.asked *= (-gap / SURGE_SPAN).exp();
-        let surging = 0.5 * self.asked * (1.0 / self.slice - 1.0);
-        let others = surging.max(self.metered * plan.rate - self.let_aligned);
-        let others = if self.current(now) { others } else { plan.rate * (1.0 - 1.0 / self.width) };
+        self.demand *= (-gap / SURGE_SPAN).exp();
+        let surging = 0.5 * self.demand * (1.0 / self.share - 1.0);
+        let others = surging.max(self.metered_usage * plan.rate - self.lagged_rate);
+        let even_others = plan.rate * (1.0 - 1.0 / self.subset_size);
+        let others = if self.has_current_reading(ctx) { others } else { even_others };
         self.unclaimed = (self.unclaimed + (plan.rate - others) * gap).min(plan.burst);
-        let ceiling = self.ceiling + plan.hard_limit_rate / self.width * gap;
-        self.ceiling = ceiling.min(self.ceiling_most(plan));
-        let period = told.meter_period.max(Ticks::SECOND.times(0.5));
-        if now - self.reviewed >= period {
-            self.review(now, plan);
+        let limit_tokens = self.limit_tokens + plan.hard_limit_rate / self.subset_size * gap;
+        self.limit_tokens = limit_tokens.min(self.max_limit_tokens(plan));
+        let period = ctx.config.meter_period.max(Ticks::SECOND.times(0.5));
+        if ctx.now - self.reviewed_at >= period {
+            self.review(plan, ctx);
         }
     }
 
-    pub(super) fn current(&self, now: Ticks) -> bool {
-        self.read_at.is_some_and(|at| (now - at).seconds() < SLICE_SPAN)
+    pub(super) fn has_current_reading(&self, ctx: Context) -> bool {
+        self.read_at.is_some_and(|at| ctx.since(at) < SHARE_SPAN)
     }
 
-    /// The design's slice: this door's share of what all doors let through.
-    fn review(&mut self, now: Ticks, plan: &Plan) {
-        let gap = (now - self.reviewed).seconds();
-        self.reviewed = now;
-        let weight = 1.0 - (-gap / SLICE_SPAN).exp();
-        self.let_through += weight * (self.let_since / gap - self.let_through);
-        self.let_since = 0.0;
+    /// The design's share: this gateway's part of what all gateways admit.
+    fn review(&mut self, plan: &Plan, ctx: Context) {
+        let gap = ctx.since(self.reviewed_at);
+        self.reviewed_at = ctx.now;
+        let weight = 1.0 - (-gap / SHARE_SPAN).exp();
+        self.admitted_rate += weight * (self.admitted / gap - self.admitted_rate);
+        self.admitted = 0.0;
         // Readings come late: what is compared with them is held back as long.
         let lag = 1.0 - (-gap / METER_LAG).exp();
-        self.let_aligned += lag * (self.let_through - self.let_aligned);
-        let current = self.current(now);
+        self.lagged_rate += lag * (self.admitted_rate - self.lagged_rate);
+        let current = self.has_current_reading(ctx);
         if current {
-            self.metered += weight * (self.reading - self.metered);
+            self.metered_usage += weight * (self.reading - self.metered_usage);
         }
-        let even = 1.0 / self.width;
+        let even = 1.0 / self.subset_size;
         if current && plan.rate > 0.0 {
-            // Few txns tell little of a share: the even one counts as so many more of them.
-            let prior = PRIOR_TXNS * self.mean_cost / SLICE_SPAN;
-            let share = (self.let_aligned + prior * even) / (self.metered * plan.rate + prior);
-            self.slice = share.clamp(SLICE_FLOOR * even, (2.0 * self.slice).min(1.0));
+            // Few requests tell little of a share: the even one counts as so many more of them.
+            let prior = PRIOR_REQUESTS * self.mean_cost / SHARE_SPAN;
+            let share = (self.lagged_rate + prior * even) / (self.metered_usage * plan.rate + prior);
+            self.share = share.clamp(MIN_SHARE * even, (2.0 * self.share).min(1.0));
         } else {
-            self.slice += weight * (even - self.slice);
+            self.share += weight * (even - self.share);
         }
     }
 
-    pub(super) fn ask(&mut self, cost: f64, again: bool, plan: &Plan) -> QuotaDecision {
-        // The next try may come through any of the customer's doors: some other one has refilled sooner.
-        self.asked += cost / SURGE_SPAN;
-        // A repeat counts from its first try and often comes past the SLA time, so it must find more left.
-        let again = f64::from(u8::from(again));
-        let others = (self.width - 1.0).max(1.0);
-        let wait = |missing: f64, rate: f64| {
-            let span = Ticks::SECOND.times(missing / rate.max(1e-6) / others);
-            QuotaRejection { retry_after: Some(span) }
-        };
-        if self.passes_ceiling(cost, plan) {
-            return Err(wait(cost - self.ceiling, plan.hard_limit_rate / self.width));
+    /// Charges a request if it is inside the share or the unclaimed quota, and inside the hard limit.
+    pub(super) fn try_charge(&mut self, cost: f64, retry: bool, plan: &Plan) -> QuotaDecision {
+        // The next try may come through any of the customer's gateways: some other one has refilled sooner.
+        self.demand += cost / SURGE_SPAN;
+        // A retry counts from its first try and often comes past the SLA time, so it must find more left.
+        let retry = f64::from(u8::from(retry));
+        let others = (self.subset_size - 1.0).max(1.0);
+        let wait = |missing: f64, rate: f64| Ticks::SECOND.times(missing / rate.max(1e-6) / others);
+        let rejection = |wait| QuotaRejection { retry_after: Some(wait) };
+        if self.exceeds_hard_limit(cost, plan) {
+            let rate = plan.hard_limit_rate / self.subset_size;
+            return Err(rejection(wait(cost - self.limit_tokens, rate)));
         }
-        // Else a slice below one txn never admits it: a fair part of a full one is enough, the rest is debt.
-        let needed = cost.min(ENOUGH * plan.burst * self.slice) * (1.0 + again);
-        // A quota mostly unclaimed is lent from, down to what being wrong costs; the slice is left no debt.
-        let beyond = plan.excess_cost - plan.excess_value;
-        let kept = KEPT * (beyond.max(0.0) + again);
-        let lent = self.unclaimed - cost.min(ENOUGH * plan.burst) >= kept * plan.burst;
-        if plan.rate > 0.0 && !lent && self.tokens < needed - 1e-9 {
-            return Err(wait(needed - self.tokens, plan.rate * self.slice));
+        // Else a share below one request never admits it: a fair part of a full one is enough, the rest is debt.
+        let needed = cost.min(SUFFICIENT_PART * plan.burst * self.share) * (1.0 + retry);
+        // A quota mostly unclaimed is lent from, down to what being wrong costs; the share is left no debt.
+        let excess = plan.excess_cost - plan.excess_value;
+        let reserve = LENDING_RESERVE * (excess.max(0.0) + retry);
+        let lends = self.unclaimed - cost.min(SUFFICIENT_PART * plan.burst) >= reserve * plan.burst;
+        if plan.rate > 0.0 && !lends && self.tokens < needed - 1e-9 {
+            return Err(rejection(wait(needed - self.tokens, plan.rate * self.share)));
         }
         let weight = if self.mean_cost > 0.0 { 0.1 } else { 1.0 };
         self.mean_cost += weight * (cost - self.mean_cost);
-        let least = if self.tokens < needed - 1e-9 { self.tokens.min(0.0) } else { f64::MIN };
-        self.take(cost, least);
+        let min_tokens = if self.tokens < needed - 1e-9 { self.tokens.min(0.0) } else { f64::MIN };
+        self.charge(cost, min_tokens);
         Ok(())
     }
 
-    /// A first submission's units, from the ceiling too; the slice is left with `least` at least.
-    pub(super) fn take(&mut self, cost: f64, least: f64) {
-        self.ceiling -= cost;
+    /// Charges a first attempt, to the hard limit too; the share is left with `min_tokens` at least.
+    pub(super) fn charge(&mut self, cost: f64, min_tokens: f64) {
+        self.limit_tokens -= cost;
         self.spend(cost);
-        self.tokens = self.tokens.max(least);
+        self.tokens = self.tokens.max(min_tokens);
     }
 
-    pub(super) fn passes_ceiling(&self, cost: f64, plan: &Plan) -> bool {
-        plan.hard_limit_rate > 0.0 && self.ceiling < cost
+    pub(super) fn exceeds_hard_limit(&self, cost: f64, plan: &Plan) -> bool {
+        plan.hard_limit_rate > 0.0 && self.limit_tokens < cost
     }
 
     pub(super) fn spend(&mut self, cost: f64) {
         self.tokens -= cost;
         self.unclaimed -= cost;
-        self.let_since += cost;
+        self.admitted += cost;
     }
 }
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,10 +1,17 @@
-//! vanewharf keeps each customer of a shared back end to its plan.
+//! The decisions of one gateway: admission, choice of a backend, quotas and retries.
 //!
-//! All decisions are in [`decide`]; [`interface`] is what passes in and out of them, and
-//! [`state`] is the data they keep; [`codec`] is how a message between gateways
-//! is written.
+//! [`decide`] holds the decisions, which are pure: a [`decide::Balancer`] is given events and times and gives actions back,
+//! and does no input or output. [`interface`] is what goes in and out, [`messages`] what its parts send each other,
+//! [`state`] the data that they keep, [`measure`] the averages and draws that they use, and [`codec`] the form of messages
+//! between gateways. `policy` in deploy/balancer.toml names the files that decide.
 
+#![forbid(unsafe_code)]
+#![warn(missing_docs)]
+
+mod backends;
 pub mod codec;
 pub mod decide;
 pub mod interface;
+pub mod measure;
+pub mod messages;
 pub mod state;
--- a/crates/policy/tests/scenarios.rs
+++ b/crates/policy/tests/scenarios.rs
@@ -1,13 +1,13 @@
-//! Plays every file of `tests/scenarios/` against one door; `tests/scenarios/README.md` has the notation.
+//! Plays every file of `tests/scenarios/` against one gateway; `tests/scenarios/README.md` has the notation.
 
 use std::collections::HashMap;
 use std::path::Path;
 use vanewharf_policy::decide::Balancer;
 use vanewharf_policy::interface::*;
 
-struct Play {
-    door: Option<Balancer>,
-    told: BalancerConfig,
+struct ScenarioRunner {
+    gateway: Option<Balancer>,
+    config: BalancerConfig,
     products: Vec<String>,
     plans: Vec<String>,
     names: Vec<String>,
@@ -25,21 +25,21 @@
     text.parse().unwrap_or_else(|_| panic!("'{text}' is no number"))
 }
 
-fn place(names: &[String], name: &str) -> usize {
+fn position(names: &[String], name: &str) -> usize {
     names.iter().position(|known| known == name).unwrap_or_else(|| panic!("'{name}' is not known"))
 }
 
 /// The value of `key=value` among the words.
-fn given<'a>(words: &[&'a str], key: &str) -> Option<&'a str> {
+fn value_of<'a>(words: &[&'a str], key: &str) -> Option<&'a str> {
     words.iter().find_map(|word| word.strip_prefix(key)?.strip_prefix('='))
 }
 
 fn figure(words: &[&str], key: &str, absent: f64) -> f64 {
-    given(words, key).map_or(absent, number)
+    value_of(words, key).map_or(absent, number)
 }
 
-impl Play {
-    fn new() -> Play {
+impl ScenarioRunner {
+    fn new() -> ScenarioRunner {
         let allowances = AllowedActions {
             cancel: true,
             hedging: true,
@@ -47,7 +47,7 @@
             max_retry_after: Ticks(10_000),
             max_attempts: 3,
         };
-        let told = BalancerConfig {
+        let config = BalancerConfig {
             seed: 7,
             started_at: Ticks(0),
             gateway_count: 2,
@@ -64,25 +64,26 @@
         };
         let (products, plans, names) = (Vec::new(), Vec::new(), Vec::new());
         let (out, tries) = (Vec::new(), HashMap::new());
-        Play { door: None, told, products, plans, names, out, tries, next_txn: 1000 }
+        ScenarioRunner { gateway: None, config, products, plans, names, out, tries, next_txn: 1000 }
     }
 
     fn id(&mut self, name: &str) -> u32 {
         if !self.names.iter().any(|known| known == name) {
             self.names.push(name.to_owned());
         }
-        place(&self.names, name) as u32
+        position(&self.names, name) as u32
     }
 
-    fn tell(&mut self, words: &[&str]) {
+    fn configure(&mut self, words: &[&str]) {
         match words[0] {
             "told" => {
-                let flag = |key, known| given(words, key).map_or(known, |value| value == "yes");
-                let allowances = &mut self.told.allowed;
+                let flag = |key, known| value_of(words, key).map_or(known, |value| value == "yes");
+                let allowances = &mut self.config.allowed;
                 allowances.cancel = flag("cancel", allowances.cancel);
                 allowances.hedging = flag("copies", allowances.hedging);
                 allowances.retry_after = flag("advice", allowances.retry_after);
-                self.told.gateway_count = figure(words, "doors", f64::from(self.told.gateway_count)) as u32;
+                self.config.gateway_count =
+                    figure(words, "doors", f64::from(self.config.gateway_count)) as u32;
             }
             "product" => {
                 let repeat = match *words.last().expect("a kind of repeat") {
@@ -93,8 +94,8 @@
                         Idempotency::Deduplicated { window: ms(parts.next().expect("a window")) }
                     }
                 };
-                let sla_time = ms(given(words, "sla").expect("an SLA time"));
-                self.told.products.push(Product {
+                let sla_time = ms(value_of(words, "sla").expect("an SLA time"));
+                self.config.products.push(Product {
                     sla_time,
                     value: figure(words, "value", 1.0),
                     idempotency: repeat,
@@ -102,7 +103,7 @@
                 self.products.push(words[1].to_owned());
             }
             _ => {
-                self.told.plans.push(Plan {
+                self.config.plans.push(Plan {
                     rate: figure(words, "rate", 0.0),
                     burst: figure(words, "burst", 0.0),
                     value_factor: 1.0,
@@ -141,16 +142,16 @@
             "change" => Event::BackendChanges(words[1..].iter().map(|word| self.listed(word)).collect()),
             "txn" => Event::RequestArrived(Arrival {
                 txn: txn(),
-                product: ProductId(place(&self.products, words[2])),
+                product: ProductId(position(&self.products, words[2])),
                 claim: QuotaClaim {
-                    plan: PlanId(place(&self.plans, words[3])),
+                    plan: PlanId(position(&self.plans, words[3])),
                     customer: CustomerId(self.id(words[4]).into()),
                     subset_start: 0,
                     subset_size: figure(words, "width", 1.0) as u32,
                     cost: figure(words, "cost", 1.0),
                     retry: words.contains(&"again"),
                 },
-                deadline: now + ms(given(words, "expiry").unwrap_or("4000")),
+                deadline: now + ms(value_of(words, "expiry").unwrap_or("4000")),
             }),
             "left" => Event::ClientDisconnected(txn()),
             "due" => Event::TimerFired(TimerId(words[1].parse().expect("a timer"))),
@@ -172,21 +173,21 @@
                     txn: TxnId(txn),
                     attempt: AttemptNumber(no),
                     outcome,
-                    latency: ms(given(words, "took").unwrap_or("20")),
+                    latency: ms(value_of(words, "took").unwrap_or("20")),
                     complete: outcome == Outcome::Succeeded,
-                    metered_usage: given(words, "use").map(number),
-                    actual_cost: given(words, "true").map(number),
+                    metered_usage: value_of(words, "use").map(number),
+                    actual_cost: value_of(words, "true").map(number),
                 })
             }
         }
     }
 
     fn batch(&mut self, now: Ticks, events: Vec<Event>) -> Vec<Action> {
-        let told = &self.told;
-        let door = self
-            .door
-            .get_or_insert_with(|| Balancer::new(BalancerConfig { started_at: now, ..told.clone() }));
-        let actions = door.decide(now, events);
+        let config = &self.config;
+        let gateway = self
+            .gateway
+            .get_or_insert_with(|| Balancer::new(BalancerConfig { started_at: now, ..config.clone() }));
+        let actions = gateway.decide(now, events);
         for action in &actions {
             if let Action::SendAttempt { txn, backend, .. } = action {
                 let no = self.tries.entry(txn.0).or_default();
@@ -205,15 +206,15 @@
         let mut actions = Vec::new();
         while now < to {
             if words.contains(&"settling") {
-                let mute = given(words, "mute").map(|name| self.id(name));
+                let mute = value_of(words, "mute").map(|name| self.id(name));
                 let out = self.out.clone();
                 for (txn, no, _) in out.into_iter().filter(|(_, _, at)| Some(*at) != mute) {
                     let id = format!("{txn}.{no}");
                     let used =
                         words.iter().filter(|word| word.starts_with("use=") || word.starts_with("took="));
-                    let mut told = vec!["end", &id, "settled"];
-                    told.extend(used);
-                    let event = self.event(now, &told);
+                    let mut end = vec!["end", &id, "settled"];
+                    end.extend(used);
+                    let event = self.event(now, &end);
                     actions.extend(self.batch(now, vec![event]));
                 }
             }
@@ -244,13 +245,13 @@
         let words: Vec<_> = does.split_whitespace().collect();
         let expected = expected.trim();
         if ["told", "product", "plan"].contains(&words[0]) {
-            return self.tell(&words);
+            return self.configure(&words);
         }
         if words[0] == "usual" {
-            let (told, listed): (Vec<_>, Vec<_>) = words[1..].iter().partition(|word| word.contains('='));
-            let figures = [&told[..], &["sla=400", "rate=1000", "burst=1000"]].concat();
-            self.tell(&[&["product", "look"], &figures[..], &["inquiry-like"]].concat());
-            self.tell(&[&["plan", "basic"], &figures[..]].concat());
+            let (figures, listed): (Vec<_>, Vec<_>) = words[1..].iter().partition(|word| word.contains('='));
+            let figures = [&figures[..], &["sla=400", "rate=1000", "burst=1000"]].concat();
+            self.configure(&[&["product", "look"], &figures[..], &["inquiry-like"]].concat());
+            self.configure(&[&["plan", "basic"], &figures[..]].concat());
             return self.step(&format!("0 list {}", listed.join(" ")));
         }
         if words[0].contains("..") {
@@ -258,12 +259,12 @@
         }
         let now = ms(words[0]);
         if words[1] == "restart" {
-            (self.door, self.out) = (None, Vec::new());
+            (self.gateway, self.out) = (None, Vec::new());
             return;
         }
         let events = if words[1] == "tick" { Vec::new() } else { vec![self.event(now, &words[1..])] };
         let actions = self.batch(now, events);
-        let said: Vec<_> = actions.iter().map(|action| self.say(action)).collect();
+        let said: Vec<_> = actions.iter().map(|action| self.describe(action)).collect();
         let agrees = |(said, wanted): (&String, &str)| {
             said == wanted || said.strip_prefix(wanted).is_some_and(|rest| rest.starts_with(' '))
         };
@@ -272,7 +273,7 @@
         assert!(expected.is_empty() || same, "{said:?}, not '{expected}'");
     }
 
-    fn say(&self, action: &Action) -> String {
+    fn describe(&self, action: &Action) -> String {
         match action {
             Action::SendAttempt { txn, backend, .. } => {
                 format!("submit {} {}", txn.0, self.names[backend.0 as usize])
@@ -300,13 +301,13 @@
     let mut failed = Vec::new();
     for path in &files {
         let text = std::fs::read_to_string(path).expect("a scenario");
-        let mut play = Play::new();
+        let mut runner = ScenarioRunner::new();
         for (number, line) in text.lines().enumerate() {
             let line = line.split("# ").next().unwrap_or_default().trim();
             if line == "anew" {
-                play = Play::new();
+                runner = ScenarioRunner::new();
             } else if !line.is_empty() {
-                let step = std::panic::AssertUnwindSafe(|| play.step(line));
+                let step = std::panic::AssertUnwindSafe(|| runner.step(line));
                 if std::panic::catch_unwind(step).is_err() {
                     failed.push(format!("{}:{}: {line}", path.display(), number + 1));
                     break;
@@ -320,9 +321,9 @@
 /// "The Bucket Has a Clock": for one-unit requests a token bucket and GCRA decide alike.
 #[test]
 fn unit_costs_agree_with_gcra() {
-    let mut play = Play::new();
+    let mut runner = ScenarioRunner::new();
     for line in ["product look sla=400 inquiry-like", "plan basic rate=4 burst=5 beyond=1", "0 list a"] {
-        play.step(line);
+        runner.step(line);
     }
     let (interval, tolerance) = (2_500, 10_000);
     let (mut now, mut next, mut draw) = (0, 0, 1u64);
@@ -331,14 +332,14 @@
         now += (draw >> 33) as i64 % 3_000;
         let line = format!("0 txn {txn} look basic acme");
         let words: Vec<_> = line.split(' ').skip(1).collect();
-        let event = play.event(Ticks(now), &words);
-        let actions = play.batch(Ticks(now), vec![event]);
+        let event = runner.event(Ticks(now), &words);
+        let actions = runner.batch(Ticks(now), vec![event]);
         let admitted = matches!(actions[..], [Action::SendAttempt { .. }]);
         assert_eq!(admitted, now >= next - tolerance, "txn {txn} at {now}");
         if admitted {
             next = now.max(next) + interval;
-            let event = play.event(Ticks(now), &["end", &format!("{txn}.0"), "settled"]);
-            play.batch(Ticks(now), vec![event]);
+            let event = runner.event(Ticks(now), &["end", &format!("{txn}.0"), "settled"]);
+            runner.batch(Ticks(now), vec![event]);
         }
     }
 }
--- a/crates/policy/tests/counting.rs
+++ b/crates/policy/tests/shared_counter.rs
@@ -1,14 +1,14 @@
-//! Many doors in one process around a stand-in for the shared quota counter: one customer asks three times
-//! its quota, spread evenly over all its doors, and what all doors let in together is held against what a
-//! bucket of the plan's burst and rate lets in. Without the counter each door's slice is below one txn, and
-//! the doors together let in far more: the cause the counter is called for. Beside it, what one door does as
+//! Many gateways in one process around a stand-in for the shared quota counter: one customer asks three times
+//! its quota, spread evenly over all its gateways, and what all gateways let in together is held against what a
+//! bucket of the plan's burst and rate lets in. Without the counter each gateway's slice is below one txn, and
+//! the gateways together let in far more: the cause the counter is called for. Beside it, what one gateway does as
 //! its calls fail, and which backends it draws.
 
 use std::collections::{BTreeMap, HashMap};
 use vanewharf_policy::decide::Balancer;
 use vanewharf_policy::interface::*;
 
-const DOORS: u32 = 40;
+const GATEWAYS: u32 = 40;
 const RATE: f64 = 1.0;
 const BURST: f64 = 16.0;
 const SECONDS: i64 = 120;
@@ -19,15 +19,15 @@
     Absent,
     Answers,
     /// Turns away every call but each `n`th.
-    Crowded(u64),
+    Overloaded(u64),
 }
 
-fn start(door: u32, counter: Counter) -> BalancerConfig {
+fn config(gateway: u32, counter: Counter) -> BalancerConfig {
     BalancerConfig {
-        seed: 0x5eed + u64::from(door),
+        seed: 0x5eed + u64::from(gateway),
         started_at: Ticks(0),
-        gateway: GatewayId(door),
-        gateway_count: DOORS,
+        gateway: GatewayId(gateway),
+        gateway_count: GATEWAYS,
         products: vec![Product { sla_time: Ticks(10_000), value: 1.0, idempotency: Idempotency::Idempotent }],
         plans: vec![Plan {
             rate: RATE,
@@ -65,7 +65,7 @@
     Event::BackendList((0..backends).map(backend).collect())
 }
 
-/// A first try of `customer` through all its doors, with 2 s to wait.
+/// A first try of `customer` through all its gateways, with 2 s to wait.
 fn arrival(txn: u64, customer: u64, cost: f64, at: Ticks) -> Arrival {
     Arrival {
         txn: TxnId(txn),
@@ -74,7 +74,7 @@
             customer: CustomerId(customer),
             plan: PlanId(0),
             subset_start: 0,
-            subset_size: DOORS,
+            subset_size: GATEWAYS,
             cost,
             retry: false,
         },
@@ -82,16 +82,16 @@
     }
 }
 
-fn again_of(arrival: Arrival, again: bool) -> Arrival {
+fn as_retry(arrival: Arrival, again: bool) -> Arrival {
     Arrival { claim: QuotaClaim { retry: again, ..arrival.claim }, ..arrival }
 }
 
-fn through_one(arrival: Arrival) -> Arrival {
+fn through_one_gateway(arrival: Arrival) -> Arrival {
     Arrival { claim: QuotaClaim { subset_size: 1, ..arrival.claim }, ..arrival }
 }
 
 /// Its first submission has settled, in 50 ms.
-fn settled_now(txn: TxnId) -> Event {
+fn succeeded_now(txn: TxnId) -> Event {
     Event::AttemptEnded(AttemptReport {
         txn,
         attempt: AttemptNumber(0),
@@ -104,11 +104,11 @@
 }
 
 struct Fleet {
-    doors: Vec<Balancer>,
+    gateways: Vec<Balancer>,
     counter: Counter,
     totals: HashMap<CounterKey, f64>,
     calls: u64,
-    /// What each door has still to hear: answers of the counter, endings of submissions.
+    /// What each gateway has still to hear: answers of the counter, endings of submissions.
     pending: Vec<Vec<Event>>,
     admitted: f64,
     declined: u64,
@@ -118,37 +118,38 @@
 
 impl Fleet {
     fn new(counter: Counter) -> Fleet {
-        let mut doors: Vec<Balancer> = (0..DOORS).map(|door| Balancer::new(start(door, counter))).collect();
-        for door in &mut doors {
-            door.decide(Ticks(0), vec![listing(4)]);
+        let mut gateways: Vec<Balancer> =
+            (0..GATEWAYS).map(|gateway| Balancer::new(config(gateway, counter))).collect();
+        for gateway in &mut gateways {
+            gateway.decide(Ticks(0), vec![listing(4)]);
         }
-        let pending = vec![Vec::new(); DOORS as usize];
+        let pending = vec![Vec::new(); GATEWAYS as usize];
         let (totals, answered) = (HashMap::new(), BTreeMap::new());
         let costs = HashMap::new();
-        Fleet { doors, counter, totals, calls: 0, pending, admitted: 0.0, declined: 0, answered, costs }
+        Fleet { gateways, counter, totals, calls: 0, pending, admitted: 0.0, declined: 0, answered, costs }
     }
 
-    fn batch(&mut self, door: usize, now: Ticks, mut events: Vec<Event>) {
-        events.append(&mut self.pending[door]);
-        for action in self.doors[door].decide(now, events) {
+    fn batch(&mut self, gateway: usize, now: Ticks, mut events: Vec<Event>) {
+        events.append(&mut self.pending[gateway]);
+        for action in self.gateways[gateway].decide(now, events) {
             match action {
                 Action::IncrementCounter { key: name, amount: step, expire_after: forget_after } => {
                     assert!(forget_after <= Ticks(600_000), "a name lives 60 s at most");
                     self.calls += 1;
                     let counted = match self.counter {
-                        Counter::Crowded(n) if !self.calls.is_multiple_of(n) => CounterReply::NotAdded,
+                        Counter::Overloaded(n) if !self.calls.is_multiple_of(n) => CounterReply::NotAdded,
                         _ => {
                             let total = self.totals.entry(name).or_default();
                             *total += step;
                             CounterReply::Total(*total)
                         }
                     };
-                    self.pending[door].push(Event::CounterReplied { key: name, reply: counted });
+                    self.pending[gateway].push(Event::CounterReplied { key: name, reply: counted });
                 }
                 Action::SendAttempt { txn, .. } => {
                     *self.answered.entry(txn).or_default() += 1;
                     self.admitted += self.costs[&txn];
-                    self.pending[door].push(settled_now(txn));
+                    self.pending[gateway].push(succeeded_now(txn));
                 }
                 Action::Reject { txn, .. } | Action::Fail { txn } => {
                     *self.answered.entry(txn).or_default() += 1;
@@ -159,19 +160,19 @@
         }
     }
 
-    /// Three times the quota in units, txns of 1 to 8 units, going round the doors.
-    fn play(&mut self) {
+    /// Three times the quota in units, txns of 1 to 8 units, going round the gateways.
+    fn run(&mut self) {
         let every = Ticks((10_000.0 * 4.5 / (3.0 * RATE)) as i64);
         let mut now = Ticks(0);
         let mut txn = 0;
         while now < Ticks(SECONDS * 10_000) {
             txn += 1;
-            let door = (txn % u64::from(DOORS)) as usize;
+            let gateway = (txn % u64::from(GATEWAYS)) as usize;
             let arrival = arrival(txn, 77, (1 + txn * 5 % 8) as f64, now);
             self.costs.insert(arrival.txn, arrival.claim.cost);
-            self.batch(door, now, vec![Event::RequestArrived(arrival)]);
-            // The counter's answer comes a little later, in the door's next batch.
-            self.batch(door, now + Ticks(20), Vec::new());
+            self.batch(gateway, now, vec![Event::RequestArrived(arrival)]);
+            // The counter's answer comes a little later, in the gateway's next batch.
+            self.batch(gateway, now + Ticks(20), Vec::new());
             now = now + every;
         }
         assert!(self.answered.values().all(|&answers| answers == 1), "one final answer for each txn");
@@ -187,17 +188,17 @@
 }
 
 #[test]
-fn without_the_counter_the_doors_together_let_in_far_beyond_the_quota() {
+fn without_the_counter_the_gateways_together_admit_far_more_than_the_quota() {
     let mut fleet = Fleet::new(Counter::Absent);
-    fleet.play();
+    fleet.run();
     assert_eq!(fleet.calls, 0);
     assert!(fleet.admitted > bound(), "admitted {} of a bound {}", fleet.admitted, bound());
 }
 
 #[test]
-fn with_the_counter_the_doors_together_keep_to_the_quota() {
+fn with_the_counter_the_gateways_together_keep_to_the_quota() {
     let mut fleet = Fleet::new(Counter::Answers);
-    fleet.play();
+    fleet.run();
     assert!(fleet.admitted <= bound(), "admitted {} of a bound {}", fleet.admitted, bound());
     // Declining all would keep to it too: what the quota holds goes in.
     assert!(fleet.admitted >= 0.65 * (BURST + RATE * SECONDS as f64), "admitted only {}", fleet.admitted);
@@ -205,34 +206,34 @@
 }
 
 #[test]
-fn a_crowded_counter_leaves_the_doors_near_the_quota() {
-    let mut fleet = Fleet::new(Counter::Crowded(2));
-    fleet.play();
+fn an_overloaded_counter_leaves_the_gateways_near_the_quota() {
+    let mut fleet = Fleet::new(Counter::Overloaded(2));
+    fleet.run();
     assert!(fleet.admitted <= 1.2 * bound(), "admitted {} of a bound {}", fleet.admitted, bound());
     assert!(fleet.admitted >= 0.5 * (BURST + RATE * SECONDS as f64), "admitted only {}", fleet.admitted);
 }
 
-/// The calls answered in each second, where all doors together ask for twice what the counter takes. Calls
-/// stand in one line, those that stand in it longer than the wait are told as silence, and it works on them
-/// all the same: what many doors do at once, each harmless alone.
+/// The calls answered in each second, where all gateways together ask for twice what the counter takes. Calls
+/// wait in one queue, those that wait in it longer than the wait get no reply, and it works on them
+/// all the same: what many gateways do at once, each harmless alone.
 fn answered_by_second(capacity: usize) -> Vec<u64> {
     let mut fleet = Fleet::new(Counter::Answers);
     let (mut txn, mut line, mut answered) = (0, 0, vec![0; 20]);
     for step in 0..200 {
         let now = Ticks(step * 1_000 + 10);
-        for turn in 0..DOORS as usize {
-            let door = (step as usize * 7 + turn) % DOORS as usize;
+        for turn in 0..GATEWAYS as usize {
+            let gateway = (step as usize * 7 + turn) % GATEWAYS as usize;
             txn += 1;
             let arrived = Event::RequestArrived(arrival(txn, txn, 1.0, now));
-            let actions = fleet.doors[door].decide(now, vec![arrived]);
+            let actions = fleet.gateways[gateway].decide(now, vec![arrived]);
             let delay = Ticks((1_000 * line / capacity) as i64);
-            let told = if delay < Ticks(800) { CounterReply::Total(1.0) } else { CounterReply::Unknown };
-            let Some(event) = counted(&actions, told) else {
+            let reply = if delay < Ticks(800) { CounterReply::Total(1.0) } else { CounterReply::Unknown };
+            let Some(event) = counted(&actions, reply) else {
                 continue;
             };
             line += 1;
-            answered[step as usize / 10] += u64::from(told != CounterReply::Unknown);
-            fleet.doors[door].decide(now + delay.min(Ticks(800)), vec![event]);
+            answered[step as usize / 10] += u64::from(reply != CounterReply::Unknown);
+            fleet.gateways[gateway].decide(now + delay.min(Ticks(800)), vec![event]);
         }
         line = line.saturating_sub(capacity);
     }
@@ -240,7 +241,7 @@
 }
 
 #[test]
-fn doors_that_lose_the_counter_together_do_not_return_to_it_together() {
+fn gateways_that_lose_the_counter_together_do_not_return_to_it_together() {
     let answered = answered_by_second(20);
     // Left alone by all for a while and then asked by all at once, it would answer nothing for whole seconds.
     assert!(answered[1..].iter().all(|&calls| calls >= 80), "of 200 a second: {answered:?}");
@@ -260,19 +261,19 @@
 }
 
 #[test]
-fn a_silent_counter_is_asked_ever_more_seldom_and_all_again_when_it_is_back() {
-    let mut door = Balancer::new(start(0, Counter::Answers));
-    door.decide(Ticks(0), vec![listing(4)]);
+fn an_unresponsive_counter_is_called_less_and_less_and_fully_again_once_it_answers() {
+    let mut gateway = Balancer::new(config(0, Counter::Answers));
+    gateway.decide(Ticks(0), vec![listing(4)]);
     let mut asked = |from: i64, counter: CounterReply, took: Ticks| {
         let mut made = 0;
         for txn in 0..20 {
             let now = Ticks(from + txn * 1_000);
             let id = (from + txn) as u64;
-            let actions = door.decide(now, vec![Event::RequestArrived(arrival(id, id, 1.0, now))]);
+            let actions = gateway.decide(now, vec![Event::RequestArrived(arrival(id, id, 1.0, now))]);
             made += calls(&actions);
             // In doubt or not, the answer follows the counter's at once.
-            let told = counted(&actions, counter).map(|event| door.decide(now + took, vec![event]));
-            let decided = told.unwrap_or(actions);
+            let decided = counted(&actions, counter).map(|event| gateway.decide(now + took, vec![event]));
+            let decided = decided.unwrap_or(actions);
             assert!(
                 decided.iter().any(|one| matches!(one, Action::SendAttempt { .. } | Action::Reject { .. }))
             );
@@ -285,52 +286,53 @@
 }
 
 #[test]
-fn repeats_and_customers_whose_window_is_full_are_declined_without_a_call() {
-    let mut door = Balancer::new(start(0, Counter::Answers));
-    door.decide(Ticks(0), vec![listing(4)]);
-    let at = |txn, again, now| Event::RequestArrived(again_of(arrival(txn, 5, 2.0, now), again));
-    let repeat = door.decide(Ticks(10), vec![at(1, true, Ticks(10))]);
+fn retries_and_customers_whose_window_is_full_are_rejected_without_a_call() {
+    let mut gateway = Balancer::new(config(0, Counter::Answers));
+    gateway.decide(Ticks(0), vec![listing(4)]);
+    let at = |txn, again, now| Event::RequestArrived(as_retry(arrival(txn, 5, 2.0, now), again));
+    let repeat = gateway.decide(Ticks(10), vec![at(1, true, Ticks(10))]);
     assert_eq!(calls(&repeat), 0, "{repeat:?}");
     assert!(repeat.iter().any(|action| matches!(action, Action::Reject { .. })));
-    let first = door.decide(Ticks(20), vec![at(2, false, Ticks(20))]);
+    let first = gateway.decide(Ticks(20), vec![at(2, false, Ticks(20))]);
     assert_eq!(calls(&first), 1);
     let full = counted(&first, CounterReply::Total(BURST + 8.0)).expect("it called");
-    door.decide(Ticks(40), vec![full]);
-    let next = door.decide(Ticks(50), vec![at(3, false, Ticks(50))]);
+    gateway.decide(Ticks(40), vec![full]);
+    let next = gateway.decide(Ticks(50), vec![at(3, false, Ticks(50))]);
     assert_eq!(calls(&next), 0, "{next:?}");
     assert!(next.iter().any(|action| matches!(action, Action::Reject { .. })));
     // The next window tells anew.
-    let later = door.decide(Ticks(170_000), vec![at(4, false, Ticks(170_000))]);
+    let later = gateway.decide(Ticks(170_000), vec![at(4, false, Ticks(170_000))]);
     assert_eq!(calls(&later), 1, "{later:?}");
 }
 
 #[test]
-fn in_doubt_a_first_try_goes_in_where_those_counted_fit_and_none_beside_a_reading() {
-    let mut door = Balancer::new(start(0, Counter::Answers));
-    door.decide(Ticks(0), vec![listing(4)]);
+fn without_a_reply_a_first_try_is_admitted_where_counted_ones_fit_and_never_beside_a_reading() {
+    let mut gateway = Balancer::new(config(0, Counter::Answers));
+    gateway.decide(Ticks(0), vec![listing(4)]);
     let mut txn = 0;
     // Ten customers' tries are counted with this total; the next one's call is turned away.
     let mut in_doubt = |total: f64| {
         let mut last = Vec::new();
-        for told in (0..10).map(|_| CounterReply::Total(total)).chain([CounterReply::NotAdded]) {
+        for reply in (0..10).map(|_| CounterReply::Total(total)).chain([CounterReply::NotAdded]) {
             txn += 1;
             let now = Ticks(txn * 100_000);
             let asked =
-                door.decide(now, vec![Event::RequestArrived(arrival(txn as u64, txn as u64, 1.0, now))]);
-            let event = counted(&asked, told).expect("rested, so it calls");
-            last = door.decide(now + Ticks(20), vec![event]);
+                gateway.decide(now, vec![Event::RequestArrived(arrival(txn as u64, txn as u64, 1.0, now))]);
+            let event = counted(&asked, reply).expect("rested, so it calls");
+            last = gateway.decide(now + Ticks(20), vec![event]);
         }
         // Its answer tells of the customer's use: from now on a reading is current.
         let id = TxnId(txn as u64);
         let sent = last.iter().any(|action| matches!(action, Action::SendAttempt { txn, .. } if *txn == id));
-        if let (true, Event::AttemptEnded(ending)) = (sent, settled_now(id)) {
+        if let (true, Event::AttemptEnded(ending)) = (sent, succeeded_now(id)) {
             let now = Ticks(txn * 100_000 + 500);
-            door.decide(now, vec![Event::AttemptEnded(AttemptReport { metered_usage: Some(0.2), ..ending })]);
+            gateway
+                .decide(now, vec![Event::AttemptEnded(AttemptReport { metered_usage: Some(0.2), ..ending })]);
             let again = Event::RequestArrived(arrival(1_000_000 + id.0, id.0, 1.0, now));
-            let asked = door.decide(now + Ticks(10), vec![again]);
+            let asked = gateway.decide(now + Ticks(10), vec![again]);
             // The reading may be old: the counter is asked all the same; what it leaves in doubt is declined.
             let event = counted(&asked, CounterReply::NotAdded).unwrap_or(Event::TimerFired(TimerId(9)));
-            let actions = [asked, door.decide(now + Ticks(20), vec![event])].concat();
+            let actions = [asked, gateway.decide(now + Ticks(20), vec![event])].concat();
             assert!(actions.iter().any(|action| matches!(action, Action::Reject { .. })), "{actions:?}");
         }
         sent
@@ -340,55 +342,55 @@
 }
 
 #[test]
-fn two_calls_out_for_one_customer_do_not_pass_its_ceiling() {
-    let mut told = start(0, Counter::Answers);
-    (told.plans[0].hard_limit_rate, told.plans[0].hard_limit_burst) = (4.0, 160.0);
-    let mut door = Balancer::new(told);
-    door.decide(Ticks(0), vec![listing(4)]);
-    // This door's part of the ceiling is four units; each txn alone is within it.
+fn two_pending_calls_of_one_customer_do_not_pass_its_hard_limit() {
+    let mut settings = config(0, Counter::Answers);
+    (settings.plans[0].hard_limit_rate, settings.plans[0].hard_limit_burst) = (4.0, 160.0);
+    let mut gateway = Balancer::new(settings);
+    gateway.decide(Ticks(0), vec![listing(4)]);
+    // This gateway's part of the ceiling is four units; each txn alone is within it.
     let now = Ticks(1_000_000);
     let both = [1, 2].map(|txn| Event::RequestArrived(arrival(txn, 5, 3.0, now)));
-    let asked = door.decide(now, both.to_vec());
+    let asked = gateway.decide(now, both.to_vec());
     assert_eq!(calls(&asked), 2, "{asked:?}");
-    let told = counted(&asked, CounterReply::Total(6.0)).expect("it called");
-    let answers = door.decide(now + Ticks(20), vec![told.clone(), told]);
+    let reply = counted(&asked, CounterReply::Total(6.0)).expect("it called");
+    let answers = gateway.decide(now + Ticks(20), vec![reply.clone(), reply]);
     let sent = |action: &&Action| matches!(action, Action::SendAttempt { .. });
     assert_eq!(answers.iter().filter(sent).count(), 1, "{answers:?}");
     assert!(answers.iter().any(|action| matches!(action, Action::Reject { .. })), "{answers:?}");
 }
 
-/// The part of one door's txns, five a second over 40 backends, that go where an answer came less than 4 s
+/// The part of one gateway's txns, five a second over 40 backends, that go where an answer came less than 4 s
 /// ago.
-fn sent_to_known(kept: Ticks) -> f64 {
-    let mut door = Balancer::new(BalancerConfig { idle_timeout: kept, ..start(0, Counter::Absent) });
-    door.decide(Ticks(0), vec![listing(40)]);
+fn part_sent_to_connected(kept: Ticks) -> f64 {
+    let mut gateway = Balancer::new(BalancerConfig { idle_timeout: kept, ..config(0, Counter::Absent) });
+    gateway.decide(Ticks(0), vec![listing(40)]);
     let (mut settled, mut known): (HashMap<BackendId, Ticks>, u32) = (HashMap::new(), 0);
     for txn in 0..400 {
         let now = Ticks(txn * 2_000 + 10);
         // A customer each, so that no quota is in the way.
-        let arrived = Event::RequestArrived(through_one(arrival(txn as u64, txn as u64, 1.0, now)));
-        let actions = door.decide(now, vec![arrived]);
+        let arrived = Event::RequestArrived(through_one_gateway(arrival(txn as u64, txn as u64, 1.0, now)));
+        let actions = gateway.decide(now, vec![arrived]);
         let [Action::SendAttempt { txn, backend, .. }] = actions[..] else {
             panic!("sent at once, and nothing else: {actions:?}");
         };
         known += u32::from(settled.insert(backend, now).is_some_and(|at| now - at < Ticks(40_000)));
-        door.decide(now + Ticks(500), vec![settled_now(txn)]);
+        gateway.decide(now + Ticks(500), vec![succeeded_now(txn)]);
     }
     f64::from(known) / 400.0
 }
 
 #[test]
-fn a_backend_with_a_kept_connection_is_drawn_more_often_and_not_alone() {
-    let (without, with) = (sent_to_known(Ticks(0)), sent_to_known(Ticks(40_000)));
+fn a_backend_with_an_open_connection_is_chosen_more_often_and_not_alone() {
+    let (without, with) = (part_sent_to_connected(Ticks(0)), part_sent_to_connected(Ticks(40_000)));
     assert!(without < 0.5, "at random {without}");
     assert!((0.65..0.98).contains(&with), "kept {with}");
 }
 
 #[test]
-fn customers_of_wider_slices_are_counted_only_while_the_counter_answers_all() {
-    let mut door = Balancer::new(start(0, Counter::Answers));
-    door.decide(Ticks(0), vec![listing(4)]);
-    // Through eight doors a slice holds a quarter of the largest txn; through all forty a twentieth.
+fn customers_of_larger_shares_are_counted_only_while_the_counter_answers_all() {
+    let mut gateway = Balancer::new(config(0, Counter::Answers));
+    gateway.decide(Ticks(0), vec![listing(4)]);
+    // Through eight gateways a slice holds a quarter of the largest txn; through all forty a twentieth.
     let arrived = |txn: u64, width, now| {
         let arrival = arrival(txn, txn, 1.0, now);
         Event::RequestArrived(Arrival {
@@ -398,28 +400,28 @@
     };
     let mut called = |txn: u64, width, counter| {
         let now = Ticks(txn as i64 * 1_000);
-        let asked = door.decide(now, vec![arrived(txn, width, now)]);
+        let asked = gateway.decide(now, vec![arrived(txn, width, now)]);
         let made = calls(&asked);
-        counted(&asked, counter).map(|event| door.decide(now + Ticks(20), vec![event]));
+        counted(&asked, counter).map(|event| gateway.decide(now + Ticks(20), vec![event]));
         made
     };
     assert_eq!(called(1, 8, CounterReply::Total(1.0)), 1);
-    let failed: usize = (2..60).map(|txn| called(txn, DOORS, CounterReply::NotAdded)).sum();
+    let failed: usize = (2..60).map(|txn| called(txn, GATEWAYS, CounterReply::NotAdded)).sum();
     assert!(failed >= 4, "{failed} calls failed");
     let wide: usize = (60..80).map(|txn| called(txn, 8, CounterReply::Total(1.0))).sum();
     assert_eq!(wide, 0, "turned away again and again, the counter is left to those whom no slice serves");
-    let slim: usize = (300..320).map(|txn| called(txn, DOORS, CounterReply::Total(1.0))).sum();
+    let slim: usize = (300..320).map(|txn| called(txn, GATEWAYS, CounterReply::Total(1.0))).sum();
     assert!(slim >= 10, "{slim} of 20 called");
 }
 
 #[test]
-fn a_crowded_counter_is_asked_first_for_what_costs_most_and_a_free_one_for_all() {
-    let mut door = Balancer::new(start(0, Counter::Answers));
-    door.decide(Ticks(0), vec![listing(4)]);
+fn an_overloaded_counter_is_called_first_for_what_costs_most_and_an_idle_one_for_all() {
+    let mut gateway = Balancer::new(config(0, Counter::Answers));
+    gateway.decide(Ticks(0), vec![listing(4)]);
     let mut called = |txn: u64, cost: f64, counter| -> usize {
         let now = Ticks(txn as i64 * 500);
-        let asked = door.decide(now, vec![Event::RequestArrived(arrival(txn, txn, cost, now))]);
-        counted(&asked, counter).map(|event| door.decide(now + Ticks(20), vec![event]));
+        let asked = gateway.decide(now, vec![Event::RequestArrived(arrival(txn, txn, cost, now))]);
+        counted(&asked, counter).map(|event| gateway.decide(now + Ticks(20), vec![event]));
         calls(&asked)
     };
     let mut alternating = |from: u64, counter| {
