--- /dev/null
+++ b/crates/exchange/src/connection/tests.rs
@@ -0,0 +1,85 @@
+use super::*;
+
+fn after(kept: bool, what: &[ConnectionEvent]) -> (ConnectionState, AttemptEffect) {
+    what.iter().fold((ConnectionState::for_attempt(kept), AttemptEffect::Pending), |(state, _), event| {
+        state.on_event(*event)
+    })
+}
+
+#[test]
+fn what_is_proved_follows_from_what_was_written() {
+    use ConnectionEvent::*;
+    let replied = |outcome, close| Replied { outcome, close };
+    let (timed_out, cancelled) =
+        (Cancelled(super::CancelReason::TimedOut), Cancelled(super::CancelReason::Cancelled));
+    let cases: &[(bool, &[ConnectionEvent], ConnectionState, AttemptEffect)] = &[
+        (false, &[ConnectFailed], ConnectionState::Closed, AttemptEffect::Ended(Outcome::ConnectFailed)),
+        (false, &[NoLocalSocket], ConnectionState::Closed, AttemptEffect::Ended(Outcome::NotSent)),
+        (false, &[timed_out], ConnectionState::Closed, AttemptEffect::Ended(Outcome::ConnectFailed)),
+        (false, &[Connected, Broken], ConnectionState::Closed, AttemptEffect::Ended(Outcome::ConnectFailed)),
+        (true, &[Broken], ConnectionState::Dialling, AttemptEffect::Redial),
+        (
+            true,
+            &[Written, Broken],
+            ConnectionState::Closed,
+            AttemptEffect::EndedWithoutReply(Outcome::ConnectionLost),
+        ),
+        (
+            false,
+            &[Connected, Written, timed_out],
+            ConnectionState::Closed,
+            AttemptEffect::Ended(Outcome::TimedOut),
+        ),
+        (
+            false,
+            &[Connected, Written, cancelled],
+            ConnectionState::Closed,
+            AttemptEffect::Ended(Outcome::Cancelled),
+        ),
+        (
+            false,
+            &[Connected, Written, MalformedReply],
+            ConnectionState::Closed,
+            AttemptEffect::Ended(Outcome::ConnectionLost),
+        ),
+        (
+            false,
+            &[Connected, Written, replied(Outcome::Succeeded, false)],
+            ConnectionState::Idle,
+            AttemptEffect::Ended(Outcome::Succeeded),
+        ),
+        (
+            false,
+            &[Connected, Written, replied(Outcome::Succeeded, true)],
+            ConnectionState::Closed,
+            AttemptEffect::Ended(Outcome::Succeeded),
+        ),
+        (
+            false,
+            &[Connected, Written, replied(Outcome::Rejected, false)],
+            ConnectionState::Idle,
+            AttemptEffect::Ended(Outcome::Rejected),
+        ),
+        (
+            false,
+            &[Connected, Written, replied(Outcome::Error, false)],
+            ConnectionState::Idle,
+            AttemptEffect::Ended(Outcome::Error),
+        ),
+        (
+            false,
+            &[Connected, replied(Outcome::Succeeded, false)],
+            ConnectionState::Writing { fresh: true },
+            AttemptEffect::Unexpected,
+        ),
+    ];
+    for (kept, what, line, then) in cases {
+        assert_eq!(after(*kept, what), (*line, *then), "{what:?}");
+    }
+    let idle = ConnectionState::Idle.on_event(AttemptAssigned);
+    assert_eq!(idle, (ConnectionState::Writing { fresh: false }, AttemptEffect::Pending));
+    assert_eq!(
+        ConnectionState::Idle.on_event(UnsolicitedData),
+        (ConnectionState::Closed, AttemptEffect::Pending)
+    );
+}
--- /dev/null
+++ b/crates/exchange/src/txns/tests.rs
@@ -0,0 +1,86 @@
+use super::*;
+
+const ONE: TxnId = TxnId(1);
+const FIRST: AttemptNumber = AttemptNumber(0);
+
+fn txns(repeat: Idempotency) -> Txns<&'static str, &'static str> {
+    let mut txns = Txns::default();
+    txns.insert(ONE, repeat, Ticks(100), "answer");
+    txns
+}
+
+fn goes(txns: &mut Txns<&'static str, &'static str>, now: i64) -> AttemptStart {
+    let submit = txns.start_attempt(ONE, BackendId(7), None, Ticks(now));
+    if let AttemptStart::Started { no, .. } = submit {
+        txns.set_canceller(ONE, no, "call off");
+    }
+    submit
+}
+
+#[test]
+fn a_txn_has_one_answer_and_is_forgotten_when_nothing_is_out() {
+    let mut txns = txns(Idempotency::Idempotent);
+    assert_eq!(
+        goes(&mut txns, 10),
+        AttemptStart::Started { no: FIRST, deadline: Ticks(100), permitted: true }
+    );
+    goes(&mut txns, 12);
+    let ended = txns.record_end(ONE, FIRST, Outcome::Succeeded, Ticks(30)).expect("it was out");
+    assert_eq!((ended.answer, ended.complete, ended.latency), (Some("answer"), true, Ticks(20)));
+    assert_eq!(txns.take_answer(ONE), None, "answered already");
+    assert_eq!(txns.remove_finished(), [], "the other is still out");
+    let other = txns.record_end(ONE, AttemptNumber(1), Outcome::Succeeded, Ticks(40)).expect("it was out");
+    assert_eq!((other.answer, other.complete), (None, true));
+    assert_eq!(txns.remove_finished(), [ONE]);
+    assert_eq!(
+        txns.record_end(ONE, FIRST, Outcome::Succeeded, Ticks(50)),
+        Err(UnexpectedEnd::UnknownAttempt)
+    );
+    assert!(txns.is_empty());
+}
+
+#[test]
+fn what_is_concluded_or_out_of_time_is_not_sent() {
+    let mut txns = txns(Idempotency::Idempotent);
+    assert_eq!(goes(&mut txns, 100), AttemptStart::Moot { no: FIRST, complete: false });
+    assert!(txns.client_left(ONE) && !txns.client_left(ONE));
+    assert_eq!(goes(&mut txns, 20), AttemptStart::Moot { no: AttemptNumber(1), complete: true });
+    assert_eq!(txns.start_attempt(TxnId(9), BackendId(7), None, Ticks(0)), AttemptStart::UnknownTxn);
+}
+
+#[test]
+fn a_once_only_txn_is_harmless_and_may_go_again_only_where_nothing_may_have_run() {
+    let mut txns = txns(Idempotency::NonIdempotent);
+    assert!(txns.is_repeat_harmless(ONE));
+    goes(&mut txns, 10);
+    assert!(!txns.is_repeat_harmless(ONE), "it may run at any moment");
+    assert!(matches!(goes(&mut txns, 11), AttemptStart::Started { permitted: false, .. }));
+    for no in [0, 1] {
+        txns.record_end(ONE, AttemptNumber(no), Outcome::Rejected, Ticks(20)).expect("it was out");
+    }
+    assert!(txns.is_repeat_harmless(ONE));
+    assert!(matches!(goes(&mut txns, 21), AttemptStart::Started { permitted: true, .. }));
+}
+
+#[test]
+fn an_expiry_calls_off_what_is_out_once_and_tells_what_is_overdue() {
+    let mut txns = txns(Idempotency::Idempotent);
+    assert_eq!(txns.expire(ONE), ExpiryAction::Overdue);
+    goes(&mut txns, 10);
+    assert_eq!(txns.expire(ONE), ExpiryAction::CancelAttempts(vec![FIRST]));
+    assert_eq!((txns.take_canceller(ONE, FIRST), txns.take_canceller(ONE, FIRST)), (Some("call off"), None));
+    txns.record_end(ONE, FIRST, Outcome::TimedOut, Ticks(100)).expect("it was out");
+    assert_eq!(txns.record_end(ONE, FIRST, Outcome::Succeeded, Ticks(101)), Err(UnexpectedEnd::AlreadyEnded));
+    assert!(txns.take_answer(ONE).is_some());
+    assert_eq!(txns.expire(ONE), ExpiryAction::Nothing);
+    assert_eq!(txns.expire(TxnId(5)), ExpiryAction::Nothing);
+}
+
+#[test]
+fn a_time_out_of_its_own_is_no_longer_than_the_expiry() {
+    let mut txns = txns(Idempotency::Idempotent);
+    let with =
+        |txns: &mut Txns<_, &str>, span| txns.start_attempt(ONE, BackendId(7), Some(Ticks(span)), Ticks(10));
+    assert!(matches!(with(&mut txns, 20), AttemptStart::Started { deadline: Ticks(30), .. }));
+    assert!(matches!(with(&mut txns, 500), AttemptStart::Started { deadline: Ticks(100), .. }));
+}
--- /dev/null
+++ b/programs/gateway/src/backend_connection/connection.rs
@@ -0,0 +1,192 @@
+//! The socket of one backend connection: opening it, one exchange of request and reply, and waiting while idle.
+
+use crate::clock::to_duration;
+use crate::counters::Counter;
+use crate::dialect::ReplyMatch;
+use crate::messages::Attempt;
+use crate::resources::{SMALL_BUFFER_BYTES, SocketGuard, SocketKind};
+use crate::shared::Shared;
+use bytes::BytesMut;
+use futures_util::{SinkExt, StreamExt};
+use socket2::SockRef;
+use std::future::poll_fn;
+use std::io::ErrorKind;
+use std::mem::MaybeUninit;
+use std::net::SocketAddr;
+use tokio::net::{TcpSocket, TcpStream};
+use tokio::sync::oneshot;
+use tokio_util::codec::Framed;
+use vanewharf_exchange::{CancelReason, ConnectionEvent};
+use vanewharf_http1::{ClientCodec, ForwardedRequest, ReadError, Reply};
+
+pub(super) struct Connection {
+    framed: Framed<TcpStream, ClientCodec>,
+    guard: SocketGuard,
+}
+
+/// How an exchange ended.
+pub(super) struct Exchange {
+    /// Whether the request was written completely.
+    pub(super) written: bool,
+    /// What ended it.
+    pub(super) event: ConnectionEvent,
+    /// The reply to the request, where there was one.
+    pub(super) reply: Option<Reply>,
+}
+
+impl Exchange {
+    fn without_reply(written: bool, event: ConnectionEvent) -> Exchange {
+        Exchange { written, event, reply: None }
+    }
+}
+
+/// How a connection ceased to be idle.
+pub(super) enum IdleEnd {
+    /// It was handed an attempt and can carry it.
+    Assigned(Attempt),
+    /// It is of no more use; the attempt was handed to it all the same.
+    Lost(Option<Attempt>),
+}
+
+fn cancelled(reason: Result<CancelReason, oneshot::error::RecvError>) -> ConnectionEvent {
+    ConnectionEvent::Cancelled(reason.unwrap_or(CancelReason::Cancelled))
+}
+
+impl Connection {
+    /// Connects to a backend; where that fails, returns whether it was for want of a local socket.
+    pub(super) async fn dial(address: SocketAddr, shared: &Shared) -> Result<Connection, ConnectionEvent> {
+        let resources = &shared.resources;
+        if !resources.can_dial() {
+            resources.count(Counter::BackendsUndialled);
+            return Err(ConnectionEvent::NoLocalSocket);
+        }
+        let guard = SocketGuard::new(resources, SocketKind::Upstream);
+        resources.count(Counter::BackendsDialled);
+        // Creating a socket fails only where the system has none left.
+        let socket = if address.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() };
+        let connecting = socket.map_err(|_| ConnectionEvent::NoLocalSocket)?.connect(address);
+        let connected = if shared.timeouts.dial.0 > 0 {
+            let in_time = tokio::time::timeout(to_duration(shared.timeouts.dial), connecting).await;
+            in_time.map_err(|_| ConnectionEvent::ConnectFailed)?
+        } else {
+            connecting.await
+        };
+        let stream = connected.map_err(|_| ConnectionEvent::ConnectFailed)?;
+        let _ = stream.set_nodelay(true);
+        Ok(Connection { framed: Framed::new(stream, ClientCodec::default()), guard })
+    }
+
+    /// Writes the attempt's request and reads its reply, unless the attempt is cancelled first.
+    pub(super) async fn exchange(&mut self, attempt: &mut Attempt, shared: &Shared) -> Exchange {
+        match self.write_request(attempt, shared).await {
+            Ok(()) => self.read_reply(attempt, shared).await,
+            Err(failed) => failed,
+        }
+    }
+
+    async fn write_request(&mut self, attempt: &mut Attempt, shared: &Shared) -> Result<(), Exchange> {
+        let ms_left = (attempt.deadline - shared.clock.now()).0.max(0) / 10;
+        let ms_left = ms_left.to_string();
+        let options = shared.dialect.forwarding_options();
+        let extra = attempt.extra_headers.iter().map(|(name, value)| (*name, value.as_str()));
+        let set_headers: Vec<_> =
+            std::iter::once((options.time_left_header, ms_left.as_str())).chain(extra).collect();
+        let request = ForwardedRequest {
+            request: &attempt.request,
+            set_headers: &set_headers,
+            removed_headers: options.request_headers_removed,
+        };
+        // Not cancel safe: a write that is dropped may have sent a part of the request. What is left in the write
+        // buffer tells whether all of it was sent.
+        let event = tokio::select! {
+            biased;
+            sent = self.framed.send(request) => match sent {
+                Ok(()) => return Ok(()),
+                Err(_) => ConnectionEvent::Broken,
+            },
+            reason = &mut attempt.cancelled => cancelled(reason),
+        };
+        Err(Exchange::without_reply(self.framed.write_buffer().is_empty(), event))
+    }
+
+    async fn read_reply(&mut self, attempt: &mut Attempt, shared: &Shared) -> Exchange {
+        // Replies to other requests are skipped, and after them the connection is not reused.
+        let mut skipped_any = false;
+        loop {
+            // Cancel safe: what was read of a reply stays in the codec.
+            let read = tokio::select! {
+                biased;
+                read = self.next_reply() => read,
+                reason = &mut attempt.cancelled => {
+                    return Exchange::without_reply(true, cancelled(reason));
+                }
+            };
+            let reply = match read {
+                Some(Ok(reply)) => reply,
+                None | Some(Err(ReadError::Io(_))) => {
+                    return Exchange::without_reply(true, ConnectionEvent::Broken);
+                }
+                Some(Err(_)) => return Exchange::without_reply(true, ConnectionEvent::MalformedReply),
+            };
+            match shared.dialect.match_reply(&attempt.request, &reply) {
+                ReplyMatch::Current(outcome) => {
+                    let unread = !self.framed.read_buffer().is_empty();
+                    let close = skipped_any || reply.closes_connection() || unread;
+                    let event = ConnectionEvent::Replied { outcome, close };
+                    return Exchange { written: true, event, reply: Some(reply) };
+                }
+                ReplyMatch::OtherRequest => skipped_any = true,
+                ReplyMatch::Unidentified => {
+                    return Exchange::without_reply(true, ConnectionEvent::MalformedReply);
+                }
+            }
+        }
+    }
+
+    async fn next_reply(&mut self) -> Option<Result<Reply, ReadError>> {
+        let Connection { framed, guard } = self;
+        poll_fn(|cx| {
+            let reply = framed.poll_next_unpin(cx);
+            guard.set_buffer_bytes(framed.read_buffer().capacity() + framed.codec().buffered_bytes());
+            reply
+        })
+        .await
+    }
+
+    /// Frees the write buffer after a large request: it retains the capacity that it has grown to.
+    pub(super) fn release_write_buffer(&mut self, attempt: &Attempt) {
+        if attempt.request.memory_bytes() > SMALL_BUFFER_BYTES {
+            *self.framed.write_buffer_mut() = BytesMut::new();
+        }
+    }
+
+    /// Whether nothing was received since the last reply.
+    ///
+    /// The system is queried, as the runtime learns of received bytes only when it polls next. A request written after
+    /// the connection's end would count as one that may have run, and bytes that belong to no request would be taken for
+    /// its reply.
+    fn is_quiet(&self) -> bool {
+        let received = SockRef::from(self.framed.get_ref()).peek(&mut [MaybeUninit::uninit()]);
+        self.framed.read_buffer().is_empty()
+            && received.is_err_and(|error| error.kind() == ErrorKind::WouldBlock)
+    }
+
+    /// Waits for the next attempt, unless the backend sends anything or closes the connection first.
+    pub(super) async fn idle(&mut self, next: &mut oneshot::Receiver<Attempt>) -> IdleEnd {
+        // Cancel safe: where bytes were received, the receiver is closed before a last attempt is taken from it.
+        tokio::select! {
+            biased;
+            _ = self.framed.next() => {
+                next.close();
+                IdleEnd::Lost(next.try_recv().ok())
+            }
+            attempt = &mut *next => match attempt {
+                Ok(attempt) if self.is_quiet() => IdleEnd::Assigned(attempt),
+                attempt => IdleEnd::Lost(attempt.ok()),
+            },
+        }
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/programs/gateway/src/backend_connection/connection/tests.rs
@@ -0,0 +1,25 @@
+use super::*;
+use crate::resources::{ResourceLimits, Resources};
+use std::io::Write;
+use std::net::TcpListener;
+use std::rc::Rc;
+
+#[tokio::test]
+async fn what_came_unasked_is_seen_before_the_runtime_hears_of_it() {
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
+    let resources = Rc::new(Resources::new(ResourceLimits::within(64, 64)));
+    for ends in [false, true] {
+        let address = listener.local_addr().expect("an address");
+        let stream = TcpStream::connect(address).await.expect("it listens");
+        let (mut other, _) = listener.accept().expect("it was connected");
+        let guard = SocketGuard::new(&resources, SocketKind::Upstream);
+        let connection = Connection { framed: Framed::new(stream, ClientCodec::default()), guard };
+        assert!(connection.is_quiet());
+        if ends {
+            drop(other);
+        } else {
+            other.write_all(b"H").expect("it is connected");
+        }
+        assert!(!connection.is_quiet());
+    }
+}
--- a/programs/gateway/src/client_connection.rs
+++ b/programs/gateway/src/client_connection.rs
@@ -1,315 +1,334 @@
-//! Take in: accepts clients and reads their requests, one at a time on a connection.
+//! One task for each client connection: it reads requests, one at a time, has each admitted and routed, and writes the
+//! answer.
+//!
+//! While a request is being answered, the next one is read ahead, so that a client that closes its connection is noticed.
 
 use crate::answer::{FinalAnswer, write_answer, write_plain};
 use crate::counters::{Counter, Invariant};
-use crate::dialect::Admission;
+use crate::dialect::{Admission, ForwardingOptions};
 use crate::messages::{NewRequest, RouterMessage};
-use crate::resources::{SMALL_BUFFER_BYTES, SocketGuard, SocketKind};
+use crate::open_ids::OpenId;
+use crate::resources::{SMALL_BUFFER_BYTES, SocketGuard};
 use crate::shared::Shared;
 use bytes::BytesMut;
 use futures_util::StreamExt;
 use std::future::poll_fn;
+use std::io::ErrorKind;
 use std::rc::Rc;
 use std::task::{Context, Poll};
 use std::time::Duration;
 use tokio::io::AsyncWriteExt;
-use tokio::net::{TcpListener, TcpStream};
-use tokio::sync::{Notify, oneshot};
-use tokio::time::{Instant, sleep_until, timeout_at};
+use tokio::net::TcpStream;
+use tokio::sync::oneshot;
+use tokio::time::{Instant, sleep_until, timeout, timeout_at};
 use tokio_util::codec::Framed;
 use vanewharf_http1::{ReadError, Request, ServerCodec};
-use vanewharf_policy::interface::{Ticks, TxnId};
+use vanewharf_policy::interface::{Arrival, Ticks, TxnId};
 
-/// How long at most a freed descriptor is waited for before accepting is tried again.
-const PAUSE: Duration = Duration::from_millis(50);
-/// How long a request may take that crosses the end of its connection.
-const CROSSING: Duration = Duration::from_millis(200);
-/// How long, and how much of, what a client still sends is read after its connection was given up, so
-/// that a reset does not overtake the answer. What is too large to be taken is too dear to be read.
-const LINGER: Duration = Duration::from_millis(500);
-const MOST_WASTE: usize = 256 * 1024;
+/// How long an idle connection stays open while the process shuts down, for a request that crosses with its end.
+const DRAIN_IDLE_TIMEOUT: Duration = Duration::from_millis(200);
+/// How long, and how much of, what a client still sends is read after its request was rejected, so that a reset does not
+/// overtake the answer. What is too large to be accepted is too expensive to be read.
+const DISCARD_TIMEOUT: Duration = Duration::from_millis(500);
+const MAX_DISCARDED_BYTES: usize = 256 * 1024;
 
-/// Accepts until told to stop; then takes what the system has accepted already.
-pub async fn accept(listener: TcpListener, shared: Rc<Shared>, stop: Rc<Notify>) {
-    let resources = &shared.resources;
-    let mut failing = false;
-    loop {
-        if resources.is_crowded() {
-            shed(&shared);
-        }
-        if resources.is_full() {
-            tokio::select! {
-                _ = tokio::time::timeout(PAUSE, resources.socket_closed.notified()) => continue,
-                () = stop.notified() => break,
-            }
-        }
-        let accepted = tokio::select! {
-            biased;
-            accepted = listener.accept() => accepted,
-            () = stop.notified() => break,
-        };
-        match accepted {
-            Ok((stream, _)) => {
-                failing = false;
-                serve(stream, &shared);
-            }
-            Err(error) => {
-                resources.count(Counter::AcceptFailed);
-                if !std::mem::replace(&mut failing, true) {
-                    tracing::warn!(%error, "no client accepted");
-                }
-                shed(&shared);
-                let _ = tokio::time::timeout(PAUSE, resources.socket_closed.notified()).await;
-            }
-        }
-    }
-    // The system's queue holds clients whose requests count as taken.
-    let Ok(listener) = listener.into_std() else {
-        return;
-    };
-    while let Ok((stream, _)) = listener.accept() {
-        match stream.set_nonblocking(true).and_then(|()| TcpStream::from_std(stream)) {
-            Ok(stream) => serve(stream, &shared),
-            Err(error) => tracing::warn!(%error, "an accepted client is lost"),
-        }
-    }
+/// The state of a client connection's task.
+pub(crate) struct ClientConnection {
+    framed: Framed<TcpStream, ServerCodec>,
+    guard: SocketGuard,
+    /// Bytes of the request or answer in hand, alongside those in the connection's buffers.
+    message_bytes: usize,
+    /// When the first request must be complete; none once it was.
+    first_request_deadline: Option<Instant>,
+    shared: Rc<Shared>,
 }
 
-/// Clients first: a connection to a backend is used by all of them, and dear to open.
-fn shed(shared: &Shared) {
-    if !shared.resources.close_longest_idle_client() {
-        shared.notify_router(RouterMessage::CloseIdleConnection);
-    }
+/// What was read, and when.
+struct ReadResult {
+    /// None where the client has closed the connection.
+    request: Option<Result<Request, ReadError>>,
+    at: Ticks,
 }
 
-fn serve(stream: TcpStream, shared: &Rc<Shared>) {
-    shared.resources.count(Counter::ClientsAccepted);
-    let entry = SocketGuard::new(&shared.resources, SocketKind::Client);
-    tokio::task::spawn_local(Client::new(stream, entry, Rc::clone(shared)).run());
+impl ReadResult {
+    fn is_connection_lost(&self) -> bool {
+        matches!(self.request, None | Some(Err(ReadError::Io(_) | ReadError::UnexpectedEof)))
+    }
 }
 
-struct Client {
-    framed: Framed<TcpStream, ServerCodec>,
-    entry: SocketGuard,
-    /// Bytes of the txn in hand, beside those in the connection's buffers.
-    carried: usize,
-    /// When the first request must be whole; nothing once it was.
-    first_by: Option<Instant>,
-    shared: Rc<Shared>,
+/// How the wait for a request ended.
+enum FirstByte {
+    /// Something was read completely.
+    Complete(ReadResult),
+    /// A request has begun.
+    Began,
+    /// The connection is to be closed.
+    Closed,
 }
 
-/// What came of reading, and when.
-type Read = (Option<Result<Request, ReadError>>, Ticks);
+/// What becomes of a request that was read.
+enum Checked {
+    Health,
+    Refused(FinalAnswer),
+    Admitted(Arrival, OpenId),
+}
 
-impl Client {
-    fn new(stream: TcpStream, entry: SocketGuard, shared: Rc<Shared>) -> Client {
-        // Answers are written whole; waiting to fill a segment only holds them up.
+impl ClientConnection {
+    pub(crate) fn new(stream: TcpStream, guard: SocketGuard, shared: Rc<Shared>) -> ClientConnection {
+        // Answers are written in one piece; waiting to fill a segment only delays them.
         let _ = stream.set_nodelay(true);
-        let first_by = Some(Instant::now() + shared.dialect.forwarding_options().request_timeout);
-        Client { framed: Framed::new(stream, ServerCodec::default()), entry, carried: 0, first_by, shared }
-    }
-
-    /// Reads on, keeping the book; what is not whole is given up when the door is out of memory.
-    fn poll_read(&mut self, cx: &mut Context<'_>) -> Poll<Read> {
-        let Client { framed, entry, carried, shared, .. } = self;
-        let read = framed.poll_next_unpin(cx);
-        let held = framed.read_buffer().capacity() + framed.codec().buffered_bytes();
-        entry.set_buffer_bytes(*carried + held + framed.write_buffer().capacity());
-        if read.is_pending() && held > SMALL_BUFFER_BYTES && shared.resources.is_memory_short() {
-            return Poll::Ready((Some(Err(ReadError::OutOfMemory)), shared.clock.now()));
+        let request_timeout = shared.dialect.forwarding_options().request_timeout;
+        ClientConnection {
+            framed: Framed::new(stream, ServerCodec::default()),
+            guard,
+            message_bytes: 0,
+            first_request_deadline: Some(Instant::now() + request_timeout),
+            shared,
         }
-        read.map(|read| (read, shared.clock.now()))
     }
 
-    async fn read(&mut self) -> Read {
-        poll_fn(|cx| self.poll_read(cx)).await
-    }
-
-    /// What is read, or nothing as soon as a request has begun.
-    async fn begin(&mut self) -> Option<Read> {
-        poll_fn(|cx| match self.poll_read(cx) {
-            Poll::Ready(read) => Poll::Ready(Some(read)),
-            // What a codec holds has left the connection's buffer.
-            Poll::Pending
-                if self.framed.read_buffer().is_empty() && self.framed.codec().buffered_bytes() == 0 =>
-            {
-                Poll::Pending
-            }
-            Poll::Pending => Poll::Ready(None),
-        })
-        .await
-    }
-
-    async fn run(mut self) {
-        let mut ahead: Option<Read> = None;
-        let forwarding_options = self.shared.dialect.forwarding_options();
+    /// Serves the connection until it ends.
+    pub(crate) async fn run(mut self) {
+        let mut read_ahead: Option<ReadResult> = None;
         loop {
-            let (read, at) = match ahead.take() {
+            let read = match read_ahead.take() {
                 Some(read) => read,
-                None => match self.next().await {
+                None => match self.next_request().await {
                     Some(read) => read,
                     None => return,
                 },
             };
-            let request = match read {
+            let request = match read.request {
                 None | Some(Err(ReadError::Io(_) | ReadError::UnexpectedEof)) => return,
-                Some(Err(fault)) => return self.turn_back(fault).await,
+                Some(Err(error)) => return self.reject_unread(error).await,
                 Some(Ok(request)) => request,
             };
-            self.first_by = None;
-            let last = request.closes_connection();
-            let txn = self.shared.next_txn();
-            let dialect = &self.shared.dialect;
-            let admitted = match dialect.admit(&request, at, txn) {
-                Admission::Health => Ok(None),
-                Admission::Reject { status, reason } => Err(FinalAnswer::Rejected { status, reason }),
-                Admission::RetryAfter(retry_after) => Err(FinalAnswer::Busy { retry_after }),
-                Admission::Txn(arrival) => {
-                    match dialect.request_id(&request).and_then(|id| self.shared.open_ids.try_open(id)) {
-                        Some(open) => Ok(Some((arrival, open))),
-                        None => Err(FinalAnswer::Rejected {
-                            status: 409,
-                            reason: "a request with this id is open",
-                        }),
-                    }
-                }
-            };
-            let goes_on = match admitted {
-                Ok(None) => self.say_plain(200, "ok", last).await,
-                Err(answer) => {
-                    self.shared.resources.count(Counter::RequestsRejected);
-                    let last = last || self.shared.resources.is_draining();
-                    write_answer(&mut self.framed, &answer, last, &forwarding_options).await && !last
-                }
-                Ok(Some((arrival, open))) => {
-                    self.shared.resources.count(Counter::RequestsAdmitted);
-                    let (answer, answered) = oneshot::channel();
-                    self.carried = request.memory_bytes();
-                    let request = Rc::new(request);
-                    self.shared.notify_router(RouterMessage::NewRequest(NewRequest {
-                        arrival,
-                        request,
-                        open_id: open,
-                        answer,
-                    }));
-                    let Some(answer) = self.answer(txn, answered, &mut ahead).await else {
-                        return;
-                    };
-                    self.carried = answer.memory_bytes();
-                    // A request read ahead is taken, and is answered before the connection ends.
-                    let last = last || self.shared.resources.is_draining() && ahead.is_none();
-                    write_answer(&mut self.framed, &answer, last, &forwarding_options).await && !last
-                }
-            };
-            if !goes_on {
+            self.first_request_deadline = None;
+            if !self.handle_request(request, read.at, &mut read_ahead).await {
                 return;
             }
-            if self.carried > SMALL_BUFFER_BYTES {
-                // An emptied buffer keeps all it has grown to, and a client may stay for hours.
-                *self.framed.write_buffer_mut() = BytesMut::new();
-            }
-            self.carried = 0;
+            self.release_write_buffer();
         }
     }
 
-    /// Whether the connection goes on after it.
-    async fn say_plain(&mut self, status: u16, body: &str, last: bool) -> bool {
-        let last = last || self.shared.resources.is_draining();
-        write_plain(&mut self.framed, status, &format!("{body}\n"), last).await && !last
+    /// Answers one request; returns whether the connection stays open.
+    async fn handle_request(
+        &mut self,
+        request: Request,
+        at: Ticks,
+        read_ahead: &mut Option<ReadResult>,
+    ) -> bool {
+        let close = request.closes_connection();
+        let txn = self.shared.next_txn();
+        match self.check(&request, at, txn) {
+            Checked::Health => {
+                let close = close || self.shared.resources.is_draining();
+                write_plain(&mut self.framed, 200, "ok\n", close).await && !close
+            }
+            Checked::Refused(answer) => {
+                self.shared.resources.count(Counter::RequestsRejected);
+                let close = close || self.shared.resources.is_draining();
+                self.write_answer(&answer, close).await
+            }
+            Checked::Admitted(arrival, open_id) => {
+                self.shared.resources.count(Counter::RequestsAdmitted);
+                let Some(answer) = self.route(request, arrival, open_id, read_ahead).await else {
+                    return false;
+                };
+                self.message_bytes = answer.memory_bytes();
+                // A request that was read ahead is accepted, and is answered before the connection ends.
+                let close = close || self.shared.resources.is_draining() && read_ahead.is_none();
+                self.write_answer(&answer, close).await
+            }
+        }
     }
 
-    /// The next request, unless the connection is closed while idle.
-    async fn next(&mut self) -> Option<Read> {
-        let shared = Rc::clone(&self.shared);
-        let (resources, first_by, forwarding_options) =
-            (&shared.resources, self.first_by, shared.dialect.forwarding_options());
-        loop {
-            let _idle = resources.idle_client();
-            // At the end, what the system has accepted counts as taken, read or not.
-            let ending = resources.is_draining();
-            let until = if ending {
-                Instant::now() + CROSSING
-            } else {
-                first_by.unwrap_or(Instant::now() + forwarding_options.idle_timeout)
-            };
-            tokio::select! {
-                biased;
-                read = self.begin() => match read {
-                    Some(read) => return Some(read),
-                    None => break,
-                },
-                () = resources.close_idle_client.notified(), if !ending => if !resources.is_draining() {
-                    resources.count(Counter::ClientsShed);
-                    return None;
-                },
-                () = sleep_until(until) => {
-                    resources.count(Counter::ClientsClosedIdle);
-                    return None;
-                }
+    fn check(&self, request: &Request, at: Ticks, txn: TxnId) -> Checked {
+        let dialect = &self.shared.dialect;
+        let arrival = match dialect.admit(request, at, txn) {
+            Admission::Health => return Checked::Health,
+            Admission::Reject { status, reason } => {
+                return Checked::Refused(FinalAnswer::Rejected { status, reason });
+            }
+            Admission::RetryAfter(retry_after) => return Checked::Refused(FinalAnswer::Busy { retry_after }),
+            Admission::Txn(arrival) => arrival,
+        };
+        match dialect.request_id(request).and_then(|id| self.shared.open_ids.try_open(id)) {
+            Some(open_id) => Checked::Admitted(arrival, open_id),
+            None => {
+                let reason = "a request with this id is open";
+                Checked::Refused(FinalAnswer::Rejected { status: 409, reason })
             }
         }
-        match timeout_at(first_by.unwrap_or(Instant::now() + forwarding_options.request_timeout), self.read())
-            .await
-        {
-            Ok(read) => Some(read),
-            Err(_) if resources.is_draining() => None,
-            Err(_) => Some((Some(Err(ReadError::TimedOut)), shared.clock.now())),
-        }
     }
 
-    /// Waits for the answer and for the client to leave, whichever comes first.
-    async fn answer(
+    /// Hands a request to the router and waits for its answer; none where the client has left.
+    async fn route(
+        &mut self,
+        request: Request,
+        arrival: Arrival,
+        open_id: OpenId,
+        read_ahead: &mut Option<ReadResult>,
+    ) -> Option<FinalAnswer> {
+        let txn = arrival.txn;
+        let (answer, answered) = oneshot::channel();
+        self.message_bytes = request.memory_bytes();
+        let new_request = NewRequest { arrival, request: Rc::new(request), open_id, answer };
+        self.shared.notify_router(RouterMessage::NewRequest(new_request));
+        self.wait_for_answer(txn, answered, read_ahead).await
+    }
+
+    /// Waits for the answer or for the client to leave, whichever comes first.
+    async fn wait_for_answer(
         &mut self,
         txn: TxnId,
         mut answered: oneshot::Receiver<FinalAnswer>,
-        ahead: &mut Option<Read>,
+        read_ahead: &mut Option<ReadResult>,
     ) -> Option<FinalAnswer> {
         loop {
+            // Cancel safe: what was read of a request stays in the codec.
             tokio::select! {
                 biased;
                 answer = &mut answered => {
-                    // Router may not let go of a txn that has no answer yet.
+                    // The router must not drop a request that has no answer yet.
                     self.shared.resources.check(answer.is_ok(), Invariant::AnsweredOnce);
                     return Some(answer.unwrap_or(FinalAnswer::Voided));
                 }
-                read = self.read(), if ahead.is_none() => match read {
-                    (None | Some(Err(ReadError::Io(_) | ReadError::UnexpectedEof)), _) => {
+                read = self.read(), if read_ahead.is_none() => {
+                    if read.is_connection_lost() {
                         self.shared.notify_router(RouterMessage::ClientLeft(txn));
                         return None;
                     }
-                    read => *ahead = Some(read),
-                },
+                    *read_ahead = Some(read);
+                }
+            }
+        }
+    }
+
+    /// Writes an answer; returns whether the connection stays open.
+    async fn write_answer(&mut self, answer: &FinalAnswer, close: bool) -> bool {
+        let options = self.shared.dialect.forwarding_options();
+        write_answer(&mut self.framed, answer, close, &options).await && !close
+    }
+
+    /// Frees the write buffer after a large message: it retains the capacity that it has grown to, and a client may stay
+    /// for hours.
+    fn release_write_buffer(&mut self) {
+        if self.message_bytes > SMALL_BUFFER_BYTES {
+            *self.framed.write_buffer_mut() = BytesMut::new();
+        }
+        self.message_bytes = 0;
+    }
+
+    /// Reads on and accounts for the buffers; an incomplete request is given up when memory is short.
+    fn poll_read(&mut self, cx: &mut Context<'_>) -> Poll<ReadResult> {
+        let ClientConnection { framed, guard, message_bytes, shared, .. } = self;
+        let read = framed.poll_next_unpin(cx);
+        let unread_bytes = framed.read_buffer().capacity() + framed.codec().buffered_bytes();
+        guard.set_buffer_bytes(*message_bytes + unread_bytes + framed.write_buffer().capacity());
+        if read.is_pending() && unread_bytes > SMALL_BUFFER_BYTES && shared.resources.is_memory_short() {
+            let request = Some(Err(ReadError::OutOfMemory));
+            return Poll::Ready(ReadResult { request, at: shared.clock.now() });
+        }
+        read.map(|request| ReadResult { request, at: shared.clock.now() })
+    }
+
+    async fn read(&mut self) -> ReadResult {
+        poll_fn(|cx| self.poll_read(cx)).await
+    }
+
+    /// Waits until something was read completely or a request has begun.
+    async fn read_first_byte(&mut self) -> FirstByte {
+        poll_fn(|cx| match self.poll_read(cx) {
+            Poll::Ready(read) => Poll::Ready(FirstByte::Complete(read)),
+            // What the codec holds has left the connection's buffer.
+            Poll::Pending
+                if self.framed.read_buffer().is_empty() && self.framed.codec().buffered_bytes() == 0 =>
+            {
+                Poll::Pending
+            }
+            Poll::Pending => Poll::Ready(FirstByte::Began),
+        })
+        .await
+    }
+
+    /// The next request, unless the connection is closed while idle.
+    async fn next_request(&mut self) -> Option<ReadResult> {
+        let shared = Rc::clone(&self.shared);
+        let options = shared.dialect.forwarding_options();
+        match self.wait_for_first_byte(&shared, &options).await {
+            FirstByte::Complete(read) => return Some(read),
+            FirstByte::Began => {}
+            FirstByte::Closed => return None,
+        }
+        let deadline = self.first_request_deadline.unwrap_or(Instant::now() + options.request_timeout);
+        match timeout_at(deadline, self.read()).await {
+            Ok(read) => Some(read),
+            Err(_) if shared.resources.is_draining() => None,
+            Err(_) => Some(ReadResult { request: Some(Err(ReadError::TimedOut)), at: shared.clock.now() }),
+        }
+    }
+
+    async fn wait_for_first_byte(&mut self, shared: &Shared, options: &ForwardingOptions) -> FirstByte {
+        let resources = &shared.resources;
+        loop {
+            let _idle = resources.idle_client();
+            // At the end, what the system has accepted counts as taken, read or not.
+            let draining = resources.is_draining();
+            let deadline = if draining {
+                Instant::now() + DRAIN_IDLE_TIMEOUT
+            } else {
+                self.first_request_deadline.unwrap_or(Instant::now() + options.idle_timeout)
+            };
+            // Cancel safe: what was read stays in the codec. Before draining, a woken connection either closes or, where
+            // draining has just begun, waits anew with the shorter timeout.
+            tokio::select! {
+                biased;
+                first_byte = self.read_first_byte() => return first_byte,
+                () = resources.close_idle_client.notified(), if !draining => {
+                    if !resources.is_draining() {
+                        resources.count(Counter::ClientsShed);
+                        return FirstByte::Closed;
+                    }
+                }
+                () = sleep_until(deadline) => {
+                    resources.count(Counter::ClientsClosedIdle);
+                    return FirstByte::Closed;
+                }
             }
         }
     }
 
-    async fn turn_back(mut self, fault: ReadError) {
+    /// Answers a request that cannot be read, and ends the connection.
+    async fn reject_unread(mut self, error: ReadError) {
         self.shared.resources.count(Counter::RequestsRejected);
-        let status = match fault {
+        let status = match error {
             ReadError::HeadTooLarge => 431,
             ReadError::BodyTooLarge => 413,
             ReadError::TimedOut => 408,
-            // Nothing of it was passed on.
+            // Nothing of it was forwarded.
             ReadError::OutOfMemory => 503,
             _ => 400,
         };
-        if !write_plain(&mut self.framed, status, &format!("{fault}\n"), true).await {
+        if !write_plain(&mut self.framed, status, &format!("{error}\n"), true).await {
             return;
         }
         let mut stream = self.framed.into_inner();
-        self.entry.set_buffer_bytes(0);
+        self.guard.set_buffer_bytes(0);
         let _ = stream.shutdown().await;
-        let discard = async {
-            let (mut waste, mut read) = ([0; 4096], 0);
-            while read < MOST_WASTE && stream.readable().await.is_ok() {
-                match stream.try_read(&mut waste) {
-                    Ok(0) => return,
-                    Ok(more) => read += more,
-                    Err(error) if error.kind() != std::io::ErrorKind::WouldBlock => return,
-                    _ => {}
-                }
-            }
-        };
-        let _ = tokio::time::timeout(LINGER, discard).await;
+        let _ = timeout(DISCARD_TIMEOUT, discard(&stream)).await;
+    }
+}
+
+/// Reads and drops what the client still sends, up to [`MAX_DISCARDED_BYTES`].
+async fn discard(stream: &TcpStream) {
+    let (mut buffer, mut discarded) = ([0; 4096], 0);
+    while discarded < MAX_DISCARDED_BYTES && stream.readable().await.is_ok() {
+        match stream.try_read(&mut buffer) {
+            Ok(0) => return,
+            Ok(read) => discarded += read,
+            Err(error) if error.kind() != ErrorKind::WouldBlock => return,
+            Err(_) => {}
+        }
     }
 }
--- a/programs/gateway/src/clock.rs
+++ b/programs/gateway/src/clock.rs
@@ -18,7 +18,7 @@
         Clock { origin: Instant::now(), unix_origin: to_ticks(unix) }
     }
 
-    /// Ticks of a millisecond since the Unix epoch.
+    /// The time since the Unix epoch.
     pub fn now(&self) -> Ticks {
         self.unix_origin + to_ticks(self.origin.elapsed())
     }
--- a/programs/gateway/src/connection_pool.rs
+++ b/programs/gateway/src/connection_pool.rs
@@ -1,183 +1,126 @@
 //! The backends' addresses and the idle connections to them.
+//!
+//! An idle connection is reused for a limited time only, so that a request rarely crosses with the backend's closing of
+//! it. The limit is lowered when a reused connection is lost all the same, and raised again by and by.
 
 use crate::messages::IdleConnection;
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
+use vanewharf_gateway_settings::idle_reuse_limit;
 use vanewharf_policy::interface::{BackendId, BackendInfo, BackendStatus, Ticks};
 
+/// From this limit on doubling raises it again, where a loss had lowered it to next to nothing.
+const MIN_RAISED_LIMIT: Ticks = Ticks(5);
+const LIMIT_AFTER_LOSS: f64 = 0.5;
+const LIMIT_GROWTH: f64 = 2.0;
+
 #[derive(Default)]
-struct Peer {
+struct PooledBackend {
     address: Option<SocketAddr>,
     ready: bool,
-    booted: Option<Ticks>,
-    /// Newest last: the newest is the least likely to have been closed by the other side.
+    started_at: Option<Ticks>,
+    /// Newest last: the newest is the least likely to have been closed by the backend.
     idle: VecDeque<IdleConnection>,
 }
 
+/// The connections that can be reused, by backend.
 pub struct ConnectionPool {
-    peers: BTreeMap<BackendId, Peer>,
-    /// Now, and where nothing has shown it to be too long.
-    most_idle: Ticks,
-    told_idle: Ticks,
+    backends: BTreeMap<BackendId, PooledBackend>,
+    /// For how long an idle connection is reused now.
+    idle_limit: Ticks,
+    /// The limit where no connection was lost.
+    configured_limit: Ticks,
 }
 
 impl ConnectionPool {
-    /// `closes`: when a backend closes an idle connection, at the latest.
-    pub fn new(closes: Ticks) -> ConnectionPool {
-        let most_idle = vanewharf_gateway_settings::idle_reuse_limit(closes);
-        ConnectionPool { peers: BTreeMap::new(), most_idle, told_idle: most_idle }
+    /// An empty pool for backends that close idle connections after `backend_idle_timeout` at the latest.
+    pub fn new(backend_idle_timeout: Ticks) -> ConnectionPool {
+        let idle_limit = idle_reuse_limit(backend_idle_timeout);
+        ConnectionPool { backends: BTreeMap::new(), idle_limit, configured_limit: idle_limit }
     }
 
-    pub fn list(&mut self, entry: &BackendInfo, address: Option<SocketAddr>) {
+    /// Takes in what was published of a backend. Its idle connections are closed where they lead to a process that is
+    /// gone or accepts no more requests.
+    pub fn update_backend(&mut self, entry: &BackendInfo, address: Option<SocketAddr>) {
         if entry.status == BackendStatus::Gone {
-            self.peers.remove(&entry.backend);
+            self.backends.remove(&entry.backend);
             return;
         }
-        let peer = self.peers.entry(entry.backend).or_default();
-        let moved = address.is_some() && address != peer.address;
-        if moved || entry.started_at != peer.booted || entry.status != BackendStatus::Ready {
-            // To a process that is gone or may take nothing more.
-            peer.idle.clear();
+        let backend = self.backends.entry(entry.backend).or_default();
+        let moved = address.is_some() && address != backend.address;
+        if moved || entry.started_at != backend.started_at || entry.status != BackendStatus::Ready {
+            backend.idle.clear();
         }
-        peer.address = address.or(peer.address);
-        peer.booted = entry.started_at;
-        peer.ready = entry.status == BackendStatus::Ready;
+        backend.address = address.or(backend.address);
+        backend.started_at = entry.started_at;
+        backend.ready = entry.status == BackendStatus::Ready;
     }
 
-    /// Those that a whole list does not name are gone.
-    pub fn keep_only(&mut self, named: impl Fn(BackendId) -> bool) {
-        self.peers.retain(|id, _| named(*id));
+    /// Removes the backends that are not listed any more.
+    pub fn retain(&mut self, is_listed: impl Fn(BackendId) -> bool) {
+        self.backends.retain(|id, _| is_listed(*id));
     }
 
-    pub fn ready(&self, id: BackendId) -> bool {
-        self.peers.get(&id).is_some_and(|peer| peer.ready)
+    /// Whether the backend accepts requests.
+    pub fn is_ready(&self, id: BackendId) -> bool {
+        self.backends.get(&id).is_some_and(|backend| backend.ready)
     }
 
+    /// Where the backend listens, if it is known.
     pub fn address(&self, id: BackendId) -> Option<SocketAddr> {
-        self.peers.get(&id)?.address
+        self.backends.get(&id)?.address
     }
 
-    pub fn put(&mut self, id: BackendId, idle: IdleConnection) {
-        if let Some(peer) = self.peers.get_mut(&id).filter(|peer| peer.ready) {
-            peer.idle.push_back(idle);
+    /// Adds a connection that has become idle; it is closed where the backend is not ready.
+    pub fn add_idle(&mut self, id: BackendId, connection: IdleConnection) {
+        if let Some(backend) = self.backends.get_mut(&id).filter(|backend| backend.ready) {
+            backend.idle.push_back(connection);
         }
     }
 
-    pub fn take(&mut self, id: BackendId, now: Ticks) -> Option<IdleConnection> {
-        let idle = &mut self.peers.get_mut(&id)?.idle;
-        while let Some(one) = idle.pop_back() {
-            if now - one.since > self.most_idle {
-                // All others have waited longer.
+    /// Takes the connection that has become idle last, unless that is too long ago.
+    pub fn take_idle(&mut self, id: BackendId, now: Ticks) -> Option<IdleConnection> {
+        let idle = &mut self.backends.get_mut(&id)?.idle;
+        while let Some(connection) = idle.pop_back() {
+            if now - connection.since > self.idle_limit {
+                // All others have been idle for longer.
                 idle.clear();
                 return None;
             }
-            if !one.next.is_closed() {
-                return Some(one);
+            if !connection.next.is_closed() {
+                return Some(connection);
             }
         }
         None
     }
 
-    /// A connection that had been idle so long ended under its next submission, which may have run: whatever ends
-    /// them out there, half as long is kept clear of it.
-    pub fn broke(&mut self, idle: Ticks) {
-        self.most_idle = self.most_idle.min(idle.times(0.5));
+    /// Lowers the limit after a reused connection was lost that had been idle for `idle`: its request may have run.
+    pub fn record_idle_loss(&mut self, idle: Ticks) {
+        self.idle_limit = self.idle_limit.min(idle.times(LIMIT_AFTER_LOSS));
     }
 
-    /// Closes what has been idle too long and forgets what has ended; how many were dropped. Twice as long is tried
-    /// again at each, so that what ended connections for a while is not held against them for good.
+    /// Raises the limit, then closes the connections beyond it and forgets those that have ended; returns how many.
     pub fn sweep(&mut self, now: Ticks) -> usize {
-        self.most_idle = self.most_idle.max(Ticks(5)).times(2.0).min(self.told_idle);
+        let raised = self.idle_limit.max(MIN_RAISED_LIMIT).times(LIMIT_GROWTH);
+        self.idle_limit = raised.min(self.configured_limit);
         let mut dropped = 0;
-        for peer in self.peers.values_mut() {
-            let before = peer.idle.len();
-            peer.idle.retain(|one| !one.next.is_closed() && now - one.since <= self.most_idle);
-            dropped += before - peer.idle.len();
+        for backend in self.backends.values_mut() {
+            let before = backend.idle.len();
+            let limit = self.idle_limit;
+            backend.idle.retain(|idle| !idle.next.is_closed() && now - idle.since <= limit);
+            dropped += before - backend.idle.len();
         }
         dropped
     }
 
-    /// Closes the one that has been idle longest.
-    pub fn shed(&mut self) {
-        let oldest = self.peers.values_mut().filter(|peer| !peer.idle.is_empty());
-        if let Some(peer) = oldest.min_by_key(|peer| peer.idle[0].since) {
-            peer.idle.pop_front();
+    /// Closes the connection that has been idle longest.
+    pub fn close_longest_idle(&mut self) {
+        let with_idle = self.backends.values_mut().filter(|backend| !backend.idle.is_empty());
+        if let Some(backend) = with_idle.min_by_key(|backend| backend.idle[0].since) {
+            backend.idle.pop_front();
         }
     }
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use crate::messages::Attempt;
-    use tokio::sync::oneshot;
-
-    const ONE: BackendId = BackendId(1);
-
-    fn listed(standing: BackendStatus, booted: Option<Ticks>) -> BackendInfo {
-        BackendInfo { backend: ONE, status: standing, capacity: 1.0, local: true, started_at: booted }
-    }
-
-    /// A pool told 40 ms, with connections idle since each of the times.
-    fn pool(since: &[i64]) -> (ConnectionPool, Vec<oneshot::Receiver<Attempt>>) {
-        let mut pool = ConnectionPool::new(Ticks(400));
-        pool.list(&listed(BackendStatus::Ready, None), "127.0.0.1:1".parse().ok());
-        let mut idle = |&since: &i64| {
-            let (next, connection) = oneshot::channel();
-            pool.put(ONE, IdleConnection { next, since: Ticks(since) });
-            connection
-        };
-        let connections = since.iter().map(&mut idle).collect();
-        (pool, connections)
-    }
-
-    #[test]
-    fn the_newest_goes_first_and_none_is_used_near_its_end() {
-        let (mut pool, mut connections) = pool(&[0, 50, 60, 70]);
-        connections.pop();
-        assert_eq!(pool.take(ONE, Ticks(100)).map(|idle| idle.since), Some(Ticks(60)), "70 has ended");
-        assert_eq!(pool.sweep(Ticks(101)), 1);
-        assert!(connections[0].try_recv().is_err_and(|gone| gone == oneshot::error::TryRecvError::Closed));
-        assert!(pool.take(ONE, Ticks(151)).is_none());
-    }
-
-    #[test]
-    fn nothing_is_kept_to_what_moved_started_anew_or_takes_nothing_more() {
-        let here = "127.0.0.1:1".parse().ok();
-        for (entry, address, kept) in [
-            (listed(BackendStatus::Ready, None), here, true),
-            (listed(BackendStatus::Ready, Some(Ticks(5))), here, false),
-            (listed(BackendStatus::Ready, None), "127.0.0.1:2".parse().ok(), false),
-            (listed(BackendStatus::Draining, None), here, false),
-            (listed(BackendStatus::Gone, None), None, false),
-        ] {
-            let (mut pool, _connections) = pool(&[0]);
-            pool.list(&entry, address);
-            assert_eq!(pool.take(ONE, Ticks(1)).is_some(), kept, "{entry:?}");
-        }
-        let (mut pool, _connections) = pool(&[0]);
-        pool.keep_only(|_| false);
-        assert!(!pool.ready(ONE) && pool.take(ONE, Ticks(1)).is_none());
-        assert!(pool.peers.is_empty(), "nothing is kept of what is gone");
-    }
-
-    #[test]
-    fn what_was_idle_too_long_for_another_is_not_used() {
-        let (mut pool, _connections) = pool(&[0, 60]);
-        pool.broke(Ticks(70));
-        assert_eq!(pool.take(ONE, Ticks(95)).map(|idle| idle.since), Some(Ticks(60)));
-        assert!(pool.take(ONE, Ticks(95)).is_none(), "idle for 95, where 70 was too long");
-        let (mut pool, _connections) = self::pool(&[30]);
-        pool.broke(Ticks(70));
-        assert_eq!(pool.sweep(Ticks(95)), 0, "tried again for 70");
-        assert!(pool.take(ONE, Ticks(95)).is_some());
-    }
-
-    #[test]
-    fn the_one_idle_longest_is_shed() {
-        let (mut pool, _connections) = pool(&[3, 5]);
-        pool.shed();
-        assert_eq!(pool.take(ONE, Ticks(6)).map(|idle| idle.since), Some(Ticks(5)));
-        assert!(pool.take(ONE, Ticks(6)).is_none());
-    }
-}
+mod tests;
--- /dev/null
+++ b/programs/gateway/src/connection_pool/tests.rs
@@ -0,0 +1,72 @@
+use super::*;
+use crate::messages::Attempt;
+use tokio::sync::oneshot;
+
+const ONE: BackendId = BackendId(1);
+
+fn listed(status: BackendStatus, started_at: Option<Ticks>) -> BackendInfo {
+    BackendInfo { backend: ONE, status, capacity: 1.0, local: true, started_at }
+}
+
+/// A pool told 40 ms, with connections idle since each of the times.
+fn pool(since: &[i64]) -> (ConnectionPool, Vec<oneshot::Receiver<Attempt>>) {
+    let mut pool = ConnectionPool::new(Ticks(400));
+    pool.update_backend(&listed(BackendStatus::Ready, None), "127.0.0.1:1".parse().ok());
+    let mut idle = |&since: &i64| {
+        let (next, connection) = oneshot::channel();
+        pool.add_idle(ONE, IdleConnection { next, since: Ticks(since) });
+        connection
+    };
+    let connections = since.iter().map(&mut idle).collect();
+    (pool, connections)
+}
+
+#[test]
+fn the_newest_goes_first_and_none_is_used_near_its_end() {
+    let (mut pool, mut connections) = pool(&[0, 50, 60, 70]);
+    connections.pop();
+    assert_eq!(pool.take_idle(ONE, Ticks(100)).map(|idle| idle.since), Some(Ticks(60)), "70 has ended");
+    assert_eq!(pool.sweep(Ticks(101)), 1);
+    assert!(connections[0].try_recv().is_err_and(|gone| gone == oneshot::error::TryRecvError::Closed));
+    assert!(pool.take_idle(ONE, Ticks(151)).is_none());
+}
+
+#[test]
+fn nothing_is_kept_to_what_moved_started_anew_or_takes_nothing_more() {
+    let here = "127.0.0.1:1".parse().ok();
+    for (entry, address, kept) in [
+        (listed(BackendStatus::Ready, None), here, true),
+        (listed(BackendStatus::Ready, Some(Ticks(5))), here, false),
+        (listed(BackendStatus::Ready, None), "127.0.0.1:2".parse().ok(), false),
+        (listed(BackendStatus::Draining, None), here, false),
+        (listed(BackendStatus::Gone, None), None, false),
+    ] {
+        let (mut pool, _connections) = pool(&[0]);
+        pool.update_backend(&entry, address);
+        assert_eq!(pool.take_idle(ONE, Ticks(1)).is_some(), kept, "{entry:?}");
+    }
+    let (mut pool, _connections) = pool(&[0]);
+    pool.retain(|_| false);
+    assert!(!pool.is_ready(ONE) && pool.take_idle(ONE, Ticks(1)).is_none());
+    assert!(pool.backends.is_empty(), "nothing is kept of what is gone");
+}
+
+#[test]
+fn what_was_idle_too_long_for_another_is_not_used() {
+    let (mut pool, _connections) = pool(&[0, 60]);
+    pool.record_idle_loss(Ticks(70));
+    assert_eq!(pool.take_idle(ONE, Ticks(95)).map(|idle| idle.since), Some(Ticks(60)));
+    assert!(pool.take_idle(ONE, Ticks(95)).is_none(), "idle for 95, where 70 was too long");
+    let (mut pool, _connections) = self::pool(&[30]);
+    pool.record_idle_loss(Ticks(70));
+    assert_eq!(pool.sweep(Ticks(95)), 0, "tried again for 70");
+    assert!(pool.take_idle(ONE, Ticks(95)).is_some());
+}
+
+#[test]
+fn the_one_idle_longest_is_shed() {
+    let (mut pool, _connections) = pool(&[3, 5]);
+    pool.close_longest_idle();
+    assert_eq!(pool.take_idle(ONE, Ticks(6)).map(|idle| idle.since), Some(Ticks(5)));
+    assert!(pool.take_idle(ONE, Ticks(6)).is_none());
+}
--- a/programs/gateway/src/dialect.rs
+++ b/programs/gateway/src/dialect.rs
@@ -57,9 +57,9 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ReportedUsage {
     /// The customer's metered use, as a share of its quota.
-    pub metered: Option<f64>,
+    pub metered_usage: Option<f64>,
     /// The units that the request really cost.
-    pub true_cost: Option<f64>,
+    pub actual_cost: Option<f64>,
 }
 
 /// How one program speaks HTTP with its clients and backends.
--- a/programs/gateway/src/discovery.rs
+++ b/programs/gateway/src/discovery.rs
@@ -1,267 +1,191 @@
-//! The list of backends: starts from what was known, then watches for changes without end.
+//! Watches the list of backends: starts from what was known, then calls the discovery agent again and again.
+//!
+//! Each call states the version that this gateway has and waits for a newer one. After a call that failed, changes may
+//! have been missed, so the complete list is requested.
+
+mod backend_table;
+mod pacing;
+
+pub use backend_table::PublishedList;
+pub use pacing::DiscoveryPacing;
 
 use crate::counters::Counter;
-use crate::discovery_pacing::{DiscoveryPacing, PAUSE};
-use crate::messages::{BackendEntry, BackendUpdate, RouterMessage};
-use crate::resources::{SocketGuard as Held, SocketKind};
+use crate::messages::{BackendUpdate, RouterMessage};
+use crate::resources::{SocketGuard, SocketKind};
 use crate::shared::Shared;
+use backend_table::BackendTable;
 use futures_util::{SinkExt, StreamExt};
-use serde::Deserialize;
-use std::collections::{BTreeMap, HashSet};
+use pacing::PAUSE;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
+use thiserror::Error;
 use tokio::net::TcpStream;
 use tokio::sync::watch;
 use tokio::time::{Instant, timeout};
 use tokio_util::codec::Framed;
-use vanewharf_http1::{ClientCodec, ForwardedRequest, Request};
-use vanewharf_policy::interface::{BackendId, BackendInfo, BackendStatus, Ticks};
+use vanewharf_http1::{ClientCodec, ForwardedRequest, Reply, Request};
 
-/// For an answer that is due, and for a connection to the agent.
-const PATIENCE: Duration = Duration::from_millis(500);
+/// For a reply that is due, and for connecting to the agent.
+const REPLY_TIMEOUT: Duration = Duration::from_millis(500);
+const LIST_PATH: &str = "/v1/servers";
+const STATUS_OK: u16 = 200;
 
 /// Why a call gave no list.
-enum Failure {
-    /// An answer other than 200: discovery is there and takes no more calls.
+#[derive(Debug, Error)]
+enum CallError {
+    /// A reply other than 200: discovery is reachable and accepts no more calls.
+    #[error("discovery takes no more calls")]
     TurnedAway,
-    /// Changes may have passed unseen, so the whole list comes next.
-    Lost(&'static str),
-}
-
-/// A list or a change of it, in its published form.
-#[derive(Debug, Deserialize)]
-pub struct Published {
-    index: u64,
-    snapshot: bool,
-    endpoints: Vec<Endpoint>,
+    /// Changes may have been missed, so the complete list is to be requested.
+    #[error("{0}")]
+    Failed(&'static str),
 }
 
-#[derive(Debug, Deserialize)]
-struct Endpoint {
-    name: String,
-    #[serde(default)]
-    address: String,
-    #[serde(default)]
-    zone: String,
-    #[serde(default)]
-    status: String,
-    #[serde(default)]
-    weight: f64,
-    #[serde(default)]
-    since_ms: f64,
+/// What the next call requests.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum Requested {
+    /// Whatever is newer than the version at hand, as soon as there is something.
+    Changes,
+    /// The complete list, at once.
+    CompleteList,
 }
 
-/// A backend that is listed.
-struct Known {
-    id: BackendId,
-    address: Option<SocketAddr>,
-    booted: Option<Ticks>,
+struct Connection {
+    framed: Framed<TcpStream, ClientCodec>,
+    /// Counts the socket for as long as the connection is open.
+    _guard: SocketGuard,
 }
 
+/// The state of the task that watches the list of backends.
 pub struct Discovery {
-    /// Where the agent listens; it may move while the door runs.
-    agents: watch::Receiver<SocketAddr>,
+    /// Where the agent listens; a reload may change it.
+    agent: watch::Receiver<SocketAddr>,
     shared: Rc<Shared>,
-    /// Where this door stands.
-    place: String,
-    index: u64,
-    backends: BTreeMap<String, Known>,
-    /// An id is given once, so that what is told late of one that is gone never falls to another.
-    named: u32,
-    recall: DiscoveryPacing,
+    table: BackendTable,
+    pacing: DiscoveryPacing,
+    connection: Option<Connection>,
+    requested: Requested,
 }
 
-type Connection = Framed<TcpStream, ClientCodec>;
-
 impl Discovery {
-    /// With what was known, for the decisions to start from.
+    /// A watch that starts from `known`, and the update that the router starts from. Backends in `locality` are near.
     pub fn start(
-        agents: watch::Receiver<SocketAddr>,
+        agent: watch::Receiver<SocketAddr>,
         shared: Rc<Shared>,
-        place: String,
-        known: Published,
-        recall: DiscoveryPacing,
+        locality: String,
+        known: PublishedList,
+        pacing: DiscoveryPacing,
     ) -> (Discovery, BackendUpdate) {
-        let backends = BTreeMap::new();
-        let mut discovery = Discovery { agents, shared, place, index: 0, backends, named: 0, recall };
-        let told = discovery.told(known);
-        (discovery, told)
-    }
-
-    fn told(&mut self, published: Published) -> BackendUpdate {
-        self.index = published.index;
-        if published.snapshot {
-            let named: HashSet<_> = published.endpoints.iter().map(|endpoint| &endpoint.name).collect();
-            self.backends.retain(|name, _| named.contains(name));
-        }
-        let mut entries = Vec::new();
-        for endpoint in published.endpoints {
-            self.enter(endpoint, &mut entries);
-        }
-        if published.snapshot { BackendUpdate::Snapshot(entries) } else { BackendUpdate::Changes(entries) }
-    }
-
-    fn enter(&mut self, endpoint: Endpoint, entries: &mut Vec<BackendEntry>) {
-        let Endpoint { name, address, zone, status, weight, since_ms } = endpoint;
-        let address = address.parse().ok();
-        let booted = (since_ms > 0.0).then_some(Ticks((since_ms * 10.0) as i64));
-        let mut standing = match status.as_str() {
-            "SERVING" if address.is_some() => BackendStatus::Ready,
-            "DELETED" => BackendStatus::Gone,
-            // What is not understood gets nothing new.
-            _ => BackendStatus::Draining,
-        };
-        let near = zone == self.place;
-        if standing == BackendStatus::Ready {
-            // An address is one process's: whoever started there later, the other is gone, listed or not.
-            let elsewhere = |known: &Known| known.address != address;
-            let newer = |known: &Known| !elsewhere(known) && known.booted > booted;
-            if self.backends.iter().any(|(other, known)| *other != name && newer(known)) {
-                standing = BackendStatus::Gone;
-            } else {
-                self.backends.retain(|other, known| {
-                    let stays = *other == name || elsewhere(known);
-                    if !stays {
-                        let (backend, standing, booted) = (known.id, BackendStatus::Gone, known.booted);
-                        let listed = BackendInfo {
-                            backend,
-                            status: standing,
-                            capacity: weight,
-                            local: near,
-                            started_at: booted,
-                        };
-                        entries.push(BackendEntry { listed, address: None });
-                    }
-                    stays
-                });
-            }
-        }
-        let backend = match self.backends.get_mut(&name) {
-            Some(known) => {
-                known.booted = booted;
-                known.address = address.or(known.address);
-                known.id
-            }
-            None if standing == BackendStatus::Gone => return,
-            None => {
-                let id = BackendId(self.named);
-                self.named += 1;
-                self.backends.insert(name.clone(), Known { id, address, booted });
-                id
-            }
-        };
-        if standing == BackendStatus::Gone {
-            self.backends.remove(&name);
-        }
-        entries.push(BackendEntry {
-            listed: BackendInfo {
-                backend,
-                status: standing,
-                capacity: weight,
-                local: near,
-                started_at: booted,
-            },
-            address,
-        });
+        let mut table = BackendTable::new(locality);
+        let update = table.apply(known);
+        let (connection, requested) = (None, Requested::Changes);
+        (Discovery { agent, shared, table, pacing, connection, requested }, update)
     }
 
+    /// Calls the agent for ever and passes what changes to the router.
     pub async fn run(mut self) {
-        let mut agents = self.agents.clone();
-        let mut connection = None;
-        // Changes may have passed unseen since a call that failed.
-        let mut whole = false;
+        let mut agent = self.agent.clone();
         loop {
+            // A call is dropped when the agent moves: its connection is replaced and the complete list requested, so
+            // nothing is missed.
             tokio::select! {
                 biased;
-                // A call that is out asks an agent that has stopped listening.
-                Ok(()) = agents.changed() => (connection, whole) = (None, true),
-                () = self.ask(&mut connection, &mut whole) => {}
+                Ok(()) = agent.changed() => {
+                    self.connection = None;
+                    self.requested = Requested::CompleteList;
+                }
+                () = self.poll_agent() => {}
             }
         }
     }
 
-    /// One call and what came of it.
-    async fn ask(&mut self, connection: &mut Option<(Connection, Held)>, whole: &mut bool) {
+    /// Makes one call, and pauses before the next where one is due.
+    async fn poll_agent(&mut self) {
         let called = Instant::now();
-        match self.call(connection, *whole).await {
+        match self.call().await {
             Ok(published) => {
                 self.shared.resources.count(Counter::Lists);
-                self.recall.answered();
-                if std::mem::take(whole) {
+                self.pacing.record_success();
+                if self.requested == Requested::CompleteList {
+                    self.requested = Requested::Changes;
                     tracing::info!("discovery gives the whole list again");
                 }
-                let told = self.told(published);
-                if matches!(told, BackendUpdate::Snapshot(_)) || !told.entries().is_empty() {
-                    self.shared.notify_router(RouterMessage::BackendsChanged(told));
+                let update = self.table.apply(published);
+                if matches!(update, BackendUpdate::Snapshot(_)) || !update.entries().is_empty() {
+                    self.shared.notify_router(RouterMessage::BackendsChanged(update));
                 } else if called.elapsed() < PAUSE {
-                    // Against an agent that does not wait.
+                    // Against an agent that replies without waiting for changes.
                     tokio::time::sleep(PAUSE).await;
                 }
             }
-            Err(failure) => {
+            Err(error) => {
                 self.shared.resources.count(Counter::ListFailures);
-                let pause = match failure {
-                    // What the next watch is told starts from the version that this door has: nothing is
-                    // missed.
-                    Failure::TurnedAway => {
-                        tracing::debug!("discovery takes no more calls");
-                        self.recall.away()
-                    }
-                    Failure::Lost(reason) => {
-                        *connection = None;
-                        // Once for each outage, not for each call: a full log would hold up the door.
-                        if !std::mem::replace(whole, true) {
-                            tracing::info!(reason, "discovery gives no list");
-                        }
-                        PAUSE
-                    }
-                };
+                let pause = self.pause_after(&error);
                 tokio::time::sleep(pause).await;
             }
         }
     }
 
-    async fn call(
-        &mut self,
-        kept: &mut Option<(Connection, Held)>,
-        whole: bool,
-    ) -> Result<Published, Failure> {
-        let lost = Failure::Lost;
-        let address = *self.agents.borrow();
-        let (connection, _) = match kept {
-            Some(kept) => kept,
-            None => {
-                let stream = timeout(PATIENCE, TcpStream::connect(address)).await;
-                let stream = stream.map_err(|_| lost("no connection in time"))?;
-                let stream = stream.map_err(|_| lost("no connection"))?;
-                let _ = stream.set_nodelay(true);
-                let held = Held::new(&self.shared.resources, SocketKind::Upstream);
-                kept.insert((Framed::new(stream, ClientCodec::default()), held))
+    fn pause_after(&mut self, error: &CallError) -> Duration {
+        match error {
+            // The next watch starts from the version at hand: nothing is missed.
+            CallError::TurnedAway => {
+                tracing::debug!("{error}");
+                self.pacing.pause_after_refusal()
             }
+            CallError::Failed(reason) => {
+                self.connection = None;
+                // Once for each outage: a log line for each call could fill the disk.
+                if self.requested == Requested::Changes {
+                    self.requested = Requested::CompleteList;
+                    tracing::info!(reason, "discovery gives no list");
+                }
+                PAUSE
+            }
+        }
+    }
+
+    async fn call(&mut self) -> Result<PublishedList, CallError> {
+        let address = *self.agent.borrow();
+        let connection = match &mut self.connection {
+            Some(connection) => connection,
+            None => self.connection.insert(connect(address, &self.shared).await?),
         };
-        let (target, patience) = if whole {
-            ("/v1/servers".to_owned(), PATIENCE)
-        } else {
-            let wait = self.recall.wait();
-            (format!("/v1/servers?index={}&wait={}", self.index, wait.as_millis()), wait + PATIENCE)
+        let (target, reply_timeout) = match self.requested {
+            Requested::CompleteList => (LIST_PATH.to_owned(), REPLY_TIMEOUT),
+            Requested::Changes => {
+                let wait = self.pacing.watch_duration();
+                let (version, wait_ms) = (self.table.version(), wait.as_millis());
+                (format!("{LIST_PATH}?index={version}&wait={wait_ms}"), wait + REPLY_TIMEOUT)
+            }
         };
         let request = Request::get(&address.to_string(), &target);
-        let asked = async {
-            connection
-                .send(ForwardedRequest { request: &request, set_headers: &[], removed_headers: &[] })
-                .await
-                .ok()?;
-            connection.next().await?.ok()
-        };
-        let reply = timeout(patience, asked).await.map_err(|_| lost("silent"))?;
-        let reply = reply.ok_or(lost("connection broken"))?;
+        let reply = timeout(reply_timeout, exchange(connection, &request)).await;
+        let reply = reply.map_err(|_| CallError::Failed("silent"))?;
+        let reply = reply.ok_or(CallError::Failed("connection broken"))?;
         if reply.closes_connection() {
-            *kept = None;
+            self.connection = None;
         }
-        if reply.status() != 200 {
-            return Err(Failure::TurnedAway);
+        if reply.status() != STATUS_OK {
+            return Err(CallError::TurnedAway);
         }
-        serde_json::from_slice(reply.body()).map_err(|_| lost("a list that cannot be read"))
+        serde_json::from_slice(reply.body()).map_err(|_| CallError::Failed("a list that cannot be read"))
     }
 }
+
+async fn connect(address: SocketAddr, shared: &Shared) -> Result<Connection, CallError> {
+    let stream = timeout(REPLY_TIMEOUT, TcpStream::connect(address)).await;
+    let stream = stream.map_err(|_| CallError::Failed("no connection in time"))?;
+    let stream = stream.map_err(|_| CallError::Failed("no connection"))?;
+    let _ = stream.set_nodelay(true);
+    let guard = SocketGuard::new(&shared.resources, SocketKind::Upstream);
+    Ok(Connection { framed: Framed::new(stream, ClientCodec::default()), _guard: guard })
+}
+
+/// The reply to a request; none where the connection broke.
+async fn exchange(connection: &mut Connection, request: &Request) -> Option<Reply> {
+    let forwarded = ForwardedRequest { request, set_headers: &[], removed_headers: &[] };
+    connection.framed.send(forwarded).await.ok()?;
+    connection.framed.next().await?.ok()
+}
--- a/programs/gateway/src/lib.rs
+++ b/programs/gateway/src/lib.rs
@@ -1,16 +1,25 @@
-//! The stages that a txn passes on sockets: take in, admit, route, send, relay and book, each in a file of its own;
-//! `route` alone asks the decisions. `vanewharf-gateway` is made of them, and so is the system's data plane; what
-//! differs between the two stands behind `gate::HttpDialect` and `route::RoutingPolicy`.
+//! The data plane on sockets: the stages that a request passes between its client and a backend.
+//!
+//! - [`listener`] accepts clients; each client connection reads requests and writes answers;
+//! - [`router`] owns the routing policy, which alone decides;
+//! - backend connections make the attempts that the policy orders.
+//!
+//! `vanewharf-gateway` is made of these stages, and so is `vanewharf-proxy`. What differs between the two stands behind
+//! [`dialect::HttpDialect`] and [`router::RoutingPolicy`]. All stages run on one thread and share [`shared::Shared`].
+
+#![forbid(unsafe_code)]
+#![warn(missing_docs)]
 
 pub mod answer;
-pub mod backend_connection;
-pub mod client_connection;
+mod backend_connection;
+mod client_connection;
 pub mod clock;
-pub mod connection_pool;
+pub mod config;
+mod connection_pool;
 pub mod counters;
 pub mod dialect;
 pub mod discovery;
-pub mod discovery_pacing;
+pub mod listener;
 pub mod messages;
 pub mod open_ids;
 pub mod operator_config;
@@ -20,4 +29,5 @@
 pub mod quota_counter;
 pub mod resources;
 pub mod router;
+pub mod server;
 pub mod shared;
--- a/programs/gateway/src/messages.rs
+++ b/programs/gateway/src/messages.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 use tokio::sync::oneshot;
-use vanewharf_exchange::line::CalledOff;
+use vanewharf_exchange::CancelReason;
 use vanewharf_http1::{Reply, Request};
 use vanewharf_policy::interface::{
     Arrival, AttemptNumber, BackendInfo, CounterKey, CounterReply, GatewayId, Outcome, PeerMessage, Ticks,
@@ -60,8 +60,8 @@
     BackendsChanged(BackendUpdate),
     /// Sockets are short: the backend connection that has been idle longest is to be closed.
     CloseIdleConnection,
-    /// The shared quota counter's answer to one call.
-    Counted(CounterKey, CounterReply),
+    /// The shared quota counter's reply to one call.
+    QuotaCounterReply(CounterKey, CounterReply),
     /// A message of another gateway.
     PeerMessage(GatewayId, PeerMessage),
 }
@@ -104,7 +104,7 @@
     /// When the reply is no longer waited for.
     pub deadline: Ticks,
     /// Completes when the router no longer waits for the reply.
-    pub cancelled: oneshot::Receiver<CalledOff>,
+    pub cancelled: oneshot::Receiver<CancelReason>,
     /// Header fields for this backend alongside those of the client.
     pub extra_headers: Vec<(&'static str, String)>,
 }
--- a/programs/gateway/src/operator_config.rs
+++ b/programs/gateway/src/operator_config.rs
@@ -1,60 +1,110 @@
-//! The operator's own file: settings that the platform's file does not state, and where the other doors hear
-//! words. It is read once, at the start.
+//! The operator's own file: settings that the platform's file does not state, and where the other gateways receive
+//! messages. It is read once, at the start.
 
 use serde::Deserialize;
 use serde_json::Value;
 use std::net::SocketAddr;
-use std::path::Path;
-use vanewharf_gateway_settings::Options;
+use std::path::{Path, PathBuf};
+use thiserror::Error;
+use vanewharf_gateway_settings::{InvalidSetting, Options, UnreadableOption};
 
+/// Why the operator's file, or the settings of both files together, cannot be used.
+#[derive(Debug, Error)]
+pub enum OperatorConfigError {
+    /// The file cannot be read, or is not in the expected form. The reason is one line, so that a log's reader finds the
+    /// key next to it.
+    #[error("cannot read {}: {reason}", path.display())]
+    Unreadable {
+        /// The file's path.
+        path: PathBuf,
+        /// What the system or the parser reports.
+        reason: String,
+    },
+    /// A setting is refused.
+    #[error(transparent)]
+    InvalidSetting(#[from] InvalidSetting),
+    /// A setting cannot be read.
+    #[error(transparent)]
+    UnreadableOption(#[from] UnreadableOption),
+    /// Two gateways are listed at one address.
+    #[error("peers.doors is refused: an address stands there twice")]
+    DuplicatePeer,
+    /// The list names another address for this gateway's number than it listens on.
+    #[error("peers.listen is refused: not the address of door {own_number} in peers.doors")]
+    OwnAddressMismatch {
+        /// This gateway's number.
+        own_number: usize,
+    },
+}
+
+/// What the operator's file states.
 #[derive(Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct OperatorConfig {
     #[serde(default)]
     settings: Value,
-    pub peers: Option<PeersAt>,
+    /// Where the gateways exchange messages, if they do.
+    pub peers: Option<PeerAddresses>,
 }
 
+/// Where gateways exchange messages. The file's key for the list keeps its old name.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct PeersAt {
+pub struct PeerAddresses {
+    /// Where this gateway receives messages.
     pub listen: SocketAddr,
-    /// Every door, by its number, this one too.
-    pub doors: Vec<SocketAddr>,
+    /// Every gateway by its number, including this one.
+    #[serde(rename = "doors")]
+    pub gateways: Vec<SocketAddr>,
 }
 
 impl OperatorConfig {
-    /// Nothing is set where no file is named.
-    pub fn read(path: Option<&Path>) -> Result<OperatorConfig, String> {
+    /// Reads the file; nothing is set where none is named.
+    ///
+    /// # Errors
+    ///
+    /// Where the file cannot be read.
+    pub fn read(path: Option<&Path>) -> Result<OperatorConfig, OperatorConfigError> {
         let Some(path) = path else {
             return Ok(OperatorConfig::default());
         };
-        let because = |error: &dyn std::fmt::Display| {
-            // One line, so that a log's reader finds the key beside the reason.
-            format!("cannot read {}: {}", path.display(), error.to_string().trim_end().replace('\n', " "))
-        };
-        let text = std::fs::read_to_string(path).map_err(|error| because(&error))?;
-        toml::from_str(&text).map_err(|error| because(&error))
+        let text = std::fs::read_to_string(path).map_err(|error| unreadable(path, &error))?;
+        toml::from_str(&text).map_err(|error| unreadable(path, &error))
     }
 
-    /// The platform's settings with this file's beside them, checked as a whole.
-    pub fn complete(&self, platform: Options) -> Result<Options, String> {
-        let options =
-            platform.merged_with(Options::nested(&self.settings)).map_err(|refused| refused.to_string())?;
-        let counts = self.peers.as_ref().map(|peers| peers.doors.len());
-        vanewharf_gateway_settings::check(&options, counts).map_err(|refused| refused.to_string())?;
+    /// The platform's settings together with those of this file, checked.
+    ///
+    /// # Errors
+    ///
+    /// Where the files contradict each other or a setting is refused.
+    pub fn complete(&self, platform: Options) -> Result<Options, OperatorConfigError> {
+        let options = platform.merged_with(Options::nested(&self.settings))?;
+        let addresses = self.peers.as_ref().map(|peers| peers.gateways.len());
+        vanewharf_gateway_settings::check(&options, addresses)?;
         if let Some(peers) = &self.peers {
-            let mut others = peers.doors.clone();
-            others.sort();
-            others.dedup();
-            if others.len() < peers.doors.len() {
-                return Err("peers.doors is refused: an address stands there twice".to_owned());
-            }
-            let me: usize = options.required("me").map_err(|refused| refused.to_string())?;
-            if peers.doors.get(me) != Some(&peers.listen) {
-                return Err(format!("peers.listen is refused: not the address of door {me} in peers.doors"));
-            }
+            peers.check(options.required("me"))?;
         }
         Ok(options)
     }
 }
+
+impl PeerAddresses {
+    fn check(&self, own_number: Result<usize, UnreadableOption>) -> Result<(), OperatorConfigError> {
+        let mut distinct = self.gateways.clone();
+        distinct.sort();
+        distinct.dedup();
+        if distinct.len() < self.gateways.len() {
+            return Err(OperatorConfigError::DuplicatePeer);
+        }
+        let own_number = own_number?;
+        if self.gateways.get(own_number) != Some(&self.listen) {
+            return Err(OperatorConfigError::OwnAddressMismatch { own_number });
+        }
+        Ok(())
+    }
+}
+
+fn unreadable(path: &Path, error: &dyn std::error::Error) -> OperatorConfigError {
+    let reason = error.to_string().trim_end().replace('\n', " ");
+    OperatorConfigError::Unreadable { path: path.to_owned(), reason }
+}
--- a/programs/gateway/src/peers.rs
+++ b/programs/gateway/src/peers.rs
@@ -1,6 +1,8 @@
-//! Words between doors, a datagram each: the sender's number (four bytes, big end first) and the letter. A
-//! datagram that is lost, too long, unreadable, from no door of the operator's list, or beyond the told
-//! rate is counted and changes nothing else. Nothing here decides what to say.
+//! Messages between gateways, one in a datagram: the sender's number (four bytes, big-endian) and the message as
+//! [`vanewharf_policy::codec`] encodes it.
+//!
+//! A datagram that is lost, too long, unreadable, from no gateway of the operator's list, or beyond the configured rate
+//! is counted and changes nothing else. What to send is decided by the policy.
 
 use crate::counters::Counter;
 use crate::messages::RouterMessage;
@@ -12,51 +14,64 @@
 use vanewharf_policy::codec;
 use vanewharf_policy::interface::{GatewayId, PeerMessage};
 
-const NUMBER: usize = size_of::<u32>();
+const SENDER_BYTES: usize = size_of::<u32>();
+/// One byte more than any datagram that is accepted, so that a longer one is recognized.
+const BUFFER_BYTES: usize = SENDER_BYTES + codec::MAX_BYTES + 1;
 
-pub struct Peers {
+/// The socket on which this gateway exchanges messages with the others.
+pub struct PeerSocket {
     socket: UdpSocket,
-    /// By number.
-    doors: Vec<SocketAddr>,
-    me: GatewayId,
+    /// By gateway number.
+    gateways: Vec<SocketAddr>,
+    own_number: GatewayId,
 }
 
-impl Peers {
-    pub async fn listen(listen: SocketAddr, doors: Vec<SocketAddr>, me: GatewayId) -> std::io::Result<Peers> {
-        Ok(Peers { socket: UdpSocket::bind(listen).await?, doors, me })
+impl PeerSocket {
+    /// Binds the socket. `gateways` are the addresses of all gateways by their number.
+    ///
+    /// # Errors
+    ///
+    /// Where the address cannot be bound.
+    pub async fn bind(
+        address: SocketAddr,
+        gateways: Vec<SocketAddr>,
+        own_number: GatewayId,
+    ) -> std::io::Result<PeerSocket> {
+        Ok(PeerSocket { socket: UdpSocket::bind(address).await?, gateways, own_number })
     }
 
-    /// False where the system takes no more or the door is not listed: the word is lost then, as it might be
-    /// on its way.
-    pub fn tell(&self, to: GatewayId, word: &PeerMessage) -> bool {
-        let datagram = [&self.me.0.to_be_bytes()[..], &codec::encode(word)].concat();
-        let address = self.doors.get(to.0 as usize);
+    /// Sends a message without waiting. False where the system accepts no more or the gateway is not listed: the message
+    /// is lost then, as it might be in the network.
+    pub fn try_send(&self, to: GatewayId, message: &PeerMessage) -> bool {
+        let datagram = [&self.own_number.0.to_be_bytes()[..], &codec::encode(message)].concat();
+        let address = self.gateways.get(to.0 as usize);
         address.is_some_and(|address| self.socket.try_send_to(&datagram, *address).is_ok())
     }
 
-    fn read(&self, datagram: &[u8], address: SocketAddr) -> Option<(GatewayId, PeerMessage)> {
-        let (number, letter) = datagram.split_first_chunk::<NUMBER>()?;
+    /// The sender and its message; none where the datagram is to be dropped.
+    fn decode(&self, datagram: &[u8], address: SocketAddr) -> Option<(GatewayId, PeerMessage)> {
+        let (number, body) = datagram.split_first_chunk::<SENDER_BYTES>()?;
         let from = GatewayId(u32::from_be_bytes(*number));
-        // A door answers for its own number only.
-        let listed = self.doors.get(from.0 as usize) == Some(&address) && from != self.me;
-        let word = codec::decode(letter).filter(|_| listed && letter.len() <= codec::MAX_BYTES)?;
-        Some((from, word))
+        // A gateway speaks for its own number only.
+        let listed = self.gateways.get(from.0 as usize) == Some(&address) && from != self.own_number;
+        let message = codec::decode(body).filter(|_| listed && body.len() <= codec::MAX_BYTES)?;
+        Some((from, message))
     }
 
-    pub async fn hear(self: Rc<Peers>, per_s: f64, shared: Rc<Shared>) {
-        let mut intake = Intake { per_s, room: per_s, at: Instant::now() };
-        // One byte more than any that is taken, so that a longer one shows.
-        let mut buffer = [0; NUMBER + codec::MAX_BYTES + 1];
+    /// Passes received messages to the router for ever, at `max_per_s` at most.
+    pub async fn receive(self: Rc<PeerSocket>, max_per_s: f64, shared: Rc<Shared>) {
+        let mut rate = RateLimiter::new(max_per_s, Instant::now());
+        let mut buffer = [0; BUFFER_BYTES];
         loop {
-            // An error is a word that never came; the system reports some of those.
+            // The system reports some of the messages that were not delivered as errors.
             let Ok((length, address)) = self.socket.recv_from(&mut buffer).await else {
                 tokio::task::yield_now().await;
                 continue;
             };
-            match self.read(&buffer[..length], address).filter(|_| intake.takes(Instant::now())) {
-                Some((from, word)) => {
+            match self.decode(&buffer[..length], address).filter(|_| rate.try_acquire(Instant::now())) {
+                Some((from, message)) => {
                     shared.resources.count(Counter::PeerMessagesReceived);
-                    shared.notify_router(RouterMessage::PeerMessage(from, word));
+                    shared.notify_router(RouterMessage::PeerMessage(from, message));
                 }
                 None => shared.resources.count(Counter::PeerMessagesDropped),
             }
@@ -64,33 +79,27 @@
     }
 }
 
-/// No more than a second's words at once, and so many a second.
-struct Intake {
+/// A token bucket that holds the tokens of one second.
+struct RateLimiter {
     per_s: f64,
-    room: f64,
-    at: Instant,
+    tokens: f64,
+    refilled_at: Instant,
 }
 
-impl Intake {
-    fn takes(&mut self, now: Instant) -> bool {
-        self.room = (self.room + self.per_s * (now - self.at).as_secs_f64()).min(self.per_s);
-        self.at = now;
-        let takes = self.room >= 1.0;
-        self.room -= f64::from(u8::from(takes));
-        takes
+impl RateLimiter {
+    fn new(per_s: f64, now: Instant) -> RateLimiter {
+        RateLimiter { per_s, tokens: per_s, refilled_at: now }
     }
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use std::time::Duration;
 
-    #[test]
-    fn a_flood_is_taken_in_at_the_told_rate() {
-        let at = Instant::now();
-        let mut intake = Intake { per_s: 40.0, room: 40.0, at };
-        let taken = (0..4_000).filter(|no| intake.takes(at + Duration::from_millis(*no / 2))).count();
-        assert!((115..=125).contains(&taken), "40 at once and 40 a second for 2 s: {taken}");
+    fn try_acquire(&mut self, now: Instant) -> bool {
+        let elapsed = (now - self.refilled_at).as_secs_f64();
+        self.tokens = (self.tokens + self.per_s * elapsed).min(self.per_s);
+        self.refilled_at = now;
+        let acquired = self.tokens >= 1.0;
+        self.tokens -= f64::from(u8::from(acquired));
+        acquired
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/programs/gateway/src/platform_dialect.rs
+++ b/programs/gateway/src/platform_dialect.rs
@@ -1,4 +1,5 @@
-//! Admit: from a request's head to the arrival that the decisions hear.
+//! How the gateway on the platform speaks HTTP: the header fields and the query that a request must carry, and what
+//! backends report in their replies.
 
 use crate::dialect::{Admission, ForwardingOptions, HttpDialect, ReplyMatch, ReportedUsage};
 use std::time::Duration;
@@ -8,94 +9,144 @@
     Arrival, CustomerId, Outcome, PlanId, ProductId, QuotaClaim, Ticks, TxnId,
 };
 
-const CORRELATION: &str = "X-Correlation-Id";
-const AGAIN: &str = "X-Idempotency";
-/// An id is kept while its txn is open.
-const LONGEST_ID: usize = 64;
-/// Customers are numbered below this.
-const CUSTOMERS: u64 = 1 << 33;
+const REQUEST_ID: &str = "X-Correlation-Id";
+const REPEAT_MARK: &str = "X-Idempotency";
 const TIME_LEFT: &str = "X-Time-Left-Ms";
+const PRODUCT: &str = "X-Service-Class";
+const PLAN: &str = "X-Plan";
+const QUOTA: &str = "X-Quota";
+const QUOTA_USED: &str = "X-Quota-Used";
+const UNITS_CHARGED: &str = "X-Units-Charged";
+const BACKEND_LOAD: &str = "X-Backend-Load";
+const UNPROCESSED: &str = "X-Unprocessed";
+
+const HEALTH_PATH: &str = "/healthz";
+/// Ids are held in memory while their requests are in flight.
+const MAX_ID_BYTES: usize = 64;
+/// The hexadecimal digits of a customer's key.
+const KEY_DIGITS: usize = 16;
+/// Customers are numbered below this.
+const CUSTOMER_LIMIT: u64 = 1 << 33;
+
+/// Against clients that send nothing or never complete a request. Usual ones write a request at once.
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(2500);
+/// Against clients that stay connected after one request: if they took up the sockets, usual clients would lose their
+/// connections sooner than this. Closing a usual client's connection costs it a new one.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// What the door was told that a request is held to.
+/// The platform's dialect, with the settings that requests are checked against.
 pub struct PlatformDialect {
-    pub named: SettingNames,
+    /// The plans and products by name.
+    pub names: SettingNames,
+    /// What a request may state.
     pub bounds: RequestBounds,
 }
 
-fn customer(query: &str) -> Option<CustomerId> {
-    let mut keys = query.split('&').filter_map(|pair| pair.strip_prefix("key="));
-    let key = keys.next().filter(|_| keys.next().is_none())?;
-    let digits = key.len() == 16 && key.bytes().all(|digit| digit.is_ascii_hexdigit());
-    digits.then(|| u64::from_str_radix(key, 16).ok())?.filter(|&key| key < CUSTOMERS).map(CustomerId)
+/// Why a request is rejected.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum InvalidRequest {
+    ProductMismatch,
+    UnknownProduct,
+    NoPlan,
+    UnknownPlan,
+    InvalidKey,
+    InvalidQuota,
+    InvalidTimeLeft,
+    TooMuchTimeLeft,
+    InvalidId,
 }
 
-/// The cost, the number of the customer's doors and which is the first of them.
-fn quota(field: &str, bounds: &RequestBounds) -> Option<(f64, u32, u32)> {
-    let (mut cost, mut width, mut first) = (None, None, Some(0));
-    for pair in field.split(',') {
-        match pair.trim().split_once('=') {
-            Some(("units", text)) => cost = text.parse::<f64>().ok(),
-            Some(("spread", text)) => width = text.parse::<u32>().ok(),
-            Some(("first", text)) => first = text.parse::<u32>().ok(),
-            _ => {}
+impl InvalidRequest {
+    /// The text that the client is answered.
+    fn reason(self) -> &'static str {
+        match self {
+            InvalidRequest::ProductMismatch => "path and X-Service-Class differ",
+            InvalidRequest::UnknownProduct => "the product is not known",
+            InvalidRequest::NoPlan => "X-Plan is missing or there are two",
+            InvalidRequest::UnknownPlan => "the plan is not known",
+            InvalidRequest::InvalidKey => "key is not 16 hex digits",
+            InvalidRequest::InvalidQuota => "X-Quota cannot be read or is out of range",
+            InvalidRequest::InvalidTimeLeft => "X-Time-Left-Ms cannot be read",
+            InvalidRequest::TooMuchTimeLeft => "X-Time-Left-Ms is longer than the product's expiry",
+            InvalidRequest::InvalidId => "X-Correlation-Id is missing, too long or there are two",
         }
     }
-    // What no customer can owe would keep its bucket in debt for good.
-    let cost = cost.filter(|cost| *cost > 0.0 && *cost <= bounds.max_cost)?;
-    let width = width.filter(|width| (1..=bounds.gateways).contains(width))?;
-    first.filter(|first| *first < bounds.gateways).map(|first| (cost, width, first))
 }
 
-fn arrival(
-    request: &Request,
-    told: &PlatformDialect,
-    now: Ticks,
-    txn: TxnId,
-) -> Result<Arrival, &'static str> {
-    let PlatformDialect { named, bounds } = told;
-    let (path, query) = request.target().split_once('?').unwrap_or((request.target(), ""));
-    let product = path.split('/').nth(1).unwrap_or_default();
-    if request.unique_field("X-Service-Class") != Some(product) {
-        return Err("path and X-Service-Class differ");
-    }
-    let product: ProductId = *named.products.get(product).ok_or("the product is not known")?;
-    let plan = request.unique_field("X-Plan").ok_or("X-Plan is missing or there are two")?;
-    let plan: PlanId = *named.plans.get(plan).ok_or("the plan is not known")?;
-    let customer = customer(query).ok_or("key is not 16 hex digits")?;
-    let (cost, width, first) = request
-        .unique_field("X-Quota")
-        .and_then(|field| quota(field, bounds))
-        .ok_or("X-Quota cannot be read or is out of range")?;
-    let left: Option<u32> = request.unique_field(TIME_LEFT).and_then(|text| text.parse().ok());
-    let left = Ticks(i64::from(left.ok_or("X-Time-Left-Ms cannot be read")?) * 10);
-    if left > bounds.max_expiries[product.0] {
-        return Err("X-Time-Left-Ms is longer than the product's expiry");
-    }
-    if id(request).is_none() {
-        return Err("X-Correlation-Id is missing, too long or there are two");
+/// The field that states what a request takes of its customer's quota.
+struct QuotaField {
+    cost: f64,
+    /// How many gateways the customer's requests are spread over.
+    subset_size: u32,
+    /// The number of the first of these gateways.
+    subset_start: u32,
+}
+
+impl QuotaField {
+    fn parse(field: &str, bounds: &RequestBounds) -> Option<QuotaField> {
+        let (mut cost, mut size, mut start) = (None, None, Some(0));
+        for pair in field.split(',') {
+            match pair.trim().split_once('=') {
+                Some(("units", text)) => cost = text.parse::<f64>().ok(),
+                Some(("spread", text)) => size = text.parse::<u32>().ok(),
+                Some(("first", text)) => start = text.parse::<u32>().ok(),
+                _ => {}
+            }
+        }
+        // A cost beyond any quota would keep the customer's bucket in debt for good.
+        let cost = cost.filter(|cost| *cost > 0.0 && *cost <= bounds.max_cost)?;
+        let subset_size = size.filter(|size| (1..=bounds.gateways).contains(size))?;
+        let subset_start = start.filter(|start| *start < bounds.gateways)?;
+        Some(QuotaField { cost, subset_size, subset_start })
     }
-    let again = request.field(AGAIN) == Some("1");
-    let want = QuotaClaim { customer, plan, subset_start: first, subset_size: width, cost, retry: again };
-    Ok(Arrival { txn, product, claim: want, deadline: now + left })
 }
 
-/// By which clients and backends know the txn.
-fn id(request: &Request) -> Option<&str> {
-    request.unique_field(CORRELATION).filter(|id| (1..=LONGEST_ID).contains(&id.len()))
+fn parse_customer(query: &str) -> Option<CustomerId> {
+    let mut keys = query.split('&').filter_map(|pair| pair.strip_prefix("key="));
+    let key = keys.next().filter(|_| keys.next().is_none())?;
+    let is_key = key.len() == KEY_DIGITS && key.bytes().all(|digit| digit.is_ascii_hexdigit());
+    let number = is_key.then(|| u64::from_str_radix(key, 16).ok())?;
+    number.filter(|&number| number < CUSTOMER_LIMIT).map(CustomerId)
 }
 
-/// Against clients that say nothing or never come to an end. Usual ones write a request at once.
-const REQUEST_TIMEOUT: Duration = Duration::from_millis(2500);
-/// Against clients that asked once and stay for good: left to crowd the door, they would have usual ones shed
-/// sooner than this. Closing on a usual one costs it a new connection.
-const IDLE_TIMEOUT: Duration = Duration::from_secs(4);
+fn request_id(request: &Request) -> Option<&str> {
+    request.unique_field(REQUEST_ID).filter(|id| (1..=MAX_ID_BYTES).contains(&id.len()))
+}
+
+impl PlatformDialect {
+    fn parse_arrival(&self, request: &Request, now: Ticks, txn: TxnId) -> Result<Arrival, InvalidRequest> {
+        let PlatformDialect { names, bounds } = self;
+        let (path, query) = request.target().split_once('?').unwrap_or((request.target(), ""));
+        let product = path.split('/').nth(1).unwrap_or_default();
+        if request.unique_field(PRODUCT) != Some(product) {
+            return Err(InvalidRequest::ProductMismatch);
+        }
+        let product: ProductId = *names.products.get(product).ok_or(InvalidRequest::UnknownProduct)?;
+        let plan = request.unique_field(PLAN).ok_or(InvalidRequest::NoPlan)?;
+        let plan: PlanId = *names.plans.get(plan).ok_or(InvalidRequest::UnknownPlan)?;
+        let customer = parse_customer(query).ok_or(InvalidRequest::InvalidKey)?;
+        let quota = request.unique_field(QUOTA).and_then(|field| QuotaField::parse(field, bounds));
+        let QuotaField { cost, subset_size, subset_start } = quota.ok_or(InvalidRequest::InvalidQuota)?;
+        let ms_left: Option<u32> = request.unique_field(TIME_LEFT).and_then(|text| text.parse().ok());
+        let left = Ticks(i64::from(ms_left.ok_or(InvalidRequest::InvalidTimeLeft)?) * 10);
+        if left > bounds.max_expiries[product.0] {
+            return Err(InvalidRequest::TooMuchTimeLeft);
+        }
+        if request_id(request).is_none() {
+            return Err(InvalidRequest::InvalidId);
+        }
+        let retry = request.field(REPEAT_MARK) == Some("1");
+        let claim = QuotaClaim { customer, plan, subset_start, subset_size, cost, retry };
+        Ok(Arrival { txn, product, claim, deadline: now + left })
+    }
+}
 
 impl HttpDialect for PlatformDialect {
     fn forwarding_options(&self) -> ForwardingOptions {
         ForwardingOptions {
             time_left_header: TIME_LEFT,
             request_headers_removed: &[],
-            response_headers_removed: &["X-Quota-Used", "X-Units-Charged", "X-Backend-Load", "X-Unprocessed"],
+            response_headers_removed: &[QUOTA_USED, UNITS_CHARGED, BACKEND_LOAD, UNPROCESSED],
             busy_retry_after: None,
             request_timeout: REQUEST_TIMEOUT,
             idle_timeout: IDLE_TIMEOUT,
@@ -104,23 +155,23 @@
 
     fn admit(&self, request: &Request, now: Ticks, txn: TxnId) -> Admission {
         match (request.method(), request.target()) {
-            ("GET", "/healthz") => Admission::Health,
-            ("GET" | "POST", _) => match arrival(request, self, now, txn) {
+            ("GET", HEALTH_PATH) => Admission::Health,
+            ("GET" | "POST", _) => match self.parse_arrival(request, now, txn) {
                 Ok(arrival) => Admission::Txn(arrival),
-                Err(reason) => Admission::Reject { status: 400, reason },
+                Err(invalid) => Admission::Reject { status: 400, reason: invalid.reason() },
             },
             _ => Admission::Reject { status: 405, reason: "only GET and POST are taken" },
         }
     }
 
     fn request_id<'a>(&self, request: &'a Request) -> Option<&'a str> {
-        id(request)
+        request_id(request)
     }
 
     fn match_reply(&self, _: &Request, reply: &Reply) -> ReplyMatch {
         ReplyMatch::Current(match reply.status() {
             200 => Outcome::Succeeded,
-            503 | 504 if reply.field("X-Unprocessed") == Some("1") => Outcome::Rejected,
+            503 | 504 if reply.field(UNPROCESSED) == Some("1") => Outcome::Rejected,
             _ => Outcome::Error,
         })
     }
@@ -130,8 +181,9 @@
             let text = reply.field(name)?;
             text.trim().parse::<f64>().ok().filter(|figure| figure.is_finite())
         };
-        let metered = figure("X-Quota-Used").filter(|&used| used >= 0.0).map(|used| used / 100.0);
-        let true_cost = figure("X-Units-Charged").filter(|&cost| cost > 0.0 && cost <= self.bounds.max_cost);
-        ReportedUsage { metered, true_cost }
+        let metered_usage =
+            figure(QUOTA_USED).filter(|&percent| percent >= 0.0).map(|percent| percent / 100.0);
+        let actual_cost = figure(UNITS_CHARGED).filter(|&cost| cost > 0.0 && cost <= self.bounds.max_cost);
+        ReportedUsage { metered_usage, actual_cost }
     }
 }
--- a/programs/gateway/src/quota_counter.rs
+++ b/programs/gateway/src/quota_counter.rs
@@ -1,17 +1,20 @@
-//! The shared quota counter, over RESP2: `ADDGET NAME STEP LIFE` on one connection, the calls written one
-//! after another and answered in their order. Nothing here decides whether to call. A call left unanswered
-//! past the settings' wait is told as unknown (it may have been added, or may yet be), and its answer, when
-//! it comes, is read and dropped; a connection that ends leaves all it had unanswered unknown.
+//! The shared quota counter, over RESP2: `ADDGET NAME STEP LIFE` on one connection, the calls written one after another
+//! and answered in their order. Whether to call is decided by the policy.
+//!
+//! A call left unanswered past the configured time is reported as unknown (it may have been executed, or may yet be), and
+//! its reply, when it arrives, is read and dropped. When the connection ends, all calls unanswered on it are unknown.
 
 use crate::clock::to_duration;
 use crate::messages::RouterMessage;
 use crate::shared::Shared;
 use futures_util::{SinkExt, StreamExt};
 use redis_protocol::codec::Resp2;
+use redis_protocol::error::RedisProtocolError;
 use redis_protocol::resp2::types::BytesFrame;
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 use std::rc::Rc;
+use std::time::Duration;
 use tokio::net::TcpStream;
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::sync::mpsc;
@@ -19,142 +22,181 @@
 use tokio_util::codec::{FramedRead, FramedWrite};
 use vanewharf_policy::interface::{CounterKey, CounterReply, Ticks};
 
-/// One call, as the decisions ask for it: `step` units (below 0 takes off) to `name`, which a new name keeps
-/// for `forget_after` (the counter takes 1 ms to 60 s).
+/// How long the counter may keep a key, in milliseconds.
+const LIFE_MS: std::ops::RangeInclusive<i64> = 1..=60_000;
+
+/// One call, as the policy makes it.
 pub struct Call {
-    pub name: CounterKey,
-    pub step: f64,
-    pub forget_after: Ticks,
+    /// The key that is counted under.
+    pub key: CounterKey,
+    /// What is added; taken off where it is negative.
+    pub amount: f64,
+    /// How long the counter keeps a new key; it accepts 1 ms to 60 s.
+    pub expire_after: Ticks,
 }
 
-struct Out {
-    name: CounterKey,
-    until: Instant,
-    told: bool,
+impl Call {
+    fn to_frame(&self) -> BytesFrame {
+        let life = (self.expire_after.0 / 10).clamp(*LIFE_MS.start(), *LIFE_MS.end());
+        let words = ["ADDGET".to_owned(), self.key.0.to_string(), self.amount.to_string(), life.to_string()];
+        BytesFrame::Array(words.into_iter().map(|word| BytesFrame::BulkString(word.into())).collect())
+    }
 }
 
-fn frame(call: &Call) -> BytesFrame {
-    let life = (call.forget_after.0 / 10).clamp(1, 60_000);
-    let words = ["ADDGET".to_owned(), call.name.0.to_string(), call.step.to_string(), life.to_string()];
-    BytesFrame::Array(words.into_iter().map(|word| BytesFrame::BulkString(word.into())).collect())
+/// Makes calls until their sender is gone, and reports each call's result to the router.
+pub async fn run(
+    address: SocketAddr,
+    call_timeout: Ticks,
+    calls: mpsc::UnboundedReceiver<Call>,
+    shared: Rc<Shared>,
+) {
+    let report = |key, reply| shared.notify_router(RouterMessage::QuotaCounterReply(key, reply));
+    serve(|| TcpStream::connect(address), call_timeout, calls, report).await;
 }
 
-/// A total is a bulk string; `-BUSY` and `-ERR` added nothing.
-fn counted(answer: BytesFrame) -> CounterReply {
-    let total = match answer {
-        BytesFrame::BulkString(text) | BytesFrame::SimpleString(text) => {
-            std::str::from_utf8(&text).ok().and_then(|text| text.trim().parse::<f64>().ok())
+async fn serve<D: Future<Output = std::io::Result<TcpStream>>>(
+    dial: impl Fn() -> D,
+    call_timeout: Ticks,
+    calls: mpsc::UnboundedReceiver<Call>,
+    report: impl Fn(CounterKey, CounterReply),
+) {
+    let call_timeout = to_duration(call_timeout);
+    let client = CounterClient { dial, call_timeout, report, connection: None, pending: VecDeque::new() };
+    client.run(calls).await;
+}
+
+struct CounterConnection {
+    reader: FramedRead<OwnedReadHalf, Resp2>,
+    writer: FramedWrite<OwnedWriteHalf, Resp2>,
+}
+
+impl CounterConnection {
+    fn new(stream: TcpStream) -> CounterConnection {
+        let _ = stream.set_nodelay(true);
+        let (read, write) = stream.into_split();
+        CounterConnection {
+            reader: FramedRead::new(read, Resp2::default()),
+            writer: FramedWrite::new(write, Resp2::default()),
         }
-        BytesFrame::Integer(total) => Some(total as f64),
-        _ => None,
-    };
-    total.filter(|total| total.is_finite()).map_or(CounterReply::NotAdded, CounterReply::Total)
+    }
 }
 
-pub async fn run(address: SocketAddr, wait: Ticks, calls: mpsc::UnboundedReceiver<Call>, shared: Rc<Shared>) {
-    let tell = |name, counted| shared.notify_router(RouterMessage::Counted(name, counted));
-    serve(|| TcpStream::connect(address), wait, calls, tell).await;
+/// A call whose reply has not arrived.
+struct PendingCall {
+    key: CounterKey,
+    deadline: Instant,
+    /// Its time is over and it was reported as unknown; its reply is to be dropped.
+    timed_out: bool,
 }
 
-async fn serve<D: Future<Output = std::io::Result<TcpStream>>>(
-    dial: impl Fn() -> D,
-    wait: Ticks,
-    mut calls: mpsc::UnboundedReceiver<Call>,
-    tell: impl Fn(CounterKey, CounterReply),
-) {
-    let wait = to_duration(wait);
-    let mut reader: Option<FramedRead<OwnedReadHalf, Resp2>> = None;
-    let mut writer: Option<FramedWrite<OwnedWriteHalf, Resp2>> = None;
-    let mut out: VecDeque<Out> = VecDeque::new();
-    loop {
-        let due = out.iter().filter(|one| !one.told).map(|one| one.until).min();
-        let answer = async {
-            match reader.as_mut() {
-                Some(reader) => reader.next().await,
-                None => std::future::pending().await,
-            }
-        };
-        tokio::select! {
-            call = calls.recv() => {
-                let Some(call) = call else {
-                    return;
-                };
-                if writer.is_none() {
-                    match timeout(wait, dial()).await {
-                        Ok(Ok(stream)) => {
-                            let _ = stream.set_nodelay(true);
-                            let (read, write) = stream.into_split();
-                            reader = Some(FramedRead::new(read, Resp2::default()));
-                            writer = Some(FramedWrite::new(write, Resp2::default()));
-                        }
-                        _ => {
-                            tell(call.name, CounterReply::NotAdded);
-                            // Those made meanwhile have waited as long: another dial each would hold their
-                            // txns one wait after the other.
-                            while let Ok(call) = calls.try_recv() {
-                                tell(call.name, CounterReply::NotAdded);
-                            }
-                            continue;
-                        }
-                    }
-                }
-                let Some(write) = writer.as_mut() else {
-                    continue;
-                };
-                out.push_back(Out { name: call.name, until: Instant::now() + wait, told: false });
-                if write.send(frame(&call)).await.is_err() {
-                    (reader, writer) = (None, None);
-                    out.drain(..).filter(|one| !one.told).for_each(|one| tell(one.name, CounterReply::Unknown));
+type ReplyFrame = Option<Result<BytesFrame, RedisProtocolError>>;
+
+struct CounterClient<Dial, Report> {
+    dial: Dial,
+    call_timeout: Duration,
+    report: Report,
+    connection: Option<CounterConnection>,
+    /// The calls written on the connection, in their order.
+    pending: VecDeque<PendingCall>,
+}
+
+impl<D, Dial, Report> CounterClient<Dial, Report>
+where
+    D: Future<Output = std::io::Result<TcpStream>>,
+    Dial: Fn() -> D,
+    Report: Fn(CounterKey, CounterReply),
+{
+    async fn run(mut self, mut calls: mpsc::UnboundedReceiver<Call>) {
+        loop {
+            let deadline = self.pending.iter().filter(|call| !call.timed_out).map(|call| call.deadline).min();
+            // Cancel safe: the channel loses no call, and what was read of a reply stays in the reader.
+            tokio::select! {
+                call = calls.recv() => match call {
+                    Some(call) => self.make_call(call, &mut calls).await,
+                    None => return,
+                },
+                reply = next_reply(self.connection.as_mut()) => self.handle_reply(reply),
+                () = sleep_until(deadline.unwrap_or_else(Instant::now)), if deadline.is_some() => {
+                    self.report_timeouts();
                 }
             }
-            answer = answer => match (answer, out.pop_front()) {
-                (Some(Ok(answer)), Some(one)) => {
-                    if !one.told {
-                        tell(one.name, counted(answer));
+        }
+    }
+
+    async fn make_call(&mut self, call: Call, calls: &mut mpsc::UnboundedReceiver<Call>) {
+        if self.connection.is_none() {
+            match timeout(self.call_timeout, (self.dial)()).await {
+                Ok(Ok(stream)) => self.connection = Some(CounterConnection::new(stream)),
+                _ => {
+                    (self.report)(call.key, CounterReply::NotAdded);
+                    // Those made meanwhile have waited as long: dialling again for each would delay their requests one
+                    // after the other.
+                    while let Ok(call) = calls.try_recv() {
+                        (self.report)(call.key, CounterReply::NotAdded);
                     }
+                    return;
                 }
-                // Ended, unreadable, or an answer to no call: nothing more on it can be trusted.
-                (_, first) => {
-                    (reader, writer) = (None, None);
-                    let unanswered = first.into_iter().chain(out.drain(..)).filter(|one| !one.told);
-                    unanswered.for_each(|one| tell(one.name, CounterReply::Unknown));
-                }
-            },
-            () = sleep_until(due.unwrap_or_else(Instant::now)), if due.is_some() => {
-                let now = Instant::now();
-                for one in out.iter_mut().filter(|one| !one.told && one.until <= now) {
-                    one.told = true;
-                    tell(one.name, CounterReply::Unknown);
+            }
+        }
+        let Some(connection) = &mut self.connection else {
+            return;
+        };
+        let deadline = Instant::now() + self.call_timeout;
+        self.pending.push_back(PendingCall { key: call.key, deadline, timed_out: false });
+        if connection.writer.send(call.to_frame()).await.is_err() {
+            self.close();
+        }
+    }
+
+    fn handle_reply(&mut self, reply: ReplyFrame) {
+        match reply {
+            Some(Ok(reply)) if !self.pending.is_empty() => {
+                let answered = self.pending.pop_front().filter(|call| !call.timed_out);
+                if let Some(call) = answered {
+                    (self.report)(call.key, parse_reply(reply));
                 }
             }
+            // The connection's end, an unreadable reply, or a reply to no call: nothing more on it can be trusted.
+            _ => self.close(),
         }
     }
-}
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use std::cell::RefCell;
-
-    const WAIT: Ticks = Ticks(800);
-
-    #[tokio::test(start_paused = true)]
-    async fn a_counter_that_takes_no_connection_holds_no_call_longer_than_one_wait() {
-        let (calls, taken) = mpsc::unbounded_channel();
-        let told = RefCell::new(Vec::new());
-        let began = Instant::now();
-        for name in 0..5 {
-            let call = Call { name: CounterKey(name), step: 1.0, forget_after: Ticks::SECOND };
-            assert!(calls.send(call).is_ok());
+    fn report_timeouts(&mut self) {
+        let now = Instant::now();
+        for call in self.pending.iter_mut().filter(|call| !call.timed_out && call.deadline <= now) {
+            call.timed_out = true;
+            (self.report)(call.key, CounterReply::Unknown);
         }
-        drop(calls);
-        let tell = |name, counted| told.borrow_mut().push((name, counted, began.elapsed()));
-        serve(std::future::pending, WAIT, taken, tell).await;
-        let told = told.into_inner();
-        assert_eq!(told.len(), 5, "{told:?}");
-        for (no, (name, counted, took)) in told.iter().enumerate() {
-            assert_eq!((*name, *counted), (CounterKey(no as u64), CounterReply::NotAdded));
-            assert!(*took < to_duration(WAIT) + to_duration(WAIT).div_f64(2.0), "{told:?}");
+    }
+
+    /// Closes the connection; all calls unanswered on it are unknown.
+    fn close(&mut self) {
+        self.connection = None;
+        for call in self.pending.drain(..).filter(|call| !call.timed_out) {
+            (self.report)(call.key, CounterReply::Unknown);
         }
     }
 }
+
+/// Waits for ever where there is no connection.
+async fn next_reply(connection: Option<&mut CounterConnection>) -> ReplyFrame {
+    match connection {
+        Some(connection) => connection.reader.next().await,
+        None => std::future::pending().await,
+    }
+}
+
+/// A total is a bulk string; `-BUSY` and `-ERR` added nothing.
+fn parse_reply(reply: BytesFrame) -> CounterReply {
+    let total = match reply {
+        BytesFrame::BulkString(text) | BytesFrame::SimpleString(text) => {
+            std::str::from_utf8(&text).ok().and_then(|text| text.trim().parse::<f64>().ok())
+        }
+        BytesFrame::Integer(total) => Some(total as f64),
+        _ => None,
+    };
+    total.filter(|total| total.is_finite()).map_or(CounterReply::NotAdded, CounterReply::Total)
+}
+
+#[cfg(test)]
+mod tests;
--- a/programs/gateway/src/router.rs
+++ b/programs/gateway/src/router.rs
@@ -1,456 +1,302 @@
-//! Router: the one task that owns the decisions. It gathers what is ready, has it decided at once and
-//! carries the actions out in order.
+//! The router: the one task that owns the routing policy, the requests in flight, the pool of backend connections and
+//! the timers.
+//!
+//! It gathers the messages of the other stages, has the policy decide on all of them at once, and carries the policy's
+//! actions out in order. No other task reads or changes this state, so decisions need no locks.
+
+mod actions;
+mod policy;
+mod timers;
+
+pub use policy::{PlatformPolicy, RoutingPolicy};
 
 use crate::answer::FinalAnswer;
-use crate::backend_connection;
+use crate::clock::to_duration;
 use crate::connection_pool::ConnectionPool;
 use crate::counters::{Counter, Invariant};
 use crate::dialect::ReportedUsage;
-use crate::messages::{Attempt, AttemptResult, BackendEntry, BackendUpdate, NewRequest, RouterMessage};
+use crate::messages::{AttemptResult, BackendEntry, BackendUpdate, NewRequest, RouterMessage};
 use crate::open_ids::OpenId;
-use crate::peers::Peers;
+use crate::peers::PeerSocket;
 use crate::quota_counter::Call;
 use crate::shared::Shared;
-use std::cmp::Reverse;
-use std::collections::{BTreeMap, BinaryHeap};
-use std::convert::Infallible;
+use std::collections::BTreeMap;
 use std::rc::Rc;
+use timers::{Timer, TimerQueue};
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::Instant;
-use vanewharf_exchange::line::CalledOff;
-use vanewharf_exchange::{self as txns, Expiry, Submit, Txns};
+use vanewharf_exchange::{CancelReason, EndedAttempt, ExpiryAction, Txns};
 use vanewharf_http1::{Reply, Request};
-use vanewharf_policy::decide::Balancer;
-use vanewharf_policy::interface::{
-    Action, Arrival, AttemptNumber, AttemptReport, BackendId, CounterReply, Event, Idempotency, Outcome,
-    Ticks, TimerId, TxnId,
-};
-
-/// For the answer's way back and one turn of the runtime's timers: the client counts from when it
-/// sent, this door from when it has read.
-const WAY_BACK: Ticks = Ticks(50);
-const SWEEP: Ticks = Ticks::SECOND;
-
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Timer {
-    Wake(TimerId),
-    Expiry(TxnId),
-    TimeOut(TxnId, AttemptNumber),
-    Sweep,
-}
-
-/// Whatever decides. What it hears beside events (`News`) comes through a queue of its own.
-pub trait RoutingPolicy {
-    type Update;
-
-    fn decide(&mut self, now: Ticks, events: Vec<Event>) -> Vec<Action>;
-
-    fn repeat(&self, arrival: &Arrival) -> Idempotency;
-
-    /// What it makes of the news, and the backends that the pool is to know by it.
-    fn apply_update(&mut self, now: Ticks, update: Self::Update) -> Option<BackendUpdate>;
-
-    /// The fields that this backend is told for this txn beside what the client said.
-    fn extra_headers(&self, _txn: TxnId, _backend: BackendId) -> Vec<(&'static str, String)> {
-        Vec::new()
-    }
-
-    /// The answer that a txn ends with, where a backend gave one that was no success.
-    fn final_answer(&self, _txn: TxnId, answer: FinalAnswer, _failure: Option<Reply>) -> FinalAnswer {
-        answer
-    }
-}
-
-/// The module alone, as it was told at its start.
-pub struct PlatformPolicy {
-    pub door: Balancer,
-    pub repeats: Vec<Idempotency>,
-}
-
-impl RoutingPolicy for PlatformPolicy {
-    type Update = Infallible;
-
-    fn decide(&mut self, now: Ticks, events: Vec<Event>) -> Vec<Action> {
-        self.door.decide(now, events)
-    }
-
-    fn repeat(&self, arrival: &Arrival) -> Idempotency {
-        self.repeats[arrival.product.0]
-    }
-
-    fn apply_update(&mut self, _: Ticks, update: Infallible) -> Option<BackendUpdate> {
-        match update {}
-    }
-}
-
-/// What is kept of a txn beside its state.
-struct Held {
+use vanewharf_policy::interface::{AttemptNumber, AttemptReport, CounterReply, Event, Outcome, Ticks, TxnId};
+
+/// Taken off each request's time, for the answer's way back and one turn of the runtime's timers: the client counts
+/// from when it sent the request, the gateway from when it has read it.
+const ANSWER_MARGIN: Ticks = Ticks(50);
+/// How often idle connections are checked for their age.
+const SWEEP_INTERVAL: Ticks = Ticks::SECOND;
+/// How many messages are decided on at once.
+const MAX_BATCH: usize = 1024;
+
+/// What is needed of a request in flight alongside its state.
+struct RequestInFlight {
     request: Rc<Request>,
-    /// The last answer that was no success.
+    /// The last reply that was an error.
     failure: Option<Reply>,
-    /// Held until nothing is out: a backend must not get a second copy under one id.
+    /// Held until no attempt is in flight: a backend must not get a second request under one id.
     _open_id: OpenId,
 }
 
-pub struct Router<D> {
+/// The state of the router task.
+pub struct Router<P> {
     shared: Rc<Shared>,
-    decisions: D,
+    policy: P,
     pool: ConnectionPool,
-    txns: Txns<oneshot::Sender<FinalAnswer>, oneshot::Sender<CalledOff>>,
-    held: BTreeMap<TxnId, Held>,
-    timers: BinaryHeap<Reverse<(Ticks, u64, Timer)>>,
-    timers_set: u64,
+    txns: Txns<oneshot::Sender<FinalAnswer>, oneshot::Sender<CancelReason>>,
+    requests: BTreeMap<TxnId, RequestInFlight>,
+    timers: TimerQueue,
+    /// Events for the policy's next decision.
     events: Vec<Event>,
-    /// None where no counter was named: then the decisions are told that there is none.
-    counter: Option<mpsc::UnboundedSender<Call>>,
-    /// None where doors have no words for each other: then the decisions are told so.
-    peers: Option<Rc<Peers>>,
+    /// None where no shared counter is configured: the policy is told that its calls were not executed.
+    quota_counter: Option<mpsc::UnboundedSender<Call>>,
+    /// None where gateways do not exchange messages: messages are counted as not sent.
+    peers: Option<Rc<PeerSocket>>,
 }
 
-impl<D: RoutingPolicy> Router<D> {
+impl<P: RoutingPolicy> Router<P> {
+    /// A router that starts with the backends of `known` and has the policy decide on them at once.
     pub fn new(
         shared: Rc<Shared>,
-        decisions: D,
+        policy: P,
         known: BackendUpdate,
-        counter: Option<mpsc::UnboundedSender<Call>>,
-        peers: Option<Rc<Peers>>,
-    ) -> Router<D> {
-        let pool = ConnectionPool::new(shared.timeouts.idle);
-        let (txns, held, timers) = (Txns::default(), BTreeMap::new(), BinaryHeap::new());
-        let events = Vec::new();
-        let timers_set = 0;
-        let mut route =
-            Router { shared, decisions, pool, txns, held, timers, timers_set, events, counter, peers };
-        let now = route.shared.clock.now();
-        route.listed(known);
-        route.set(now + SWEEP, Timer::Sweep);
-        route.decide(now);
-        route
+        quota_counter: Option<mpsc::UnboundedSender<Call>>,
+        peers: Option<Rc<PeerSocket>>,
+    ) -> Router<P> {
+        let mut router = Router {
+            pool: ConnectionPool::new(shared.timeouts.idle),
+            shared,
+            policy,
+            txns: Txns::default(),
+            requests: BTreeMap::new(),
+            timers: TimerQueue::default(),
+            events: Vec::new(),
+            quota_counter,
+            peers,
+        };
+        let now = router.shared.clock.now();
+        router.apply_backend_update(known);
+        router.timers.set(now + SWEEP_INTERVAL, Timer::Sweep);
+        router.decide(now);
+        router
     }
 
+    /// Runs until all senders of `messages` are gone. The end of `updates` only stops updates.
     pub async fn run(
         mut self,
-        mut notes: mpsc::UnboundedReceiver<RouterMessage>,
-        mut news: mpsc::UnboundedReceiver<D::Update>,
+        mut messages: mpsc::UnboundedReceiver<RouterMessage>,
+        mut updates: mpsc::UnboundedReceiver<P::Update>,
     ) {
-        let (mut batch, mut told) = (Vec::new(), true);
+        let (mut batch, mut updates_open) = (Vec::new(), true);
         let sleep = tokio::time::sleep_until(Instant::now());
         tokio::pin!(sleep);
         loop {
-            sleep.as_mut().reset(self.next_due());
+            sleep.as_mut().reset(self.next_wake_up());
+            // Cancel safe: both receivers lose no message when another branch completes first.
             tokio::select! {
                 biased;
-                heard = news.recv(), if told => match heard {
-                    Some(heard) => self.hear(heard),
-                    None => told = false,
+                update = updates.recv(), if updates_open => match update {
+                    Some(update) => self.apply_update(update),
+                    None => updates_open = false,
                 },
-                got = notes.recv_many(&mut batch, 1024) => if got == 0 {
+                received = messages.recv_many(&mut batch, MAX_BATCH) => if received == 0 {
                     return;
                 },
                 () = sleep.as_mut() => {}
             }
             let now = self.shared.clock.now();
-            for note in batch.drain(..) {
-                self.take(note, now);
+            for message in batch.drain(..) {
+                self.handle_message(message, now);
             }
-            // First, so that what has come with no time left is answered as any other.
+            // Before the timers, so that a request that arrived without any time left is answered as any other.
             self.decide(now);
-            self.fall_due(now);
+            self.handle_due_timers(now);
             self.decide(now);
         }
     }
 
-    fn hear(&mut self, news: D::Update) {
+    fn apply_update(&mut self, update: P::Update) {
         let now = self.shared.clock.now();
-        if let Some(told) = self.decisions.apply_update(now, news) {
-            self.pooled(&told);
+        if let Some(backends) = self.policy.apply_update(now, update) {
+            self.update_pool(&backends);
+        }
+        // Without any event: requests that waited for the update may go on.
+        for action in self.policy.decide(now, Vec::new()) {
+            self.execute(action, now);
         }
-        // An empty batch: what was held for the news may go on.
-        let actions = self.decisions.decide(now, Vec::new());
-        actions.into_iter().for_each(|action| self.carry_out(action, now));
-    }
-
-    fn set(&mut self, at: Ticks, timer: Timer) {
-        self.timers_set += 1;
-        self.timers.push(Reverse((at, self.timers_set, timer)));
     }
 
-    /// Timers of txns that are over are dropped here: each would wake the door for nothing.
-    fn next_due(&mut self) -> Instant {
-        while let Some(Reverse((at, _, timer))) = self.timers.peek() {
-            let live = match timer {
-                Timer::Wake(_) | Timer::Sweep => true,
-                Timer::Expiry(txn) | Timer::TimeOut(txn, _) => self.txns.knows(*txn),
-            };
-            if live {
-                return self.shared.clock.instant(*at);
-            }
-            self.timers.pop();
+    /// When the next timer is due. Timers of requests that are over are dropped: each would wake the task for nothing.
+    fn next_wake_up(&mut self) -> Instant {
+        let txns = &self.txns;
+        let next = self.timers.next_due(|timer| match timer {
+            Timer::PolicyWake(_) | Timer::Sweep => true,
+            Timer::Expiry(txn) | Timer::AttemptTimeout(txn, _) => txns.contains(*txn),
+        });
+        match next {
+            Some(at) => self.shared.clock.instant(at),
+            None => Instant::now() + to_duration(SWEEP_INTERVAL),
         }
-        Instant::now() + crate::clock::to_duration(SWEEP)
     }
 
-    fn fall_due(&mut self, now: Ticks) {
-        while let Some(&Reverse((at, _, timer))) = self.timers.peek() {
-            if at > now {
-                return;
-            }
-            self.timers.pop();
+    fn handle_due_timers(&mut self, now: Ticks) {
+        while let Some(timer) = self.timers.pop_due(now) {
             match timer {
-                Timer::Wake(timer) => self.events.push(Event::TimerFired(timer)),
-                Timer::TimeOut(txn, no) => self.call_off(txn, no, CalledOff::TimedOut),
+                Timer::PolicyWake(timer) => self.events.push(Event::TimerFired(timer)),
+                Timer::AttemptTimeout(txn, no) => self.cancel_attempt(txn, no, CancelReason::TimedOut),
                 Timer::Expiry(txn) => self.expire(txn),
                 Timer::Sweep => {
                     for _ in 0..self.pool.sweep(now) {
                         self.shared.resources.count(Counter::BackendsDroppedIdle);
                     }
-                    self.set(now + SWEEP, Timer::Sweep);
+                    self.timers.set(now + SWEEP_INTERVAL, Timer::Sweep);
                 }
             }
         }
     }
 
-    fn take(&mut self, note: RouterMessage, now: Ticks) {
-        match note {
-            RouterMessage::NewRequest(NewRequest { arrival, request, open_id: _open_id, answer }) => {
-                let repeat = self.decisions.repeat(&arrival);
-                let until = arrival.deadline - WAY_BACK;
-                self.txns.arrived(arrival.txn, repeat, until, answer);
-                self.held.insert(arrival.txn, Held { request, failure: None, _open_id });
-                self.set(until, Timer::Expiry(arrival.txn));
-                self.events.push(Event::RequestArrived(arrival));
-            }
+    fn handle_message(&mut self, message: RouterMessage, now: Ticks) {
+        match message {
+            RouterMessage::NewRequest(new_request) => self.add_request(new_request),
             RouterMessage::ClientLeft(id) => {
-                if self.txns.left(id) {
+                if self.txns.client_left(id) {
                     self.shared.resources.count(Counter::ClientsLeft);
                     self.events.push(Event::ClientDisconnected(id));
                 }
             }
-            RouterMessage::AttemptEnded(ended) => self.ended(ended, now),
-            RouterMessage::BackendsChanged(told) => self.listed(told),
-            RouterMessage::CloseIdleConnection => self.pool.shed(),
-            RouterMessage::PeerMessage(from, word) => {
-                self.events.push(Event::PeerMessageReceived { from, message: word })
+            RouterMessage::AttemptEnded(result) => self.handle_attempt_result(result, now),
+            RouterMessage::BackendsChanged(update) => self.apply_backend_update(update),
+            RouterMessage::CloseIdleConnection => self.pool.close_longest_idle(),
+            RouterMessage::PeerMessage(from, message) => {
+                self.events.push(Event::PeerMessageReceived { from, message })
             }
-            RouterMessage::Counted(name, counted) => {
-                self.shared.resources.count(match counted {
+            RouterMessage::QuotaCounterReply(key, reply) => {
+                self.shared.resources.count(match reply {
                     CounterReply::Total(_) => Counter::CounterTotals,
                     CounterReply::NotAdded => Counter::CounterNotAdded,
                     CounterReply::Unknown => Counter::CounterUnknown,
                 });
-                self.events.push(Event::CounterReplied { key: name, reply: counted });
+                self.events.push(Event::CounterReplied { key, reply });
             }
         }
     }
 
-    fn pooled(&mut self, told: &BackendUpdate) {
-        for BackendEntry { listed, address } in told.entries() {
-            self.pool.list(listed, *address);
+    fn add_request(&mut self, new_request: NewRequest) {
+        let NewRequest { arrival, request, open_id, answer } = new_request;
+        let idempotency = self.policy.idempotency(&arrival);
+        let deadline = arrival.deadline - ANSWER_MARGIN;
+        self.txns.insert(arrival.txn, idempotency, deadline, answer);
+        let in_flight = RequestInFlight { request, failure: None, _open_id: open_id };
+        self.requests.insert(arrival.txn, in_flight);
+        self.timers.set(deadline, Timer::Expiry(arrival.txn));
+        self.events.push(Event::RequestArrived(arrival));
+    }
+
+    fn update_pool(&mut self, update: &BackendUpdate) {
+        for BackendEntry { listed, address } in update.entries() {
+            self.pool.update_backend(listed, *address);
         }
-        if let BackendUpdate::Snapshot(entries) = told {
-            let named = |id| entries.iter().any(|entry| entry.listed.backend == id);
-            self.pool.keep_only(named);
+        if let BackendUpdate::Snapshot(entries) = update {
+            self.pool.retain(|id| entries.iter().any(|entry| entry.listed.backend == id));
         }
     }
 
-    fn listed(&mut self, told: BackendUpdate) {
-        self.pooled(&told);
+    fn apply_backend_update(&mut self, update: BackendUpdate) {
+        self.update_pool(&update);
         let listed = |entries: Vec<BackendEntry>| entries.into_iter().map(|entry| entry.listed).collect();
-        self.events.push(match told {
+        self.events.push(match update {
             BackendUpdate::Snapshot(entries) => Event::BackendList(listed(entries)),
             BackendUpdate::Changes(entries) => Event::BackendChanges(listed(entries)),
         });
     }
 
-    fn ended(&mut self, ended: AttemptResult, now: Ticks) {
+    fn handle_attempt_result(&mut self, result: AttemptResult, now: Ticks) {
         let resources = &self.shared.resources;
-        let AttemptResult { txn: id, no, outcome, reply, idle_connection: idle, idle_before_loss: broke } =
-            ended;
-        resources.count(match outcome {
-            Outcome::Succeeded => Counter::AttemptsSettled,
-            Outcome::Error => Counter::AttemptsError,
-            Outcome::Rejected => Counter::AttemptsTurnedAway,
-            Outcome::TimedOut => Counter::AttemptsTimedOut,
-            Outcome::ConnectFailed => Counter::AttemptsNoConnection,
-            Outcome::ConnectionLost => Counter::AttemptsBroken,
-            Outcome::Cancelled => Counter::AttemptsCancelled,
-            Outcome::NotSent => Counter::AttemptsMoot,
-        });
-        let ended = self.txns.ended(id, no, outcome, now);
+        let AttemptResult { txn: id, no, outcome, reply, idle_connection, idle_before_loss } = result;
+        resources.count(outcome_counter(outcome));
+        let ended = self.txns.record_end(id, no, outcome, now);
         resources.check(ended.is_ok(), Invariant::EndedOnce);
-        let Ok(txns::Ended { backend, took, complete, answer }) = ended else {
+        let Ok(EndedAttempt { backend, latency, complete, answer }) = ended else {
             return;
         };
-        if let Some(idle) = broke {
-            self.pool.broke(idle);
+        if let Some(idle) = idle_before_loss {
+            self.pool.record_idle_loss(idle);
         }
-        if let Some(idle) = idle {
-            self.pool.put(backend, idle);
+        if let Some(connection) = idle_connection {
+            self.pool.add_idle(backend, connection);
         }
         let usage = reply.as_ref().map(|reply| self.shared.dialect.reported_usage(reply));
-        let ReportedUsage { metered, true_cost } = usage.unwrap_or_default();
+        let ReportedUsage { metered_usage, actual_cost } = usage.unwrap_or_default();
         match (reply, answer) {
             (Some(reply), Some(answer)) => {
                 resources.count(Counter::RequestsSettled);
-                // A client that has left meanwhile says so itself.
+                // A client that has left meanwhile is reported by its own connection.
                 let _ = answer.send(FinalAnswer::Settled(reply));
             }
             (Some(reply), None) if outcome == Outcome::Error => {
-                if let Some(held) = self.held.get_mut(&id) {
-                    held.failure = Some(reply);
+                if let Some(request) = self.requests.get_mut(&id) {
+                    request.failure = Some(reply);
                 }
             }
             _ => {}
         }
-        let ending = AttemptReport {
-            txn: id,
-            attempt: no,
-            outcome,
-            latency: took,
-            complete,
-            metered_usage: metered,
-            actual_cost: true_cost,
-        };
-        self.events.push(Event::AttemptEnded(ending));
+        let report =
+            AttemptReport { txn: id, attempt: no, outcome, latency, complete, metered_usage, actual_cost };
+        self.events.push(Event::AttemptEnded(report));
     }
 
-    /// What is still out ends as timed out, and the decisions say what becomes of the txn.
+    /// Cancels the attempts of a request whose time is over; when they have ended, the policy decides on it.
     fn expire(&mut self, id: TxnId) {
         match self.txns.expire(id) {
-            Expiry::Nothing => {}
-            Expiry::CallOff(out) => out.into_iter().for_each(|no| self.call_off(id, no, CalledOff::TimedOut)),
-            Expiry::Overdue => {
+            ExpiryAction::Nothing => {}
+            ExpiryAction::CancelAttempts(in_flight) => {
+                in_flight.into_iter().for_each(|no| self.cancel_attempt(id, no, CancelReason::TimedOut));
+            }
+            ExpiryAction::Overdue => {
                 self.shared.resources.check(false, Invariant::AnsweredByExpiry);
                 self.conclude(id, FinalAnswer::Voided);
             }
         }
     }
 
-    fn call_off(&mut self, id: TxnId, no: AttemptNumber, why: CalledOff) {
-        if let Some(call_off) = self.txns.call_off(id, no) {
-            // Its outcome may be on the way already.
-            let _ = call_off.send(why);
+    fn cancel_attempt(&mut self, id: TxnId, no: AttemptNumber, reason: CancelReason) {
+        if let Some(canceller) = self.txns.take_canceller(id, no) {
+            // Its outcome may be queued already.
+            let _ = canceller.send(reason);
         }
     }
 
+    /// Has the policy decide on all events, and on those that its actions cause.
     fn decide(&mut self, now: Ticks) {
         while !self.events.is_empty() {
             let events = std::mem::take(&mut self.events);
-            for action in self.decisions.decide(now, events) {
-                self.carry_out(action, now);
+            for action in self.policy.decide(now, events) {
+                self.execute(action, now);
             }
         }
-        for id in self.txns.forget() {
-            self.held.remove(&id);
+        for id in self.txns.remove_finished() {
+            self.requests.remove(&id);
         }
     }
+}
 
-    fn carry_out(&mut self, action: Action, now: Ticks) {
-        match action {
-            Action::SendAttempt { txn, backend, timeout: time_out } => {
-                self.submit(txn, backend, time_out, now)
-            }
-            Action::CancelAttempt { txn, attempt: no } => self.call_off(txn, no, CalledOff::Cancelled),
-            Action::Reject { txn, retry_after } => {
-                self.shared.resources.check(self.txns.harmless(txn), Invariant::NoEffectTwice);
-                self.conclude(txn, FinalAnswer::Declined { retry_after });
-            }
-            Action::Fail { txn } => self.conclude(txn, FinalAnswer::Voided),
-            Action::SetTimer { after, timer } => self.set(now + after, Timer::Wake(timer)),
-            Action::SendPeerMessage { to, message: word } => {
-                let told = self.peers.as_ref().is_some_and(|peers| peers.tell(to, &word));
-                self.shared.resources.count(if told {
-                    Counter::PeerMessagesSent
-                } else {
-                    Counter::PeerMessagesUnsent
-                });
-            }
-            Action::IncrementCounter { key: name, amount: step, expire_after: forget_after } => {
-                self.shared.resources.count(Counter::CounterCalls);
-                let call = Call { name, step, forget_after };
-                // BackendUpdate at once where nobody takes the call, as the counter's own refusal would be.
-                if self.counter.as_ref().is_none_or(|counter| counter.send(call).is_err()) {
-                    self.events.push(Event::CounterReplied { key: name, reply: CounterReply::NotAdded });
-                }
-            }
-        }
-    }
-
-    fn conclude(&mut self, id: TxnId, answer: FinalAnswer) {
-        // None where it was settled, or its client left, in this very batch.
-        let Some(give) = self.txns.conclude(id) else {
-            return;
-        };
-        let failure = self.held.get_mut(&id).and_then(|held| held.failure.take());
-        let answer = self.decisions.final_answer(id, answer, failure);
-        let resources = &self.shared.resources;
-        resources.count(if matches!(answer, FinalAnswer::Voided) {
-            Counter::RequestsVoided
-        } else {
-            Counter::RequestsDeclined
-        });
-        let _ = give.send(answer);
-    }
-
-    fn submit(&mut self, id: TxnId, backend: BackendId, time_out: Option<Ticks>, now: Ticks) {
-        let resources = &self.shared.resources;
-        let (no, until) = match self.txns.submit(id, backend, time_out, now) {
-            Submit::Unknown => return,
-            Submit::Moot { no, complete } => {
-                resources.count(Counter::AttemptsMoot);
-                let (outcome, took) = (Outcome::NotSent, Ticks(0));
-                let ending = AttemptReport {
-                    txn: id,
-                    attempt: no,
-                    outcome,
-                    latency: took,
-                    complete,
-                    metered_usage: None,
-                    actual_cost: None,
-                };
-                return self.events.push(Event::AttemptEnded(ending));
-            }
-            Submit::Goes { no, until, allowed } => {
-                resources.check(allowed, Invariant::NoEffectTwice);
-                (no, until)
-            }
-        };
-        resources.count(Counter::Attempts);
-        resources.check(self.pool.ready(backend), Invariant::OnlyToListed);
-        let Some(held) = self.held.get(&id) else {
-            return;
-        };
-        let (call_off, called_off) = oneshot::channel();
-        self.txns.goes(id, no, call_off);
-        let extra_headers = self.decisions.extra_headers(id, backend);
-        let mut job = Attempt {
-            txn: id,
-            no,
-            request: Rc::clone(&held.request),
-            deadline: until,
-            cancelled: called_off,
-            extra_headers,
-        };
-        if time_out.is_some() {
-            self.set(until, Timer::TimeOut(id, no));
-        }
-        while let Some(idle) = self.pool.take(backend, now) {
-            match idle.next.send(job) {
-                Ok(()) => return self.shared.resources.count(Counter::BackendsReused),
-                Err(back) => job = back,
-            }
-        }
-        if !self.shared.resources.can_dial() {
-            self.pool.shed();
-        }
-        let shared = Rc::clone(&self.shared);
-        match self.pool.address(backend) {
-            Some(address) => drop(tokio::task::spawn_local(backend_connection::run(job, address, shared))),
-            None => shared.notify_router(RouterMessage::AttemptEnded(AttemptResult::without_reply(
-                id,
-                no,
-                Outcome::ConnectFailed,
-            ))),
-        }
+fn outcome_counter(outcome: Outcome) -> Counter {
+    match outcome {
+        Outcome::Succeeded => Counter::AttemptsSettled,
+        Outcome::Error => Counter::AttemptsError,
+        Outcome::Rejected => Counter::AttemptsTurnedAway,
+        Outcome::TimedOut => Counter::AttemptsTimedOut,
+        Outcome::ConnectFailed => Counter::AttemptsNoConnection,
+        Outcome::ConnectionLost => Counter::AttemptsBroken,
+        Outcome::Cancelled => Counter::AttemptsCancelled,
+        Outcome::NotSent => Counter::AttemptsMoot,
     }
 }
--- /dev/null
+++ b/programs/gateway/src/router/actions.rs
@@ -0,0 +1,128 @@
+//! Carries out what the policy decides.
+
+use super::{Router, RoutingPolicy, Timer};
+use crate::answer::FinalAnswer;
+use crate::backend_connection;
+use crate::counters::{Counter, Invariant};
+use crate::messages::{Attempt, AttemptResult, RouterMessage};
+use crate::quota_counter::Call;
+use std::rc::Rc;
+use tokio::sync::oneshot;
+use vanewharf_exchange::{AttemptStart, CancelReason};
+use vanewharf_policy::interface::{
+    Action, AttemptNumber, AttemptReport, BackendId, CounterReply, Event, GatewayId, Outcome, PeerMessage,
+    Ticks, TxnId,
+};
+
+impl<P: RoutingPolicy> Router<P> {
+    pub(super) fn execute(&mut self, action: Action, now: Ticks) {
+        match action {
+            Action::SendAttempt { txn, backend, timeout } => self.start_attempt(txn, backend, timeout, now),
+            Action::CancelAttempt { txn, attempt } => {
+                self.cancel_attempt(txn, attempt, CancelReason::Cancelled)
+            }
+            Action::Reject { txn, retry_after } => {
+                self.shared.resources.check(self.txns.is_repeat_harmless(txn), Invariant::NoEffectTwice);
+                self.conclude(txn, FinalAnswer::Declined { retry_after });
+            }
+            Action::Fail { txn } => self.conclude(txn, FinalAnswer::Voided),
+            Action::SetTimer { after, timer } => self.timers.set(now + after, Timer::PolicyWake(timer)),
+            Action::SendPeerMessage { to, message } => self.send_to_peer(to, &message),
+            Action::IncrementCounter { key, amount, expire_after } => {
+                self.call_quota_counter(Call { key, amount, expire_after });
+            }
+        }
+    }
+
+    fn send_to_peer(&self, to: GatewayId, message: &PeerMessage) {
+        let sent = self.peers.as_ref().is_some_and(|peers| peers.try_send(to, message));
+        let counter = if sent { Counter::PeerMessagesSent } else { Counter::PeerMessagesUnsent };
+        self.shared.resources.count(counter);
+    }
+
+    /// Where no task takes the call, the policy is told at once, as if the counter had refused it.
+    fn call_quota_counter(&mut self, call: Call) {
+        self.shared.resources.count(Counter::CounterCalls);
+        let key = call.key;
+        if self.quota_counter.as_ref().is_none_or(|counter| counter.send(call).is_err()) {
+            self.events.push(Event::CounterReplied { key, reply: CounterReply::NotAdded });
+        }
+    }
+
+    /// Gives a request its final answer, unless it was settled or its client left in this very batch.
+    pub(super) fn conclude(&mut self, id: TxnId, answer: FinalAnswer) {
+        let Some(answer_sender) = self.txns.take_answer(id) else {
+            return;
+        };
+        let failure = self.requests.get_mut(&id).and_then(|request| request.failure.take());
+        let answer = self.policy.final_answer(id, answer, failure);
+        let voided = matches!(answer, FinalAnswer::Voided);
+        let counter = if voided { Counter::RequestsVoided } else { Counter::RequestsDeclined };
+        self.shared.resources.count(counter);
+        let _ = answer_sender.send(answer);
+    }
+
+    fn start_attempt(&mut self, id: TxnId, backend: BackendId, timeout: Option<Ticks>, now: Ticks) {
+        let resources = &self.shared.resources;
+        let (no, deadline) = match self.txns.start_attempt(id, backend, timeout, now) {
+            AttemptStart::UnknownTxn => return,
+            AttemptStart::Moot { no, complete } => return self.report_moot(id, no, complete),
+            AttemptStart::Started { no, deadline, permitted } => {
+                resources.check(permitted, Invariant::NoEffectTwice);
+                (no, deadline)
+            }
+        };
+        resources.count(Counter::Attempts);
+        resources.check(self.pool.is_ready(backend), Invariant::OnlyToListed);
+        let Some(request) = self.requests.get(&id) else {
+            return;
+        };
+        let request = Rc::clone(&request.request);
+        let (canceller, cancelled) = oneshot::channel();
+        self.txns.set_canceller(id, no, canceller);
+        let extra_headers = self.policy.extra_headers(id, backend);
+        if timeout.is_some() {
+            self.timers.set(deadline, Timer::AttemptTimeout(id, no));
+        }
+        self.dispatch(Attempt { txn: id, no, request, deadline, cancelled, extra_headers }, backend, now);
+    }
+
+    fn report_moot(&mut self, id: TxnId, no: AttemptNumber, complete: bool) {
+        self.shared.resources.count(Counter::AttemptsMoot);
+        let report = AttemptReport {
+            txn: id,
+            attempt: no,
+            outcome: Outcome::NotSent,
+            latency: Ticks(0),
+            complete,
+            metered_usage: None,
+            actual_cost: None,
+        };
+        self.events.push(Event::AttemptEnded(report));
+    }
+
+    /// Hands an attempt to an idle connection, or to a new one.
+    fn dispatch(&mut self, mut attempt: Attempt, backend: BackendId, now: Ticks) {
+        let resources = &self.shared.resources;
+        while let Some(idle) = self.pool.take_idle(backend, now) {
+            match idle.next.send(attempt) {
+                Ok(()) => return resources.count(Counter::BackendsReused),
+                // The connection has ended meanwhile.
+                Err(unsent) => attempt = unsent,
+            }
+        }
+        if !resources.can_dial() {
+            self.pool.close_longest_idle();
+        }
+        let shared = Rc::clone(&self.shared);
+        match self.pool.address(backend) {
+            Some(address) => {
+                drop(tokio::task::spawn_local(backend_connection::run(attempt, address, shared)));
+            }
+            None => {
+                let result = AttemptResult::without_reply(attempt.txn, attempt.no, Outcome::ConnectFailed);
+                shared.notify_router(RouterMessage::AttemptEnded(result));
+            }
+        }
+    }
+}
--- /dev/null
+++ b/programs/gateway/src/server.rs
@@ -0,0 +1,232 @@
+//! Starts the stages of the gateway, reacts to signals while they run, and ends them in order.
+
+use crate::clock::Clock;
+use crate::config::{GatewayConfig, Settings};
+use crate::counters::Counter;
+use crate::discovery::{Discovery, DiscoveryPacing};
+use crate::listener::accept_clients;
+use crate::operator_config::PeerAddresses;
+use crate::peers::PeerSocket;
+use crate::platform_config::PlatformConfig;
+use crate::platform_dialect::PlatformDialect;
+use crate::quota_counter::{self, Call};
+use crate::resources::{ResourceLimits, Resources};
+use crate::router::{PlatformPolicy, Router};
+use crate::shared::Shared;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Duration;
+use thiserror::Error;
+use tokio::net::{TcpListener, TcpSocket};
+use tokio::signal::unix::{Signal, SignalKind, signal};
+use tokio::sync::{Notify, mpsc, watch};
+use tokio::task::{JoinError, JoinHandle, spawn_local};
+use vanewharf_policy::decide::Balancer;
+use vanewharf_policy::interface::{GatewayId, Ticks};
+
+/// New clients keep coming for a while after the balancer in front was told that this gateway ends.
+const ACCEPT_WHILE_ENDING: Duration = Duration::from_millis(500);
+/// How many clients the system queues until they are accepted.
+const BACKLOG: u32 = 1024;
+
+/// Why the gateway cannot serve.
+#[derive(Debug, Error)]
+pub enum ServeError {
+    /// Signals cannot be received.
+    #[error("no signals: {0}")]
+    Signals(#[source] std::io::Error),
+    /// The address for clients cannot be listened on.
+    #[error("cannot listen on {address}: {error}")]
+    Listen {
+        /// The address.
+        address: SocketAddr,
+        /// What the system reports.
+        #[source]
+        error: std::io::Error,
+    },
+    /// The address for messages of other gateways cannot be bound.
+    #[error("cannot hear at {address}: {error}")]
+    BindPeers {
+        /// The address.
+        address: SocketAddr,
+        /// What the system reports.
+        #[source]
+        error: std::io::Error,
+    },
+    /// The router ended: requests would wait for ever.
+    #[error("route ended: {0:?}")]
+    RouterEnded(Result<(), JoinError>),
+    /// Discovery ended: the list of backends would never change again.
+    #[error("discovery ended: {0:?}")]
+    DiscoveryEnded(Result<(), JoinError>),
+}
+
+/// The signals that operators send.
+pub struct Signals {
+    /// SIGHUP: the platform's file is read again.
+    reload: Signal,
+    /// SIGTERM: the gateway ends.
+    terminate: Signal,
+    /// SIGUSR1: the counters are logged.
+    print: Signal,
+}
+
+impl Signals {
+    /// Registers the handlers. Until then, each of these signals ends the process.
+    ///
+    /// # Errors
+    ///
+    /// Where the system refuses.
+    pub fn register() -> Result<Signals, ServeError> {
+        let register = |kind| signal(kind).map_err(ServeError::Signals);
+        Ok(Signals {
+            reload: register(SignalKind::hangup())?,
+            terminate: register(SignalKind::terminate())?,
+            print: register(SignalKind::user_defined1())?,
+        })
+    }
+}
+
+/// A gateway whose stages run.
+pub struct Server {
+    shared: Rc<Shared>,
+    router: JoinHandle<()>,
+    discovery: JoinHandle<()>,
+    accepting: JoinHandle<()>,
+    stop_accepting: Rc<Notify>,
+    /// Takes the discovery agent's address after a reload.
+    agent: watch::Sender<SocketAddr>,
+}
+
+impl Server {
+    /// Starts all stages on the current thread's runtime.
+    ///
+    /// # Errors
+    ///
+    /// Where an address cannot be listened on.
+    pub async fn start(config: GatewayConfig, clock: Clock) -> Result<Server, ServeError> {
+        let GatewayConfig { platform, operator, settings } = config;
+        let PlatformConfig { name, listen, discovery, seed, limits, known, counter, .. } = platform;
+        let Settings { mut policy, names, timeouts, discovery_poll_interval, bounds, peer_messages_per_s } =
+            settings;
+        let resources = Rc::new(Resources::new(ResourceLimits::within(limits.sockets, limits.memory_mb)));
+        let (router_messages, received_messages) = mpsc::unbounded_channel();
+        let locality = names.locality.clone();
+        let dialect = Box::new(PlatformDialect { names, bounds });
+        let shared = Rc::new(Shared::new(clock, resources, dialect, timeouts, router_messages));
+        let listener = listen_on(listen).map_err(|error| ServeError::Listen { address: listen, error })?;
+
+        let (agent, agent_changes) = watch::channel(discovery);
+        let pacing = DiscoveryPacing::new(discovery_poll_interval, seed);
+        let (discovery, known) = Discovery::start(agent_changes, Rc::clone(&shared), locality, known, pacing);
+        // The policy calls the counter only where the settings permit it and the platform names one.
+        policy.counter_timeout = policy.counter_timeout.filter(|_| counter.is_some());
+        let quota_calls = counter
+            .zip(policy.counter_timeout)
+            .map(|(address, call_timeout)| spawn_quota_counter(address, call_timeout, &shared));
+        let peers = match operator.peers {
+            Some(addresses) => {
+                Some(spawn_peers(addresses, policy.gateway, peer_messages_per_s, &shared).await?)
+            }
+            None => None,
+        };
+        let idempotency = policy.products.iter().map(|product| product.idempotency).collect();
+        let policy = PlatformPolicy { balancer: Balancer::new(policy), idempotency };
+        let router = Router::new(Rc::clone(&shared), policy, known, quota_calls, peers);
+
+        // This policy gets no updates: their queue is closed from the beginning.
+        let (_, no_updates) = mpsc::unbounded_channel();
+        let router = spawn_local(router.run(received_messages, no_updates));
+        let discovery = spawn_local(discovery.run());
+        let stop_accepting = Rc::new(Notify::new());
+        let accepting = spawn_local(accept_clients(listener, Rc::clone(&shared), Rc::clone(&stop_accepting)));
+        tracing::info!(name, %listen, "serving");
+        Ok(Server { shared, router, discovery, accepting, stop_accepting, agent })
+    }
+
+    /// Serves until the process is told to end, and then until the last client is answered.
+    ///
+    /// # Errors
+    ///
+    /// Where a stage that must not end has ended.
+    pub async fn run(mut self, mut signals: Signals) -> Result<(), ServeError> {
+        loop {
+            // Cancel safe: signals are kept until they are received, and the tasks' handles are polled by reference.
+            tokio::select! {
+                _ = signals.terminate.recv() => break,
+                _ = signals.reload.recv() => self.reload(),
+                _ = signals.print.recv() => self.log_counters(),
+                ended = &mut self.router => return Err(ServeError::RouterEnded(ended)),
+                ended = &mut self.discovery => return Err(ServeError::DiscoveryEnded(ended)),
+            }
+        }
+        self.shut_down().await;
+        Ok(())
+    }
+
+    /// Reads the platform's file again; of it, the discovery agent's address takes effect.
+    fn reload(&self) {
+        let resources = &self.shared.resources;
+        match PlatformConfig::read() {
+            Ok(config) => {
+                resources.count(Counter::Reloads);
+                tracing::info!(discovery = %config.discovery, "read anew");
+                self.agent.send_replace(config.discovery);
+            }
+            Err(error) => {
+                resources.count(Counter::ReloadFailures);
+                let reason = error.to_string();
+                tracing::warn!(reason, "what was read before stays in force");
+            }
+        }
+    }
+
+    fn log_counters(&self) {
+        tracing::info!("counters {}", self.shared.resources);
+    }
+
+    /// Accepts clients for a while longer, then waits until all clients are answered.
+    async fn shut_down(&mut self) {
+        tracing::info!("ending");
+        tokio::time::sleep(ACCEPT_WHILE_ENDING).await;
+        self.stop_accepting.notify_one();
+        let _ = (&mut self.accepting).await;
+        let resources = &self.shared.resources;
+        resources.begin_drain();
+        while resources.client_count() > 0 {
+            resources.socket_closed.notified().await;
+        }
+        self.log_counters();
+    }
+}
+
+fn listen_on(address: SocketAddr) -> std::io::Result<TcpListener> {
+    let socket = if address.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() }?;
+    socket.set_reuseaddr(true)?;
+    socket.bind(address)?;
+    socket.listen(BACKLOG)
+}
+
+fn spawn_quota_counter(
+    address: SocketAddr,
+    call_timeout: Ticks,
+    shared: &Rc<Shared>,
+) -> mpsc::UnboundedSender<Call> {
+    let (calls, received_calls) = mpsc::unbounded_channel();
+    drop(spawn_local(quota_counter::run(address, call_timeout, received_calls, Rc::clone(shared))));
+    calls
+}
+
+async fn spawn_peers(
+    addresses: PeerAddresses,
+    own_number: GatewayId,
+    max_per_s: f64,
+    shared: &Rc<Shared>,
+) -> Result<Rc<PeerSocket>, ServeError> {
+    let PeerAddresses { listen, gateways } = addresses;
+    let socket = PeerSocket::bind(listen, gateways, own_number).await;
+    let socket = socket.map_err(|error| ServeError::BindPeers { address: listen, error })?;
+    let socket = Rc::new(socket);
+    drop(spawn_local(Rc::clone(&socket).receive(max_per_s, Rc::clone(shared))));
+    Ok(socket)
+}
--- a/programs/proxy/src/pools.rs
+++ b/programs/proxy/src/pools.rs
@@ -685,7 +685,7 @@
         actions
     }
 
-    fn repeat(&self, arrival: &Arrival) -> Idempotency {
+    fn idempotency(&self, arrival: &Arrival) -> Idempotency {
         let entries = self.snapshot.authorized.borrow();
         match entries.get(&arrival.txn).map(|entry| entry.rule.kind) {
             Some(RouteKind::ReadOnly) => Idempotency::Idempotent,
--- a/programs/proxy/src/server.rs
+++ b/programs/proxy/src/server.rs
@@ -14,8 +14,9 @@
 use tokio::task::JoinHandle;
 use tokio::time::{Instant, sleep, timeout_at};
 use vanewharf_config::settings::Settings;
-use vanewharf_gateway::client_connection;
+
 use vanewharf_gateway::clock::Clock;
+use vanewharf_gateway::listener::accept_clients;
 use vanewharf_gateway::messages::{BackendUpdate, RouterMessage};
 use vanewharf_gateway::resources::{ResourceLimits, Resources};
 use vanewharf_gateway::router::Router;
@@ -56,7 +57,7 @@
     let mut routing = tokio::task::spawn_local(router(&shared, pools).run(messages, updates));
     let listener = listen(frontend).map_err(|source| ProxyError::Listen { address: frontend, source })?;
     let stop_accepting = Rc::new(Notify::new());
-    let accepting = client_connection::accept(listener, Rc::clone(&shared), Rc::clone(&stop_accepting));
+    let accepting = accept_clients(listener, Rc::clone(&shared), Rc::clone(&stop_accepting));
     let accepting = tokio::task::spawn_local(accepting);
     serve_readiness(&environment, readiness, Readiness::new(&snapshot, &status, &feed))?;
 
