--- a/crates/http1/src/write.rs
+++ b/crates/http1/src/encode.rs
@@ -1,35 +1,49 @@
-//! From messages to bytes.
+//! Writes messages. Fields that belong to one connection, and those that a peer ties to its connection, are not forwarded.
 
+use crate::codec::{ClientCodec, ServerCodec};
 use crate::message::{Message, Reply, Request};
-use crate::read::{ClientCodec, ServerCodec};
 use bytes::BytesMut;
 use std::io::{self, Write};
 use tokio_util::codec::Encoder;
 
-/// A request as it came, but for what belongs to one connection and the fields set anew.
+/// A request as it was received, but for what belongs to one connection and the fields set or removed here.
 pub struct ForwardedRequest<'a> {
+    /// The request that was received.
     pub request: &'a Request,
+    /// Fields to be set, in place of those of the same name.
     pub set_headers: &'a [(&'a str, &'a str)],
+    /// Fields to be removed.
     pub removed_headers: &'a [&'a str],
 }
 
-/// A reply's status and body as they came, but for what belongs to one connection and the fields
-/// held back.
+/// A reply's status, fields and body as they were received, but for what belongs to one connection and the fields
+/// removed here.
 pub struct ForwardedReply<'a> {
+    /// The reply that was received.
     pub reply: &'a Reply,
+    /// Fields to be removed.
     pub removed_headers: &'a [&'a str],
+    /// Whether the connection ends with it.
     pub close: bool,
 }
 
-/// An answer of our own.
+/// A reply of this process's own.
 pub struct PlainReply<'a> {
+    /// The status code.
     pub status: u16,
+    /// Fields alongside those that frame the body.
     pub fields: &'a [(&'a str, &'a str)],
+    /// The body.
     pub body: &'a [u8],
+    /// Whether the connection ends with it.
     pub close: bool,
 }
 
-const OF_ONE_CONNECTION: [&str; 9] = [
+/// Room for the first line and the fields that frame the body.
+const FIRST_LINE_BYTES: usize = 128;
+
+/// Fields that are meant for the connection that they were received on.
+const HOP_BY_HOP_FIELDS: [&str; 9] = [
     "connection",
     "content-length",
     "expect",
@@ -67,17 +81,21 @@
     }
 }
 
+/// The digits of the largest 64-bit number.
+const MAX_DIGITS: usize = 20;
+
 fn put_number(dst: &mut BytesMut, number: usize) {
-    let mut digits = [0; 20];
+    let mut digits = [0; MAX_DIGITS];
     let mut rest = &mut digits[..];
-    // Twenty digits hold any number.
+    // Cannot fail: the digits of any number fit.
     let _ = write!(rest, "{number}");
     let free = rest.len();
-    dst.extend_from_slice(&digits[..20 - free]);
+    dst.extend_from_slice(&digits[..MAX_DIGITS - free]);
 }
 
-fn put_body(dst: &mut BytesMut, body: &[u8], told: bool) {
-    if told {
+/// Writes the body, with its length where `with_length` is set.
+fn put_body(dst: &mut BytesMut, body: &[u8], with_length: bool) {
+    if with_length {
         dst.extend_from_slice(b"Content-Length: ");
         put_number(dst, body.len());
         dst.extend_from_slice(b"\r\n");
@@ -86,35 +104,36 @@
     dst.extend_from_slice(body);
 }
 
-/// All fields that outlive the connection, without the named ones.
-fn put_lasting<'a, L>(
+/// Writes all fields that are not meant for one connection, without those of `removed`.
+fn put_forwarded_fields<'a, L>(
     dst: &mut BytesMut,
     message: &Message<L>,
-    without: impl Iterator<Item = &'a str> + Clone,
+    removed: impl Iterator<Item = &'a str> + Clone,
 ) {
-    let is = |name: &[u8], other: &str| name.eq_ignore_ascii_case(other.as_bytes());
+    let is_named = |name: &[u8], other: &str| name.eq_ignore_ascii_case(other.as_bytes());
     // A peer may tie further fields to its connection by naming them there.
-    let ties: Vec<_> =
-        message.fields().filter(|(name, _)| is(name, "connection")).map(|(_, value)| value).collect();
-    let tied = |name: &[u8]| {
-        let mut tokens = ties.iter().flat_map(|value| value.split(|&byte| byte == b','));
+    let connection_values: Vec<_> =
+        message.fields().filter(|(name, _)| is_named(name, "connection")).map(|(_, value)| value).collect();
+    let is_tied = |name: &[u8]| {
+        let mut tokens = connection_values.iter().flat_map(|value| value.split(|&byte| byte == b','));
         tokens.any(|token| token.trim_ascii().eq_ignore_ascii_case(name))
     };
     for (name, value) in message.fields() {
-        let held = OF_ONE_CONNECTION.iter().copied().chain(without.clone()).any(|other| is(name, other));
-        if !held && !tied(name) {
+        let is_removed =
+            HOP_BY_HOP_FIELDS.iter().copied().chain(removed.clone()).any(|other| is_named(name, other));
+        if !is_removed && !is_tied(name) {
             put_field(dst, name, value);
         }
     }
 }
 
-fn put_status(dst: &mut BytesMut, status: u16, last: bool) {
+fn put_status(dst: &mut BytesMut, status: u16, close: bool) {
     dst.extend_from_slice(b"HTTP/1.1 ");
     put_number(dst, status.into());
     dst.extend_from_slice(b" ");
     dst.extend_from_slice(reason(status).as_bytes());
     dst.extend_from_slice(b"\r\n");
-    if last {
+    if close {
         dst.extend_from_slice(b"Connection: close\r\n");
     }
 }
@@ -124,13 +143,13 @@
 
     fn encode(&mut self, item: ForwardedRequest<'_>, dst: &mut BytesMut) -> io::Result<()> {
         let message = item.request;
-        dst.reserve(message.text.len() + 128);
+        dst.reserve(message.text.len() + FIRST_LINE_BYTES);
         dst.extend_from_slice(&message.text[message.line.method.range()]);
         dst.extend_from_slice(b" ");
         dst.extend_from_slice(&message.text[message.line.target.range()]);
         dst.extend_from_slice(b" HTTP/1.1\r\n");
-        let without = item.removed_headers.iter().copied();
-        put_lasting(dst, message, item.set_headers.iter().map(|(name, _)| *name).chain(without));
+        let set = item.set_headers.iter().map(|(name, _)| *name);
+        put_forwarded_fields(dst, message, set.chain(item.removed_headers.iter().copied()));
         for (name, value) in item.set_headers {
             put_field(dst, name.as_bytes(), value.as_bytes());
         }
@@ -144,9 +163,9 @@
 
     fn encode(&mut self, item: ForwardedReply<'_>, dst: &mut BytesMut) -> io::Result<()> {
         let message = item.reply;
-        dst.reserve(message.text.len() + 128);
+        dst.reserve(message.text.len() + FIRST_LINE_BYTES);
         put_status(dst, message.line.status, item.close);
-        put_lasting(dst, message, item.removed_headers.iter().copied());
+        put_forwarded_fields(dst, message, item.removed_headers.iter().copied());
         put_body(dst, message.body(), true);
         Ok(())
     }
--- /dev/null
+++ b/crates/http1/src/head.rs
@@ -0,0 +1,158 @@
+//! The head of a message: its first line, its fields, and what they say of the body and the connection.
+
+use crate::body::BodyState;
+use crate::error::ReadError;
+use crate::message::{Field, RequestLine, Span, StatusLine};
+use bytes::BytesMut;
+use httparse::{Header, Status};
+use std::mem::MaybeUninit;
+
+pub(crate) const MAX_HEAD_BYTES: usize = 64 * 1024;
+const MAX_FIELDS: usize = 64;
+
+/// A complete head, and what it says of the rest.
+pub(crate) struct Head<L> {
+    pub(crate) line: L,
+    /// In bytes, with the empty line after it.
+    pub(crate) length: usize,
+    pub(crate) fields: Vec<Field>,
+    pub(crate) body: BodyState,
+    /// Whether the connection ends with the message.
+    pub(crate) closes_connection: bool,
+}
+
+/// A first line and the head that belongs to it: a request's or a reply's.
+pub(crate) trait FirstLine: Sized {
+    /// Parses a head; none where it is not complete yet.
+    fn parse(src: &BytesMut, max_body: usize) -> Result<Option<Head<Self>>, ReadError>;
+
+    /// Whether another head follows in its place.
+    fn is_interim(&self) -> bool;
+}
+
+/// What the fields say of the body and the connection.
+#[derive(Default)]
+struct Framing {
+    length: Option<usize>,
+    chunked: bool,
+    close: bool,
+    hosts: usize,
+}
+
+impl Framing {
+    fn parse(headers: &[Header<'_>]) -> Result<Framing, ReadError> {
+        let mut framing = Framing::default();
+        for header in headers {
+            framing.apply(header)?;
+        }
+        if framing.chunked && framing.length.is_some() {
+            return Err(ReadError::Malformed("the body has both a length and a transfer coding"));
+        }
+        if framing.hosts > 1 {
+            return Err(ReadError::Malformed("there is more than one host"));
+        }
+        Ok(framing)
+    }
+
+    fn apply(&mut self, Header { name, value }: &Header<'_>) -> Result<(), ReadError> {
+        if name.eq_ignore_ascii_case("content-length") {
+            let is_number = !value.is_empty() && value.iter().all(u8::is_ascii_digit);
+            let length = std::str::from_utf8(value).ok().and_then(|text| text.parse().ok());
+            if !is_number || self.length.is_some() {
+                return Err(ReadError::Malformed("the length of the body is not one number"));
+            }
+            // A number that cannot be parsed is too large.
+            self.length = Some(length.ok_or(ReadError::BodyTooLarge)?);
+        } else if name.eq_ignore_ascii_case("transfer-encoding") {
+            if self.chunked || !value.eq_ignore_ascii_case(b"chunked") {
+                return Err(ReadError::Malformed("the transfer coding is not known"));
+            }
+            self.chunked = true;
+        } else if name.eq_ignore_ascii_case("connection") {
+            let mut tokens = value.split(|&byte| byte == b',').map(<[u8]>::trim_ascii);
+            self.close |= tokens.any(|token| token.eq_ignore_ascii_case(b"close"));
+        } else if name.eq_ignore_ascii_case("host") {
+            self.hosts += 1;
+        }
+        Ok(())
+    }
+
+    /// Version 0 is HTTP/1.0, whose connections end unless both sides say otherwise.
+    fn closes_connection(&self, version: u8) -> bool {
+        self.close || version == 0
+    }
+}
+
+impl FirstLine for RequestLine {
+    fn parse(src: &BytesMut, max_body: usize) -> Result<Option<Head<RequestLine>>, ReadError> {
+        let mut headers = [const { MaybeUninit::uninit() }; MAX_FIELDS];
+        let mut parsed = httparse::Request::new(&mut []);
+        let result = parsed.parse_with_uninit_headers(src, &mut headers);
+        let Some(length) = head_length(result, src)? else {
+            return Ok(None);
+        };
+        let span = |part: Option<&str>| Span::of(part.unwrap_or_default().as_bytes(), src);
+        let line = RequestLine { method: span(parsed.method), target: span(parsed.path) };
+        let framing = Framing::parse(parsed.headers)?;
+        let closes_connection = framing.closes_connection(parsed.version.unwrap_or_default());
+        let body = if framing.chunked {
+            BodyState::ChunkSize
+        } else {
+            sized_body(framing.length.unwrap_or(0), max_body)?
+        };
+        Ok(Some(Head { line, length, fields: fields(parsed.headers, src), body, closes_connection }))
+    }
+
+    fn is_interim(&self) -> bool {
+        false
+    }
+}
+
+impl FirstLine for StatusLine {
+    fn parse(src: &BytesMut, max_body: usize) -> Result<Option<Head<StatusLine>>, ReadError> {
+        let mut headers = [const { MaybeUninit::uninit() }; MAX_FIELDS];
+        let mut parsed = httparse::Response::new(&mut []);
+        let parser = httparse::ParserConfig::default();
+        let result = parser.parse_response_with_uninit_headers(&mut parsed, src, &mut headers);
+        let Some(length) = head_length(result, src)? else {
+            return Ok(None);
+        };
+        let line = StatusLine { status: parsed.code.unwrap_or_default() };
+        let framing = Framing::parse(parsed.headers)?;
+        let closes_connection = framing.closes_connection(parsed.version.unwrap_or_default());
+        let body = match framing.length {
+            _ if line.is_interim() || matches!(line.status, 204 | 304) => BodyState::COMPLETE,
+            _ if framing.chunked => BodyState::ChunkSize,
+            Some(length) => sized_body(length, max_body)?,
+            // A body that ends with its connection cannot be told from one that was cut short.
+            None => return Err(ReadError::Malformed("the body's end is not told")),
+        };
+        Ok(Some(Head { line, length, fields: fields(parsed.headers, src), body, closes_connection }))
+    }
+
+    fn is_interim(&self) -> bool {
+        (100..200).contains(&self.status)
+    }
+}
+
+/// The head's length where it is complete; an error where it is no head or too large.
+fn head_length(parsed: httparse::Result<usize>, src: &BytesMut) -> Result<Option<usize>, ReadError> {
+    match parsed {
+        Ok(Status::Complete(length)) if length <= MAX_HEAD_BYTES => Ok(Some(length)),
+        Ok(Status::Partial) if src.len() <= MAX_HEAD_BYTES => Ok(None),
+        Ok(_) | Err(httparse::Error::TooManyHeaders) => Err(ReadError::HeadTooLarge),
+        Err(_) => Err(ReadError::Malformed("the head cannot be read")),
+    }
+}
+
+fn sized_body(length: usize, max_body: usize) -> Result<BodyState, ReadError> {
+    if length > max_body { Err(ReadError::BodyTooLarge) } else { Ok(BodyState::Sized(length)) }
+}
+
+fn fields(headers: &[Header<'_>], src: &[u8]) -> Vec<Field> {
+    let field = |header: &Header<'_>| Field {
+        name: Span::of(header.name.as_bytes(), src),
+        value: Span::of(header.value, src),
+    };
+    headers.iter().map(field).collect()
+}
--- a/crates/http1/src/message.rs
+++ b/crates/http1/src/message.rs
@@ -1,32 +1,41 @@
-//! Whole messages, each in a piece of memory of its own.
+//! Complete messages, each in memory of its own.
 
 use std::ops::Range;
 
-/// A place in a message's text. Offsets fit, as head and body are bounded.
+/// A range of a message's text. Offsets fit 32 bits, as the sizes of head and body are bounded.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Span(u32, u32);
 
 impl Span {
-    /// httparse gives an empty value as a slice from elsewhere.
-    pub fn of(part: &[u8], whole: &[u8]) -> Span {
+    /// Where `part` is in `text`. An empty part may point elsewhere: httparse returns a static slice for it.
+    pub(crate) fn of(part: &[u8], text: &[u8]) -> Span {
         if part.is_empty() {
             return Span(0, 0);
         }
-        let start = part.as_ptr() as usize - whole.as_ptr() as usize;
+        let start = part.as_ptr() as usize - text.as_ptr() as usize;
         Span(start as u32, (start + part.len()) as u32)
     }
 
-    pub fn range(self) -> Range<usize> {
+    pub(crate) fn range(self) -> Range<usize> {
         self.0 as usize..self.1 as usize
     }
 }
 
+/// A field's name and value.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct Field {
+    pub(crate) name: Span,
+    pub(crate) value: Span,
+}
+
+/// The first line of a request.
 #[derive(Debug, Default)]
 pub struct RequestLine {
     pub(crate) method: Span,
     pub(crate) target: Span,
 }
 
+/// The first line of a reply.
 #[derive(Debug, Default)]
 pub struct StatusLine {
     pub(crate) status: u16,
@@ -37,17 +46,20 @@
 pub struct Message<L> {
     pub(crate) line: L,
     pub(crate) text: Vec<u8>,
-    pub(crate) fields: Vec<(Span, Span)>,
-    pub(crate) body_at: usize,
-    pub(crate) last: bool,
+    pub(crate) fields: Vec<Field>,
+    pub(crate) body_start: usize,
+    pub(crate) closes_connection: bool,
 }
 
+/// A request.
 pub type Request = Message<RequestLine>;
+/// A reply.
 pub type Reply = Message<StatusLine>;
 
 impl<L> Message<L> {
+    /// Names and values of all fields, in their order.
     pub(crate) fn fields(&self) -> impl Iterator<Item = (&[u8], &[u8])> {
-        self.fields.iter().map(|(name, value)| (&self.text[name.range()], &self.text[value.range()]))
+        self.fields.iter().map(|field| (&self.text[field.name.range()], &self.text[field.value.range()]))
     }
 
     /// The first field of that name, if it is text.
@@ -56,50 +68,55 @@
         found.and_then(|(_, value)| std::str::from_utf8(value).ok())
     }
 
-    /// The field of that name where there is just one: of two, another reader may take the other.
+    /// The field of that name where there is exactly one: of two, another reader may use the other.
     pub fn unique_field(&self, name: &str) -> Option<&str> {
         let found = self.fields().filter(|(known, _)| known.eq_ignore_ascii_case(name.as_bytes()));
         if found.count() == 1 { self.field(name) } else { None }
     }
 
+    /// The body; empty where there is none.
     pub fn body(&self) -> &[u8] {
-        &self.text[self.body_at..]
+        &self.text[self.body_start..]
     }
 
-    /// The connection carries nothing after it.
+    /// Whether the connection carries nothing after this message.
     pub fn closes_connection(&self) -> bool {
-        self.last
+        self.closes_connection
     }
 
+    /// The memory that the message takes.
     pub fn memory_bytes(&self) -> usize {
         self.text.capacity()
     }
 }
 
 impl Request {
+    /// A GET request with a `Host` field and no body.
     pub fn get(host: &str, target: &str) -> Request {
         let mut text = Vec::new();
-        let mut place = |part: &str| {
+        let mut append = |part: &str| {
             text.extend_from_slice(part.as_bytes());
             Span((text.len() - part.len()) as u32, text.len() as u32)
         };
-        let line = RequestLine { method: place("GET"), target: place(target) };
-        let fields = vec![(place("Host"), place(host))];
-        let body_at = text.len();
-        Message { line, text, fields, body_at, last: false }
+        let line = RequestLine { method: append("GET"), target: append(target) };
+        let fields = vec![Field { name: append("Host"), value: append(host) }];
+        let body_start = text.len();
+        Message { line, text, fields, body_start, closes_connection: false }
     }
 
+    /// The method; empty where it is no text.
     pub fn method(&self) -> &str {
         std::str::from_utf8(&self.text[self.line.method.range()]).unwrap_or_default()
     }
 
-    /// Path and query, as they came.
+    /// Path and query as they were received; empty where they are no text.
     pub fn target(&self) -> &str {
         std::str::from_utf8(&self.text[self.line.target.range()]).unwrap_or_default()
     }
 }
 
 impl Reply {
+    /// The status code.
     pub fn status(&self) -> u16 {
         self.line.status
     }
