--- a/crates/discovery/src/aggregator.rs
+++ b/crates/discovery/src/aggregator.rs
@@ -228,8 +228,8 @@
         self.lenders.retain(|_, lender| lender.age(now) < COUNTED_FOR);
     }
 
-    /// By how many proxies quotas are divided. Until a proxy that never reported here could not hold more than the floor
-    /// of a share, there are as many as were acknowledged before this process began to publish.
+    /// By how many proxies quotas are divided. For some time after this process began to publish, proxies that have never
+    /// reported here may still admit by their shares, so that as many count as were acknowledged before.
     fn quota_divisor(&self, now: Timestamp) -> usize {
         let known = self.proxies.len();
         let recent = self.aggregating_since.is_some_and(|since| now.since(since) < COUNTED_FOR);
--- a/crates/health/src/lib.rs
+++ b/crates/health/src/lib.rs
@@ -1,11 +1,23 @@
-//! What is known of backends' health, and the allowances that protect them. Nothing here does input or output; callers
-//! pass the current time.
+//! What a proxy does to protect backends, and what all proxies together know of the backends' health.
+//!
+//! Limits that hold for all proxies together are divided among them in advance (slow start, retries): each proxy keeps
+//! to its part without asking anybody, so that the sum holds whichever of them are cut off.
+//!
+//! Nothing here does input or output; callers pass the current time and random numbers.
 
-mod allowance;
+#![forbid(unsafe_code)]
+#![warn(missing_docs)]
+
+mod attempt_history;
+mod key_authorization;
 mod outlier;
+mod retry_budget;
+mod slow_start;
+mod weighted_choice;
 
-pub use self::allowance::{
-    RetryBudget, RetryPolicy, SlowStart, SlowStartShare, key_authorization_lapsed, pick_weighted,
-    slow_start_share,
-};
-pub use self::outlier::{AttemptHistory, OutlierDetector, is_shared_cause, weight_for_failure_share};
+pub use self::attempt_history::AttemptHistory;
+pub use self::key_authorization::key_authorization_lapsed;
+pub use self::outlier::{OutlierDetector, is_shared_cause, weight_for_failure_share};
+pub use self::retry_budget::{RetryBudget, RetryPolicy};
+pub use self::slow_start::{SlowStart, SlowStartLimit, SlowStartPolicy};
+pub use self::weighted_choice::pick_weighted;
--- a/crates/health/src/outlier.rs
+++ b/crates/health/src/outlier.rs
@@ -1,120 +1,115 @@
-//! What many doors saw of one backend. A door that sends it a request every few seconds cannot tell one that fails a part of
-//! them from chance; all doors together can. It is evidence, detector: it lowers odds, bars nothing, and fades.
+//! Detection of unhealthy backends from what many proxies saw of them.
+//!
+//! A proxy that sends a backend one request in a few seconds cannot tell one that fails a part of them from chance; all
+//! proxies together can. The result lowers a backend's odds of being chosen, never excludes it, and decays.
 
-use std::collections::{BTreeMap, VecDeque};
-use std::time::Duration;
+use std::collections::BTreeMap;
 use vanewharf_clock::Timestamp;
 use vanewharf_protocol::messages::AttemptCounts;
 
-/// What a door tells is of so long, in steps of this.
-const SPAN: Duration = Duration::from_millis(3000);
-const STEP: Duration = Duration::from_millis(500);
-/// Backends that one door tells of, those that failed it most.
-const MOST_TOLD: usize = 24;
-/// Below so many tries over all doors nothing is said.
-const LEAST_TRIED: u32 = 6;
-/// By how many doors at least a backend must have failed somebody; with fewer doors than twice that, by half of them.
-const LEAST_DOORS: usize = 3;
-/// A part below this is usual.
-const USUAL: f64 = 0.25;
-/// How fast a share fades that nothing new is said of, by seconds for a half.
-const HALVED: f64 = 3.0;
-const FORGOTTEN: f64 = 0.1;
-
-/// One door's own counts.
-#[derive(Clone, Debug, Default)]
-pub struct AttemptHistory {
-    steps: VecDeque<(Timestamp, BTreeMap<String, AttemptCounts>)>,
+/// Attempts over all proxies without which a backend is not judged: of fewer, a quarter fails by chance too often.
+const MIN_ATTEMPTS: u32 = 6;
+
+/// Proxies that must have seen a backend fail, so that no single proxy's own fault is taken for the backend's. With fewer
+/// than twice as many proxies, half of them.
+const MIN_FAILING_PROXIES: usize = 3;
+
+/// A backend is unhealthy when it fails more than this fraction of the attempts that proxies report. Only proxies that
+/// saw it fail report any, so that the fraction is above the real one.
+const UNHEALTHY_FAILURE_SHARE: f64 = 0.25;
+
+/// Half-life, in seconds, of a failure share that no new report confirms.
+const HALF_LIFE: f64 = 3.0;
+
+/// A failure share below this is dropped.
+const MIN_FAILURE_SHARE: f64 = 0.1;
+
+/// The least weight of an unhealthy backend: it must go on getting some requests, to be seen to have recovered.
+const MIN_WEIGHT: f64 = 0.04;
+
+/// What all proxies together report of one backend.
+#[derive(Clone, Copy, Debug, Default)]
+struct BackendReports {
+    attempts: u32,
+    failed: u32,
+    /// Proxies that saw it fail.
+    failing_proxies: usize,
 }
 
-impl AttemptHistory {
-    pub fn record_attempt(&mut self, backend: &str, failed: bool, now: Timestamp) {
-        if self.steps.back().is_none_or(|(begun, _)| now.since(*begun) >= STEP) {
-            self.steps.push_back((now, BTreeMap::new()));
-        }
-        while self.steps.front().is_some_and(|(begun, _)| now.since(*begun) > SPAN) {
-            self.steps.pop_front();
-        }
-        let Some((_, step)) = self.steps.back_mut() else {
-            return;
-        };
-        if !step.contains_key(backend) {
-            step.insert(backend.to_owned(), AttemptCounts::default());
-        }
-        if let Some(tried) = step.get_mut(backend) {
-            tried.attempts += 1;
-            tried.failed += u32::from(failed);
-        }
+impl BackendReports {
+    fn add(&mut self, counts: &AttemptCounts) {
+        self.attempts += counts.attempts;
+        self.failed += counts.failed;
+        self.failing_proxies += 1;
     }
 
-    /// Of the backends that failed it lately.
-    pub fn failing_backends(&self, now: Timestamp) -> BTreeMap<String, AttemptCounts> {
-        let mut sums: BTreeMap<&String, AttemptCounts> = BTreeMap::new();
-        let fresh = self.steps.iter().filter(|(begun, _)| now.since(*begun) <= SPAN);
-        for (backend, tried) in fresh.flat_map(|(_, step)| step) {
-            let sum = sums.entry(backend).or_default();
-            (sum.attempts, sum.failed) = (sum.attempts + tried.attempts, sum.failed + tried.failed);
-        }
-        let mut failed: Vec<_> = sums.into_iter().filter(|(_, sum)| sum.failed > 0).collect();
-        failed.sort_by_key(|(_, sum)| std::cmp::Reverse(sum.failed));
-        failed.into_iter().take(MOST_TOLD).map(|(backend, sum)| (backend.clone(), sum)).collect()
+    fn failure_share(&self) -> f64 {
+        f64::from(self.failed) / f64::from(self.attempts.max(1))
+    }
+
+    fn is_unhealthy(&self, min_failing_proxies: usize) -> bool {
+        self.attempts >= MIN_ATTEMPTS
+            && self.failing_proxies >= min_failing_proxies
+            && self.failure_share() > UNHEALTHY_FAILURE_SHARE
     }
 }
 
-/// All doors' evidence, as the holder weighs it.
+/// The unhealthy backends, as the leaseholder judges them by all proxies' reports.
 #[derive(Clone, Debug, Default)]
 pub struct OutlierDetector {
-    shares: BTreeMap<String, f64>,
-    at: Timestamp,
+    /// The fraction of attempts that fail, by the backend's id.
+    failure_shares: BTreeMap<String, f64>,
+    updated_at: Timestamp,
 }
 
 impl OutlierDetector {
-    /// What the holder before had detector.
-    pub fn inherit(&mut self, ill: &BTreeMap<String, f64>, now: Timestamp) {
-        (self.shares, self.at) = (ill.clone(), now);
+    /// Takes over what the previous leaseholder published.
+    pub fn inherit(&mut self, failure_shares: &BTreeMap<String, f64>, now: Timestamp) {
+        self.failure_shares = failure_shares.clone();
+        self.updated_at = now;
     }
 
-    /// The part of its requests that each backend fails, of those that are ill, out of so many doors' words.
+    /// Judges backends by the proxies' current reports, each of which names only backends that failed there.
+    ///
+    /// Returns the unhealthy ones by id, each with the fraction of attempts that fail, rounded to hundredths.
     pub fn update<'a>(
         &mut self,
-        told: impl Iterator<Item = &'a BTreeMap<String, AttemptCounts>>,
-        doors: usize,
+        reports: impl Iterator<Item = &'a BTreeMap<String, AttemptCounts>>,
+        proxies: usize,
         now: Timestamp,
     ) -> BTreeMap<String, f64> {
-        let mut sums: BTreeMap<&String, (AttemptCounts, usize)> = BTreeMap::new();
-        for (backend, tried) in told.flatten() {
-            let (sum, failing) = sums.entry(backend).or_default();
-            (sum.attempts, sum.failed) = (sum.attempts + tried.attempts, sum.failed + tried.failed);
-            *failing += 1;
+        self.decay(now);
+        let mut backends: BTreeMap<&String, BackendReports> = BTreeMap::new();
+        for (backend, counts) in reports.flatten() {
+            backends.entry(backend).or_default().add(counts);
         }
-        let fade = 0.5_f64.powf(now.since(self.at).as_secs_f64() / HALVED);
-        self.at = now;
-        self.shares.values_mut().for_each(|share| *share *= fade);
-        let least = LEAST_DOORS.min(doors.div_ceil(2)).max(1);
-        for (backend, (sum, failing)) in sums {
-            let share = f64::from(sum.failed) / f64::from(sum.attempts.max(1));
-            if sum.attempts >= LEAST_TRIED && failing >= least && share > USUAL {
-                let known = self.shares.entry(backend.clone()).or_default();
-                *known = known.max(share);
-            }
+        let min_failing_proxies = MIN_FAILING_PROXIES.min(proxies.div_ceil(2)).max(1);
+        backends.retain(|_, reports| reports.is_unhealthy(min_failing_proxies));
+        for (backend, reports) in backends {
+            let known = self.failure_shares.entry(backend.clone()).or_default();
+            *known = known.max(reports.failure_share());
         }
-        self.shares.retain(|_, share| *share >= FORGOTTEN);
-        self.shares
-            .iter()
-            .map(|(backend, share)| (backend.clone(), (share * 100.0).round() / 100.0))
-            .collect()
+        self.failure_shares.retain(|_, share| *share >= MIN_FAILURE_SHARE);
+        let rounded = |share: &f64| (share * 100.0).round() / 100.0;
+        self.failure_shares.iter().map(|(backend, share)| (backend.clone(), rounded(share))).collect()
+    }
+
+    fn decay(&mut self, now: Timestamp) {
+        let factor = 0.5_f64.powf(now.since(self.updated_at).as_secs_f64() / HALF_LIFE);
+        self.updated_at = now;
+        self.failure_shares.values_mut().for_each(|share| *share *= factor);
     }
 }
 
-/// The part of its size that a backend is counted with, which fails that part of its requests; never nothing, so that
-/// it is seen to be well again.
-pub fn weight_for_failure_share(share: f64) -> f64 {
-    (1.0 - share.clamp(0.0, 1.0)).powi(2).max(0.04)
+/// The factor by which a backend's size counts that fails this fraction of its attempts, from 0.04 to 1.
+pub fn weight_for_failure_share(failure_share: f64) -> f64 {
+    (1.0 - failure_share.clamp(0.0, 1.0)).powi(2).max(MIN_WEIGHT)
 }
 
-/// Where more than half of those that could serve are ill, the cause is shared and none is spared.
-pub fn is_shared_cause(ill: usize, all: usize) -> bool {
-    ill * 2 > all
+/// Whether so many of a service's backends are unhealthy that the cause is likely to be shared: then none is avoided, as
+/// the others would be overloaded for nothing.
+pub fn is_shared_cause(unhealthy: usize, all: usize) -> bool {
+    unhealthy * 2 > all
 }
 
 #[cfg(test)]
--- a/crates/quota/src/token_reserve.rs
+++ b/crates/quota/src/token_reserve.rs
@@ -1,93 +1,120 @@
-//! Tokens that were lent to a door and wait for their requests. Where lenders are far, a door whose tenant sends steadily
-//! asks ahead for a small lot, so that most requests need not wait for a token's way there and back.
+//! Tokens that a controller has leased to a proxy and that wait for their requests.
+//!
+//! Where controllers are in another region, a proxy whose tenant sends steadily requests a small batch of tokens ahead, so
+//! that most requests do not wait for a token's round trip.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use std::time::Duration;
 use vanewharf_clock::Timestamp;
 
-/// How long a token may wait: so much later than it was lent may it be used, and what the rules leave beyond quotas
-/// covers that.
-const KEPT: Duration = Duration::from_secs(1);
-/// A lot is what comes in so many seconds, and this at most.
-const LOT_SPAN: f64 = 0.5;
-const MOST_AHEAD: u32 = 8;
-/// Seconds over which a tenant's requests here are averaged.
-const SPAN: f64 = 2.0;
-/// One who sends less often than this is forgotten.
-const SELDOM: f64 = 0.02;
+/// How long a token may wait: it may be used so much later than it was leased, which the allowance beyond quotas covers.
+const TOKEN_LIFETIME: Duration = Duration::from_secs(1);
+
+/// A batch is what is used in so many seconds: half a token's lifetime, so that few tokens expire unused.
+const BATCH_SPAN: f64 = 0.5;
+
+/// Tokens in a batch at most: what one proxy holds unused is missing at the others.
+const MAX_BATCH: u32 = 8;
+
+/// Seconds over which a tenant's request rate is averaged, exponentially.
+const RATE_SPAN: f64 = 2.0;
+
+/// A tenant with fewer requests per second than this is dropped.
+const IDLE_RATE: f64 = 0.02;
 
 #[derive(Clone, Debug)]
-struct Purse {
+struct TenantReserve {
     tokens: u32,
-    until: Timestamp,
-    /// Requests a second, as of the last one.
-    rate: f64,
-    last: Timestamp,
-    /// A lot is on its way.
-    asked: bool,
+    tokens_expire_at: Timestamp,
+    /// Requests per second, as of the last request.
+    request_rate: f64,
+    last_request_at: Timestamp,
+    /// Whether a batch was requested and has not arrived.
+    is_batch_pending: bool,
+}
+
+impl TenantReserve {
+    fn new(now: Timestamp) -> TenantReserve {
+        TenantReserve {
+            tokens: 0,
+            tokens_expire_at: now,
+            request_rate: 0.0,
+            last_request_at: now,
+            is_batch_pending: false,
+        }
+    }
+
+    fn has_valid_tokens(&self, now: Timestamp) -> bool {
+        self.tokens > 0 && self.tokens_expire_at > now
+    }
+
+    /// The average rate as of now, in requests per second.
+    fn decayed_rate(&self, now: Timestamp) -> f64 {
+        self.request_rate * (-now.since(self.last_request_at).as_secs_f64() / RATE_SPAN).exp()
+    }
 }
 
+/// One proxy's leased tokens, by tenant.
 #[derive(Clone, Debug, Default)]
 pub struct TokenReserve {
-    purses: BTreeMap<Rc<str>, Purse>,
+    tenants: BTreeMap<Rc<str>, TenantReserve>,
 }
 
 impl TokenReserve {
-    fn purse(&mut self, tenant: &Rc<str>, now: Timestamp) -> &mut Purse {
-        let new = || Purse { tokens: 0, until: now, rate: 0.0, last: now, asked: false };
-        self.purses.entry(Rc::clone(tenant)).or_insert_with(new)
+    fn tenant(&mut self, tenant: &Rc<str>, now: Timestamp) -> &mut TenantReserve {
+        self.tenants.entry(Rc::clone(tenant)).or_insert_with(|| TenantReserve::new(now))
     }
 
-    /// A request came.
+    /// Records a request of the tenant, for its rate.
     pub fn record_request(&mut self, tenant: &Rc<str>, now: Timestamp) {
-        let purse = self.purse(tenant, now);
-        purse.rate = purse.rate * (-now.since(purse.last).as_secs_f64() / SPAN).exp() + 1.0 / SPAN;
-        purse.last = now;
+        let reserve = self.tenant(tenant, now);
+        reserve.request_rate = reserve.decayed_rate(now) + 1.0 / RATE_SPAN;
+        reserve.last_request_at = now;
     }
 
-    /// A token that is still good.
+    /// Takes a token that has not expired; false where there is none.
     pub fn take_token(&mut self, tenant: &Rc<str>, now: Timestamp) -> bool {
-        let purse = self.purse(tenant, now);
-        if purse.until <= now {
-            purse.tokens = 0;
+        let reserve = self.tenant(tenant, now);
+        if !reserve.has_valid_tokens(now) {
+            reserve.tokens = 0;
+            return false;
         }
-        let good = purse.tokens > 0;
-        purse.tokens -= u32::from(good);
-        good
+        reserve.tokens -= 1;
+        true
     }
 
+    /// Adds leased tokens; all of the tenant's tokens then expire together, a lifetime from now.
     pub fn add_tokens(&mut self, tenant: &Rc<str>, tokens: u32, now: Timestamp) {
-        let purse = self.purse(tenant, now);
-        purse.tokens += tokens;
+        let reserve = self.tenant(tenant, now);
+        reserve.tokens += tokens;
         if tokens > 0 {
-            purse.until = now.after(KEPT);
+            reserve.tokens_expire_at = now.after(TOKEN_LIFETIME);
         }
     }
 
-    /// How many to ask for ahead; nothing while a lot is under way, or half of one is left.
+    /// How many tokens to request ahead; none while a batch is pending or more than half of one is left.
     pub fn tokens_to_request(&mut self, tenant: &Rc<str>, now: Timestamp) -> u32 {
-        let purse = self.purse(tenant, now);
-        let lot = ((purse.rate * LOT_SPAN) as u32).min(MOST_AHEAD);
-        let tokens = if purse.until > now { purse.tokens } else { 0 };
-        if purse.asked || lot == 0 || tokens * 2 > lot {
+        let reserve = self.tenant(tenant, now);
+        let batch = ((reserve.request_rate * BATCH_SPAN) as u32).min(MAX_BATCH);
+        let tokens = if reserve.has_valid_tokens(now) { reserve.tokens } else { 0 };
+        if reserve.is_batch_pending || batch == 0 || tokens * 2 > batch {
             return 0;
         }
-        purse.asked = true;
-        lot - tokens
+        reserve.is_batch_pending = true;
+        batch - tokens
     }
 
-    /// The lot that was asked for has come, as far as it was lent.
+    /// Records the answer to a request for a batch, with the tokens that were leased; 0: none were, or nobody answered.
     pub fn record_lease(&mut self, tenant: &Rc<str>, tokens: u32, now: Timestamp) {
         self.add_tokens(tenant, tokens, now);
-        self.purse(tenant, now).asked = false;
+        self.tenant(tenant, now).is_batch_pending = false;
     }
 
-    /// Those who have not sent for long are dropped.
+    /// Drops tenants that have not sent requests for long.
     pub fn drop_idle_tenants(&mut self, now: Timestamp) {
-        self.purses.retain(|_, purse| {
-            let rate = purse.rate * (-now.since(purse.last).as_secs_f64() / SPAN).exp();
-            purse.asked || rate > SELDOM || purse.tokens > 0 && purse.until > now
+        self.tenants.retain(|_, reserve| {
+            reserve.is_batch_pending || reserve.decayed_rate(now) > IDLE_RATE || reserve.has_valid_tokens(now)
         });
     }
 }
--- a/crates/system-simulator/examples/capacity.rs
+++ b/crates/system-simulator/examples/capacity.rs
@@ -33,7 +33,7 @@
 use vanewharf_proxy::routing::RoutingTables;
 use vanewharf_proxy::snapshot::Snapshot;
 use vanewharf_proxy::update::Update;
-use vanewharf_quota::{Quota, TokenBuckets};
+use vanewharf_quota::{InitialFill, Quota, TokenBuckets};
 use vanewharf_rpc::{RpcClient, RpcResponse, serve};
 use vanewharf_runtime::environment::Environment;
 
@@ -436,7 +436,7 @@
         let name = |no: usize| format!("tenant-{no:06}");
         let names: Vec<_> = (0..tenants).map(name).collect();
         let filled = took(|| {
-            let mut buckets = TokenBuckets::new(100.0, false, at(0));
+            let mut buckets = TokenBuckets::new(100.0, InitialFill::Empty, at(0));
             buckets.apply_usage(OFFICES as u32, &BTreeMap::new(), |_| quota, at(1));
             for name in &names {
                 buckets.lease_tokens(name, 1, quota, at(5));
@@ -446,7 +446,7 @@
         let (held, mut buckets) = (filled.held, filled.out);
         let lent = took(|| names.iter().map(|name| buckets.lease_tokens(name, 1, quota, at(9))).sum::<u32>());
         let tell = |no: usize| {
-            let (let_through, slices) = (buckets.admitted_counts(), buckets.slices());
+            let (let_through, slices) = (buckets.admitted_counts(), buckets.quota_shares());
             TokenLeaseReport {
                 ip: office(no).ip,
                 incarnation: 1,
--- a/programs/controller/src/roles/token_lending.rs
+++ b/programs/controller/src/roles/token_lending.rs
@@ -7,7 +7,7 @@
 use vanewharf_clock::Timestamp;
 use vanewharf_config::config::Config;
 use vanewharf_protocol::messages::{FleetSummary, TokenCounts, TokenLeaseReport};
-use vanewharf_quota::{Quota, TokenBuckets};
+use vanewharf_quota::{InitialFill, Quota, TokenBuckets};
 
 /// Holds this controller's part of each tenant's quota.
 pub struct TokenLender {
@@ -19,7 +19,10 @@
 impl TokenLender {
     /// `allowance` is what the rules allow beyond a quota, in requests; at the first start of all the buckets are full.
     pub fn new(allowance: f64, initial_start: bool, incarnation: u64, now: Timestamp) -> TokenLender {
-        TokenLender { buckets: TokenBuckets::new(allowance, initial_start, now), incarnation }
+        TokenLender {
+            buckets: TokenBuckets::new(allowance, InitialFill::at_start(initial_start), now),
+            incarnation,
+        }
     }
 
     /// Leases as many tokens as there are. Tenants that the configuration does not know get none, and no entry.
@@ -36,9 +39,8 @@
 
     /// Divides quotas by the number of lenders that the summary names, if controllers lease tokens at all.
     pub fn apply_summary(&mut self, summary: &FleetSummary, config: Option<&Config>, now: Timestamp) {
-        const NO_QUOTA: Quota = Quota { rate: 0.0, burst: 0.0 };
         if let Some(lenders) = summary.token_lenders {
-            let quota = |tenant: &str| quota_of(config, tenant).unwrap_or(NO_QUOTA);
+            let quota = |tenant: &str| quota_of(config, tenant).unwrap_or(Quota::UNLIMITED);
             self.buckets.apply_usage(lenders, &summary.tenants, quota, now);
         }
     }
@@ -46,7 +48,7 @@
     /// What was leased since the process started, by tenant, for the leaseholder's aggregation.
     pub fn report(&self, ip: IpAddr) -> TokenLeaseReport {
         let admitted = self.buckets.admitted_counts();
-        let quota_shares = self.buckets.slices();
+        let quota_shares = self.buckets.quota_shares();
         TokenLeaseReport { ip, incarnation: self.incarnation, admitted, quota_shares }
     }
 }
--- a/programs/proxy/src/pools.rs
+++ b/programs/proxy/src/pools.rs
@@ -20,13 +20,12 @@
 use vanewharf_gateway::messages::{BackendEntry, BackendUpdate};
 use vanewharf_gateway::router::RoutingPolicy;
 use vanewharf_health::{AttemptHistory, is_shared_cause, weight_for_failure_share};
-use vanewharf_health::{RetryBudget, RetryPolicy, SlowStart, pick_weighted, slow_start_share};
+use vanewharf_health::{RetryBudget, RetryPolicy, SlowStart, SlowStartLimit, SlowStartPolicy, pick_weighted};
 use vanewharf_http1::Reply;
 use vanewharf_policy::decide::Balancer;
 use vanewharf_policy::interface::{self as told, *};
 use vanewharf_protocol::messages::{Backend, BackendList, HostCounts, Register};
-use vanewharf_quota::TokenBuckets;
-use vanewharf_quota::TokenReserve;
+use vanewharf_quota::{InitialFill, Quota, QuotaExceeded, ShareOwner, TokenBuckets, TokenReserve};
 
 /// One service in one region.
 type PoolKey = (Rc<str>, Rc<str>);
@@ -155,7 +154,8 @@
     ) -> BackendPools {
         let PoolsConfig { location, limits, initial_start, seed } = config;
         let clock = snapshot.clock;
-        let buckets = TokenBuckets::new(limits.rate_allowance, initial_start, clock.now());
+        let buckets =
+            TokenBuckets::new(limits.rate_allowance, InitialFill::at_start(initial_start), clock.now());
         BackendPools {
             location,
             limits,
@@ -404,7 +404,8 @@
         let (id, at) = (arrival.txn, self.clock.now());
         let AuthorizedRequest { tenant, .. } = &entry;
         if let Some(tenant) = tenant
-            && let Err(wait) = self.buckets.try_admit(&tenant.name, tenant.quota, at)
+            && let Err(QuotaExceeded { retry_after: wait }) =
+                self.buckets.try_admit(&tenant.name, tenant.quota, at)
         {
             let retry_after = Some(ticks(wait.max(LEAST_WAIT)));
             return actions.push(Action::Reject { txn: id, retry_after });
@@ -431,7 +432,7 @@
         regions.sort_by_key(|region| **region == *self.location.region);
         let rule_now = self.repeat_rule();
         let first = self.initial_start;
-        let start = || RetryBudget::new(&rule_now, first);
+        let start = || if first { RetryBudget::full(&rule_now) } else { RetryBudget::empty() };
         self.repeats.entry(Rc::clone(&service)).or_insert_with(start).record_request(&rule_now);
         let way = RequestInFlight {
             rule,
@@ -602,7 +603,12 @@
             let service = self.tables.as_ref().and_then(|tables| tables.services.get(&known.server.service));
             let per_s = service.map_or(0.0, |service| service.warmup_per_s);
             let LimitsTable { warmup_overshoot, warmup_allowance, .. } = self.limits;
-            let part = slow_start_share(per_s, warmup_overshoot, warmup_allowance, self.doors);
+            let part = SlowStartLimit::per_proxy(SlowStartPolicy {
+                rate_per_s: per_s,
+                overshoot: warmup_overshoot,
+                allowance: warmup_allowance,
+                proxies: self.doors,
+            });
             if !known.cold.get_or_insert_with(|| SlowStart::new(part, at)).try_spend(part, at) {
                 return false;
             }
@@ -722,16 +728,16 @@
                 self.lenders_far =
                     !ledger.controllers.iter().any(|row| region(&row.zone) == Some(&self.location.region));
                 self.pocket.drop_idle_tenants(self.clock.now());
-                self.buckets.set_token_leasing(ledger.token_lenders.is_some());
+                self.buckets.set_share_owner(ShareOwner::of(&ledger));
                 self.doors = f64::from(ledger.quota_divisor);
                 let tables = self.tables.clone();
                 let quota = |tenant: &str| {
-                    let none = vanewharf_quota::Quota { rate: 0.0, burst: 0.0 };
+                    let none = Quota::UNLIMITED;
                     tables.as_ref().map_or(none, |tables| tables.quota(tenant))
                 };
                 self.buckets.apply_usage(ledger.quota_divisor, &ledger.tenants, quota, self.clock.now());
                 *self.reported.admitted.borrow_mut() = self.buckets.admitted_counts();
-                *self.reported.slices.borrow_mut() = self.buckets.slices();
+                *self.reported.slices.borrow_mut() = self.buckets.quota_shares();
                 *self.reported.attempts.borrow_mut() = self.seen.failing_backends(self.clock.now());
                 if ledger.unhealthy == self.ill {
                     return None;
--- a/programs/proxy/src/pools/tests.rs
+++ b/programs/proxy/src/pools/tests.rs
@@ -178,7 +178,7 @@
 fn a_repeat_needs_room_in_the_budget_that_requests_fill() {
     let mut fixture = Fixture::start(servers(), None);
     // Not one repeat is allowed at once; seven requests make room for one.
-    fixture.pools.repeats.insert(Rc::from("s"), RetryBudget::new(&fixture.pools.repeat_rule(), false));
+    fixture.pools.repeats.insert(Rc::from("s"), RetryBudget::empty());
     let mut repeated = 0;
     for _ in 0..8 {
         let (txn, _) = fixture.send_request("/read/x");
@@ -301,7 +301,7 @@
         }))
     };
     let to_first = |fixture: &mut Fixture| {
-        fixture.pools.buckets = TokenBuckets::new(10_000.0, true, fixture.snapshot.clock.now());
+        fixture.pools.buckets = TokenBuckets::new(10_000.0, InitialFill::Full, fixture.snapshot.clock.now());
         fixture.apply_update(ledger(None));
         let mut first = 0;
         for _ in 0..60 {
@@ -349,7 +349,7 @@
             fixture.pools.decide(SECOND, vec![Event::AttemptEnded(ending)]);
         }
     }
-    fixture.pools.buckets = TokenBuckets::new(1000.0, true, fixture.snapshot.clock.now());
+    fixture.pools.buckets = TokenBuckets::new(1000.0, InitialFill::Full, fixture.snapshot.clock.now());
     fixture.apply_update(ledger(None));
     let served = |fixture: &mut Fixture| {
         let (_, actions) = fixture.send_request("/write/x");
--- a/programs/proxy/src/routing.rs
+++ b/programs/proxy/src/routing.rs
@@ -183,7 +183,7 @@
     /// The tenant's quota. A tenant that is no longer configured has none (a rate of 0 is no limit): without a key,
     /// none of its requests is admitted anyway.
     pub fn quota(&self, tenant: &str) -> Quota {
-        self.tenants.get(tenant).map_or(Quota { rate: 0.0, burst: 0.0 }, |tenant| tenant.quota)
+        self.tenants.get(tenant).map_or(Quota::UNLIMITED, |tenant| tenant.quota)
     }
 
     /// The classes that the routes fall into.
