--- a/crates/protocol/src/deduplication.rs
+++ b/crates/protocol/src/deduplication.rs
@@ -1,23 +1,31 @@
-//! The ids of calls between the system's own processes, and what a callee remembers of them: a call that
-//! comes again, late or doubled, is told so and changes nothing.
+//! Ids of calls between the system's own processes, and what a server remembers of them: a call that arrives again, late
+//! or duplicated by the network, is recognized and has no effect.
 
+use crate::endpoints;
 use std::collections::BTreeMap;
 use std::fmt;
 use std::str::FromStr;
+use thiserror::Error;
 use tokio::time::Instant;
 
-/// Callers that are remembered; of more, those heard of longest ago are forgotten, and a call of theirs that
-/// comes again would be taken for a new one.
-const MOST_CALLERS: usize = 4096;
+/// Callers that are remembered; of more, those that called longest ago are forgotten, and a call of theirs that
+/// arrives again would pass for a new one.
+const MAX_CALLERS: usize = 4096;
 
-/// A caller's life, drawn anew with each, and the number of its call: a caller has one call under way at a
-/// time.
+/// Identifies a call. It is written as two hexadecimal numbers, joined by `-`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallId {
+    /// Drawn by each client at its start. A client has one call in flight at a time.
     pub caller: u64,
+    /// Counts the client's calls.
     pub sequence: u64,
 }
 
+/// A header field that holds no [`CallId`].
+#[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
+#[error("the call's id cannot be read")]
+pub struct MalformedCallId;
+
 impl fmt::Display for CallId {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{:x}-{:x}", self.caller, self.sequence)
@@ -25,43 +33,46 @@
 }
 
 impl FromStr for CallId {
-    type Err = &'static str;
+    type Err = MalformedCallId;
 
-    fn from_str(text: &str) -> Result<CallId, &'static str> {
-        let number = |text: &str| u64::from_str_radix(text, 16).ok();
-        let both = text.split_once('-').and_then(|(life, no)| number(life).zip(number(no)));
-        both.map(|(life, no)| CallId { caller: life, sequence: no }).ok_or("the call's id cannot be read")
+    fn from_str(text: &str) -> Result<CallId, MalformedCallId> {
+        let number = |text: &str| u64::from_str_radix(text, 16).map_err(|_| MalformedCallId);
+        let (caller, sequence) = text.split_once('-').ok_or(MalformedCallId)?;
+        Ok(CallId { caller: number(caller)?, sequence: number(sequence)? })
     }
 }
 
-/// Calls whose effect adds up. One that may not have arrived goes out again under the same id, and the callee
-/// gives the answer that it gave before; all others change nothing when they come twice, and go out again as
-/// new ones.
+/// Whether the effects of two equal calls add up. Such a call is retried under the same id, and the server gives the answer
+/// that it gave before. All others are idempotent, and are retried under a new id.
 pub fn has_cumulative_effect(path: &str) -> bool {
-    path == "/lend"
+    path == endpoints::LEASE_TOKENS
 }
 
+/// What is remembered of a caller.
 #[derive(Clone, Debug)]
-struct Known<T> {
-    no: u64,
-    /// To that number; none where it is not given yet, or is not kept.
+struct CallerState<T> {
+    /// Of its latest call.
+    sequence: u64,
+    /// The answer to its latest call; none where it is not given yet, or was not recorded.
     answer: Option<T>,
-    heard: Instant,
+    last_call_at: Instant,
 }
 
-/// What a call is.
+/// What a call is to a server.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CallStatus<T> {
+    /// It has not arrived before.
     New,
-    /// The answer that was given to it.
+    /// It has arrived before, and was given this answer.
     Answered(T),
-    /// It, or a later one of its caller, was heard before.
+    /// It, or a later one of its caller, has arrived before, and its answer is not in hand.
     Repeated,
 }
 
+/// The latest call of each caller, with answers of type `T`.
 #[derive(Clone, Debug)]
 pub struct CallHistory<T> {
-    callers: BTreeMap<u64, Known<T>>,
+    callers: BTreeMap<u64, CallerState<T>>,
 }
 
 impl<T> Default for CallHistory<T> {
@@ -71,35 +82,40 @@
 }
 
 impl<T: Clone> CallHistory<T> {
+    /// Records the call, where it is new, and says what it is.
     pub fn observe(&mut self, id: CallId, now: Instant) -> CallStatus<T> {
+        let fresh = CallerState { sequence: id.sequence, answer: None, last_call_at: now };
         match self.callers.get_mut(&id.caller) {
-            Some(known) if id.sequence <= known.no => {
-                let answer = known.answer.clone().filter(|_| id.sequence == known.no);
+            Some(known) if id.sequence <= known.sequence => {
+                let answer = known.answer.clone().filter(|_| id.sequence == known.sequence);
                 return answer.map_or(CallStatus::Repeated, CallStatus::Answered);
             }
-            Some(known) => *known = Known { no: id.sequence, answer: None, heard: now },
+            Some(known) => *known = fresh,
             None => {
-                if self.callers.len() >= MOST_CALLERS {
-                    self.forget();
+                if self.callers.len() >= MAX_CALLERS {
+                    self.evict_oldest_quarter();
                 }
-                self.callers.insert(id.caller, Known { no: id.sequence, answer: None, heard: now });
+                self.callers.insert(id.caller, fresh);
             }
         }
         CallStatus::New
     }
 
-    /// What was answered is kept until its caller's next call.
+    /// Remembers the answer until its caller's next call; ignored where that has arrived already.
     pub fn record_answer(&mut self, id: CallId, answer: T) {
-        let known = self.callers.get_mut(&id.caller).filter(|known| known.no == id.sequence);
-        known.into_iter().for_each(|known| known.answer = Some(answer.clone()));
+        if let Some(known) = self.callers.get_mut(&id.caller)
+            && known.sequence == id.sequence
+        {
+            known.answer = Some(answer);
+        }
     }
 
-    /// A quarter at a time, so that it costs little for each.
-    fn forget(&mut self) {
-        let mut times: Vec<_> = self.callers.values().map(|known| known.heard).collect();
+    /// A quarter at a time, so that the sort is rare.
+    fn evict_oldest_quarter(&mut self) {
+        let mut times: Vec<_> = self.callers.values().map(|caller| caller.last_call_at).collect();
         times.sort_unstable();
         let oldest = times[times.len() / 4];
-        self.callers.retain(|_, known| known.heard > oldest);
+        self.callers.retain(|_, caller| caller.last_call_at > oldest);
     }
 }
 
--- /dev/null
+++ b/crates/protocol/src/history/backend_list_history.rs
@@ -0,0 +1,129 @@
+//! The last changes of the list of backends.
+
+use super::MAX_RETAINED_CHANGES;
+use crate::messages::{Backend, BackendList, BackendListChange, Version};
+use std::collections::{BTreeMap, BTreeSet, VecDeque};
+use std::time::Duration;
+use vanewharf_clock::Timestamp;
+
+/// How much longer than expected a backend may still warm up without counting as changed.
+const WARMUP_TOLERANCE_MS: u64 = 200;
+
+/// A list with the time at which it was taken from the platform, by this process' clock.
+#[derive(Clone, Copy, Debug)]
+pub struct TakenList<'a> {
+    /// The list.
+    pub list: &'a BackendList,
+    /// When it was taken, at the latest.
+    pub taken_at: Timestamp,
+}
+
+/// Changes that lead to the list in hand, without a gap between one and the next.
+#[derive(Clone, Debug, Default)]
+pub struct BackendListHistory {
+    changes: VecDeque<TimedChange>,
+}
+
+#[derive(Clone, Debug)]
+struct TimedChange {
+    change: BackendListChange,
+    /// When the newer list was taken: the change's warm-up times count from then.
+    taken_at: Timestamp,
+}
+
+impl BackendListHistory {
+    /// The list in hand was replaced by a newer one. Where half of all backends or more have changed, all changes are
+    /// dropped.
+    pub fn record_replacement(&mut self, old: Option<TakenList<'_>>, new: TakenList<'_>) {
+        let Some(old) = old else {
+            return self.changes.clear();
+        };
+        let elapsed = new.taken_at.since(old.taken_at);
+        let old_backends: BTreeMap<&str, &Backend> =
+            old.list.backends.iter().map(|backend| (backend.id.as_str(), backend)).collect();
+        let new_ids: BTreeSet<&str> = new.list.backends.iter().map(|backend| backend.id.as_str()).collect();
+        let is_changed = |backend: &&Backend| {
+            let known = old_backends.get(backend.id.as_str());
+            known.is_none_or(|known| !is_unchanged(known, backend, elapsed))
+        };
+        let upserted: Vec<_> = new.list.backends.iter().filter(is_changed).cloned().collect();
+        if upserted.len() * 2 >= new.list.backends.len() {
+            return self.changes.clear();
+        }
+        let removed = old_backends.keys().filter(|id| !new_ids.contains(*id));
+        let change = BackendListChange {
+            from: old.list.version,
+            version: new.list.version,
+            age_ms: 0,
+            upserted,
+            removed: removed.map(|id| (*id).to_owned()).collect(),
+        };
+        self.retain(change, new.taken_at);
+    }
+
+    /// The changes from that version to the list in hand, which was taken at `taken_at`; none where they are not
+    /// retained. Their age is that of the list in hand, and warm-up times count from when it was taken.
+    pub fn changes_since(
+        &self,
+        version: Version,
+        taken_at: Timestamp,
+        now: Timestamp,
+    ) -> Option<Vec<BackendListChange>> {
+        let first = self.changes.iter().position(|timed| timed.change.from == version)?;
+        let age_ms = now.since(taken_at).as_millis() as u64;
+        let aged = |timed: &TimedChange| {
+            let mut change = BackendListChange { age_ms, ..timed.change.clone() };
+            let elapsed = taken_at.since(timed.taken_at);
+            change.upserted.iter_mut().for_each(|backend| advance_warmup(backend, elapsed));
+            change
+        };
+        Some(self.changes.iter().skip(first).map(aged).collect())
+    }
+
+    /// The list in hand after these changes, the newest of which was taken at `taken_at`. None, and nothing changed here,
+    /// where they do not start from it.
+    pub fn apply_changes(
+        &mut self,
+        old: TakenList<'_>,
+        changes: Vec<BackendListChange>,
+        taken_at: Timestamp,
+    ) -> Option<BackendList> {
+        let elapsed = taken_at.since(old.taken_at);
+        let mut backends: BTreeMap<String, Backend> = BTreeMap::new();
+        for backend in &old.list.backends {
+            let mut backend = backend.clone();
+            advance_warmup(&mut backend, elapsed);
+            backends.insert(backend.id.clone(), backend);
+        }
+        let mut version = old.list.version;
+        for change in &changes {
+            if change.from != version {
+                return None;
+            }
+            change.removed.iter().for_each(|id| drop(backends.remove(id)));
+            backends.extend(change.upserted.iter().map(|backend| (backend.id.clone(), backend.clone())));
+            version = change.version;
+        }
+        let age_ms = changes.last()?.age_ms;
+        changes.into_iter().for_each(|change| self.retain(change, taken_at));
+        Some(BackendList { version, age_ms, backends: backends.into_values().collect() })
+    }
+
+    fn retain(&mut self, change: BackendListChange, taken_at: Timestamp) {
+        self.changes.push_back(TimedChange { change, taken_at });
+        if self.changes.len() > MAX_RETAINED_CHANGES {
+            self.changes.pop_front();
+        }
+    }
+}
+
+fn advance_warmup(backend: &mut Backend, elapsed: Duration) {
+    backend.warmup_left_ms = backend.warmup_left_ms.saturating_sub(elapsed.as_millis() as u64);
+}
+
+/// Whether nothing has changed but that warm-up went on for that time.
+fn is_unchanged(old: &Backend, new: &Backend, elapsed: Duration) -> bool {
+    let expected = old.warmup_left_ms.saturating_sub(elapsed.as_millis() as u64);
+    let same_otherwise = Backend { warmup_left_ms: old.warmup_left_ms, ..new.clone() } == *old;
+    same_otherwise && new.warmup_left_ms <= expected + WARMUP_TOLERANCE_MS
+}
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -1,6 +1,11 @@
-//! What the system's programs send each other: messages, versions, changes between versions, call ids.
+//! The protocol between the system's programs: messages, their versions, changes between two versions, endpoints and
+//! call ids.
+
+#![forbid(unsafe_code)]
+#![warn(missing_docs)]
 
-pub mod changes;
 pub mod deduplication;
+pub mod endpoints;
+pub mod history;
 pub mod messages;
-pub mod store;
+pub mod version_store;
--- a/crates/rpc/src/call.rs
+++ b/crates/rpc/src/call.rs
@@ -19,6 +19,7 @@
 use tokio_util::codec::Framed;
 use vanewharf_http1::{ClientCodec, PlainReply, ReadError, Request, ServerCodec};
 use vanewharf_protocol::deduplication::{CallHistory, CallId, CallStatus, has_cumulative_effect};
+use vanewharf_protocol::endpoints::{CALL_ID, CALL_REPEATED};
 use vanewharf_runtime::environment::{Listener, Network, Stream};
 
 /// For a connection to come up: across regions it takes two ways.
@@ -49,10 +50,6 @@
     MismatchedCallId,
 }
 
-/// By which the system's own processes know a call, and a callee's word that it was heard before.
-const CALL_ID: &str = "Call-Id";
-const REPEATED: &str = "Call-Repeated";
-
 /// One kept connection to one address; a call that fails closes it.
 pub struct RpcClient {
     pub address: SocketAddr,
@@ -317,14 +314,14 @@
     let id = request.field(CALL_ID).map(str::parse::<CallId>);
     let (id, calls) = match (id, calls) {
         (Some(Ok(id)), Some(calls)) => (id, calls),
-        (Some(Err(why)), Some(_)) => return RpcResponse::with_status(400, why),
+        (Some(Err(why)), Some(_)) => return RpcResponse::with_status(400, &why.to_string()),
         // From outside, where no id means anything.
         _ => return handler(request).await,
     };
     let hearing = calls.borrow_mut().observe(id, Instant::now());
     match hearing {
         CallStatus::Answered(mut said) => {
-            said.headers.push((REPEATED, "1".to_owned()));
+            said.headers.push((CALL_REPEATED, "1".to_owned()));
             said
         }
         CallStatus::Repeated => {
--- a/crates/rpc/src/call/tests.rs
+++ b/crates/rpc/src/call/tests.rs
@@ -252,7 +252,7 @@
                 let reply = framed.next().await.expect("answered").expect("read");
                 let named = reply.field(CALL_ID) == Some(id);
                 let body = String::from_utf8_lossy(reply.body()).into_owned();
-                (reply.status(), body, reply.field(REPEATED).is_some(), named)
+                (reply.status(), body, reply.field(CALL_REPEATED).is_some(), named)
             }
         };
         assert_eq!(raw("/lend", "a-1").await, (200, "1".to_owned(), false, true));
--- a/crates/rpc/src/publisher.rs
+++ b/crates/rpc/src/publisher.rs
@@ -7,8 +7,9 @@
 use tokio::sync::Notify;
 use tokio::time::timeout_at;
 use vanewharf_clock::{MonotonicClock, Timestamp};
+use vanewharf_protocol::endpoints;
 use vanewharf_protocol::messages::{PullRequest, PullResponse};
-use vanewharf_protocol::store::{AppliedUpdates, VersionStore};
+use vanewharf_protocol::version_store::{AppliedUpdates, RegisterForm, VersionStore};
 
 /// The longest that an answer is held back.
 const LONGEST: Duration = Duration::from_secs(2);
@@ -52,12 +53,9 @@
             let now = self.now();
             if self.store().is_newer_than(&pull.versions) || self.clock.instant(now) >= until {
                 // A postmaster keeps the register as it was sent.
-                return self.store().response_to(
-                    &pull.versions,
-                    pull.follower.is_some(),
-                    now.since(begun),
-                    now,
-                );
+                let form =
+                    if pull.follower.is_some() { RegisterForm::Verbatim } else { RegisterForm::Incremental };
+                return self.store().response_to(&pull.versions, form, now.since(begun), now);
             }
             // Nothing else runs between the look at the store and the first poll here.
             let _ = timeout_at(until, self.changed.notified()).await;
@@ -68,7 +66,7 @@
     pub async fn pull(&self, from: &mut RpcClient, pull: &PullRequest) -> Result<AppliedUpdates, RpcError> {
         let (asked, wait) = (self.now(), Duration::from_millis(pull.wait_ms));
         let within = wait + ON_THE_WAY;
-        let mail: PullResponse = from.post("/pull", pull, within).await?;
+        let mail: PullResponse = from.post(endpoints::PULL, pull, within).await?;
         let mut news = AppliedUpdates::default();
         self.update(|store| {
             news = store.apply(mail, asked, self.clock.now());
--- a/crates/system-simulator/examples/capacity.rs
+++ b/crates/system-simulator/examples/capacity.rs
@@ -24,7 +24,8 @@
 use vanewharf_gateway::router::RoutingPolicy;
 use vanewharf_http1::Request;
 use vanewharf_policy::interface::Ticks;
-use vanewharf_protocol::changes::{Document, ListChanges, RegisterChanges};
+use vanewharf_protocol::endpoints;
+use vanewharf_protocol::history::{BackendListHistory, ConfigDocument, RegisterHistory, TakenList};
 use vanewharf_protocol::messages::{
     Backend, BackendList, Ballot, ControllerEntry, FleetSummary, HostCounts, ProxyEntry, ProxyReport,
     PullRequest, PullResponse, Register, Revision, TokenCounts, TokenLeaseReport, Version, VersionVector,
@@ -179,20 +180,20 @@
             read.most
         );
         drop(read);
-        let document = took(|| Document::of(&text).expect("a document"));
+        let document = took(|| ConfigDocument::parse(&text).expect("a document"));
         let (made, held) = (document.ms, document.held);
         drop(document);
         let (older, newer) = (register(1, text), register(2, config(routes, tenants, 2, true)));
         let tables = took(|| RoutingTables::from_register(&newer).expect("tables"));
         let (tables_ms, tables_held, tables_most) = (tables.ms, tables.held, tables.most);
         drop(tables);
-        let mut teller = RegisterChanges::default();
-        teller.moved(None, &older);
+        let mut teller = RegisterHistory::default();
+        teller.record_replacement(None, &older);
         let mut reader = teller.clone();
-        let moved = took(|| teller.moved(Some(&older), &newer));
-        let changes = teller.since(Revision(1)).expect("a change");
+        let moved = took(|| teller.record_replacement(Some(&older), &newer));
+        let changes = teller.changes_since(Revision(1)).expect("a change");
         let told = bytes(&changes);
-        let follow = took(|| reader.follow(&older, changes).expect("it follows"));
+        let follow = took(|| reader.apply_changes(&older, changes).expect("it follows"));
         let mail = PullResponse { register: Some(older), ..PullResponse::default() };
         let written = took(|| bytes(&mail));
         let heard = took(|| serde_json::from_slice::<PullResponse>(&written.out).expect("a mail"));
@@ -274,11 +275,13 @@
         let written = took(|| bytes(&mail));
         let read = took(|| serde_json::from_slice::<PullResponse>(&written.out).expect("a mail"));
         let times = (Timestamp(10_000), Timestamp(16_000));
-        let (mut teller, mut reader) = (ListChanges::default(), ListChanges::default());
-        let moved = took(|| teller.moved(Some(&old), &new, times));
-        let changes = teller.since(old.version, times.1, times.1).expect("a change");
+        let (old_list, new_list) =
+            (TakenList { list: &old, taken_at: times.0 }, TakenList { list: &new, taken_at: times.1 });
+        let (mut teller, mut reader) = (BackendListHistory::default(), BackendListHistory::default());
+        let moved = took(|| teller.record_replacement(Some(old_list), new_list));
+        let changes = teller.changes_since(old.version, times.1, times.1).expect("a change");
         let told = bytes(&changes);
-        let followed = took(|| reader.follow(&old, changes, times).expect("it follows"));
+        let followed = took(|| reader.apply_changes(old_list, changes, times.1).expect("it follows"));
         let (old, new) = (Rc::new(old), Rc::new(new));
         let first = |routes: usize| {
             let mut rounds = carrier();
@@ -492,10 +495,10 @@
         let _ = up.send(());
         let answered = |request: Request| async move {
             match request.target() {
-                "/lend" => {
+                endpoints::LEASE_TOKENS => {
                     RpcResponse::json(&serde_json::from_slice::<TokenCounts>(request.body()).expect("tokens"))
                 }
-                "/pull" => {
+                endpoints::PULL => {
                     let pull: PullRequest = serde_json::from_slice(request.body()).expect("a pull");
                     RpcResponse::json(&PullResponse { delay_ms: pull.wait_ms, ..PullResponse::default() })
                         .compressed_for(&request)
@@ -556,9 +559,9 @@
             let before: Duration = asking.post("/spent", &(), within).await.expect("told");
             let (began, many) = (Instant::now(), (32, 1_500));
             match kind {
-                0 => calls_of::<_, TokenCounts>(at, ("/lend", token.clone()), many).await,
-                1 => calls_of::<_, PullResponse>(at, ("/pull", short.clone()), many).await,
-                _ => calls_of::<_, PullResponse>(at, ("/pull", long.clone()), many).await,
+                0 => calls_of::<_, TokenCounts>(at, (endpoints::LEASE_TOKENS, token.clone()), many).await,
+                1 => calls_of::<_, PullResponse>(at, (endpoints::PULL, short.clone()), many).await,
+                _ => calls_of::<_, PullResponse>(at, (endpoints::PULL, long.clone()), many).await,
             }
             let wall = began.elapsed().as_secs_f64();
             let after: Duration = asking.post("/spent", &(), within).await.expect("told");
--- a/crates/system-simulator/tests/cut.rs
+++ b/crates/system-simulator/tests/cut.rs
@@ -10,7 +10,8 @@
 use tokio::runtime::Builder;
 use tokio::task::LocalSet;
 use tokio::time::{Instant, sleep, sleep_until, timeout};
-use vanewharf_protocol::store::VersionStore;
+use vanewharf_protocol::endpoints;
+use vanewharf_protocol::version_store::VersionStore;
 use vanewharf_rpc::RpcClient;
 use vanewharf_runtime::environment::Environment;
 use vanewharf_system_simulator::disk::{Health, Left};
@@ -370,7 +371,7 @@
             let mut caller = RpcClient::new(at, &premises.network);
             // As one that is no member of theirs: it leaves no mark that counts.
             let recover = r#"{"Recover":{"member":"10.9.9.9:1","incarnation":0}}"#;
-            let known = caller.send("POST", "/vote", recover, WITHIN).await.expect("answered").1;
+            let known = caller.send("POST", endpoints::VOTE, recover, WITHIN).await.expect("answered").1;
             let known: Value = serde_json::from_slice(&known).expect("JSON");
             let known = &known["vote"]["Known"];
             told.insert(office, (known["promised"].to_string(), known["register"]["no"].to_string()));
--- a/crates/system-simulator/tests/orders.rs
+++ b/crates/system-simulator/tests/orders.rs
@@ -15,6 +15,7 @@
 use tokio::task::LocalSet;
 use tokio::time::{Instant, sleep, timeout};
 use vanewharf_config::settings::Settings;
+use vanewharf_protocol::endpoints;
 use vanewharf_protocol::messages::{PullRequest, PullResponse};
 use vanewharf_rpc::RpcClient;
 use vanewharf_runtime::environment::{BoxFuture, Directory, Environment, Listener, Network, Stream};
@@ -106,7 +107,7 @@
         reports: Vec::new(),
     };
     let mut caller = RpcClient::new(inside, &world.network.at(operator(7)));
-    let mail: PullResponse = caller.post("/pull", &pull, SILENCE).await.expect("answered");
+    let mail: PullResponse = caller.post(endpoints::PULL, &pull, SILENCE).await.expect("answered");
     mail.register.expect("a register").evacuated
 }
 
--- a/crates/testkit/tests/bad_input.rs
+++ b/crates/testkit/tests/bad_input.rs
@@ -5,6 +5,7 @@
 use std::io::Write;
 use std::net::{Shutdown, SocketAddr, TcpStream};
 use std::time::Duration;
+use vanewharf_protocol::endpoints;
 use vanewharf_testkit::http::{self, Message, call};
 use vanewharf_testkit::town::{OFFICES, Town, config};
 use yare::parameterized;
@@ -60,7 +61,7 @@
     fn known(self) -> (&'static str, &'static str) {
         match self {
             Port::ControlPlane | Port::DirectoryService => ("POST", "/-/Configuration.Replace"),
-            Port::Internal | Port::SorterBeside | Port::SorterOwn => ("POST", "/pull"),
+            Port::Internal | Port::SorterBeside | Port::SorterOwn => ("POST", endpoints::PULL),
             Port::Frontend => ("POST", "/write/x"),
             Port::Readiness => ("GET", "/-/readiness"),
         }
@@ -75,11 +76,12 @@
 /// serves.
 fn state(town: &Town) -> Value {
     let register = |no: usize| {
-        let told = call(town.inside(no), "POST", "/pull", &[], PULL).expect("answered");
+        let told = call(town.inside(no), "POST", endpoints::PULL, &[], PULL).expect("answered");
         let told: Value = serde_json::from_str(&told.body).expect("JSON");
         told["register"].clone()
     };
-    let members = |no: usize| call(town.inside(no), "GET", "/membership", &[], "").expect("answered").body;
+    let members =
+        |no: usize| call(town.inside(no), "GET", endpoints::MEMBERSHIP, &[], "").expect("answered").body;
     let ran: Vec<_> = town.backends.iter().map(|backend| backend.ran().len()).collect();
     json!({"registers": (0..OFFICES).map(register).collect::<Vec<_>>(), "ran": ran,
         "members": (0..OFFICES).map(members).collect::<Vec<_>>()})
@@ -235,16 +237,16 @@
             (port, "POST", "/-/Voters.Replace/here/there", Vec::new(), 400, "here"),
             (port, "POST", "/-/Voters.Replace/10.0.0.1/10.0.0.2", Vec::new(), 409, "no voter"),
             (port, "GET", "/", Vec::new(), 404, "/-/"),
-            (port, "POST", "/vote", lease.as_bytes().to_vec(), 404, "/-/"),
+            (port, "POST", endpoints::VOTE, lease.as_bytes().to_vec(), 404, "/-/"),
         ]);
     }
     for (port, path, whole) in [
-        (Port::Internal, "/pull", PULL),
-        (Port::SorterBeside, "/pull", PULL),
-        (Port::SorterOwn, "/pull", PULL),
-        (Port::Internal, "/vote", lease),
-        (Port::Internal, "/lend", r#"{"ana":1}"#),
-        (Port::SorterBeside, "/shuffle", r#"[{"ip":"10.0.0.1","region":"east","heard_ms":0}]"#),
+        (Port::Internal, endpoints::PULL, PULL),
+        (Port::SorterBeside, endpoints::PULL, PULL),
+        (Port::SorterOwn, endpoints::PULL, PULL),
+        (Port::Internal, endpoints::VOTE, lease),
+        (Port::Internal, endpoints::LEASE_TOKENS, r#"{"ana":1}"#),
+        (Port::SorterBeside, endpoints::GOSSIP, r#"[{"ip":"10.0.0.1","region":"east","heard_ms":0}]"#),
     ] {
         cases.extend([
             (port, "POST", path, Vec::new(), 400, "eof"),
@@ -260,21 +262,28 @@
         (
             Port::Internal,
             "POST",
-            "/pull",
+            endpoints::PULL,
             changed(PULL, "\"wait_ms\":0", "\"wait_ms\":-1"),
             400,
             "expected u64",
         ),
-        (Port::Internal, "POST", "/pull", changed(PULL, "\"wait_ms\":0,", ""), 400, "wait_ms"),
-        (Port::Internal, "POST", "/pull", changed(PULL, "[]", "[{}]"), 400, "missing field"),
-        (Port::Internal, "POST", "/vote", changed(lease, "Lease", "Seize"), 400, "unknown variant"),
-        (Port::Internal, "POST", "/vote", changed(lease, "10.0.0.1:7600", "somewhere"), 400, "invalid"),
-        (Port::Internal, "POST", "/lend", br#"{"ana":-1}"#.to_vec(), 400, "expected u32"),
-        (Port::Internal, "POST", "/holds", b"[7]".to_vec(), 400, "expected u64"),
+        (Port::Internal, "POST", endpoints::PULL, changed(PULL, "\"wait_ms\":0,", ""), 400, "wait_ms"),
+        (Port::Internal, "POST", endpoints::PULL, changed(PULL, "[]", "[{}]"), 400, "missing field"),
+        (Port::Internal, "POST", endpoints::VOTE, changed(lease, "Lease", "Seize"), 400, "unknown variant"),
+        (
+            Port::Internal,
+            "POST",
+            endpoints::VOTE,
+            changed(lease, "10.0.0.1:7600", "somewhere"),
+            400,
+            "invalid",
+        ),
+        (Port::Internal, "POST", endpoints::LEASE_TOKENS, br#"{"ana":-1}"#.to_vec(), 400, "expected u32"),
+        (Port::Internal, "POST", endpoints::HOLDS_LEASE, b"[7]".to_vec(), 400, "expected u64"),
         (Port::Internal, "POST", "/elsewhere", Vec::new(), 404, "no such call"),
         (Port::SorterBeside, "POST", "/elsewhere", Vec::new(), 404, "no such call"),
-        (Port::SorterOwn, "POST", "/shuffle", b"[]".to_vec(), 404, "no such call"),
-        (Port::SorterBeside, "POST", "/vote", lease.as_bytes().to_vec(), 404, "no such call"),
+        (Port::SorterOwn, "POST", endpoints::GOSSIP, b"[]".to_vec(), 404, "no such call"),
+        (Port::SorterBeside, "POST", endpoints::VOTE, lease.as_bytes().to_vec(), 404, "no such call"),
         (Port::Readiness, "POST", "/-/readiness", Vec::new(), 404, "no such call"),
         (Port::Readiness, "GET", "/", Vec::new(), 404, "no such call"),
     ]);
@@ -283,7 +292,7 @@
     }
     let id = "Call-Id: seven\r\n";
     for port in [Port::Internal, Port::SorterBeside, Port::SorterOwn] {
-        let bytes = request("POST", "/pull", id, PULL.as_bytes());
+        let bytes = request("POST", endpoints::PULL, id, PULL.as_bytes());
         missed.refused(port.of(&town), port, &bytes, (400, "call's id"));
     }
     let fields = "Attempt-Id: 1\r\nX-Api-Key: key-a\r\nRemaining-Milliseconds: 900\r\n";
--- a/crates/testkit/tests/whole.rs
+++ b/crates/testkit/tests/whole.rs
@@ -1,6 +1,7 @@
 //! The whole system on loopback, through what it is built to live through.
 
 use serde_json::{Value, json};
+use vanewharf_protocol::endpoints;
 use vanewharf_protocol::messages::Membership;
 use vanewharf_testkit::http::call;
 use vanewharf_testkit::stand_ins::Manner;
@@ -211,7 +212,7 @@
 }
 
 fn membership(town: &Town, office: usize) -> Option<Membership> {
-    let told = call(town.inside(office), "GET", "/membership", &[], "").ok()?;
+    let told = call(town.inside(office), "GET", endpoints::MEMBERSHIP, &[], "").ok()?;
     serde_json::from_str(&told.body).ok()
 }
 
@@ -255,11 +256,11 @@
     for (turn, lost) in [[0, 1], [3, 4], [2, 0]].into_iter().enumerate() {
         // Three are told at the first start; the others become voters one by one, and those with empty disks recover.
         let votes = |office: usize| {
-            let told = call(town.inside(office), "GET", "/membership", &[], "").ok()?;
+            let told = call(town.inside(office), "GET", endpoints::MEMBERSHIP, &[], "").ok()?;
             let told: Membership = serde_json::from_str(&told.body).ok()?;
             // One with amnesia would say so.
             let request = r#"{"Renew":{"ballot":0,"holder":"127.0.0.1:1"}}"#;
-            let vote = call(town.inside(office), "POST", "/vote", &[], request).ok()?;
+            let vote = call(town.inside(office), "POST", endpoints::VOTE, &[], request).ok()?;
             let set = told.voters.len() == 5 && told.outgoing.is_empty();
             (set && vote.body.contains("Refused")).then_some(())
         };
--- a/programs/agent/src/lib.rs
+++ b/programs/agent/src/lib.rs
@@ -12,6 +12,7 @@
 use vanewharf_discovery::PeerView;
 use vanewharf_discovery::{SourceChoice, SourceSelector};
 use vanewharf_http1::Request;
+use vanewharf_protocol::endpoints;
 use vanewharf_protocol::messages::{PeerEntry, ProxyReport, PullRequest};
 use vanewharf_rpc::Publisher;
 use vanewharf_rpc::{RpcClient, RpcResponse, serve_deduplicated};
@@ -45,7 +46,7 @@
     tokio::task::spawn_local(serve_deduplicated(listener, move |request| {
         let (feed, last) = (fed.clone(), Rc::clone(&reported));
         async move {
-            if (request.method(), request.target()) != ("POST", "/pull") {
+            if (request.method(), request.target()) != ("POST", endpoints::PULL) {
                 return RpcResponse::with_status(404, "there is no such call");
             }
             match serde_json::from_slice::<PullRequest>(request.body()) {
@@ -90,7 +91,7 @@
     request: &Request,
 ) -> RpcResponse {
     match (request.method(), request.target()) {
-        ("POST", "/shuffle") => match serde_json::from_slice::<Vec<PeerEntry>>(request.body()) {
+        ("POST", endpoints::GOSSIP) => match serde_json::from_slice::<Vec<PeerEntry>>(request.body()) {
             Ok(told) => {
                 let now = feed.now();
                 let mine = view.borrow().sample(draw, now);
@@ -99,7 +100,7 @@
             }
             Err(error) => RpcResponse::with_status(400, &error.to_string()),
         },
-        ("POST", "/pull") => match serde_json::from_slice::<PullRequest>(request.body()) {
+        ("POST", endpoints::PULL) => match serde_json::from_slice::<PullRequest>(request.body()) {
             Ok(pull) => {
                 let now = feed.now();
                 {
@@ -134,7 +135,7 @@
             Some(ip) => {
                 let told = view.borrow().sample(draw, now);
                 let mut there = RpcClient::new(settings.agent_address(ip), &premises.network);
-                match there.post::<_, Vec<PeerEntry>>("/shuffle", &told, BESIDE).await {
+                match there.post::<_, Vec<PeerEntry>>(endpoints::GOSSIP, &told, BESIDE).await {
                     Ok(heard) => view.borrow_mut().merge(&heard, feed.now()),
                     Err(_) => view.borrow_mut().remove(ip),
                 }
@@ -143,7 +144,7 @@
             None => {
                 for ip in known(&settings, &feed) {
                     let mut there = RpcClient::new(settings.controller_address(ip), &premises.network);
-                    if let Ok(heard) = there.get::<Vec<PeerEntry>>("/neighbours", BESIDE).await {
+                    if let Ok(heard) = there.get::<Vec<PeerEntry>>(endpoints::PEERS, BESIDE).await {
                         view.borrow_mut().merge(&heard, feed.now());
                         break;
                     }
--- a/programs/controller/src/internal_api.rs
+++ b/programs/controller/src/internal_api.rs
@@ -4,6 +4,7 @@
 use serde::de::DeserializeOwned;
 use vanewharf_discovery::summary_for_proxies;
 use vanewharf_http1::Request;
+use vanewharf_protocol::endpoints;
 use vanewharf_protocol::messages::{PeerEntry, ProxyEntry, PullRequest, PullResponse, Revision};
 use vanewharf_rpc::RpcResponse;
 
@@ -21,18 +22,20 @@
 
 async fn handle(state: &ControllerState, request: &Request) -> Result<RpcResponse, RpcResponse> {
     Ok(match (request.method(), request.target()) {
-        ("POST", "/pull") => {
+        ("POST", endpoints::PULL) => {
             let pull = decode_body(request)?;
             RpcResponse::json(&handle_pull(state, pull).await).compressed_for(request)
         }
-        ("POST", "/lend") => RpcResponse::json(&state.lease_tokens(decode_body(request)?)),
-        ("POST", "/vote") => {
+        ("POST", endpoints::LEASE_TOKENS) => RpcResponse::json(&state.lease_tokens(decode_body(request)?)),
+        ("POST", endpoints::VOTE) => {
             let vote_request = decode_body(request)?;
             RpcResponse::json(&state.replica.handle_vote_request(vote_request).await)
         }
-        ("POST", "/holds") => RpcResponse::json(&state.replica.confirm_lease(decode_body(request)?)),
-        ("GET", "/neighbours") => RpcResponse::json(&choose_peers(state)),
-        ("GET", "/membership") => RpcResponse::json(&state.replica.membership()),
+        ("POST", endpoints::HOLDS_LEASE) => {
+            RpcResponse::json(&state.replica.confirm_lease(decode_body(request)?))
+        }
+        ("GET", endpoints::PEERS) => RpcResponse::json(&choose_peers(state)),
+        ("GET", endpoints::MEMBERSHIP) => RpcResponse::json(&state.replica.membership()),
         _ => return Err(RpcResponse::with_status(404, "there is no such call")),
     })
 }
--- a/programs/controller/src/replica/recovery.rs
+++ b/programs/controller/src/replica/recovery.rs
@@ -9,6 +9,7 @@
 use std::time::Duration;
 use tokio::time::sleep;
 use vanewharf_consensus::{LEASE_DURATION, RecoveryRound, RecoveryStep, VoterRecord};
+use vanewharf_protocol::endpoints;
 use vanewharf_protocol::messages::{Register, VoteRequest};
 use vanewharf_rpc::RpcClient;
 
@@ -29,7 +30,7 @@
                 Some(self.confirm_lease(record.ballot))
             } else {
                 let mut client = RpcClient::new(leaseholder, &self.environment.network);
-                client.post("/holds", &record.ballot, LEASE_QUERY_TIMEOUT).await.ok()
+                client.post(endpoints::HOLDS_LEASE, &record.ballot, LEASE_QUERY_TIMEOUT).await.ok()
             };
             match holds_lease {
                 Some(true) => return,
--- a/programs/controller/src/replica/vote_rpc.rs
+++ b/programs/controller/src/replica/vote_rpc.rs
@@ -9,6 +9,7 @@
 use tokio::sync::mpsc;
 use tokio::time::timeout;
 use vanewharf_consensus::{QuorumTracker, all_voters};
+use vanewharf_protocol::endpoints;
 use vanewharf_protocol::messages::{Ballot, Membership, Vote, VoteRequest, VoteResponse};
 use vanewharf_rpc::RpcClient;
 
@@ -80,7 +81,7 @@
     ) -> Option<VoteResponse> {
         let idle_client = self.idle_clients.borrow_mut().get_mut(&voter).and_then(Vec::pop);
         let mut client = idle_client.unwrap_or_else(|| RpcClient::new(voter, &self.environment.network));
-        let response = client.post("/vote", request, response_timeout).await.ok()?;
+        let response = client.post(endpoints::VOTE, request, response_timeout).await.ok()?;
         self.idle_clients.borrow_mut().entry(voter).or_default().push(client);
         Some(response)
     }
--- a/programs/controller/src/roles/leaseholder_following.rs
+++ b/programs/controller/src/roles/leaseholder_following.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 use tokio::time::sleep;
 use vanewharf_protocol::messages::{Follower, PullRequest};
-use vanewharf_protocol::store::AppliedUpdates;
+use vanewharf_protocol::version_store::AppliedUpdates;
 use vanewharf_rpc::{RpcClient, RpcError};
 
 /// How long the source may hold a pull back while it has nothing new.
--- a/programs/proxy/src/agent_link.rs
+++ b/programs/proxy/src/agent_link.rs
@@ -7,7 +7,7 @@
 use tokio::sync::mpsc;
 use tokio::time::sleep;
 use vanewharf_protocol::messages::{ProxyEntry, ProxyReport, PullRequest};
-use vanewharf_protocol::store::AppliedUpdates;
+use vanewharf_protocol::version_store::AppliedUpdates;
 use vanewharf_rpc::RpcClient;
 
 /// How long the agent may hold an answer back until there is something new.
--- a/programs/proxy/src/token_client.rs
+++ b/programs/proxy/src/token_client.rs
@@ -13,6 +13,7 @@
 use tokio::sync::mpsc;
 use vanewharf_clock::Timestamp;
 use vanewharf_config::settings::Settings;
+use vanewharf_protocol::endpoints;
 use vanewharf_protocol::messages::TokenCounts;
 use vanewharf_rpc::Publisher;
 use vanewharf_rpc::RpcClient;
@@ -100,7 +101,7 @@
         for _ in 0..MAX_CALLS {
             let ip = self.nearest_controller()?;
             let mut caller = self.caller(self.settings.controller_address(ip));
-            match caller.post("/lend", &wanted, TOKEN_REQUEST_TIMEOUT).await {
+            match caller.post(endpoints::LEASE_TOKENS, &wanted, TOKEN_REQUEST_TIMEOUT).await {
                 Ok(leased) => {
                     self.idle_callers.borrow_mut().push(caller);
                     return Some(leased);
