--- a/programs/simulator-adapter/src/main.rs
+++ b/programs/simulator-adapter/src/main.rs
@@ -1,20 +1,27 @@
-//! The bench's wire on standard input and output, with the decisions behind it.
+//! Connects the users' simulator, on standard input and output, with the decisions of its gateways: the program itself
+//! does no more than read batches, let the decisions handle them and write their actions.
 
-mod door;
-mod link;
+#![forbid(unsafe_code)]
+#![warn(missing_docs)]
+
+mod gateway;
+mod session;
 mod wire;
 
-use link::Link;
+use session::Session;
 use std::io::{self, BufReader, BufWriter};
 use std::process::ExitCode;
 
+/// Bytes that are read or written at once; the largest batches are about as long.
+const BUFFER_SIZE: usize = 1 << 20;
+
 fn main() -> ExitCode {
-    let input = BufReader::with_capacity(1 << 20, io::stdin().lock());
-    let output = BufWriter::with_capacity(1 << 20, io::stdout().lock());
-    match Link::default().run(input, output) {
+    let input = BufReader::with_capacity(BUFFER_SIZE, io::stdin().lock());
+    let output = BufWriter::with_capacity(BUFFER_SIZE, io::stdout().lock());
+    match Session::default().run(input, output) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(fault) => {
-            eprintln!("vanewharf-simulator-adapter: {fault}");
+        Err(error) => {
+            eprintln!("vanewharf-simulator-adapter: {error}");
             ExitCode::FAILURE
         }
     }
--- a/programs/simulator-adapter/tests/transcript.rs
+++ b/programs/simulator-adapter/tests/transcript.rs
@@ -1,4 +1,4 @@
-//! The adapter over its standard streams, with a transcript of our own.
+//! The adapter over its standard streams, with transcripts of batches.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -21,16 +21,16 @@
 EOF_BATCH
 ";
 
-fn play(input: &str) -> Output {
-    let mut link = Command::new(env!("CARGO_BIN_EXE_vanewharf-simulator-adapter"))
+fn run_adapter(input: &str) -> Output {
+    let mut adapter = Command::new(env!("CARGO_BIN_EXE_vanewharf-simulator-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
         .spawn()
         .expect("the adapter starts");
-    // It may give up before it has read all.
-    let _ = link.stdin.take().expect("its input").write_all(input.as_bytes());
-    link.wait_with_output().expect("the adapter ends")
+    // It may end before it has read all.
+    let _ = adapter.stdin.take().expect("its input").write_all(input.as_bytes());
+    adapter.wait_with_output().expect("the adapter ends")
 }
 
 #[test]
@@ -38,7 +38,7 @@
     let end = "SYNC t=125\nON door=door_0\nATTEMPT_END txn=9 leg=0 backend=10.0.0.1:80 state_code=0 \
                delay_seen=20.5 complete=1 quota_use=86\nDUE ctx=4\nEOF_BATCH\n\
                SYNC t=126\nON door=door_0\nKILLED\nEOF_BATCH\n";
-    let output = play(&format!("{START}{TXNS}{end}"));
+    let output = run_adapter(&format!("{START}{TXNS}{end}"));
     let replies = String::from_utf8(output.stdout).expect("text");
     let wanted = "EOR\nINSTANCE door=door_0\nTRANSMIT txn=9 backend=10.0.0.1:80\n\
                   DECLINE txn=10 stay_away=500.0\nEOR\nEOR\nEOR\n";
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn names_line_message_and_field_of_what_is_malformed() {
+fn errors_name_the_line_message_and_field_of_invalid_input() {
     let body = |line: &str| format!("{START}SYNC t=104\nON door=door_0\n{line}\nEOF_BATCH\n");
     let cases = [
         (body("HELLO x=1"), ["line 9", "HELLO", "unknown message"]),
@@ -65,17 +65,17 @@
         (START.replace("gain=1.0", "gain=much"), ["line 3", "LAUNCH", "classes.0.gain"]),
     ];
     for (input, words) in cases {
-        let output = play(&input);
-        let said = String::from_utf8(output.stderr).expect("text");
-        assert!(words.iter().all(|word| said.contains(word)), "{words:?} not in: {said}");
-        assert_eq!(said.lines().count(), 1, "{said}");
+        let output = run_adapter(&input);
+        let error = String::from_utf8(output.stderr).expect("text");
+        assert!(words.iter().all(|word| error.contains(word)), "{words:?} not in: {error}");
+        assert_eq!(error.lines().count(), 1, "{error}");
         assert!(!output.status.success());
         assert!(["", "EOR\n"].contains(&String::from_utf8_lossy(&output.stdout).as_ref()));
     }
 }
 
 #[test]
-fn calls_the_counter_and_hears_its_answers_where_the_settings_allow_it() {
+fn calls_the_counter_and_goes_by_its_replies_where_the_settings_allow_it() {
     // Eight doors share a customer of a plan whose burst of 1 cannot hold a txn of 1 at any of them.
     let start = START.replace("LAUNCH init_seed=5 balancers=1", "LAUNCH init_seed=5 balancers=8").replace(
         "odd.key=3",
@@ -88,7 +88,7 @@
             replies.lines().filter(|line| line.starts_with("INCR ")).map(str::to_owned).collect();
         (replies, calls)
     };
-    let (replies, calls) = call(&play(&format!("{start}{ask}")));
+    let (replies, calls) = call(&run_adapter(&format!("{start}{ask}")));
     assert_eq!(calls.len(), 2, "one call for each first try: {replies}");
     assert!(
         calls.iter().all(|line| line.contains(" step=1 ") && line.contains("forget_after=")),
@@ -102,21 +102,21 @@
         "SYNC t=106\nON door=door_0\nCOUNTER_REPLY result_value=1 name={name} state_code=0 delay_seen=1.5\n\
          COUNTER_REPLY result_value=2 name={name} state_code=0 delay_seen=1.5\nEOF_BATCH\n"
     );
-    let output = play(&format!("{start}{ask}{answers}"));
+    let output = run_adapter(&format!("{start}{ask}{answers}"));
     let (replies, calls) = call(&output);
     assert!(replies.contains("TRANSMIT txn=9 "), "{replies}");
     assert!(replies.contains("DECLINE txn=10"), "{replies}");
     assert!(!calls.iter().any(|line| line.contains("step=-")), "the first took all the room: {calls:?}");
     assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
 
-    // Without the counter the same day asks nothing of it.
+    // Without the counter the same batches ask nothing of it.
     let (_, calls) =
-        call(&play(&format!("{}{ask}", start.replace("shared_counter=true", "shared_counter=false"))));
+        call(&run_adapter(&format!("{}{ask}", start.replace("shared_counter=true", "shared_counter=false"))));
     assert!(calls.is_empty());
 }
 
 #[test]
-fn passes_words_between_doors_and_drops_what_is_none() {
+fn passes_messages_between_gateways_and_drops_what_it_cannot_read() {
     let start =
         START.replace("LAUNCH init_seed=5 balancers=1", "LAUNCH init_seed=5 balancers=8 me=7").replace(
             "odd.key=3",
@@ -124,20 +124,20 @@
          tiers_of_service.0.excess_cost=1",
         );
     let asks = TXNS.replace("width=1", "width=7").replace("900.25", "4000");
-    let output = play(&format!("{start}{asks}"));
+    let output = run_adapter(&format!("{start}{asks}"));
     let replies = String::from_utf8(output.stdout).expect("text");
-    let told: Vec<_> = replies.lines().filter(|line| line.starts_with("NOTIFY ")).collect();
-    assert_eq!(told.len(), 2, "one word for each, to a door of the customer's set: {replies}");
+    let sent: Vec<_> = replies.lines().filter(|line| line.starts_with("NOTIFY ")).collect();
+    assert_eq!(sent.len(), 2, "one message for each, to a gateway of the customer's set: {replies}");
     let field = |line: &str, name: &str| {
         line.split(' ').find_map(|field| field.strip_prefix(name)).expect("its field").to_owned()
     };
-    assert!((0..7).contains(&field(told[0], "to=").parse::<u32>().expect("a door")), "{replies}");
-    let content = field(told[0], "content=");
+    assert!((0..7).contains(&field(sent[0], "to=").parse::<u32>().expect("a door")), "{replies}");
+    let content = field(sent[0], "content=");
     assert!(content.len() <= 512 && content.bytes().all(|digit| digit.is_ascii_hexdigit()), "{content}");
 
-    // Another door asks the same of this one, and is told; what cannot be read is not answered.
+    // Another gateway asks the same of this one, and is answered; what cannot be read is not answered.
     let inbox = |content: &str| {
-        play(&format!("{start}SYNC t=106\nON door=door_0\nINBOX by=3 content={content}\nEOF_BATCH\n"))
+        run_adapter(&format!("{start}SYNC t=106\nON door=door_0\nINBOX by=3 content={content}\nEOF_BATCH\n"))
     };
     let replies = String::from_utf8(inbox(&content).stdout).expect("text");
     assert!(replies.contains("NOTIFY to=3 content="), "{replies}");
