--- a/crates/runtime/src/environment.rs
+++ b/crates/runtime/src/environment.rs
@@ -1,225 +1,171 @@
-//! What a program finds where it runs: the network, a disk and chance. On a machine these are the system's own; the lab
-//! stands in for all three, so that the same programs run there on a network, a clock and disks that it makes up.
+//! What a program finds where it runs: the network, a directory for its data, a clock and randomness.
+//!
+//! On a machine these are the operating system's. A simulator implements [`Network`] and [`Directory`] itself, so that the
+//! same programs run on simulated networks, clocks and disks.
+
+mod disk;
+mod tcp;
 
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
-use std::fs::{self, File, OpenOptions};
 use std::future::Future;
-use std::io::{self, Write};
+use std::io;
 use std::net::SocketAddr;
-use std::path::{Path, PathBuf};
+use std::path::PathBuf;
 use std::pin::Pin;
 use std::rc::Rc;
-use std::sync::mpsc;
 use tokio::io::{AsyncRead, AsyncWrite};
-use tokio::net::{TcpListener, TcpSocket, TcpStream};
-use tokio::sync::oneshot;
 use vanewharf_clock::MonotonicClock;
 
+/// A future on the heap; programs are single-threaded, so it need not be `Send`.
 pub type BoxFuture<'a, T> = Pin<Box<dyn Future<Output = T> + 'a>>;
 
-pub trait Wire: AsyncRead + AsyncWrite + Unpin {}
+/// A stream of bytes in both directions.
+pub trait ByteStream: AsyncRead + AsyncWrite + Unpin {}
 
-impl<T: AsyncRead + AsyncWrite + Unpin> Wire for T {}
+impl<T: AsyncRead + AsyncWrite + Unpin> ByteStream for T {}
 
-pub type Stream = Box<dyn Wire>;
+/// A connection.
+pub type Stream = Box<dyn ByteStream>;
 
-/// Where callers come in.
+/// Where connections of clients arrive.
 pub trait Listener {
+    /// Waits for the next connection.
+    ///
+    /// # Errors
+    ///
+    /// Where the network refuses; the listener can be used further.
+    ///
+    /// # Cancel safety
+    ///
+    /// A connection is not lost where the future is dropped before it is ready.
     fn accept(&mut self) -> BoxFuture<'_, io::Result<Stream>>;
 }
 
+/// A network, as a process on one machine sees it.
 pub trait Network {
+    /// Opens a connection. There is no deadline; the caller sets one.
+    ///
+    /// # Errors
+    ///
+    /// Where the other side cannot be reached or refuses.
     fn connect(&self, to: SocketAddr) -> BoxFuture<'static, io::Result<Stream>>;
 
+    /// Listens at an address of the machine.
+    ///
+    /// # Errors
+    ///
+    /// Where the address is in use or not the machine's.
     fn listen(&self, at: SocketAddr) -> io::Result<Box<dyn Listener>>;
 
-    /// Another number each time, for what must be told apart from all others of its kind on this network.
+    /// A number that differs each time, from all others of its kind on this network.
     fn unique_id(&self) -> u64;
 }
 
-/// One thing done to a disk.
+/// One operation on a [`Directory`]. File names have no path.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FileOperation {
-    /// The file's whole content, in place of what it held; it lasts with its sync.
+    /// Replaces a file's content. It is durable after `Sync` of that file.
     Write {
+        /// The file's name.
         file: String,
+        /// Its whole new content.
         bytes: Vec<u8>,
     },
+    /// Makes a file's content durable.
     Sync {
+        /// The file's name.
         file: String,
     },
-    /// Out of the way; it lasts when the folder is synced.
+    /// Renames a file, replacing one that has the new name. It is durable after `SyncDirectory`.
     Rename {
+        /// The old name.
         from: String,
+        /// The new name.
         to: String,
     },
+    /// Makes renames durable.
     SyncDirectory,
 }
 
-/// The folder for what is to outlast the process; none of its files has another one's name.
+/// The directory for data that outlasts the process.
 pub trait Directory {
-    /// All files, at the start.
+    /// All files by name; for the start, as it blocks.
+    ///
+    /// # Errors
+    ///
+    /// Where the disk cannot be read.
     fn read_all(&self) -> io::Result<BTreeMap<String, Vec<u8>>>;
 
-    /// In this order, and no further than the first that fails.
+    /// Executes the operations in their order, up to the first that fails.
+    ///
+    /// # Errors
+    ///
+    /// That of the operation that failed; those before it have been executed.
+    ///
+    /// # Cancel safety
+    ///
+    /// Operations are executed also where the future is dropped.
     fn execute(&self, operations: Vec<FileOperation>) -> BoxFuture<'static, io::Result<()>>;
 }
 
-/// All of it, for one process.
+/// Network, directory, clock and randomness of one process.
 #[derive(Clone)]
 pub struct Environment {
+    /// The network, as seen from the process' machine.
     pub network: Rc<dyn Network>,
     /// None where the machine has no disk.
     pub directory: Option<Rc<dyn Directory>>,
-    chance: Rc<RefCell<SmallRng>>,
-    /// How fast its steady clock runs.
-    rate: f64,
+    random: Rc<RefCell<SmallRng>>,
+    clock_rate: f64,
 }
 
 impl Environment {
+    /// One with that network and directory, whose random numbers are determined by the seed.
     pub fn new(network: Rc<dyn Network>, directory: Option<Rc<dyn Directory>>, seed: u64) -> Environment {
-        Environment {
-            network,
-            directory,
-            chance: Rc::new(RefCell::new(SmallRng::seed_from_u64(seed))),
-            rate: 1.0,
-        }
+        let random = Rc::new(RefCell::new(SmallRng::seed_from_u64(seed)));
+        Environment { network, directory, random, clock_rate: 1.0 }
     }
 
-    /// The same with a steady clock that is fast or slow.
-    pub fn with_clock_rate(self, rate: f64) -> Environment {
-        Environment { rate, ..self }
+    /// The same with a clock that runs fast (above 1) or slow (below 1).
+    pub fn with_clock_rate(self, clock_rate: f64) -> Environment {
+        Environment { clock_rate, ..self }
     }
 
-    /// The process' clock, from now on.
-    pub fn clock(&self) -> MonotonicClock {
-        MonotonicClock::with_rate(self.rate)
+    /// That of the machine, with a data directory, which is created where it does not exist.
+    ///
+    /// # Errors
+    ///
+    /// Where the directory cannot be created.
+    pub fn of_machine(data_directory: Option<PathBuf>) -> io::Result<Environment> {
+        let directory = match data_directory {
+            Some(path) => Some(Rc::new(disk::DiskDirectory::open(path)?) as Rc<dyn Directory>),
+            None => None,
+        };
+        Ok(Environment::new(Rc::new(tcp::TcpNetwork), directory, rand::random()))
     }
 
-    /// The machine's own.
-    pub fn of_machine(data: Option<PathBuf>) -> io::Result<Environment> {
-        let folder =
-            data.map(|dir| Files::at(dir).map(|files| Rc::new(files) as Rc<dyn Directory>)).transpose()?;
-        Ok(Environment::new(Rc::new(Tcp), folder, rand::random()))
+    /// Starts a clock for the process.
+    pub fn clock(&self) -> MonotonicClock {
+        MonotonicClock::with_rate(self.clock_rate)
     }
 
-    /// A whole number below `end`.
+    /// A random number below `end`; 0 where that is 0.
     pub fn random_below(&self, end: u64) -> u64 {
-        self.chance.borrow_mut().random_range(0..end.max(1))
+        self.random.borrow_mut().random_range(0..end.max(1))
     }
 
-    /// What tells one life of a process from the others.
+    /// A random number that tells one incarnation of a process from the others.
     pub fn random_incarnation(&self) -> u64 {
         self.random_below(u64::MAX >> 1)
     }
 
-    pub fn shuffle<T>(&self, of: &mut [T]) {
-        for last in (1..of.len()).rev() {
-            of.swap(last, self.random_below(last as u64 + 1) as usize);
-        }
-    }
-}
-
-struct Tcp;
-
-const BACKLOG: u32 = 512;
-
-impl Network for Tcp {
-    fn connect(&self, to: SocketAddr) -> BoxFuture<'static, io::Result<Stream>> {
-        Box::pin(async move {
-            let stream = TcpStream::connect(to).await?;
-            let _ = stream.set_nodelay(true);
-            Ok(Box::new(stream) as Stream)
-        })
-    }
-
-    fn listen(&self, at: SocketAddr) -> io::Result<Box<dyn Listener>> {
-        let socket = TcpSocket::new_v4()?;
-        socket.set_reuseaddr(true)?;
-        socket.bind(at)?;
-        Ok(Box::new(socket.listen(BACKLOG)?))
-    }
-
-    fn unique_id(&self) -> u64 {
-        rand::random()
-    }
-}
-
-impl Listener for TcpListener {
-    fn accept(&mut self) -> BoxFuture<'_, io::Result<Stream>> {
-        Box::pin(async move {
-            let (stream, _) = TcpListener::accept(self).await?;
-            let _ = stream.set_nodelay(true);
-            Ok(Box::new(stream) as Stream)
-        })
-    }
-}
-
-type Job = (Vec<FileOperation>, oneshot::Sender<io::Result<()>>);
-
-/// Plain files; a thread of their own waits for the disk.
-struct Files {
-    dir: PathBuf,
-    jobs: mpsc::Sender<Job>,
-}
-
-impl Files {
-    fn at(dir: PathBuf) -> io::Result<Files> {
-        fs::create_dir_all(&dir)?;
-        let (jobs, taken) = mpsc::channel::<Job>();
-        let there = dir.clone();
-        std::thread::Builder::new().name("disk".to_owned()).stack_size(256 << 10).spawn(move || {
-            let mut open = None;
-            while let Ok((operations, done)) = taken.recv() {
-                let _ = done
-                    .send(operations.iter().try_for_each(|operation| do_it(&there, operation, &mut open)));
-                open = None;
-            }
-        })?;
-        Ok(Files { dir, jobs })
-    }
-}
-
-/// What was written last is synced where it is open.
-fn do_it(dir: &Path, operation: &FileOperation, open: &mut Option<(String, File)>) -> io::Result<()> {
-    match operation {
-        FileOperation::Write { file: name, bytes } => {
-            let mut file = OpenOptions::new().write(true).create(true).truncate(true).open(dir.join(name))?;
-            file.write_all(bytes)?;
-            *open = Some((name.clone(), file));
-            Ok(())
-        }
-        FileOperation::Sync { file } => match open.take().filter(|(name, _)| name == file) {
-            Some((_, written)) => written.sync_all(),
-            None => File::open(dir.join(file))?.sync_all(),
-        },
-        FileOperation::Rename { from, to } => fs::rename(dir.join(from), dir.join(to)),
-        FileOperation::SyncDirectory => File::open(dir)?.sync_all(),
-    }
-}
-
-impl Directory for Files {
-    fn read_all(&self) -> io::Result<BTreeMap<String, Vec<u8>>> {
-        let mut files = BTreeMap::new();
-        for entry in fs::read_dir(&self.dir)? {
-            let entry = entry?;
-            if entry.file_type()?.is_file() {
-                files.insert(entry.file_name().to_string_lossy().into_owned(), fs::read(entry.path())?);
-            }
+    /// Puts the items into a random order.
+    pub fn shuffle<T>(&self, items: &mut [T]) {
+        for last in (1..items.len()).rev() {
+            items.swap(last, self.random_below(last as u64 + 1) as usize);
         }
-        Ok(files)
-    }
-
-    fn execute(&self, operations: Vec<FileOperation>) -> BoxFuture<'static, io::Result<()>> {
-        let (done, told) = oneshot::channel();
-        let taken = self.jobs.send((operations, done));
-        let gone = || io::Error::other("the disk's thread has ended");
-        Box::pin(async move {
-            taken.map_err(|_| gone())?;
-            told.await.map_err(|_| gone())?
-        })
     }
 }
--- a/crates/runtime/src/log.rs
+++ b/crates/runtime/src/log.rs
@@ -1,42 +1,45 @@
-//! The log: a ring in memory that is written out when something goes wrong, and little else. What is at least a warning
-//! is written at once, with what led up to it; the rest stays in the ring until then.
+//! The program's log: a ring of the last lines in memory, written to standard error when there is a warning or an error,
+//! together with what led up to it.
 
 use spdlog::formatter::{Formatter, FormatterContext, FullFormatter};
 use spdlog::sink::{GetSinkProp, Sink, SinkProp};
 use spdlog::{Level, LevelFilter, Logger, Record, StringBuf};
 use std::collections::VecDeque;
 use std::io::Write;
-use std::sync::{Arc, Mutex};
+use std::sync::{Arc, Mutex, PoisonError};
 
-const LINES: usize = 128;
+/// Lines that the ring holds.
+const RING_LINES: usize = 128;
+/// Set to `debug`, lines of that level are in the ring too.
+const LEVEL_VARIABLE: &str = "VANEWHARF_LOG";
 
-struct Ring {
+struct RingSink {
     prop: SinkProp,
     formatter: FullFormatter,
     lines: Mutex<VecDeque<String>>,
 }
 
-impl GetSinkProp for Ring {
+impl GetSinkProp for RingSink {
     fn prop(&self) -> &SinkProp {
         &self.prop
     }
 }
 
-impl Sink for Ring {
+impl Sink for RingSink {
     fn log(&self, record: &Record) -> spdlog::Result<()> {
         let (mut line, mut context) = (StringBuf::new(), FormatterContext::new());
         self.formatter.format(record, &mut line, &mut context)?;
-        // Told anew by whoever comes after one that failed while it held the ring.
-        let mut lines = self.lines.lock().unwrap_or_else(|failed| failed.into_inner());
-        if lines.len() == LINES {
+        // A thread that panicked with the lock left whole lines at least.
+        let mut lines = self.lines.lock().unwrap_or_else(PoisonError::into_inner);
+        if lines.len() == RING_LINES {
             lines.pop_front();
         }
         lines.push_back(line.as_str().trim_end().to_owned());
         if LevelFilter::MoreSevereEqual(Level::Warn).test(record.level()) {
-            let mut out = std::io::stderr().lock();
+            let mut stderr = std::io::stderr().lock();
             for line in lines.drain(..) {
-                // Where nobody takes the log there is nobody to tell.
-                let _ = writeln!(out, "{line}");
+                // Where standard error cannot be written there is nowhere to report that.
+                let _ = writeln!(stderr, "{line}");
             }
         }
         Ok(())
@@ -47,20 +50,24 @@
     }
 }
 
-/// From here on the program's log goes to the ring. `VANEWHARF_LOG=debug` keeps more in it.
+/// Directs the log of the process to the ring, under the program's name.
 pub fn start(program: &str) {
-    let debug = std::env::var("VANEWHARF_LOG").is_ok_and(|level| level == "debug");
-    let level = if debug { Level::Debug } else { Level::Info };
-    let lines = Mutex::new(VecDeque::with_capacity(LINES));
-    let ring = Ring { prop: SinkProp::default(), formatter: FullFormatter::new(), lines };
+    let is_debug = std::env::var(LEVEL_VARIABLE).is_ok_and(|level| level == "debug");
+    let level = if is_debug { Level::Debug } else { Level::Info };
+    let ring = RingSink {
+        prop: SinkProp::default(),
+        formatter: FullFormatter::new(),
+        lines: Mutex::new(VecDeque::with_capacity(RING_LINES)),
+    };
     let filter = LevelFilter::MoreSevereEqual(level);
-    let built = Logger::builder().name(program).sink(Arc::new(ring)).level_filter(filter).build();
-    if let Ok(logger) = built {
+    let logger = Logger::builder().name(program).sink(Arc::new(ring)).level_filter(filter).build();
+    // Only an unusable program name fails here; the default logger then stays in place.
+    if let Ok(logger) = logger {
         spdlog::set_default_logger(Arc::new(logger));
     }
 }
 
-/// Nothing is logged: for many systems in one process, whose lines would tell nobody whose they are.
-pub fn silence() {
+/// Switches the log off, for many systems in one process, as a line would not say which of them it comes from.
+pub fn disable() {
     spdlog::default_logger().set_level_filter(LevelFilter::Off);
 }
--- a/crates/runtime/src/program.rs
+++ b/crates/runtime/src/program.rs
@@ -1,95 +1,126 @@
-//! What all of the system's programs do alike: their command line, their runtime, and how they are told to end.
+//! The main function of the system's programs: command line, runtime, and shutdown on SIGTERM.
 
 use crate::environment::Environment;
 use getopts::Options;
+use std::fmt::Display;
+use std::io;
 use std::path::PathBuf;
 use std::process::ExitCode;
+use thiserror::Error;
 use tokio::runtime::{Builder, LocalOptions};
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::sync::oneshot;
-use vanewharf_config::settings::{Settings, SettingsError};
+use vanewharf_config::settings::Settings;
 
-/// Comes when the program is to end.
-pub type End = oneshot::Receiver<()>;
+/// Completes when the program is to shut down.
+pub type ShutdownSignal = oneshot::Receiver<()>;
 
-/// Reads what the program is called with and runs it until SIGTERM.
-pub fn main<F, R>(name: &str, version: &str, run: F) -> ExitCode
+/// Why a program ended with a failure; `E` is the program's own error.
+#[derive(Debug, Error)]
+enum ProgramError<E: Display> {
+    #[error("no runtime: {0}")]
+    Runtime(io::Error),
+    #[error("no signals: {0}")]
+    Signals(io::Error),
+    #[error("the disk cannot be read: {0}")]
+    DataDirectory(io::Error),
+    #[error("{0}")]
+    Run(E),
+}
+
+/// What a command line asks for.
+enum Invocation {
+    Run(Box<Settings>),
+    /// All there was to print is printed.
+    Exit(ExitCode),
+}
+
+/// Parses the command line and runs the program until it ends; it gets a [`ShutdownSignal`] on SIGTERM. Failures are
+/// printed to standard error.
+pub fn main<F, R, E>(name: &str, version: &str, run: F) -> ExitCode
 where
-    F: FnOnce(Settings, Environment, End) -> R,
-    R: Future<Output = Result<(), String>>,
+    F: FnOnce(Settings, Environment, ShutdownSignal) -> R,
+    R: Future<Output = Result<(), E>>,
+    E: Display,
 {
-    let settings = match called(name, version) {
-        Called::Run(settings) => *settings,
-        Called::Over(code) => return code,
+    let settings = match parse_command_line(name, version) {
+        Invocation::Run(settings) => *settings,
+        Invocation::Exit(code) => return code,
     };
     crate::log::start(name);
-    let ended = match Builder::new_current_thread().enable_all().build_local(LocalOptions::default()) {
-        Ok(runtime) => runtime.block_on(async {
-            let signals = |error: std::io::Error| format!("no signals: {error}");
-            // First, as a signal that nobody has asked for ends the program.
-            let mut term = signal(SignalKind::terminate()).map_err(signals)?;
-            // Nothing follows the settings file while it runs: what may change in it, the system tells itself.
-            let _reload = signal(SignalKind::hangup()).map_err(signals)?;
-            let (tell, end) = oneshot::channel();
-            tokio::task::spawn_local(async move {
-                term.recv().await;
-                let _ = tell.send(());
-            });
-            let data = settings.data_directory.clone();
-            let premises =
-                Environment::of_machine(data).map_err(|error| format!("the disk cannot be read: {error}"))?;
-            run(settings, premises, end).await
-        }),
-        Err(error) => Err(format!("no runtime: {error}")),
+    let runtime = Builder::new_current_thread().enable_all().build_local(LocalOptions::default());
+    let result = match runtime {
+        Ok(runtime) => runtime.block_on(run_until_shutdown(settings, run)),
+        Err(error) => Err(ProgramError::Runtime(error)),
     };
-    match ended {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
-        Err(reason) => {
-            eprintln!("{name}: {reason}");
+        Err(error) => {
+            eprintln!("{name}: {error}");
             ExitCode::FAILURE
         }
     }
 }
 
-/// What a program is called with.
-enum Called {
-    Run(Box<Settings>),
-    /// Said all there was to say.
-    Over(ExitCode),
+async fn run_until_shutdown<F, R, E>(settings: Settings, run: F) -> Result<(), ProgramError<E>>
+where
+    F: FnOnce(Settings, Environment, ShutdownSignal) -> R,
+    R: Future<Output = Result<(), E>>,
+    E: Display,
+{
+    // First of all, as a signal without a handler ends the process.
+    let mut terminate = signal(SignalKind::terminate()).map_err(ProgramError::Signals)?;
+    // Held so that SIGHUP is ignored: settings are not reloaded, as what may change in them is replicated by the system.
+    let _hangup = signal(SignalKind::hangup()).map_err(ProgramError::Signals)?;
+    let (shutdown, shutdown_signal) = oneshot::channel();
+    tokio::task::spawn_local(async move {
+        terminate.recv().await;
+        // A program that has ended already needs no signal.
+        let _ = shutdown.send(());
+    });
+    let environment =
+        Environment::of_machine(settings.data_directory.clone()).map_err(ProgramError::DataDirectory)?;
+    run(settings, environment, shutdown_signal).await.map_err(ProgramError::Run)
 }
 
-fn called(name: &str, version: &str) -> Called {
+fn options() -> Options {
     let mut options = Options::new();
     options.optopt("s", "settings", "the settings file (else the one VANEWHARF_SETTINGS names)", "FILE");
     options.optflag("c", "check", "only tell whether it would start by the settings");
     options.optflag("h", "help", "print this");
     options.optflag("V", "version", "print the version");
-    let refuse = |why: String| {
-        eprintln!("{name}: {why}");
-        Called::Over(ExitCode::FAILURE)
+    options
+}
+
+fn parse_command_line(name: &str, version: &str) -> Invocation {
+    let options = options();
+    let refuse = |reason: String| {
+        eprintln!("{name}: {reason}");
+        Invocation::Exit(ExitCode::FAILURE)
     };
     let matches = match options.parse(std::env::args_os().skip(1)) {
         Ok(matches) if matches.free.is_empty() => matches,
         Ok(matches) => return refuse(format!("'{}' is not known; see --help", matches.free[0])),
-        Err(fault) => return refuse(format!("{fault}; see --help")),
+        Err(error) => return refuse(format!("{error}; see --help")),
     };
     if matches.opt_present("help") {
         print!("{}", options.usage(&format!("Usage: {name} [options]")));
-        return Called::Over(ExitCode::SUCCESS);
+        return Invocation::Exit(ExitCode::SUCCESS);
     }
     if matches.opt_present("version") {
         println!("{name} {version}");
-        return Called::Over(ExitCode::SUCCESS);
+        return Invocation::Exit(ExitCode::SUCCESS);
     }
-    let path =
-        matches.opt_str("settings").map(PathBuf::from).map_or_else(Settings::path_from_environment, Ok);
-    let settings: Result<Settings, SettingsError> = path.and_then(Settings::read);
-    match settings {
+    let path = match matches.opt_str("settings") {
+        Some(path) => Ok(PathBuf::from(path)),
+        None => Settings::path_from_environment(),
+    };
+    match path.and_then(Settings::read) {
         Ok(_) if matches.opt_present("check") => {
             println!("{name}: the settings can be read");
-            Called::Over(ExitCode::SUCCESS)
+            Invocation::Exit(ExitCode::SUCCESS)
         }
-        Ok(settings) => Called::Run(Box::new(settings)),
-        Err(unread) => refuse(unread.to_string()),
+        Ok(settings) => Invocation::Run(Box::new(settings)),
+        Err(error) => refuse(error.to_string()),
     }
 }
--- a/crates/system-simulator/src/many.rs
+++ b/crates/system-simulator/src/many.rs
@@ -17,7 +17,7 @@
     play: impl Fn(W) -> O + Sync,
     mut told: impl FnMut(O),
 ) {
-    vanewharf_runtime::log::silence();
+    vanewharf_runtime::log::disable();
     let left = Mutex::new(what.into_iter());
     let (done, ended) = mpsc::channel();
     thread::scope(|scope| {
--- a/crates/system-simulator/tests/cut.rs
+++ b/crates/system-simulator/tests/cut.rs
@@ -296,7 +296,7 @@
 
 #[test]
 fn a_door_near_machines_that_are_cut_off_goes_by_what_the_others_know() {
-    vanewharf_runtime::log::silence();
+    vanewharf_runtime::log::disable();
     let mut cases = Vec::new();
     for how in [Cut::BothWays, Cut::NotHeard, Cut::DoNotHear, Cut::Frozen] {
         for (offices, cut) in [(3, &[1][..]), (3, &[0]), (5, &[1, 2]), (5, &[0, 3]), (5, &[3, 4])] {
@@ -326,7 +326,7 @@
 /// before.
 #[test]
 fn a_list_that_only_a_lost_holder_had_is_replaced_by_the_next_ones() {
-    vanewharf_runtime::log::silence();
+    vanewharf_runtime::log::disable();
     play(async {
         let (world, _, holder) = at_work(3, 8, 5).await;
         let (cut, rest) = ([holder].into(), (0..3).filter(|no| *no != holder).collect());
@@ -354,7 +354,7 @@
     two_of_five_together = { 5, &[1, 2] },
 )]
 fn voters_that_were_cut_off_vote_again_and_have_what_the_others_have(offices: usize, away: &[usize]) {
-    vanewharf_runtime::log::silence();
+    vanewharf_runtime::log::disable();
     play(async {
         let (world, premises, holder) = at_work(offices, 2, 5).await;
         let cut: BTreeSet<_> = away.iter().map(|far| (holder + far) % offices).collect();
@@ -385,7 +385,7 @@
 /// needs no disk, so it is renewed all the time, and doors go on hearing of the list.
 #[test]
 fn a_disk_that_hangs_while_another_voter_recovers_costs_no_lease() {
-    vanewharf_runtime::log::silence();
+    vanewharf_runtime::log::disable();
     play(async {
         let (world, _, holder) = at_work(3, 2, 11).await;
         let (wiped, hangs) = ((holder + 1) % 3, (holder + 2) % 3);
--- a/crates/system-simulator/tests/orders.rs
+++ b/crates/system-simulator/tests/orders.rs
@@ -31,7 +31,7 @@
 const REPLACE: &str = "/-/Configuration.Replace";
 
 fn on_the_core<F: Future<Output = ()>>(seed: u64, history: impl FnOnce(Rc<World>) -> F) {
-    vanewharf_runtime::log::silence();
+    vanewharf_runtime::log::disable();
     let runtime = Builder::new_current_thread().enable_time().start_paused(true).build().expect("a runtime");
     let set = LocalSet::new();
     runtime.block_on(set.run_until(async move {
@@ -359,7 +359,7 @@
 
 #[test]
 fn a_round_that_is_held_up_does_not_hold_up_the_next_one_which_makes_both_certain() {
-    vanewharf_runtime::log::silence();
+    vanewharf_runtime::log::disable();
     let runtime = Builder::new_current_thread().enable_time().start_paused(true).build().expect("a runtime");
     runtime.block_on(LocalSet::new().run_until(async {
         let network = SimulatedNetwork::new(8);
--- a/crates/system-simulator/tests/system.rs
+++ b/crates/system-simulator/tests/system.rs
@@ -40,7 +40,7 @@
 
 #[test]
 fn whatever_deed_of_a_disk_is_the_last_nothing_acknowledged_is_lost() {
-    vanewharf_runtime::log::silence();
+    vanewharf_runtime::log::disable();
     let shape = Shape { doors: 1, seconds: 5, rate: 2, troubles: 0, ..SHAPE };
     // Days with a change of the configuration, one that two operators race for, and an evacuation.
     let mut points = 0;
--- a/crates/testkit/src/town.rs
+++ b/crates/testkit/src/town.rs
@@ -14,7 +14,7 @@
 use tokio::sync::oneshot;
 use vanewharf_config::settings::Settings;
 use vanewharf_runtime::environment::Environment;
-use vanewharf_runtime::program::End;
+use vanewharf_runtime::program::ShutdownSignal;
 
 /// Longer than anything here takes.
 const LONG: Duration = Duration::from_secs(20);
@@ -74,7 +74,7 @@
     }
 }
 
-async fn run(program: Program, settings: Settings, end: End) -> Result<(), String> {
+async fn run(program: Program, settings: Settings, end: ShutdownSignal) -> Result<(), String> {
     let premises =
         Environment::of_machine(settings.data_directory.clone()).map_err(|error| error.to_string())?;
     match program {
--- a/programs/agent/src/lib.rs
+++ b/programs/agent/src/lib.rs
@@ -17,7 +17,7 @@
 use vanewharf_rpc::Publisher;
 use vanewharf_rpc::{RpcClient, RpcResponse, serve_deduplicated};
 use vanewharf_runtime::environment::Environment;
-use vanewharf_runtime::program::End;
+use vanewharf_runtime::program::ShutdownSignal;
 
 const PAUSE: Duration = Duration::from_millis(60);
 /// A report that its carrier made longer ago tells nothing: the carrier is gone.
@@ -38,7 +38,7 @@
 /// Reports of doors that reach no postmaster, by name.
 type Relayed = Rc<RefCell<BTreeMap<String, (ProxyReport, Timestamp)>>>;
 
-pub async fn run(settings: Settings, premises: Environment, end: End) -> Result<(), String> {
+pub async fn run(settings: Settings, premises: Environment, end: ShutdownSignal) -> Result<(), String> {
     let (feed, last) = (Publisher::new(premises.clock()), Last::default());
     let at = settings.agent_loopback_address();
     let listener = premises.network.listen(at).map_err(|error| format!("cannot listen on {at}: {error}"))?;
--- a/programs/cli/src/main.rs
+++ b/programs/cli/src/main.rs
@@ -340,7 +340,7 @@
 }
 
 fn lab_cost(doors: &[u64], offices: usize, seed: u64, out: Option<&Path>) -> Result<(), String> {
-    vanewharf_runtime::log::silence();
+    vanewharf_runtime::log::disable();
     let mut csv = String::from(
         "doors,door_bytes_per_s,door_messages_per_s,sorter_ms_per_s,postmaster_bytes_per_s,postmaster_messages_per_s,postmaster_ms_per_s\n",
     );
--- a/programs/controller/src/lib.rs
+++ b/programs/controller/src/lib.rs
@@ -41,7 +41,7 @@
 use vanewharf_consensus::{StartKind, Voter, VoterRecord};
 use vanewharf_rpc::{Publisher, serve, serve_deduplicated};
 use vanewharf_runtime::environment::{Environment, Listener};
-use vanewharf_runtime::program::End;
+use vanewharf_runtime::program::ShutdownSignal;
 
 /// How long requests that are in flight at the shutdown may take.
 const SHUTDOWN_GRACE: Duration = Duration::from_millis(600);
@@ -90,7 +90,7 @@
 ///
 /// # Errors
 /// Where it cannot be started: see [`start`].
-pub async fn run(settings: Settings, environment: Environment, end: End) -> Result<(), String> {
+pub async fn run(settings: Settings, environment: Environment, end: ShutdownSignal) -> Result<(), String> {
     let controller = start(settings, environment).await.map_err(|error| error.to_string())?;
     let _ = end.await;
     controller.shut_down().await;
--- a/programs/proxy/src/server.rs
+++ b/programs/proxy/src/server.rs
@@ -25,7 +25,7 @@
 use vanewharf_policy::interface::Ticks;
 use vanewharf_rpc::{RpcResponse, serve};
 use vanewharf_runtime::environment::Environment;
-use vanewharf_runtime::program::End;
+use vanewharf_runtime::program::ShutdownSignal;
 
 /// Client connections that the system queues until they are accepted.
 const ACCEPT_BACKLOG: u32 = 1024;
@@ -46,7 +46,11 @@
 /// # Errors
 ///
 /// Where the settings name no listener, a listener cannot be opened, or the routing task ends.
-pub async fn run(settings: Settings, environment: Environment, end: End) -> Result<(), ProxyError> {
+pub async fn run(
+    settings: Settings,
+    environment: Environment,
+    end: ShutdownSignal,
+) -> Result<(), ProxyError> {
     let settings = Rc::new(settings);
     let frontend = settings.listen_address("frontend")?;
     let readiness = settings.listen_address("readiness")?;
