--- a/crates/exchange/src/connection/tests.rs
+++ b/crates/exchange/src/connection/tests.rs
@@ -7,7 +7,7 @@
 }
 
 #[test]
-fn what_is_proved_follows_from_what_was_written() {
+fn outcomes_follow_from_what_was_written() {
     use ConnectionEvent::*;
     let replied = |outcome, close| Replied { outcome, close };
     let (timed_out, cancelled) =
--- a/crates/exchange/src/txns/tests.rs
+++ b/crates/exchange/src/txns/tests.rs
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn a_txn_has_one_answer_and_is_forgotten_when_nothing_is_out() {
+fn a_txn_has_one_answer_and_is_removed_when_no_attempt_is_in_flight() {
     let mut txns = txns(Idempotency::Idempotent);
     assert_eq!(
         goes(&mut txns, 10),
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn what_is_concluded_or_out_of_time_is_not_sent() {
+fn an_answered_or_expired_txn_starts_no_attempt() {
     let mut txns = txns(Idempotency::Idempotent);
     assert_eq!(goes(&mut txns, 100), AttemptStart::Moot { no: FIRST, complete: false });
     assert!(txns.client_left(ONE) && !txns.client_left(ONE));
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn a_once_only_txn_is_harmless_and_may_go_again_only_where_nothing_may_have_run() {
+fn a_non_idempotent_txn_is_retried_only_if_nothing_may_have_run() {
     let mut txns = txns(Idempotency::NonIdempotent);
     assert!(txns.is_repeat_harmless(ONE));
     goes(&mut txns, 10);
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn an_expiry_calls_off_what_is_out_once_and_tells_what_is_overdue() {
+fn expiry_cancels_attempts_once_and_reports_an_overdue_txn() {
     let mut txns = txns(Idempotency::Idempotent);
     assert_eq!(txns.expire(ONE), ExpiryAction::Overdue);
     goes(&mut txns, 10);
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn a_time_out_of_its_own_is_no_longer_than_the_expiry() {
+fn an_attempt_timeout_is_capped_by_the_deadline() {
     let mut txns = txns(Idempotency::Idempotent);
     let with =
         |txns: &mut Txns<_, &str>, span| txns.start_attempt(ONE, BackendId(7), Some(Ticks(span)), Ticks(10));
--- a/crates/gateway-settings/src/check/tests.rs
+++ b/crates/gateway-settings/src/check/tests.rs
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn either_shape_by_itself_is_taken() {
+fn accepts_either_shape_by_itself() {
     assert_eq!(checked(&[], None), Ok(()));
     assert_eq!(checked(&[], Some(3)), Ok(()));
     // As a platform that names neither doors nor numbers has it.
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn what_is_out_of_range_or_of_another_form_is_refused_by_its_name() {
+fn names_the_setting_that_is_invalid() {
     let cases = [
         ("/me", json!(3), "me"),
         ("/me", json!(-1), "me"),
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn a_mix_of_the_shapes_is_refused_by_the_key_that_mixes_them() {
+fn names_the_setting_that_mixes_the_shapes() {
     let cases = [
         ("/allowed/peer_messages", json!(true), None, "peers.doors"),
         ("/allowed/peer_messages", json!(false), Some(3), "allowed.peer_messages"),
--- a/crates/gateway-settings/src/tests.rs
+++ b/crates/gateway-settings/src/tests.rs
@@ -3,7 +3,7 @@
 use vanewharf_policy::interface::{Idempotency, PlanId, Ticks};
 
 #[test]
-fn flat_and_nested_tell_the_same() {
+fn flat_and_nested_options_agree() {
     let nested = json!({
         "balancers": 3,
         "family_info": {"most_units": 8},
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn what_cannot_be_read_is_named() {
+fn names_the_option_that_cannot_be_read() {
     let odd = Options::nested(&json!({"classes": [{"gain": "much"}]}));
     let fault = policy_start(&odd, 7, Ticks(5)).expect_err("no number");
     assert_eq!(fault.to_string(), "option classes.0.gain cannot be read: 'much'");
--- a/crates/http1/src/tests.rs
+++ b/crates/http1/src/tests.rs
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn messages_are_the_same_however_they_are_cut() {
+fn reads_the_same_messages_in_any_segmentation() {
     let bytes = b"\r\nPOST /a?b=c HTTP/1.1\r\nHost: h\r\nContent-Length: 4\r\n\r\n\r\nab\
         GET /d HTTP/1.0\r\nEmpty:\r\nTransfer-Encoding: chunked\r\n\r\n\
         2;x=y\r\nef\r\n1\r\ng\r\n0\r\nTail: t\r\n\r\nGET /h HTTP/1.1\r\nConnection: x, Close\r\n\r\n";
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn replies_are_whole_or_a_fault() {
+fn a_reply_is_complete_or_an_error() {
     let bytes = b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 204 None\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
     for part in 1..bytes.len() {
         let (replies, fault) = fed(bytes, part, ClientCodec::default());
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn interim_answers_come_to_an_end() {
+fn limits_interim_replies() {
     let answer = |interim: usize| {
         ["HTTP/1.1 103 Early\r\nA: b\r\n\r\n".repeat(interim).as_str(), "HTTP/1.1 204 None\r\n\r\n"].concat()
     };
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn what_is_too_large_is_a_fault_before_it_is_held() {
+fn rejects_oversized_input_before_buffering_it() {
     let endless = |start: &str, more: &str| [start, &more.repeat(4 * DEFAULT_MAX_BODY / more.len())].concat();
     let chunked = "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n";
     let cases = [
--- a/programs/gateway/src/backend_connection/connection/tests.rs
+++ b/programs/gateway/src/backend_connection/connection/tests.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 
 #[tokio::test]
-async fn what_came_unasked_is_seen_before_the_runtime_hears_of_it() {
+async fn detects_unsolicited_data_before_the_runtime_polls() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let resources = Rc::new(Resources::new(ResourceLimits::within(64, 64)));
     for ends in [false, true] {
--- a/programs/gateway/src/connection_pool/tests.rs
+++ b/programs/gateway/src/connection_pool/tests.rs
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn the_newest_goes_first_and_none_is_used_near_its_end() {
+fn reuses_the_newest_connection_and_none_beyond_the_idle_limit() {
     let (mut pool, mut connections) = pool(&[0, 50, 60, 70]);
     connections.pop();
     assert_eq!(pool.take_idle(ONE, Ticks(100)).map(|idle| idle.since), Some(Ticks(60)), "70 has ended");
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn nothing_is_kept_to_what_moved_started_anew_or_takes_nothing_more() {
+fn drops_idle_connections_to_a_moved_restarted_or_draining_backend() {
     let here = "127.0.0.1:1".parse().ok();
     for (entry, address, kept) in [
         (listed(BackendStatus::Ready, None), here, true),
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn what_was_idle_too_long_for_another_is_not_used() {
+fn lowers_the_idle_limit_after_a_loss() {
     let (mut pool, _connections) = pool(&[0, 60]);
     pool.record_idle_loss(Ticks(70));
     assert_eq!(pool.take_idle(ONE, Ticks(95)).map(|idle| idle.since), Some(Ticks(60)));
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn the_one_idle_longest_is_shed() {
+fn closes_the_connection_idle_longest() {
     let (mut pool, _connections) = pool(&[3, 5]);
     pool.close_longest_idle();
     assert_eq!(pool.take_idle(ONE, Ticks(6)).map(|idle| idle.since), Some(Ticks(5)));
--- a/programs/gateway/src/discovery/pacing/tests.rs
+++ b/programs/gateway/src/discovery/pacing/tests.rs
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn doors_turned_away_together_call_ever_more_seldom_and_apart() {
+fn refused_gateways_call_less_often_and_apart() {
     let fixed = busiest(|_| Box::new(|| PAUSE));
     let paced = busiest(|door| {
         let mut pacing = DiscoveryPacing::new(WITHIN, door);
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn an_answer_makes_the_next_pause_short_again_and_each_within_its_bounds() {
+fn an_answer_resets_the_pause_and_pauses_stay_in_bounds() {
     let mut pacing = DiscoveryPacing::new(WITHIN, 7);
     let pauses: Vec<_> = (0..40).map(|_| pacing.pause_after_refusal()).collect();
     assert!(pauses.iter().all(|pause| (2..=20).contains(&pause.as_secs())), "{pauses:?}");
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn watches_wait_as_told_where_lists_cost_and_apart_from_one_another() {
+fn watches_are_longer_where_lists_cost_and_spread_out() {
     let waits: Vec<_> = (0..100).map(|door| DiscoveryPacing::new(WITHIN, door).watch_duration()).collect();
     assert!(waits.iter().all(|wait| (10..=20).contains(&wait.as_secs())), "{waits:?}");
     let same = waits.iter().filter(|wait| wait.as_secs() == waits[0].as_secs()).count();
--- a/programs/gateway/src/quota_counter/tests.rs
+++ b/programs/gateway/src/quota_counter/tests.rs
@@ -4,7 +4,7 @@
 const WAIT: Ticks = Ticks(800);
 
 #[tokio::test(start_paused = true)]
-async fn a_counter_that_takes_no_connection_holds_no_call_longer_than_one_wait() {
+async fn an_unreachable_counter_delays_no_call_beyond_one_timeout() {
     let (calls, taken) = mpsc::unbounded_channel();
     let told = RefCell::new(Vec::new());
     let began = Instant::now();
--- /dev/null
+++ b/programs/gateway/tests/lifecycle.rs
@@ -0,0 +1,74 @@
+//! How the program starts and ends, over loopback with stand-ins on its other sides.
+
+mod support;
+
+use std::process::Command;
+use std::time::Duration;
+use support::*;
+
+#[test]
+fn answers_all_accepted_requests_on_sigterm() {
+    let backend = Backend::new("a", vec![ok("", "before"), Reaction::Unresponsive, ok("", "after")]);
+    let mut gateway = Gateway::start(&[&backend]);
+    let (mut idle, mut busy) = (gateway.client(), gateway.client());
+    assert_eq!(idle.request(&look_request()).status(), 200);
+    busy.send(&txn("POST", "book", "gold", 1500, "x"));
+    backend.next_request();
+    backend.next_request();
+    gateway.signal("-TERM");
+    gateway.wait_for_log("ending");
+    let mut late = gateway.client();
+    assert_eq!(late.request(&with_other_id(look_request())).body, b"after", "clients still come for a while");
+    assert!(idle.is_closed_by_gateway());
+    let answer = busy.read_answer();
+    assert_eq!((answer.status(), answer.field("Connection")), (502, Some("close")));
+    assert!(busy.is_closed_by_gateway());
+    let counters = gateway.wait_for_log("counters");
+    assert!(counters.contains("taken=3 ") && counters.contains(" voided=1 "), "{counters}");
+    assert!(gateway.wait_for_exit().success());
+}
+
+#[test]
+fn waits_longer_for_a_started_request_while_draining() {
+    let backend = Backend::new("a", vec![ok("", "seen")]);
+    let mut gateway = Gateway::start(&[&backend]);
+    let begun = book_request();
+    let mut client = gateway.client();
+    client.send(&begun[..begun.len() - 1]);
+    let ((), took) = timed(|| {
+        gateway.signal("-TERM");
+        assert!(client.is_closed_by_gateway());
+    });
+    // Half a second of accepting and twice 200 ms; being late here can only add to it.
+    assert!(took >= Duration::from_millis(850), "{took:?}");
+    assert!(gateway.wait_for_exit().success());
+}
+
+#[test]
+fn survives_a_closed_log_pipe() {
+    let backend = Backend::new("a", vec![ok("", "seen")]);
+    let mut gateway = Gateway::start(&[&backend]);
+    gateway.close_log();
+    for _ in 0..20 {
+        gateway.signal("-USR1");
+        assert_eq!(gateway.client().request(&look_request()).status(), 200);
+    }
+    gateway.signal("-TERM");
+    assert!(gateway.wait_for_exit().success());
+}
+
+#[test]
+fn reports_why_it_cannot_serve() {
+    for (config, reason) in [
+        (None, "ROUTER_CONFIG is not set"),
+        (Some("{"), "cannot read"),
+        (Some("{\"name\": \"n0\"}"), "missing field"),
+    ] {
+        let (mut command, path): (Command, _) = program(config, 64);
+        let output = command.output().expect("the program runs");
+        let said = String::from_utf8_lossy(&output.stderr);
+        assert!(said.contains(reason) && !said.contains("panicked"), "{said}");
+        assert_eq!(output.status.code(), Some(1));
+        let _ = std::fs::remove_file(path);
+    }
+}
--- a/programs/gateway/tests/peers.rs
+++ b/programs/gateway/tests/peer_messages.rs
@@ -1,17 +1,17 @@
-//! Doors that keep customers' quotas between them, over loopback: the program beside stand-ins for the other
-//! doors, two programs together, and the starts that a mixed configuration must not make.
+//! Gateways that share customers' quotas through messages, over loopback: the program with stand-ins for the other
+//! gateways, two programs together, and the configurations that are refused.
 
-mod stand_ins;
+mod support;
 
 use serde_json::{Value, json};
-use stand_ins::*;
 use std::net::{SocketAddr, UdpSocket};
 use std::process::Command;
 use std::time::Duration;
+use support::*;
 use vanewharf_policy::codec;
 use vanewharf_policy::interface::{PeerMessage, QuotaDecision, QuotaRejection};
 
-/// Another door: it hears what is sent to its number, and says what the test has it say.
+/// A stand-in for another gateway.
 struct Peer {
     socket: UdpSocket,
     number: u32,
@@ -20,7 +20,7 @@
 impl Peer {
     fn new(number: u32) -> Peer {
         let socket = UdpSocket::bind("127.0.0.1:0").expect("a free port");
-        socket.set_read_timeout(Some(LONG)).expect("a time-out");
+        socket.set_read_timeout(Some(TEST_TIMEOUT)).expect("a time-out");
         Peer { socket, number }
     }
 
@@ -28,165 +28,165 @@
         self.socket.local_addr().expect("its address")
     }
 
-    fn says(&self, to: SocketAddr, word: &PeerMessage) {
-        let datagram = [&self.number.to_be_bytes()[..], &codec::encode(word)].concat();
+    fn send(&self, to: SocketAddr, message: &PeerMessage) {
+        let datagram = [&self.number.to_be_bytes()[..], &codec::encode(message)].concat();
         self.socket.send_to(&datagram, to).expect("loopback takes it");
     }
 }
 
-fn free() -> SocketAddr {
+fn free_address() -> SocketAddr {
     UdpSocket::bind("127.0.0.1:0").and_then(|free| free.local_addr()).expect("a free port")
 }
 
-/// The operator's file for door `me` of these.
-fn operator(me: usize, doors: &[SocketAddr]) -> String {
-    let quoted: Vec<_> = doors.iter().map(|door| format!("\"{door}\"")).collect();
+/// The operator's file for the gateway `own_number` of these.
+fn operator_file(own_number: usize, gateways: &[SocketAddr]) -> String {
+    let quoted: Vec<_> = gateways.iter().map(|gateway| format!("\"{gateway}\"")).collect();
     format!(
-        "[settings]\nme = {me}\nallowed.peer_messages = true\nfamily_info.peer_in_per_s = 40\n\n\
+        "[settings]\nme = {own_number}\nallowed.peer_messages = true\nfamily_info.peer_in_per_s = 40\n\n\
          [peers]\nlisten = \"{}\"\ndoors = [{}]\n",
-        doors[me],
+        gateways[own_number],
         quoted.join(", ")
     )
 }
 
-/// A plan of 0.1 units a second and a burst of 2, all kept at two doors; the last is the program itself and in
-/// no customer's set, so that it keeps nothing and must ask.
-fn asking(backend: &Backend, peers: &[&Peer]) -> (Door, SocketAddr) {
-    let own = free();
-    let mut doors: Vec<_> = peers.iter().map(|peer| peer.address()).collect();
-    doors.push(own);
-    let change = |commission: &mut Value| {
-        commission["settings"]["balancers"] = json!(doors.len());
-        commission["operator"] = json!(operator(peers.len(), &doors));
+/// A plan of 0.1 units a second and a burst of 2, owned by two gateways. The last gateway is the program itself: it is in
+/// no customer's subset, so that it owns nothing and must send requests.
+fn gateway_with_peers(backend: &Backend, peers: &[&Peer]) -> (Gateway, SocketAddr) {
+    let own = free_address();
+    let mut gateways: Vec<_> = peers.iter().map(|peer| peer.address()).collect();
+    gateways.push(own);
+    let change = |config: &mut Value| {
+        config["settings"]["balancers"] = json!(gateways.len());
+        config["operator"] = json!(operator_file(peers.len(), &gateways));
     };
-    (Door::shaped(&[backend], 1024, 64, 1024, change), own)
+    (Gateway::with_config(&[backend], 1024, 64, 1024, change), own)
 }
 
-fn basic() -> String {
+fn basic_request() -> String {
     txn("GET", "look", "basic", 3000, "").replace("spread=1,", "spread=2,")
 }
 
 #[test]
-fn a_keepers_word_lets_a_txn_in_or_out() {
+fn an_owners_response_admits_or_declines_a_request() {
     let (first, second) = (Peer::new(0), Peer::new(1));
     let backend = Backend::new("a", vec![ok("", "seen")]);
-    let (door, _) = asking(&backend, &[&first, &second]);
-    let mut client = door.client();
+    let (gateway, _) = gateway_with_peers(&backend, &[&first, &second]);
+    let mut client = gateway.client();
     // Whichever of the two is asked first: both say the same.
-    let both = |verdict: QuotaDecision| {
+    let both = |decision: QuotaDecision| {
         for peer in [&first, &second] {
             peer.socket.set_nonblocking(true).expect("its own socket");
         }
-        let mut heard = 0;
+        let mut answered = 0;
         let mut buffer = [0; 512];
         let begun = std::time::Instant::now();
-        while heard < if verdict.is_ok() { 1 } else { 2 } {
-            assert!(begun.elapsed() < LONG, "no ask came");
+        while answered < if decision.is_ok() { 1 } else { 2 } {
+            assert!(begun.elapsed() < TEST_TIMEOUT, "no ask came");
             for peer in [&first, &second] {
                 if let Ok((length, from)) = peer.socket.recv_from(&mut buffer) {
-                    let word = codec::decode(&buffer[4..length]).expect("a word");
-                    if let PeerMessage::QuotaRequest { request: no, claim: want } = word {
+                    let message = codec::decode(&buffer[4..length]).expect("a message");
+                    if let PeerMessage::QuotaRequest { request, claim } = message {
                         assert_eq!(buffer[..4], 2u32.to_be_bytes(), "it says its own number");
-                        assert_eq!((want.cost, want.subset_size, want.retry), (1.0, 2, false));
-                        peer.says(
-                            from,
-                            &PeerMessage::QuotaResponse { request: no, claim: want, decision: verdict },
-                        );
-                        heard += 1;
+                        assert_eq!((claim.cost, claim.subset_size, claim.retry), (1.0, 2, false));
+                        peer.send(from, &PeerMessage::QuotaResponse { request, claim, decision });
+                        answered += 1;
                     }
                 }
             }
             std::thread::yield_now();
         }
     };
-    client.send(&basic());
+    client.send(&basic_request());
     both(Ok(()));
-    assert_eq!(client.answer().status(), 200);
-    client.send(&basic());
+    assert_eq!(client.read_answer().status(), 200);
+    client.send(&basic_request());
     both(Err(QuotaRejection { retry_after: Some(vanewharf_policy::interface::Ticks(4_000)) }));
-    let answer = client.answer();
+    let answer = client.read_answer();
     assert_eq!(answer.status(), 429);
     assert_eq!(answer.field("Retry-After"), Some("0.4000"), "the keeper's own advice");
-    assert!(door.counter("peers_told") >= 3 && door.counter("peers_heard") == 3);
+    assert!(gateway.counter("peers_told") >= 3 && gateway.counter("peers_heard") == 3);
 }
 
 #[test]
-fn silent_keepers_leave_every_txn_one_answer_soon() {
+fn unresponsive_owners_delay_no_answer_beyond_their_timeout() {
     let (first, second) = (Peer::new(0), Peer::new(1));
     let backend = Backend::new("a", vec![ok("", "seen")]);
-    let (door, _) = asking(&backend, &[&first, &second]);
-    let mut client = door.client();
+    let (gateway, _) = gateway_with_peers(&backend, &[&first, &second]);
+    let mut client = gateway.client();
     for _ in 0..4 {
-        let (answer, took) = timed(|| client.ask(&basic()));
+        let (answer, took) = timed(|| client.request(&basic_request()));
         assert!([200, 429].contains(&answer.status()), "{answer:?}");
         // A tenth of the SLA time of 400 ms for each of the two, and no more, is what a txn may lose to them.
         assert!(took < Duration::from_millis(2 * 40 + 250), "{took:?}");
     }
-    assert_eq!(client.ask(&look()).status(), 200, "a plan with no rate asks nobody");
+    assert_eq!(client.request(&look_request()).status(), 200, "a plan with no rate asks nobody");
 }
 
 #[test]
-fn what_is_no_word_of_a_listed_door_is_dropped_and_counted() {
+fn drops_and_counts_datagrams_of_no_listed_gateway() {
     let (first, second) = (Peer::new(0), Peer::new(1));
     let backend = Backend::new("a", vec![ok("", "seen")]);
-    let (door, own) = asking(&backend, &[&first, &second]);
-    let stranger = Peer::new(0);
-    let word = PeerMessage::QuotaExhausted { customer: vanewharf_policy::interface::CustomerId(9) };
-    let letter = codec::encode(&word);
-    stranger.says(own, &word);
-    Peer { socket: first.socket.try_clone().expect("a copy"), number: 1 }.says(own, &word);
-    Peer { socket: first.socket.try_clone().expect("a copy"), number: 77 }.says(own, &word);
+    let (gateway, own) = gateway_with_peers(&backend, &[&first, &second]);
+    let unlisted = Peer::new(0);
+    let message = PeerMessage::QuotaExhausted { customer: vanewharf_policy::interface::CustomerId(9) };
+    let encoded = codec::encode(&message);
+    unlisted.send(own, &message);
+    Peer { socket: first.socket.try_clone().expect("a copy"), number: 1 }.send(own, &message);
+    Peer { socket: first.socket.try_clone().expect("a copy"), number: 77 }.send(own, &message);
     let odd = [
         Vec::new(),
         vec![0, 0],
         0u32.to_be_bytes().to_vec(),
-        [&0u32.to_be_bytes()[..], &letter[..letter.len() - 1]].concat(),
-        [&0u32.to_be_bytes()[..], &letter, &[0]].concat(),
+        [&0u32.to_be_bytes()[..], &encoded[..encoded.len() - 1]].concat(),
+        [&0u32.to_be_bytes()[..], &encoded, &[0]].concat(),
         [&0u32.to_be_bytes()[..], &[0xff; 40]].concat(),
-        [&0u32.to_be_bytes()[..], &letter, &[0; 2_000]].concat(),
+        [&0u32.to_be_bytes()[..], &encoded, &[0; 2_000]].concat(),
     ];
     for datagram in &odd {
         first.socket.send_to(datagram, own).expect("loopback takes it");
     }
-    // In the order of sending, so when this one is heard all others were.
-    first.says(own, &word);
-    while door.counter("peers_heard") < 1 {}
-    assert_eq!(door.counter("peers_heard"), 1);
-    assert_eq!(door.counter("peers_dropped"), 3 + odd.len() as u64);
-    let mut client = door.client();
-    assert_eq!(client.ask(&look()).status(), 200, "and it serves on");
+    // In the order of sending, so when this one is answered all others were.
+    first.send(own, &message);
+    while gateway.counter("peers_heard") < 1 {}
+    assert_eq!(gateway.counter("peers_heard"), 1);
+    assert_eq!(gateway.counter("peers_dropped"), 3 + odd.len() as u64);
+    let mut client = gateway.client();
+    assert_eq!(client.request(&look_request()).status(), 200, "and it serves on");
 }
 
 #[test]
-fn two_doors_together_let_in_one_quota() {
+fn two_gateways_share_one_quota() {
     let backend = Backend::new("a", vec![ok("", "seen")]);
-    let doors = [free(), free()];
-    let door = |me: usize| {
-        let change = |commission: &mut Value| {
-            commission["settings"]["balancers"] = json!(2);
-            commission["operator"] = json!(operator(me, &doors));
+    let gateways = [free_address(), free_address()];
+    let gateway = |me: usize| {
+        let change = |config: &mut Value| {
+            config["settings"]["balancers"] = json!(2);
+            config["operator"] = json!(operator_file(me, &gateways));
         };
-        Door::shaped(&[&backend], 1024, 64, 1024, change)
+        Gateway::with_config(&[&backend], 1024, 64, 1024, change)
     };
-    let both = [door(0), door(1)];
-    let mut let_in = 0;
+    let both = [gateway(0), gateway(1)];
+    let mut admitted = 0;
     for no in 0..12 {
-        let answer = both[no % 2].client().ask(&basic());
+        let answer = both[no % 2].client().request(&basic_request());
         assert!([200, 429].contains(&answer.status()), "{answer:?}");
-        let_in += usize::from(answer.status() == 200);
+        admitted += usize::from(answer.status() == 200);
     }
-    assert!((2..=3).contains(&let_in), "{let_in} of a burst of two units, whichever door they came to");
-    assert!(both.iter().all(|door| door.counter("peers_told") >= 1));
-    // A plan whose store a slice does hold is decided at the door itself, as ever.
+    assert!(
+        (2..=3).contains(&admitted),
+        "{admitted} of a burst of two units, whichever gateway they came to"
+    );
+    assert!(both.iter().all(|gateway| gateway.counter("peers_told") >= 1));
+    // A plan whose store a slice does hold is decided at the gateway itself, as ever.
     let told = both[0].counter("peers_told");
-    assert_eq!(both[0].client().ask(&look()).status(), 200);
+    assert_eq!(both[0].client().request(&look_request()).status(), 200);
     assert_eq!(both[0].counter("peers_told"), told);
 }
 
 /// What the program says when it ends by itself, and that it failed.
 fn refused(operator: &str, settings: impl FnOnce(&mut Value)) -> String {
-    let mut commission = json!({
-        "name": "n0", "listen": free().to_string(), "discovery": "127.0.0.1:1", "seed": "8c1f",
+    let mut config = json!({
+        "name": "n0", "listen": free_address().to_string(), "discovery": "127.0.0.1:1", "seed": "8c1f",
         "limits": {"cores": 1.0, "memory_mb": 64, "sockets": 1024},
         "known": {"index": 4, "snapshot": true, "endpoints": []},
         "settings": {
@@ -196,8 +196,8 @@
             "tiers_of_service": [{"name": "basic", "rate": 1.0, "store_size": 2.0}]
         }
     });
-    settings(&mut commission["settings"]);
-    let (_, path) = program(Some(&commission.to_string()), 1024);
+    settings(&mut config["settings"]);
+    let (_, path) = program(Some(&config.to_string()), 1024);
     let file = path.with_extension("toml");
     std::fs::write(&file, operator).expect("a file of our own");
     let mut direct = Command::new(env!("CARGO_BIN_EXE_vanewharf-gateway"));
@@ -213,9 +213,9 @@
 }
 
 #[test]
-fn a_start_that_mixes_the_shapes_is_refused_naming_the_key() {
-    let doors = [free(), free()];
-    let good = operator(0, &doors);
+fn refuses_a_configuration_that_mixes_the_shapes() {
+    let gateways = [free_address(), free_address()];
+    let good = operator_file(0, &gateways);
     assert!(refused(&good, |_| {}).starts_with("STARTS "), "{}", refused(&good, |_| {}));
     assert!(refused("", |_| {}).starts_with("STARTS "));
     let shown = include_str!("../../../deploy/door.toml");
@@ -241,8 +241,8 @@
         ),
         (refused(&good.replace("listen", "hear"), none), "hear"),
         (refused(&good.replace("[peers]", "[peer]"), none), "peer"),
-        (refused(&operator(0, &[doors[0], doors[0]]), none), "peers.doors"),
-        (refused(&operator(0, &[doors[0], doors[1], free()]), none), "peers.doors"),
+        (refused(&operator_file(0, &[gateways[0], gateways[0]]), none), "peers.doors"),
+        (refused(&operator_file(0, &[gateways[0], gateways[1], free_address()]), none), "peers.doors"),
     ];
     let counter = |settings: &mut Value| {
         settings["family_info"]["shared_counter"] = json!(true);
@@ -265,7 +265,7 @@
 }
 
 #[test]
-fn the_log_is_json_where_asked_for() {
+fn logs_json_on_request() {
     let (_, path) = program(Some("{"), 1024);
     let output = Command::new(env!("CARGO_BIN_EXE_vanewharf-gateway"))
         .args(["--log-format", "json"])
--- a/programs/gateway/tests/counter.rs
+++ b/programs/gateway/tests/quota_counter.rs
@@ -1,40 +1,40 @@
-//! The door and a stand-in for the shared quota counter over loopback: one that answers, one that is always
-//! crowded, and one that never answers. Each txn gets one final answer in time whatever the counter does, and
-//! a once-only txn reaches the backend at most once.
+//! The program with a stand-in for the shared quota counter over loopback: one that answers, one that is always
+//! busy, and one that is unresponsive. Each request gets one final answer in time whatever the counter does, and a
+//! request that must run once only reaches the backend at most once.
 
-mod stand_ins;
+mod support;
 
 use redis_protocol::resp2::decode::decode;
 use redis_protocol::resp2::types::OwnedFrame;
-use stand_ins::*;
 use std::collections::HashMap;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener};
 use std::sync::mpsc::{Receiver, channel};
 use std::thread;
 use std::time::Duration;
+use support::*;
 
 #[derive(Clone, Copy)]
-enum Manner {
+enum CounterBehavior {
     Answers,
     Busy,
-    Silent,
+    Unresponsive,
 }
 
-/// The calls it took, as (name, step).
-struct Counter {
+/// The calls it took, as (key, amount).
+struct CounterStandIn {
     address: SocketAddr,
     calls: Receiver<(String, f64)>,
 }
 
-impl Counter {
-    fn new(manner: Manner) -> Counter {
+impl CounterStandIn {
+    fn new(behavior: CounterBehavior) -> CounterStandIn {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
         let address = listener.local_addr().expect("its address");
-        let (tell, calls) = channel();
+        let (call_sender, calls) = channel();
         thread::spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
-                let tell = tell.clone();
+                let call_sender = call_sender.clone();
                 thread::spawn(move || {
                     let (mut stream, mut totals, mut bytes) =
                         (stream, HashMap::<String, f64>::new(), Vec::new());
@@ -51,18 +51,18 @@
                                 _ => String::new(),
                             };
                             assert_eq!(word(0), "ADDGET");
-                            let (name, step) = (word(1), word(2).parse::<f64>().expect("a number"));
+                            let (key, amount) = (word(1), word(2).parse::<f64>().expect("a number"));
                             assert!(word(3).parse::<u64>().is_ok_and(|life| (1..=60_000).contains(&life)));
-                            let _ = tell.send((name.clone(), step));
-                            let answer = match manner {
-                                Manner::Answers => {
-                                    let total = totals.entry(name).or_default();
-                                    *total += step;
+                            let _ = call_sender.send((key.clone(), amount));
+                            let answer = match behavior {
+                                CounterBehavior::Answers => {
+                                    let total = totals.entry(key).or_default();
+                                    *total += amount;
                                     let text = total.to_string();
                                     format!("${}\r\n{text}\r\n", text.len())
                                 }
-                                Manner::Busy => "-BUSY\r\n".to_owned(),
-                                Manner::Silent => continue,
+                                CounterBehavior::Busy => "-BUSY\r\n".to_owned(),
+                                CounterBehavior::Unresponsive => continue,
                             };
                             if stream.write_all(answer.as_bytes()).is_err() {
                                 return;
@@ -72,56 +72,59 @@
                 });
             }
         });
-        Counter { address, calls }
+        CounterStandIn { address, calls }
     }
 }
 
 /// A plan of 0.1 units a second and a burst of 2: the counter's window of 20 s holds 2 units. The customer
 /// comes through eight doors, so that a slice holds a quarter of a unit.
-fn basic(product: &str) -> String {
+fn basic_request(product: &str) -> String {
     let method = if product == "look" { "GET" } else { "POST" };
     let text = txn(method, product, "basic", 3000, if method == "GET" { "" } else { "x" });
     text.replace("spread=1,", "spread=8,")
 }
 
 #[test]
-fn the_counter_decides_what_the_quota_holds() {
-    let counter = Counter::new(Manner::Answers);
+fn the_counter_enforces_the_quota() {
+    let counter = CounterStandIn::new(CounterBehavior::Answers);
     let backend = Backend::new("a", vec![ok("", "seen")]);
-    let door = Door::counting(&[&backend], counter.address);
-    let mut client = door.client();
-    assert_eq!((client.ask(&basic("look")).status(), client.ask(&basic("look")).status()), (200, 200));
-    let answer = client.ask(&basic("look"));
+    let gateway = Gateway::with_counter(&[&backend], counter.address);
+    let mut client = gateway.client();
+    assert_eq!(
+        (client.request(&basic_request("look")).status(), client.request(&basic_request("look")).status()),
+        (200, 200)
+    );
+    let answer = client.request(&basic_request("look"));
     assert_eq!(answer.status(), 429, "the window holds two units");
     assert!(answer.field("Retry-After").is_some());
     let calls: Vec<_> = counter.calls.try_iter().collect();
     assert_eq!(calls.len(), 2, "none for the third, as the second told that the window is full: {calls:?}");
-    assert!(calls.iter().all(|(name, step)| *name == calls[0].0 && *step == 1.0), "{calls:?}");
-    assert_eq!(door.counter("counter_totals"), 2);
-    assert_eq!(client.ask(&look()).status(), 200, "a plan with no rate asks no counter");
+    assert!(calls.iter().all(|(key, amount)| *key == calls[0].0 && *amount == 1.0), "{calls:?}");
+    assert_eq!(gateway.counter("counter_totals"), 2);
+    assert_eq!(client.request(&look_request()).status(), 200, "a plan with no rate asks no counter");
 }
 
 #[test]
-fn a_crowded_or_silent_counter_leaves_every_txn_one_answer_in_time() {
-    for manner in [Manner::Busy, Manner::Silent] {
-        let counter = Counter::new(manner);
+fn a_busy_or_unresponsive_counter_delays_no_answer_beyond_its_timeout() {
+    for behavior in [CounterBehavior::Busy, CounterBehavior::Unresponsive] {
+        let counter = CounterStandIn::new(behavior);
         let backend = Backend::new("a", vec![ok("", "done")]);
-        let door = Door::counting(&[&backend], counter.address);
-        let mut client = door.client();
+        let gateway = Gateway::with_counter(&[&backend], counter.address);
+        let mut client = gateway.client();
         let mut sent = 0;
         for _ in 0..6 {
-            let (answer, took) = timed(|| client.ask(&basic("book")));
+            let (answer, took) = timed(|| client.request(&basic_request("book")));
             assert!([200, 429].contains(&answer.status()), "{answer:?}");
             sent += usize::from(answer.status() == 200);
             // The counter's wait, and no more, is all a txn may lose to it.
             assert!(took < Duration::from_millis(80 + 250), "{took:?}");
         }
         for _ in 0..sent {
-            backend.asked();
+            backend.next_request();
         }
         assert!(backend.seen.recv_timeout(Duration::from_millis(200)).is_err(), "nothing is sent twice");
         assert!(counter.calls.try_iter().count() >= 1, "the counter was asked");
-        let failed = door.counter("counter_not_added") + door.counter("counter_unknown");
+        let failed = gateway.counter("counter_not_added") + gateway.counter("counter_unknown");
         assert!(failed >= 1, "its failures are counted");
     }
 }
--- /dev/null
+++ b/programs/gateway/tests/support/agent.rs
@@ -0,0 +1,64 @@
+//! A discovery agent whose lists a test chooses.
+
+use super::{Message, TEST_TIMEOUT};
+use serde_json::{Value, json};
+use std::io::{BufReader, Read, Write};
+use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::sync::mpsc::{Receiver, Sender, channel};
+use std::thread;
+
+/// In place of a list: the agent closes its connection, waits until the gateway does, or refuses the call.
+pub const CLOSE: &str = "close";
+pub const UNRESPONSIVE: &str = "silence";
+pub const REFUSE: &str = "away";
+
+/// A discovery agent that answers each call with the next list from the test.
+pub struct Agent {
+    pub address: SocketAddr,
+    pub lists: Sender<String>,
+    pub calls: Receiver<String>,
+}
+
+impl Agent {
+    pub fn new() -> Agent {
+        let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
+        let address = listener.local_addr().expect("an address");
+        let (lists, given_lists) = channel::<String>();
+        let (call_sender, calls) = channel();
+        thread::spawn(move || {
+            for stream in listener.incoming().map_while(Result::ok) {
+                Agent::serve(&stream, &given_lists, &call_sender);
+            }
+        });
+        Agent { address, lists, calls }
+    }
+
+    fn serve(
+        mut stream: &TcpStream,
+        given_lists: &Receiver<String>,
+        call_sender: &Sender<String>,
+    ) -> Option<()> {
+        let mut reader = BufReader::new(stream);
+        loop {
+            let message = Message::read(&mut reader)?;
+            call_sender.send(message.first).ok()?;
+            let body = given_lists.recv().ok()?;
+            match body.as_str() {
+                CLOSE => return None,
+                UNRESPONSIVE => return reader.read_to_end(&mut Vec::new()).ok().map(drop),
+                _ => {}
+            }
+            let status = if body == REFUSE { "503 Service Unavailable" } else { "200 OK" };
+            let head = format!("HTTP/1.1 {status}\r\nContent-Length: {}\r\n\r\n", body.len());
+            stream.write_all((head + &body).as_bytes()).ok()?;
+        }
+    }
+
+    pub fn next_call(&self) -> String {
+        self.calls.recv_timeout(TEST_TIMEOUT).expect("discovery is called")
+    }
+}
+
+pub fn list(index: u64, whole: bool, endpoints: &[Value]) -> String {
+    json!({"index": index, "snapshot": whole, "endpoints": endpoints}).to_string()
+}
--- /dev/null
+++ b/programs/gateway/tests/support/backend.rs
@@ -0,0 +1,119 @@
+//! A backend whose reactions a test chooses.
+
+use super::{Message, TEST_TIMEOUT};
+use serde_json::{Value, json};
+use std::collections::VecDeque;
+use std::io::{BufReader, Read, Write};
+use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
+use std::sync::atomic::{AtomicU32, Ordering};
+use std::sync::mpsc::{Receiver, Sender, channel};
+use std::sync::{Arc, Mutex};
+use std::thread;
+
+/// A good reply.
+pub fn ok(fields: &str, body: &str) -> Reaction {
+    Reaction::Reply(format!("HTTP/1.1 200 OK\r\n{fields}Content-Length: {}\r\n\r\n{body}", body.len()))
+}
+
+pub fn rejected() -> Reaction {
+    Reaction::Reply("HTTP/1.1 503 Full\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n".to_owned())
+}
+
+/// What a backend does with a request.
+#[derive(Clone, Debug)]
+pub enum Reaction {
+    /// Writes this reply.
+    Reply(String),
+    /// Writes this reply and closes the connection.
+    ReplyAndClose(String),
+    /// Closes the connection.
+    Close,
+    /// Writes nothing, and reports once the gateway has closed the connection.
+    Unresponsive,
+}
+
+/// What a backend saw.
+#[derive(Debug, PartialEq)]
+pub enum Seen {
+    /// A request.
+    Requested(Message),
+    /// The gateway closed a connection with a request in flight.
+    Abandoned,
+    /// The backend closed a connection.
+    Closed,
+}
+
+/// A backend that performs its reactions in order, the last one again and again.
+pub struct Backend {
+    pub name: String,
+    pub address: SocketAddr,
+    pub seen: Receiver<Seen>,
+    pub connections: Arc<AtomicU32>,
+}
+
+impl Backend {
+    pub fn new(name: &str, reactions: Vec<Reaction>) -> Backend {
+        let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
+        let address = listener.local_addr().expect("an address");
+        let (events, seen) = channel();
+        let connections = Arc::new(AtomicU32::new(0));
+        let reactions = Arc::new(Mutex::new(VecDeque::from(reactions)));
+        let counted = Arc::clone(&connections);
+        thread::spawn(move || {
+            for stream in listener.incoming().map_while(Result::ok) {
+                counted.fetch_add(1, Ordering::SeqCst);
+                let (reactions, events) = (Arc::clone(&reactions), events.clone());
+                thread::spawn(move || Backend::serve(stream, &reactions, &events));
+            }
+        });
+        Backend { name: name.to_owned(), address, seen, connections }
+    }
+
+    fn serve(stream: TcpStream, reactions: &Mutex<VecDeque<Reaction>>, events: &Sender<Seen>) -> Option<()> {
+        let mut reader = BufReader::new(stream.try_clone().ok()?);
+        let mut writer = stream;
+        loop {
+            let message = Message::read(&mut reader)?;
+            // Before the reaction, so that a test that has the answer finds what led to it.
+            events.send(Seen::Requested(message)).ok()?;
+            let reaction = {
+                let mut reactions = reactions.lock().expect("no panic under the lock");
+                if reactions.len() > 1 { reactions.pop_front() } else { reactions.front().cloned() }?
+            };
+            match reaction {
+                Reaction::Reply(text) => writer.write_all(text.as_bytes()).ok()?,
+                Reaction::ReplyAndClose(text) => {
+                    writer.write_all(text.as_bytes()).ok()?;
+                    Backend::end(&writer)?;
+                    return events.send(Seen::Closed).ok();
+                }
+                Reaction::Close => return Backend::end(&writer),
+                Reaction::Unresponsive => {
+                    let _ = reader.read_to_end(&mut Vec::new());
+                    return events.send(Seen::Abandoned).ok();
+                }
+            }
+        }
+    }
+
+    /// Shut down, not dropped: another test's process may hold a copy until it has started.
+    fn end(stream: &TcpStream) -> Option<()> {
+        stream.shutdown(Shutdown::Both).ok()
+    }
+
+    pub fn entry(&self, status: &str) -> Value {
+        json!({"name": self.name, "address": self.address.to_string(), "zone": "z", "type": "t", "group": 0,
+            "status": status, "weight": 1.0, "since_ms": 0})
+    }
+
+    pub fn next_seen(&self) -> Seen {
+        self.seen.recv_timeout(TEST_TIMEOUT).expect("the backend sees something")
+    }
+
+    pub fn next_request(&self) -> Message {
+        match self.next_seen() {
+            Seen::Requested(message) => message,
+            other => panic!("{other:?}"),
+        }
+    }
+}
--- /dev/null
+++ b/programs/gateway/tests/support/client.rs
@@ -0,0 +1,68 @@
+//! A client of the gateway and its requests.
+
+use super::{Message, TEST_TIMEOUT};
+use std::io::{BufReader, Read, Write};
+use std::net::{SocketAddr, TcpStream};
+
+/// One connection to the gateway.
+pub struct Client {
+    reader: BufReader<TcpStream>,
+}
+
+/// A request of one unit, for a customer of one gateway.
+pub fn txn(method: &str, product: &str, plan: &str, left_ms: u32, body: &str) -> String {
+    let length = if method == "GET" { String::new() } else { format!("Content-Length: {}\r\n", body.len()) };
+    format!(
+        "{method} /{product}?key=00000000b4d65521 HTTP/1.1\r\nHost: backend.local\r\n\
+         X-Correlation-Id: 9b1f03aa5c7e2d41\r\nX-Service-Class: {product}\r\nX-Plan: {plan}\r\n\
+         X-Time-Left-Ms: {left_ms}\r\n{length}X-Quota: units=1,spread=1,first=0\r\n\r\n{body}"
+    )
+}
+
+pub fn look_request() -> String {
+    txn("GET", "look", "gold", 3000, "")
+}
+
+pub fn book_request() -> String {
+    txn("POST", "book", "gold", 3000, "two seats")
+}
+
+/// Under another id, for while the first is in flight.
+pub fn with_other_id(txn: String) -> String {
+    txn.replace("9b1f03aa5c7e2d41", "1c7e2d419b1f03aa")
+}
+
+impl Client {
+    pub fn connect(address: SocketAddr) -> Client {
+        let stream = TcpStream::connect(address).expect("the gateway accepts");
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("a time-out");
+        Client { reader: BufReader::new(stream) }
+    }
+
+    pub fn send(&mut self, text: &str) {
+        self.try_send(text).expect("the gateway reads");
+    }
+
+    pub fn try_send(&mut self, text: &str) -> std::io::Result<()> {
+        self.reader.get_mut().write_all(text.as_bytes())
+    }
+
+    pub fn read_answer(&mut self) -> Message {
+        Message::read(&mut self.reader).expect("the gateway answers")
+    }
+
+    pub fn request(&mut self, text: &str) -> Message {
+        self.send(text);
+        self.read_answer()
+    }
+
+    /// Whether the gateway closes the connection without writing anything more.
+    pub fn is_closed_by_gateway(&mut self) -> bool {
+        let read = self.reader.read(&mut [0]);
+        let closed = matches!(read, Ok(0));
+        if !closed {
+            eprintln!("the connection was not closed: {read:?}");
+        }
+        closed
+    }
+}
