--- a/crates/compatibility/tests/support/programs.rs
+++ b/crates/compatibility/tests/support/programs.rs
@@ -39,7 +39,9 @@
                     Program::DataPlane => vanewharf_proxy::run(settings, environment, ended)
                         .await
                         .map_err(|error| error.to_string()),
-                    Program::Agent => vanewharf_agent::run(settings, environment, ended).await,
+                    Program::Agent => vanewharf_agent::run(settings, environment, ended)
+                        .await
+                        .map_err(|error| error.to_string()),
                     Program::ControlPlane => vanewharf_controller::run(settings, environment, ended).await,
                 }
             });
--- a/crates/system-simulator/src/world.rs
+++ b/crates/system-simulator/src/world.rs
@@ -327,7 +327,8 @@
             Program::Sorter => {
                 set.spawn_local(async move {
                     let (keep, end) = oneshot::channel();
-                    said(vanewharf_agent::run(settings, premises, end).await);
+                    let ended = vanewharf_agent::run(settings, premises, end).await;
+                    said(ended.map_err(|error| error.to_string()));
                     drop(keep);
                 });
             }
--- a/crates/testkit/src/town.rs
+++ b/crates/testkit/src/town.rs
@@ -81,7 +81,9 @@
         Program::Carrier => {
             vanewharf_proxy::run(settings, premises, end).await.map_err(|error| error.to_string())
         }
-        Program::Sorter => vanewharf_agent::run(settings, premises, end).await,
+        Program::Sorter => {
+            vanewharf_agent::run(settings, premises, end).await.map_err(|error| error.to_string())
+        }
         Program::Postmaster => vanewharf_controller::run(settings, premises, end).await,
     }
 }
--- a/programs/agent/src/main.rs
+++ b/programs/agent/src/main.rs
@@ -1,3 +1,7 @@
+//! The agent's executable.
+
+#![forbid(unsafe_code)]
+
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
--- /dev/null
+++ b/programs/agent/src/peer_shuffle.rs
@@ -0,0 +1,52 @@
+//! Exchanges known peers with one of them every now and then, so that each agent's view stays random and current.
+
+use crate::state::AgentState;
+use std::net::IpAddr;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::time::sleep;
+use vanewharf_protocol::endpoints;
+use vanewharf_protocol::messages::PeerEntry;
+use vanewharf_rpc::RpcClient;
+
+/// Time between two shuffles, and the random part that comes on top so that agents do not move in step.
+const SHUFFLE_INTERVAL: Duration = Duration::from_millis(1800);
+const SHUFFLE_JITTER_MS: u64 = 400;
+
+/// How long a peer or controller may take to answer: across regions it takes a connection and a round trip.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(400);
+
+/// Exchanges peers; never returns.
+pub(crate) async fn shuffle_peers(state: Rc<AgentState>) {
+    loop {
+        let random_offset = state.random_offset();
+        sleep(SHUFFLE_INTERVAL + Duration::from_millis(random_offset as u64 % SHUFFLE_JITTER_MS)).await;
+        let peer = state.peers.borrow().contact_order(random_offset).first().copied();
+        match peer {
+            Some(peer) => shuffle_with(&state, peer, random_offset).await,
+            None => bootstrap_peers(&state).await,
+        }
+    }
+}
+
+/// Exchanges peers with one of them, which is dropped if it does not answer.
+async fn shuffle_with(state: &AgentState, peer: IpAddr, random_offset: usize) {
+    let sample = state.peers.borrow().sample(random_offset, state.publisher.now());
+    let mut client = RpcClient::new(state.settings.agent_address(peer), &state.environment.network);
+    match client.post::<_, Vec<PeerEntry>>(endpoints::GOSSIP, &sample, ANSWER_TIMEOUT).await {
+        Ok(received) => state.peers.borrow_mut().merge(&received, state.publisher.now()),
+        Err(_) => state.peers.borrow_mut().remove(peer),
+    }
+}
+
+/// Asks the controllers for some peers, until one answers.
+async fn bootstrap_peers(state: &AgentState) {
+    for controller in state.controllers() {
+        let address = state.settings.controller_address(controller);
+        let mut client = RpcClient::new(address, &state.environment.network);
+        if let Ok(received) = client.get::<Vec<PeerEntry>>(endpoints::PEERS, ANSWER_TIMEOUT).await {
+            state.peers.borrow_mut().merge(&received, state.publisher.now());
+            return;
+        }
+    }
+}
