--- /dev/null
+++ b/crates/consensus/tests/model/leaseholder.rs
@@ -0,0 +1,161 @@
+//! What a candidate and a leaseholder do of their own accord, as the controller's replica does it.
+
+use crate::cluster::{ClusterModel, ClusterState, Message, PlantedFault, address, index_of};
+use crate::member::{AcceptUnderway, ElectionUnderway, Purpose, RenewalUnderway};
+use std::collections::BTreeSet;
+use std::net::SocketAddr;
+use vanewharf_consensus::{
+    AcceptRound, BallotClaim, Election, RenewalRound, all_voters, next_ballot, next_membership,
+};
+use vanewharf_protocol::messages::{Ballot, Register, Revision, VoteRequest};
+
+/// No member: the proposer in the ballots of all, where these are not unique.
+const NOBODY: usize = 9;
+
+impl ClusterModel {
+    /// Begins a round and sends its requests. Returns the round's number.
+    pub fn begin_round(
+        &self,
+        state: &mut ClusterState,
+        requester: usize,
+        voters: &BTreeSet<SocketAddr>,
+        request: VoteRequest,
+    ) -> u8 {
+        state.members[requester].rounds_begun += 1;
+        let round = state.members[requester].rounds_begun;
+        self.send_requests(state, requester, round, voters, request);
+        round
+    }
+
+    pub fn send_requests(
+        &self,
+        state: &mut ClusterState,
+        requester: usize,
+        round: u8,
+        voters: &BTreeSet<SocketAddr>,
+        request: VoteRequest,
+    ) {
+        for voter in voters {
+            let (voter, request) = (index_of(*voter), request.clone());
+            state.messages.push(Message { requester, round, voter, request, response: None });
+        }
+    }
+
+    pub fn campaign(&self, state: &mut ClusterState, index: usize) {
+        state.remaining.elections = state.remaining.elections.saturating_sub(1);
+        let requested_at = self.now(state, index);
+        let member = &mut state.members[index];
+        let proposer = if self.has(PlantedFault::BallotsNotUnique) { NOBODY } else { index };
+        let highest_seen = member.highest_ballot_seen.max(member.voter.promised_ballot());
+        let ballot = next_ballot(highest_seen, address(proposer));
+        member.claim = BallotClaim::new(ballot);
+        member.lease = None;
+        member.accept = None;
+        member.renewal = None;
+        member.needs_renewal_by_both_sets = false;
+        let (membership, rank) = member.newest_membership();
+        let voters = all_voters(&membership);
+        let election = Election::start(address(index), membership, rank);
+        let request = VoteRequest::Lease { ballot, candidate: address(index) };
+        let round = self.begin_round(state, index, &voters, request);
+        state.members[index].election = Some(ElectionUnderway { round, ballot, requested_at, election });
+    }
+
+    pub fn renew(&self, state: &mut ClusterState, index: usize) {
+        state.remaining.renewals = state.remaining.renewals.saturating_sub(1);
+        let Some(lease) = state.members[index].lease else {
+            return;
+        };
+        let (requested_at, membership) = (self.now(state, index), state.members[index].membership());
+        let request = VoteRequest::Renew { ballot: lease.ballot, leaseholder: address(index) };
+        let round = self.begin_round(state, index, &all_voters(&membership), request);
+        let renewal = RenewalRound::start(lease.ballot, membership);
+        state.members[index].renewal = Some(RenewalUnderway { round, requested_at, renewal });
+    }
+
+    /// Takes an operator's change. Values are told apart by their count.
+    pub fn propose_value(&self, state: &mut ClusterState, index: usize) {
+        state.remaining.proposals -= 1;
+        let value = format!("v{}", self.budget.proposals - state.remaining.proposals);
+        self.propose(state, index, Purpose::Value, |register| {
+            register.evacuated.insert(value);
+        });
+    }
+
+    /// One step of a change of the set of voters, as the replica's `reconfigure`.
+    pub fn reconfigure(&self, state: &mut ClusterState, index: usize, purpose: Purpose) {
+        let member = &state.members[index];
+        let current = if self.has(PlantedFault::UncommittedChangeFinished) {
+            member.membership()
+        } else {
+            member.committed_membership()
+        };
+        let target = self.target_voters.iter().map(|voter| address(*voter)).collect();
+        let Some(mut membership) = next_membership(&current, &target) else {
+            return;
+        };
+        if self.has(PlantedFault::ChangeWithoutOutgoing) {
+            membership.outgoing.clear();
+        }
+        self.propose(state, index, purpose, |register| register.membership = membership);
+    }
+
+    /// Gives a register its revision under the ballot in hand, on top of the newest one that was proposed under it.
+    fn propose(
+        &self,
+        state: &mut ClusterState,
+        index: usize,
+        purpose: Purpose,
+        change: impl FnOnce(&mut Register),
+    ) {
+        let member = &mut state.members[index];
+        let ballot = member.lease.expect("it holds the lease").ballot;
+        let committed = member.published.clone().unwrap_or_else(Register::empty);
+        let is_newer = |proposed: &Register| proposed.ballot == ballot && proposed.rank() > committed.rank();
+        let mut register = member.last_proposed.clone().filter(is_newer).unwrap_or(committed);
+        change(&mut register);
+        register.ballot = ballot;
+        register.revision = member.next_revision;
+        if purpose == Purpose::Value {
+            member.last_proposed = Some(register.clone());
+        }
+        member.next_revision = Revision(member.next_revision.0 + 1);
+        self.request_acceptance(state, index, purpose, register);
+    }
+
+    pub fn request_acceptance(
+        &self,
+        state: &mut ClusterState,
+        index: usize,
+        purpose: Purpose,
+        register: Register,
+    ) {
+        let accept = AcceptRound::start(&register);
+        let mut voters = all_voters(&state.members[index].membership());
+        voters.extend(all_voters(&register.membership));
+        let request = VoteRequest::Accept { register: register.clone() };
+        let round = self.begin_round(state, index, &voters, request);
+        state.members[index].accept = Some(AcceptUnderway { round, purpose, register, accept });
+    }
+
+    /// Gives the lease up, so that nobody has to wait for its end.
+    pub fn resign(&self, state: &mut ClusterState, index: usize) {
+        state.remaining.resignations -= 1;
+        if let Some(lease) = state.members[index].lease.take() {
+            let voters = all_voters(&state.members[index].membership());
+            self.release(state, index, &voters, lease.ballot);
+        }
+    }
+
+    /// Nobody has to wait for the end of votes that were granted for nothing.
+    pub fn release_lost_election(&self, state: &mut ClusterState, index: usize, lost: &ElectionUnderway) {
+        if state.remaining.releases > 0 {
+            state.remaining.releases -= 1;
+            self.release(state, index, &all_voters(lost.election.membership()), lost.ballot);
+        }
+    }
+
+    fn release(&self, state: &mut ClusterState, index: usize, voters: &BTreeSet<SocketAddr>, ballot: Ballot) {
+        self.begin_round(state, index, voters, VoteRequest::Release { ballot });
+    }
+}
--- a/crates/consensus/tests/model/liveness.rs
+++ b/crates/consensus/tests/model/liveness.rs
@@ -1,16 +1,19 @@
-//! From any state on, with all members up and every message delivered: whether a holder comes about.
+//! From any state on, with all members up and every message delivered: whether somebody comes to hold the lease.
 
-use crate::machine::*;
-use vanewharf_protocol::messages::Register;
+use crate::cluster::{Action, Budget, ClusterModel, ClusterState};
 
-/// So many tries have to do.
-const TRIES: usize = 40;
+/// So many elections and ticks have to do.
+const MAX_TRIES: usize = 40;
+/// More messages than any state has on its way.
+const MAX_DELIVERIES: usize = 400;
+const UNLIMITED_RELEASES: u8 = 200;
 
-impl Lease {
-    /// Deterministic: the oldest message first, and what cannot be heard is passed over.
-    pub fn deliver_all(&self, mut state: State) -> State {
-        for _ in 0..400 {
-            let delivered = state.net.iter().find_map(|one| self.step(&state, Action::Deliver(one.clone())));
+impl ClusterModel {
+    /// Deterministic: the oldest message first, and what cannot be delivered is passed over.
+    pub fn deliver_all(&self, mut state: ClusterState) -> ClusterState {
+        for _ in 0..MAX_DELIVERIES {
+            let mut messages = state.messages.iter();
+            let delivered = messages.find_map(|message| self.step(&state, Action::Deliver(message.clone())));
             match delivered {
                 Some(next) => state = next,
                 None => return state,
@@ -19,39 +22,37 @@
         state
     }
 
-    pub fn goes_on(&self, state: &State) -> bool {
+    pub fn comes_to_a_leaseholder(&self, state: &ClusterState) -> bool {
         let mut state = state.clone();
-        state.left = Budget { releases: 200, ..Budget::none() };
-        for _ in 0..TRIES {
-            while let Some(down) = state.members.iter().position(|member| !member.up) {
-                state = self.step(&state, Action::Restart(down)).expect("it is down");
-            }
-            state = self.deliver_all(state);
-            let serving = |state: &State, place: usize| {
-                let (member, values) = (&state.members[place], state.values());
-                let has = |store: &Register| values.is_subset(&store.evacuated);
-                let serves = member.term.is_some_and(|term| term.may_serve(self.now(state, place)));
-                serves && (values.is_empty() || member.store.as_ref().is_some_and(has))
-            };
-            if (0..self.members).any(|place| serving(&state, place)) {
+        state.remaining = Budget { releases: UNLIMITED_RELEASES, ..Budget::none() };
+        for _ in 0..MAX_TRIES {
+            state = self.deliver_all(self.restart_all(state));
+            if self.any_serves_all_values(&state) {
                 return true;
             }
-            let tries = |place: &usize| {
-                let (member, now) = (&state.members[*place], self.now(&state, *place));
-                let lapsed = member.term.is_none_or(|term| !term.is_valid(now));
-                lapsed && member.membership().voters.contains(&addr(*place)) && member.voter.may_campaign(now)
+            let candidate = (0..self.member_count).find(|index| self.may_campaign(&state, *index));
+            let Some(candidate) = candidate else {
+                state = self.step(&state, Action::Tick).expect("time goes on");
+                continue;
             };
-            let next = (0..self.members).find(|place| tries(place)).map_or(Action::Tick, Action::Try);
-            let tried = matches!(next, Action::Try(_));
-            state = self.step(&state, next).expect("time goes on");
-            if tried {
-                state = self.deliver_all(state);
-                // Whoever lost tries again a little later: others' leases end meanwhile.
-                if !(0..self.members).any(|place| serving(&state, place)) {
-                    state = self.step(&state, Action::Tick).expect("time goes on");
-                }
+            state = self.step(&state, Action::Campaign(candidate)).expect("it may campaign");
+            state = self.deliver_all(state);
+            // Whoever lost tries again a little later: the leases of others end meanwhile.
+            if !self.any_serves_all_values(&state) {
+                state = self.step(&state, Action::Tick).expect("time goes on");
             }
         }
         false
     }
+
+    fn restart_all(&self, mut state: ClusterState) -> ClusterState {
+        while let Some(down) = state.members.iter().position(|member| !member.running) {
+            state = self.step(&state, Action::Restart(down)).expect("it is down");
+        }
+        state
+    }
+
+    fn any_serves_all_values(&self, state: &ClusterState) -> bool {
+        (0..self.member_count).any(|index| self.serves_all_values(state, index))
+    }
 }
--- /dev/null
+++ b/crates/consensus/tests/model/possible_actions.rs
@@ -0,0 +1,121 @@
+//! What may happen next in a state.
+
+use crate::cluster::{Action, ClusterModel, ClusterState, PlantedFault, address};
+use crate::member::Member;
+use vanewharf_protocol::messages::VoteRequest;
+
+impl ClusterModel {
+    pub fn possible_actions(&self, state: &ClusterState, actions: &mut Vec<Action>) {
+        if state.remaining.ticks > 0 {
+            actions.push(Action::Tick);
+        }
+        for (index, member) in state.members.iter().enumerate() {
+            if member.running {
+                self.faults_of_member(state, index, actions);
+                self.votes_of_member(state, index, actions);
+                self.actions_of_leaseholder(state, index, actions);
+            } else {
+                actions.push(Action::Restart(index));
+            }
+        }
+        self.deliveries(state, actions);
+    }
+
+    fn faults_of_member(&self, state: &ClusterState, index: usize, actions: &mut Vec<Action>) {
+        let lost = state.members.iter().filter(|member| !member.votes()).count();
+        let member = &state.members[index];
+        // The next one is lost only when those before it are back.
+        if lost < self.tolerated_losses || lost == self.tolerated_losses && !member.votes() {
+            if state.remaining.crashes > 0 {
+                actions.push(Action::Crash(index));
+            }
+            if state.remaining.disk_losses > 0 {
+                actions.push(Action::LoseDisk(index));
+            }
+        }
+    }
+
+    /// What any running member may do, whether it holds the lease or not.
+    fn votes_of_member(&self, state: &ClusterState, index: usize, actions: &mut Vec<Action>) {
+        let (remaining, member, now) = (&state.remaining, &state.members[index], self.now(state, index));
+        let is_voter = member.membership().voters.contains(&address(index));
+        // A leaseholder may want its own lease anew, under a higher ballot.
+        let may_campaign = member.voter.may_campaign(now) || member.holds_lease(now);
+        if remaining.elections > 0 && is_voter && may_campaign {
+            actions.push(Action::Campaign(index));
+        }
+        let has_promised = member.record_on_disk.as_ref().is_some_and(|record| record.promised_to.is_some());
+        let waits_after_restart = member.voter.leaseholder(now).is_none() && !member.voter.may_campaign(now);
+        if remaining.inquiries > 0 && has_promised && waits_after_restart {
+            actions.push(Action::Inquire(index));
+        }
+        if remaining.timeouts > 0 && (member.accept.is_some() || member.election.is_some()) {
+            actions.push(Action::TimeOut(index));
+        }
+        if remaining.adoptions > 0 && !member.voter.is_amnesic() {
+            let publishes = |(_, other): &(usize, &Member)| other.running && other.published.is_some();
+            let publishers = state.members.iter().enumerate().filter(publishes).map(|(other, _)| other);
+            let others = publishers.filter(|other| *other != index);
+            actions.extend(others.map(|other| Action::Adopt(index, other)));
+        }
+    }
+
+    fn actions_of_leaseholder(&self, state: &ClusterState, index: usize, actions: &mut Vec<Action>) {
+        let (remaining, member) = (&state.remaining, &state.members[index]);
+        if member.lease.is_none() {
+            return;
+        }
+        if remaining.renewals > 0 {
+            actions.push(Action::Renew(index));
+        }
+        if remaining.resignations > 0 {
+            actions.push(Action::Resign(index));
+        }
+        if member.accept.is_some() || !member.may_serve(self.now(state, index)) {
+            return;
+        }
+        if remaining.proposals > 0 {
+            actions.push(Action::Propose(index));
+        }
+        if remaining.changes_begun > 0 && self.may_begin_change(member) {
+            actions.push(Action::BeginChange(index));
+        }
+        if remaining.changes_finished > 0 && self.may_finish_change(member) {
+            actions.push(Action::FinishChange(index));
+        }
+    }
+
+    fn may_begin_change(&self, member: &Member) -> bool {
+        let target: Vec<_> = self.target_voters.iter().map(|voter| address(*voter)).collect();
+        let committed = member.committed_membership();
+        committed.outgoing.is_empty() && committed.voters != target && !target.is_empty()
+    }
+
+    fn may_finish_change(&self, member: &Member) -> bool {
+        if self.has(PlantedFault::UncommittedChangeFinished) {
+            return !member.membership().outgoing.is_empty();
+        }
+        let is_renewed = !member.needs_renewal_by_both_sets || self.has(PlantedFault::NoRenewalByBothSets);
+        !member.committed_membership().outgoing.is_empty() && is_renewed
+    }
+
+    fn deliveries(&self, state: &ClusterState, actions: &mut Vec<Action>) {
+        for message in &state.messages {
+            let is_request = message.response.is_none();
+            let receiver = if is_request { message.voter } else { message.requester };
+            if !state.members[receiver].running {
+                continue;
+            }
+            actions.push(Action::Deliver(message.clone()));
+            if self.prompt_votes && !matches!(message.request, VoteRequest::Release { .. }) {
+                actions.push(Action::DeliverWithoutResponse(message.clone()));
+            }
+            if state.remaining.duplicates > 0 && is_request {
+                actions.push(Action::DeliverTwice(message.clone()));
+            }
+            if state.remaining.failed_writes > 0 && is_request {
+                actions.push(Action::DeliverWithFailedWrite(message.clone()));
+            }
+        }
+    }
+}
