--- a/programs/controller/src/lib.rs
+++ b/programs/controller/src/lib.rs
@@ -63,7 +63,7 @@
     Listen {
         /// Of the internal API, the operator's or the registry.
         address: SocketAddr,
-        /// What the system says.
+        /// The operating system's error.
         source: io::Error,
     },
 }
@@ -86,7 +86,7 @@
     }
 }
 
-/// Runs a controller until it is told to end.
+/// Runs a controller until `end` completes.
 ///
 /// # Errors
 /// Where it cannot be started: see [`start`].
--- a/programs/controller/src/main.rs
+++ b/programs/controller/src/main.rs
@@ -1,3 +1,5 @@
+//! The controller's program: reads the command line and runs the controller until SIGTERM.
+
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
--- a/programs/controller/src/operator_api.rs
+++ b/programs/controller/src/operator_api.rs
@@ -204,3 +204,6 @@
     let body = json!({ "location": location }).to_string().into_bytes();
     RpcResponse { status: 307, headers: vec![("Location", location)], body }
 }
+
+#[cfg(test)]
+mod tests;
--- a/programs/controller/src/replica/renewal.rs
+++ b/programs/controller/src/replica/renewal.rs
@@ -84,7 +84,7 @@
         let mut round = RenewalRound::start(ballot, self.membership());
         let voters = all_voters(round.membership());
         self.collect_votes(&voters, request, |voter, response| round.record_response(voter, response)).await;
-        // This process may have told a restarted voter meanwhile that it does not hold the lease.
+        // This process may have answered a restarted voter meanwhile that it does not hold the lease.
         if !self.claim.get().is_valid_for(ballot) {
             return RenewalOutcome::Superseded;
         }
--- a/programs/controller/src/replica/vote_rpc.rs
+++ b/programs/controller/src/replica/vote_rpc.rs
@@ -23,7 +23,7 @@
     /// # Cancel safety
     /// Each request is sent by a task of its own, which goes on when the outcome is decided or the caller stops waiting:
     /// voters that are slow receive the request all the same, and a ballot by which one refuses is recorded. Responses
-    /// that come then are dropped. No task outlasts [`VOTE_TIMEOUT`] by more than the time that a connection takes.
+    /// that come then are dropped. Each task ends by the timeouts of its one request.
     pub(super) async fn collect_votes<T>(
         self: &Rc<Self>,
         voters: &BTreeSet<SocketAddr>,
@@ -71,8 +71,10 @@
         Some(response)
     }
 
-    /// A connection is used by one request at a time, and is kept only where that was answered. One that is cancelled
-    /// midway closes its connection.
+    /// A connection is used by one request at a time, and is reused only where that was answered.
+    ///
+    /// # Cancel safety
+    /// Closes the connection; the voter may handle the request all the same.
     async fn call_voter(
         &self,
         voter: SocketAddr,
@@ -86,7 +88,8 @@
         Some(response)
     }
 
-    /// Tells the voters that this process does not want the lease under that ballot any more, until a quorum has heard.
+    /// Releases the lease under that ballot at the voters; returns once a quorum of them has answered, or all have
+    /// answered or timed out.
     pub(super) async fn release_lease(self: &Rc<Self>, membership: &Membership, ballot: Ballot) {
         let mut tracker = QuorumTracker::new(membership.clone());
         let request = VoteRequest::Release { ballot };
--- a/programs/controller/src/storage/record_file.rs
+++ b/programs/controller/src/storage/record_file.rs
@@ -1,7 +1,7 @@
 //! The content of a record's file: a header line, `<checksum> <write number> <body length>`, and the body.
 //!
 //! The checksum (CRC-32, eight hexadecimal digits) covers the write number as it is written and the body, so that a torn
-//! or corrupt copy is told from an intact one.
+//! or corrupt copy is recognized.
 
 /// One intact copy of a record.
 pub(super) struct RecordCopy<'a> {
--- a/programs/controller/tests/command_line.rs
+++ b/programs/controller/tests/command_line.rs
@@ -68,14 +68,14 @@
 
 #[test]
 fn check() {
-    let file = settings_file("postmaster-valid.json", VALID_SETTINGS);
+    let file = settings_file("controller-valid.json", VALID_SETTINGS);
     let path = file.to_str().expect("text");
-    let told = "<program>: the settings can be read\n";
-    assert_printed(&["--check", "--settings", path], told);
-    assert_printed(&["-c", "-s", path], told);
+    let message = "<program>: the settings can be read\n";
+    assert_printed(&["--check", "--settings", path], message);
+    assert_printed(&["-c", "-s", path], message);
     let by_environment = Command::new(PROGRAM).env("VANEWHARF_SETTINGS", path).arg("--check").output();
     let by_environment = by_environment.expect("the program runs");
-    assert_eq!((text(&by_environment.stdout).as_str(), by_environment.status.code()), (told, Some(0)));
+    assert_eq!((text(&by_environment.stdout).as_str(), by_environment.status.code()), (message, Some(0)));
 }
 
 #[test]
@@ -86,11 +86,11 @@
     assert_refused(&["--check"], "<program>: VANEWHARF_SETTINGS is not set\n");
     let absent = "<program>: cannot read /nowhere/at-all.json: No such file or directory (os error 2)\n";
     assert_refused(&["--check", "--settings", "/nowhere/at-all.json"], absent);
-    let file = settings_file("postmaster-bad.json", r#"{"ip_address": "nowhere"}"#);
+    let file = settings_file("controller-bad.json", r#"{"ip_address": "nowhere"}"#);
     let path = file.to_str().expect("text");
     let output = run(&["--check", "--settings", path]);
-    let told = String::from_utf8(output.stderr).expect("text");
-    let (name, told) = told.split_once(": ").expect("its name first");
-    assert_eq!(told, format!("cannot read {path}: ip_address: it is no address\n"));
+    let message = String::from_utf8(output.stderr).expect("text");
+    let (name, reason) = message.split_once(": ").expect("its name first");
+    assert_eq!(reason, format!("cannot read {path}: ip_address: it is no address\n"));
     assert_eq!((PROGRAM.ends_with(&format!("/{name}")), output.status.code()), (true, Some(1)));
 }
