--- a/programs/proxy/src/agent_link.rs
+++ b/programs/proxy/src/agent_link.rs
@@ -54,7 +54,7 @@
                 .as_ref()
                 .map_or(0, |summary| summary.quota_divisor),
             admitted: status.admitted.borrow().clone(),
-            quota_shares: status.slices.borrow().clone(),
+            quota_shares: status.quota_shares.borrow().clone(),
             hosts: status.hosts.borrow().clone(),
             attempts: status.attempts.borrow().clone(),
         }
--- /dev/null
+++ b/programs/proxy/src/pools/admission.rs
@@ -0,0 +1,202 @@
+//! Admission by tenant quota.
+//!
+//! Where proxies are few, each holds a share of every quota in token buckets of its own. Where they are many, the
+//! controllers hold the shares and lease tokens: a request then waits for a leased token, unless one is in the reserve,
+//! and the proxy's own buckets are only for requests that no lender answers in time.
+
+use super::to_ticks;
+use crate::routing::RoutingTables;
+use crate::snapshot::AuthorizedRequest;
+use crate::update::{TOKEN_REQUEST_TIMEOUT, TokenAnswer, TokenGrants, TokenRequest};
+use std::collections::BTreeMap;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::sync::mpsc;
+use vanewharf_clock::Timestamp;
+use vanewharf_policy::interface::{Ticks, TxnId};
+use vanewharf_protocol::messages::FleetSummary;
+use vanewharf_quota::{InitialFill, Quota, QuotaExceeded, ShareOwner, TokenBuckets, TokenReserve};
+
+/// Bounds of the wait that a client is told after a rejection by quota.
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(50);
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(30);
+/// Requests a second below which the rate of a quota is not divided by.
+const MIN_RATE: f64 = 1e-3;
+
+/// The state of admission: token buckets, leased tokens and the requests that wait for one.
+pub(super) struct Admission {
+    pub(super) buckets: TokenBuckets,
+    /// Leased tokens that wait for their requests.
+    reserve: TokenReserve,
+    /// How many controllers lease tokens; none where the proxies hold the quotas' shares.
+    lender_count: Option<u32>,
+    /// No lender is in this proxy's region: tokens are prefetched, as an answer takes long.
+    lenders_remote: bool,
+    token_requests: mpsc::UnboundedSender<TokenRequest>,
+    waiting: BTreeMap<TxnId, AuthorizedRequest>,
+}
+
+/// What becomes of one request.
+pub(super) enum Verdict {
+    Admitted(AuthorizedRequest),
+    /// It waits for a token from a lender.
+    Waiting,
+    /// It is beyond the tenant's quota, and may come back after that.
+    Rejected {
+        retry_after: Ticks,
+    },
+}
+
+impl Verdict {
+    fn rejected(wait: Duration) -> Verdict {
+        Verdict::Rejected { retry_after: to_ticks(wait) }
+    }
+}
+
+impl Admission {
+    pub(super) fn new(
+        rate_allowance: f64,
+        initial_start: bool,
+        token_requests: mpsc::UnboundedSender<TokenRequest>,
+        at: Timestamp,
+    ) -> Admission {
+        Admission {
+            buckets: TokenBuckets::new(rate_allowance, InitialFill::at_start(initial_start), at),
+            reserve: TokenReserve::default(),
+            lender_count: None,
+            lenders_remote: false,
+            token_requests,
+            waiting: BTreeMap::new(),
+        }
+    }
+
+    /// Admits a request, rejects it, or has it wait for a leased token.
+    pub(super) fn admit(
+        &mut self,
+        txn: TxnId,
+        request: AuthorizedRequest,
+        now: Ticks,
+        at: Timestamp,
+    ) -> Verdict {
+        let limited = request.tenant.as_ref().filter(|tenant| tenant.quota.rate > 0.0);
+        let Some(tenant) = limited.filter(|_| self.lender_count.is_some()) else {
+            return self.admit_by_bucket(request, at);
+        };
+        let tenant = Rc::clone(&tenant.name);
+        self.reserve.record_request(&tenant, at);
+        let reserved = self.reserve.take_token(&tenant, at);
+        // A request close to its deadline cannot wait for an answer: it goes by this proxy's own buckets.
+        let can_wait = request.expiry - now > to_ticks(TOKEN_REQUEST_TIMEOUT * 2);
+        let waits = !reserved && can_wait;
+        let prefetch = if self.lenders_remote { self.reserve.tokens_to_request(&tenant, at) } else { 0 };
+        if waits || prefetch > 0 {
+            // The receiver lives as long as the program.
+            let _ =
+                self.token_requests.send(TokenRequest { waiting: waits.then_some(txn), tenant, prefetch });
+        }
+        if reserved {
+            Verdict::Admitted(request)
+        } else if waits {
+            self.waiting.insert(txn, request);
+            Verdict::Waiting
+        } else {
+            self.admit_by_bucket(request, at)
+        }
+    }
+
+    /// Admits or rejects a request by the tenant's bucket at this proxy.
+    fn admit_by_bucket(&mut self, request: AuthorizedRequest, at: Timestamp) -> Verdict {
+        if let Some(tenant) = &request.tenant
+            && let Err(QuotaExceeded { retry_after }) = self.buckets.try_admit(&tenant.name, tenant.quota, at)
+        {
+            return Verdict::rejected(retry_after.max(MIN_RETRY_AFTER));
+        }
+        Verdict::Admitted(request)
+    }
+
+    /// Takes in which lenders answered and the tokens that were prefetched. The requests that waited are to be resumed
+    /// one by one.
+    pub(super) fn record_grants(&mut self, grants: &TokenGrants, at: Timestamp) {
+        let answered = grants.waiting.iter().any(|(_, answer)| *answer != TokenAnswer::NoAnswer);
+        if answered || grants.prefetched.iter().any(|(_, tokens)| *tokens > 0) {
+            self.buckets.record_lender_answer(at);
+        }
+        for (tenant, tokens) in &grants.prefetched {
+            self.reserve.record_lease(tenant, *tokens, at);
+        }
+    }
+
+    /// Decides on a request that waited. None where nobody waits for it any more: its token goes to the reserve.
+    pub(super) fn resume(&mut self, txn: TxnId, answer: TokenAnswer, at: Timestamp) -> Option<Verdict> {
+        let request = self.waiting.remove(&txn)?;
+        let tenant = request.tenant.clone()?;
+        if request.abandoned {
+            if answer == TokenAnswer::Granted {
+                self.reserve.add_tokens(&tenant.name, 1, at);
+            }
+            return None;
+        }
+        Some(match answer {
+            TokenAnswer::Granted => Verdict::Admitted(request),
+            TokenAnswer::NoAnswer => self.admit_by_bucket(request, at),
+            TokenAnswer::Refused => self.reject_by_lender(tenant.quota),
+        })
+    }
+
+    /// A lender's share of the quota gains its next token after that time.
+    fn reject_by_lender(&self, quota: Quota) -> Verdict {
+        let lenders = f64::from(self.lender_count.unwrap_or(1));
+        let wait = Duration::from_secs_f64(lenders / quota.rate.max(MIN_RATE));
+        Verdict::rejected(wait.clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER))
+    }
+
+    /// Whether the request waits for a token; then it is not to be sent when the token comes.
+    pub(super) fn abandon(&mut self, txn: TxnId) -> bool {
+        match self.waiting.get_mut(&txn) {
+            Some(request) => {
+                request.abandoned = true;
+                true
+            }
+            None => false,
+        }
+    }
+
+    /// Gives back the token of a request that reached no backend.
+    pub(super) fn refund(&mut self, tenant: &Rc<str>, at: Timestamp) {
+        match self.lender_count {
+            Some(_) => self.reserve.add_tokens(tenant, 1, at),
+            None => self.buckets.refund(tenant),
+        }
+    }
+
+    /// Sets this proxy's shares of the quotas anew by what all proxies together use.
+    pub(super) fn apply_fleet_summary(
+        &mut self,
+        summary: &FleetSummary,
+        lenders_remote: bool,
+        tables: Option<&RoutingTables>,
+        at: Timestamp,
+    ) {
+        self.lender_count = summary.token_lenders;
+        self.lenders_remote = lenders_remote;
+        self.reserve.drop_idle_tenants(at);
+        self.buckets.set_share_owner(ShareOwner::of(summary));
+        let quota = |tenant: &str| tables.map_or(Quota::UNLIMITED, |tables| tables.quota(tenant));
+        self.buckets.apply_usage(summary.quota_divisor, &summary.tenants, quota, at);
+    }
+
+    /// Falls back to the least shares where no fleet summary has come for long.
+    pub(super) fn shrink_when_cut_off(&mut self, at: Timestamp) {
+        self.buckets.shrink_when_cut_off(at);
+    }
+
+    /// Requests admitted since the start, by tenant.
+    pub(super) fn admitted_counts(&self) -> BTreeMap<String, u64> {
+        self.buckets.admitted_counts()
+    }
+
+    /// This proxy's share of each tenant's quota.
+    pub(super) fn quota_shares(&self) -> BTreeMap<String, f64> {
+        self.buckets.quota_shares()
+    }
+}
--- /dev/null
+++ b/programs/proxy/src/pools/request.rs
@@ -0,0 +1,149 @@
+//! The state of one admitted request: the regions that it may still go to and the attempts that were made for it.
+//!
+//! A request's attempts are numbered twice: over all pools, which is what the router knows, and within each pool, which
+//! is what the pool's balancer knows. The numbers of a pool count attempts that were never sent, too.
+
+use super::{Location, PoolKey};
+use crate::routing::{RouteRule, Tenant};
+use crate::snapshot::AuthorizedRequest;
+use std::rc::Rc;
+use vanewharf_config::config::RouteKind;
+use vanewharf_policy::interface::{AttemptNumber, BackendId, Outcome, Ticks};
+
+/// One attempt that was sent to a backend.
+pub(super) struct Attempt {
+    pub(super) pool: PoolKey,
+    pub(super) backend: BackendId,
+    /// Its number within its pool.
+    pub(super) number_in_pool: AttemptNumber,
+    pub(super) ended: bool,
+}
+
+/// How many attempts the balancer of one pool has asked for, sent or not.
+struct RequestedAttempts {
+    pool: PoolKey,
+    count: u32,
+}
+
+/// A request that was admitted and is not forgotten yet.
+pub(super) struct RequestInFlight {
+    pub(super) rule: Rc<RouteRule>,
+    pub(super) tenant: Option<Rc<Tenant>>,
+    pub(super) service: Rc<str>,
+    /// The regions still to be tried, the next one last.
+    remaining_regions: Vec<Rc<str>>,
+    /// The pool that it was last offered to.
+    pub(super) pool: Option<PoolKey>,
+    /// When its client stops waiting.
+    pub(super) expiry: Ticks,
+    attempts: Vec<Attempt>,
+    requested: Vec<RequestedAttempts>,
+    /// One of its attempts reached a backend.
+    pub(super) reached_backend: bool,
+    may_have_run: bool,
+    /// It has its final answer.
+    concluded: bool,
+}
+
+impl RequestInFlight {
+    /// A request for `service`, which may go to any region that both its route and its tenant allow.
+    pub(super) fn new(request: AuthorizedRequest, service: Rc<str>, location: &Location) -> RequestInFlight {
+        let remaining_regions = allowed_regions(&request, location);
+        RequestInFlight {
+            rule: request.rule,
+            tenant: request.tenant,
+            service,
+            remaining_regions,
+            pool: None,
+            expiry: request.expiry,
+            attempts: Vec::new(),
+            requested: Vec::new(),
+            reached_backend: false,
+            may_have_run: false,
+            concluded: false,
+        }
+    }
+
+    /// Moves on to the pool of the next region. None where no region is left or no further attempt is allowed.
+    pub(super) fn next_pool(&mut self) -> Option<PoolKey> {
+        let unsafe_to_retry = self.may_have_run && self.rule.kind == RouteKind::Mutating;
+        if !self.has_attempts_left() || unsafe_to_retry {
+            return None;
+        }
+        let region = self.remaining_regions.pop()?;
+        let pool = PoolKey { service: Rc::clone(&self.service), region };
+        self.pool = Some(pool.clone());
+        Some(pool)
+    }
+
+    pub(super) fn has_attempts_left(&self) -> bool {
+        self.attempts.len() < self.rule.max_attempts
+    }
+
+    /// Counts an attempt that a pool's balancer asks for, and returns its number within the pool.
+    pub(super) fn count_requested_attempt(&mut self, pool: &PoolKey) -> AttemptNumber {
+        let known = self.requested.iter().position(|requested| requested.pool == *pool);
+        let position = known.unwrap_or_else(|| {
+            self.requested.push(RequestedAttempts { pool: pool.clone(), count: 0 });
+            self.requested.len() - 1
+        });
+        let number = AttemptNumber(self.requested[position].count);
+        self.requested[position].count += 1;
+        number
+    }
+
+    /// Records that an attempt was sent.
+    pub(super) fn add_attempt(&mut self, attempt: Attempt) {
+        self.attempts.push(attempt);
+    }
+
+    /// The number over all pools of an attempt by its number within one.
+    pub(super) fn attempt_number(
+        &self,
+        pool: &PoolKey,
+        number_in_pool: AttemptNumber,
+    ) -> Option<AttemptNumber> {
+        let is_meant = |attempt: &Attempt| attempt.pool == *pool && attempt.number_in_pool == number_in_pool;
+        self.attempts.iter().position(is_meant).map(|position| AttemptNumber(position as u32))
+    }
+
+    /// Records the end of an attempt, and returns that attempt. None where it is not known.
+    pub(super) fn end_attempt(&mut self, number: AttemptNumber, outcome: Outcome) -> Option<&Attempt> {
+        let attempt = self.attempts.get_mut(number.0 as usize)?;
+        attempt.ended = true;
+        self.reached_backend |= !matches!(outcome, Outcome::NotSent | Outcome::ConnectFailed);
+        self.may_have_run |= !outcome.never_ran();
+        Some(attempt)
+    }
+
+    /// Records that it has its final answer.
+    pub(super) fn conclude(&mut self) {
+        self.concluded = true;
+    }
+
+    pub(super) fn is_concluded(&self) -> bool {
+        self.concluded
+    }
+
+    /// Whether it has its final answer and no attempt in flight.
+    pub(super) fn is_finished(&self) -> bool {
+        self.concluded && self.attempts.iter().all(|attempt| attempt.ended)
+    }
+}
+
+/// The regions that may serve a request, the next one last: this proxy's own region comes first.
+fn allowed_regions(request: &AuthorizedRequest, location: &Location) -> Vec<Rc<str>> {
+    let allows = |homes: &[String], region: &str| homes.is_empty() || homes.iter().any(|home| home == region);
+    let allowed = |region: &str| {
+        let tenant_allows = |tenant: &Rc<Tenant>| allows(&tenant.home_regions, region);
+        allows(&request.rule.home_regions, region) && request.tenant.as_ref().is_none_or(tenant_allows)
+    };
+    let mut regions: Vec<Rc<str>> = Vec::new();
+    for region in location.zones.values().filter(|region| allowed(region)) {
+        if !regions.iter().any(|known| **known == **region) {
+            regions.push(Rc::from(region.as_str()));
+        }
+    }
+    regions.sort_by_key(|region| **region == *location.region);
+    regions
+}
--- a/programs/proxy/src/pools/tests.rs
+++ b/programs/proxy/src/pools/tests.rs
@@ -1,11 +1,21 @@
-//! What one carrier decides, by what it was told and what came back: no sockets, no clock but the given one.
+//! The decisions of one proxy by updates, requests and the ends of attempts; without sockets.
 
+use super::backend_pool::MAX_STALL;
+use super::backend_table::PooledBackend;
 use super::*;
 use crate::routing::ResolvedRoute;
-use vanewharf_protocol::messages::{Ballot, FleetSummary, Membership, Revision, TenantUsage, Version};
+use crate::snapshot::AuthorizedRequest;
+use crate::update::{TokenAnswer, TokenGrants};
+use vanewharf_health::RetryBudget;
+use vanewharf_policy::interface::{AttemptNumber, AttemptReport, Outcome};
+use vanewharf_protocol::messages::{
+    Backend, BackendList, Ballot, Membership, Revision, TenantUsage, Version,
+};
+use vanewharf_quota::{InitialFill, TokenBuckets};
 
 const SECOND: Ticks = Ticks::SECOND;
 
+/// One proxy's decisions in zone east-a, with what they share with the gate and the token client.
 struct Fixture {
     pools: BackendPools,
     snapshot: Rc<Snapshot>,
@@ -13,17 +23,17 @@
     txns: u64,
 }
 
-fn server(id: &str, service: &str, zone: &str) -> Backend {
+fn backend(id: &str, service: &str, zone: &str) -> Backend {
     let address = "10.0.0.9:80".parse().expect("an address");
     let (id, service, zone) = (id.to_owned(), service.to_owned(), zone.to_owned());
     Backend { id, service, address, zone, capacity: 4, draining: false, warmup_left_ms: 0 }
 }
 
-fn servers() -> Vec<Backend> {
-    vec![server("e1", "s", "east-a"), server("e2", "s", "east-b"), server("w1", "s", "west-a")]
+fn backends() -> Vec<Backend> {
+    vec![backend("e1", "s", "east-a"), backend("e2", "s", "east-b"), backend("w1", "s", "west-a")]
 }
 
-fn register(no: u64, evacuated: &[&str]) -> Rc<Register> {
+fn register(revision: u64, evacuated: &[&str]) -> Rc<Register> {
     let route = |prefix: &str, kind: &str, homes: &str| {
         format!(
             r#""{prefix}":{{"hostname":"h","path_prefix":"/{prefix}/","route_kind":"{kind}","deadline":"2s",
@@ -31,7 +41,7 @@
         )
     };
     let config = format!(
-        r#"{{"revision":"r{no}","routes":{{{},{},{}}},"services":{{"s":{{"health_path":"/h","connection_limit":9,
+        r#"{{"revision":"r{revision}","routes":{{{},{},{}}},"services":{{"s":{{"health_path":"/h","connection_limit":9,
         "warmup":"3s","warmup_per_s":7.5}}}},"limits":{{"max_header_bytes":1,"max_body_bytes":1,
         "header_deadline":"1s","idle_timeout":"1s"}},"customers":{{"t":{{"access_keys":["k"],"rate_per_s":8,
         "burst_allowance":8}}}}}}"#,
@@ -41,10 +51,17 @@
     );
     let config = Some(serde_json::from_str(&config).expect("JSON"));
     let evacuated = evacuated.iter().map(|zone| zone.to_string()).collect();
-    Rc::new(Register { ballot: Ballot(1), revision: Revision(no), config, evacuated, ..Register::empty() })
+    Rc::new(Register {
+        ballot: Ballot(1),
+        revision: Revision(revision),
+        config,
+        evacuated,
+        ..Register::empty()
+    })
 }
 
-fn ledger(lenders: Option<u32>) -> Update {
+/// A fleet of this proxy alone, and the number of token lenders where there are any.
+fn fleet_summary(lenders: Option<u32>) -> Update {
     let tenants = [("t".to_owned(), TenantUsage { requests_per_s: 0.0, quota_shares: 0.0 })].into();
     let version = Version { ballot: Ballot(1), number: 1 };
     Update::FleetSummary(Rc::new(FleetSummary {
@@ -81,7 +98,7 @@
         let mut fixture = Fixture { pools, snapshot, requested, txns: 0 };
         fixture.apply_update(Update::Register(register(1, &[])));
         fixture.set_backends(list);
-        fixture.apply_update(ledger(lenders));
+        fixture.apply_update(fleet_summary(lenders));
         fixture
     }
 
@@ -90,8 +107,8 @@
         self.pools.decide(SECOND, Vec::new())
     }
 
-    fn set_backends(&mut self, servers: Vec<Backend>) {
-        let list = BackendList { backends: servers, ..BackendList::default() };
+    fn set_backends(&mut self, backends: Vec<Backend>) {
+        let list = BackendList { backends, ..BackendList::default() };
         self.apply_update(Update::BackendList { list: Rc::new(list), taken_at: self.snapshot.clock.now() });
     }
 
@@ -107,28 +124,37 @@
         (txn, self.pools.decide(SECOND, vec![Event::RequestArrived(arrival)]))
     }
 
-    fn complete(&mut self, txn: TxnId, no: u32, outcome: Outcome) -> Vec<Action> {
-        let (no, took, complete) = (AttemptNumber(no), Ticks(100), outcome == Outcome::Succeeded);
-        let ending = AttemptReport {
+    fn complete(&mut self, txn: TxnId, attempt: u32, outcome: Outcome) -> Vec<Action> {
+        let report = AttemptReport {
             txn,
-            attempt: no,
+            attempt: AttemptNumber(attempt),
             outcome,
-            latency: took,
-            complete,
+            latency: Ticks(100),
+            complete: outcome == Outcome::Succeeded,
             metered_usage: None,
             actual_cost: None,
         };
-        self.pools.decide(SECOND, vec![Event::AttemptEnded(ending)])
+        self.pools.decide(SECOND, vec![Event::AttemptEnded(report)])
     }
 
-    /// The instance that a request goes to; none where it goes nowhere.
+    /// The name of the backend that a request is sent to; none where it is sent to none.
     fn chosen_backend(&self, actions: &[Action]) -> Option<String> {
         let [Action::SendAttempt { txn, backend, .. }] = actions else {
             return None;
         };
-        let fields = self.pools.extra_headers(*txn, *backend);
-        assert_eq!(fields[1], ("Customer-Name", "t".to_owned()));
-        Some(fields[0].1.clone())
+        let headers = self.pools.extra_headers(*txn, *backend);
+        assert_eq!(headers[1], ("Customer-Name", "t".to_owned()));
+        Some(headers[0].1.clone())
+    }
+
+    fn backend(&self, name: &str) -> Option<&PooledBackend> {
+        self.pools.backends.by_id.values().find(|backend| backend.listed.id == name)
+    }
+
+    /// The capacity that the balancer counts a backend with.
+    fn capacity(&self, name: &str) -> Option<f64> {
+        let published = self.backend(name).and_then(|backend| backend.published.as_ref());
+        published.map(|published| published.capacity)
     }
 }
 
@@ -136,208 +162,215 @@
     Update::TokenGrants(TokenGrants { waiting: vec![(txn, answer)], prefetched: Vec::new() })
 }
 
-fn busy(actions: &[Action]) -> bool {
+fn is_rejected_for_capacity(actions: &[Action]) -> bool {
     matches!(actions, [Action::Reject { retry_after: None, .. }])
 }
 
 #[test]
-fn a_request_goes_to_its_own_region_and_on_where_it_was_turned_away_there() {
-    let mut fixture = Fixture::start(servers(), None);
+fn a_request_goes_to_its_own_region_and_to_the_next_where_that_rejects_it() {
+    let mut fixture = Fixture::start(backends(), None);
     let (txn, actions) = fixture.send_request("/read/x");
     assert!(fixture.chosen_backend(&actions).is_some_and(|id| id.starts_with('e')), "{actions:?}");
     fixture.complete(txn, 0, Outcome::Succeeded);
     let (_, actions) = fixture.send_request("/home/x");
     assert_eq!(fixture.chosen_backend(&actions).as_deref(), Some("w1"), "home is elsewhere");
-    let mut shut = servers();
-    shut[0].draining = true;
-    fixture.set_backends(shut.clone());
+    let mut drained = backends();
+    drained[0].draining = true;
+    fixture.set_backends(drained.clone());
     for _ in 0..3 {
         let (_, actions) = fixture.send_request("/read/x");
         assert_eq!(fixture.chosen_backend(&actions).as_deref(), Some("e2"));
     }
-    shut.remove(1);
-    fixture.set_backends(shut);
+    drained.remove(1);
+    fixture.set_backends(drained);
     let (_, actions) = fixture.send_request("/read/x");
     assert_eq!(fixture.chosen_backend(&actions).as_deref(), Some("w1"), "nothing is left in its own region");
 }
 
 #[test]
-fn what_may_have_run_goes_nowhere_else() {
-    let mut fixture = Fixture::start(servers(), None);
+fn a_mutating_request_that_may_have_run_is_not_retried() {
+    let mut fixture = Fixture::start(backends(), None);
     for outcome in [Outcome::ConnectionLost, Outcome::TimedOut, Outcome::Error] {
         let (txn, _) = fixture.send_request("/write/x");
         assert_eq!(fixture.complete(txn, 0, outcome), [Action::Fail { txn }], "{outcome:?}");
     }
     let (txn, _) = fixture.send_request("/write/x");
     let actions = fixture.complete(txn, 0, Outcome::ConnectFailed);
-    assert!(fixture.chosen_backend(&actions).is_some(), "it never got there");
-    assert!(busy(&fixture.complete(txn, 1, Outcome::ConnectFailed)), "no more tries are allowed");
+    assert!(fixture.chosen_backend(&actions).is_some(), "it reached no backend");
+    assert!(
+        is_rejected_for_capacity(&fixture.complete(txn, 1, Outcome::ConnectFailed)),
+        "no more attempts are allowed"
+    );
 }
 
 #[test]
-fn a_repeat_needs_room_in_the_budget_that_requests_fill() {
-    let mut fixture = Fixture::start(servers(), None);
-    // Not one repeat is allowed at once; seven requests make room for one.
-    fixture.pools.repeats.insert(Rc::from("s"), RetryBudget::empty());
-    let mut repeated = 0;
+fn a_retry_spends_from_the_budget_that_requests_fill() {
+    let mut fixture = Fixture::start(backends(), None);
+    // The budget starts empty; seven requests fill it for one retry.
+    fixture.pools.retry_budgets.by_service.insert(Rc::from("s"), RetryBudget::empty());
+    let mut retried = 0;
     for _ in 0..8 {
         let (txn, _) = fixture.send_request("/read/x");
         let actions = fixture.complete(txn, 0, Outcome::Rejected);
-        repeated += u32::from(fixture.chosen_backend(&actions).is_some());
+        retried += u32::from(fixture.chosen_backend(&actions).is_some());
         fixture.complete(txn, 1, Outcome::Succeeded);
     }
-    assert_eq!(repeated, 1);
+    assert_eq!(retried, 1);
 }
 
 #[test]
-fn an_evacuated_zone_gets_nothing_and_comes_back_cold() {
-    let mut fixture = Fixture::start(vec![server("e1", "s", "east-a"), server("w1", "s", "west-a")], None);
+fn an_evacuated_zone_gets_no_requests_and_warms_up_when_it_is_reopened() {
+    let mut fixture = Fixture::start(vec![backend("e1", "s", "east-a"), backend("w1", "s", "west-a")], None);
     fixture.apply_update(Update::Register(register(2, &["east-a"])));
     let (txn, actions) = fixture.send_request("/read/x");
     assert_eq!(fixture.chosen_backend(&actions).as_deref(), Some("w1"));
     fixture.complete(txn, 0, Outcome::Succeeded);
     fixture.apply_update(Update::Register(register(3, &[])));
-    let cold = |fixture: &Fixture| {
-        let known = fixture.pools.backends.values().find(|backend| backend.server.id == "e1");
-        known.is_some_and(|known| known.cold_until > fixture.snapshot.clock.now())
-    };
-    assert!(cold(&fixture), "its backends may have become cold meanwhile");
+    let warming_up =
+        fixture.backend("e1").is_some_and(|backend| backend.warm_up.until > fixture.snapshot.clock.now());
+    assert!(warming_up, "its backends had no traffic meanwhile");
 }
 
 #[test]
-fn a_register_whose_voters_alone_have_changed_costs_a_door_nothing() {
-    let mut fixture = Fixture::start(servers(), None);
+fn a_register_that_differs_only_in_its_voters_changes_nothing() {
+    let mut fixture = Fixture::start(backends(), None);
     let tables =
         |fixture: &Fixture| fixture.snapshot.tables.borrow().clone().expect("a configuration has come");
     let before = tables(&fixture);
     let voter = "10.0.0.9:7600".parse().expect("an address");
     let membership = Membership { epoch: 2, voters: vec![voter], outgoing: Vec::new() };
     let other = Register { revision: Revision(2), membership, ..Register::clone(&register(1, &[])) };
-    let said = fixture.pools.apply_update(SECOND, Update::Register(Rc::new(other.clone())));
-    assert!(said.is_none(), "nothing of backends is arranged anew");
-    assert!(Rc::ptr_eq(&before, &tables(&fixture)), "nor are tables made");
+    let backends_changed = fixture.pools.apply_update(SECOND, Update::Register(Rc::new(other.clone())));
+    assert!(backends_changed.is_none(), "backends are not refreshed");
+    assert!(Rc::ptr_eq(&before, &tables(&fixture)), "nor are routing tables built");
     let evacuated = Register { revision: Revision(3), evacuated: ["east-a".to_owned()].into(), ..other };
     assert!(fixture.pools.apply_update(SECOND, Update::Register(Rc::new(evacuated))).is_some());
     assert!(!Rc::ptr_eq(&before, &tables(&fixture)));
 }
 
 #[test]
-fn a_cold_backend_is_given_a_part_and_the_rest_goes_elsewhere() {
-    let cold = Backend { warmup_left_ms: 3_000, ..server("e1", "s", "east-a") };
-    let mut fixture = Fixture::start(vec![cold, server("w1", "s", "west-a")], None);
-    fixture.pools.doors = 4.0;
-    let mut to = BTreeMap::<String, u32>::new();
+fn a_backend_that_warms_up_gets_its_share_and_the_rest_goes_elsewhere() {
+    let warming_up = Backend { warmup_left_ms: 3_000, ..backend("e1", "s", "east-a") };
+    let mut fixture = Fixture::start(vec![warming_up, backend("w1", "s", "west-a")], None);
+    fixture.pools.proxy_count = 4.0;
+    let mut requests = BTreeMap::<String, u32>::new();
     for _ in 0..8 {
         let (txn, actions) = fixture.send_request("/read/x");
         if let Some(id) = fixture.chosen_backend(&actions) {
-            *to.entry(id).or_default() += 1;
+            *requests.entry(id).or_default() += 1;
             fixture.complete(txn, 0, Outcome::Succeeded);
         }
     }
-    // Four doors may send it 16 in a second between them.
-    assert!(to.get("e1").copied().unwrap_or(0) <= 4, "{to:?}");
-    assert!(to.get("w1").copied().unwrap_or(0) >= 4, "{to:?}");
+    // Four proxies may send it 16 in a second between them.
+    assert!(requests.get("e1").copied().unwrap_or(0) <= 4, "{requests:?}");
+    assert!(requests.get("w1").copied().unwrap_or(0) >= 4, "{requests:?}");
 }
 
 #[test]
-fn beyond_the_quota_it_says_when_and_a_token_comes_back_where_nothing_was_sent() {
+fn a_rejection_by_quota_says_when_to_retry_and_an_unsent_request_returns_its_token() {
     let mut fixture = Fixture::start(Vec::new(), None);
     for _ in 0..30 {
         let (_, actions) = fixture.send_request("/read/x");
-        assert!(busy(&actions), "there is no backend, and nothing was spent: {actions:?}");
+        assert!(
+            is_rejected_for_capacity(&actions),
+            "there is no backend, and no token was spent: {actions:?}"
+        );
     }
-    fixture.set_backends(servers());
-    let mut refused = None;
+    fixture.set_backends(backends());
+    let mut retry_after = None;
     for _ in 0..30 {
         let (txn, actions) = fixture.send_request("/read/x");
         match actions.as_slice() {
-            [Action::Reject { retry_after: Some(wait), .. }] => refused = Some(*wait),
+            [Action::Reject { retry_after: Some(wait), .. }] => retry_after = Some(*wait),
             _ => drop(fixture.complete(txn, 0, Outcome::Succeeded)),
         }
     }
-    let wait = refused.expect("a burst of 8");
+    let wait = retry_after.expect("a burst of 8");
     assert!(wait >= Ticks(500) && wait <= Ticks(1_500), "{wait:?}");
 }
 
 #[test]
-fn where_postmasters_lend_a_request_waits_for_its_token() {
-    let mut fixture = Fixture::start(servers(), Some(3));
-    let (lent, actions) = fixture.send_request("/read/x");
+fn where_controllers_lease_tokens_a_request_waits_for_its_own() {
+    let mut fixture = Fixture::start(backends(), Some(3));
+    let (granted, actions) = fixture.send_request("/read/x");
     assert_eq!(actions, [], "it waits");
-    let requested = fixture.requested.try_recv().expect("a lender is asked");
-    assert_eq!((requested.waiting, &*requested.tenant), (Some(lent), "t"));
-    let actions = fixture.apply_update(token_answer(lent, TokenAnswer::Granted));
+    let requested = fixture.requested.try_recv().expect("a token is requested");
+    assert_eq!((requested.waiting, &*requested.tenant), (Some(granted), "t"));
+    let actions = fixture.apply_update(token_answer(granted, TokenAnswer::Granted));
     assert!(fixture.chosen_backend(&actions).is_some());
-    fixture.complete(lent, 0, Outcome::Succeeded);
+    fixture.complete(granted, 0, Outcome::Succeeded);
     let (refused, _) = fixture.send_request("/read/x");
     let actions = fixture.apply_update(token_answer(refused, TokenAnswer::Refused));
     assert!(matches!(actions.as_slice(), [Action::Reject { retry_after: Some(_), .. }]), "{actions:?}");
-    // Its client leaves: the token serves the next one without another ask.
-    let (left, _) = fixture.send_request("/read/x");
-    fixture.pools.decide(SECOND, vec![Event::ClientDisconnected(left)]);
-    assert_eq!(fixture.apply_update(token_answer(left, TokenAnswer::Granted)), []);
+    // Its client disconnects: the token serves the next request without another token request.
+    let (abandoned, _) = fixture.send_request("/read/x");
+    fixture.pools.decide(SECOND, vec![Event::ClientDisconnected(abandoned)]);
+    assert_eq!(fixture.apply_update(token_answer(abandoned, TokenAnswer::Granted)), []);
     while fixture.requested.try_recv().is_ok() {}
     let (_, actions) = fixture.send_request("/read/x");
     assert!(fixture.chosen_backend(&actions).is_some() && fixture.requested.try_recv().is_err());
-    // Nobody answers: this door's own reserve has not filled yet.
-    let (alone, _) = fixture.send_request("/read/x");
-    let actions = fixture.apply_update(token_answer(alone, TokenAnswer::NoAnswer));
+    // No lender answers: this proxy's own bucket has not filled yet.
+    let (unanswered, _) = fixture.send_request("/read/x");
+    let actions = fixture.apply_update(token_answer(unanswered, TokenAnswer::NoAnswer));
     assert!(matches!(actions.as_slice(), [Action::Reject { retry_after: Some(_), .. }]), "{actions:?}");
 }
 
 #[test]
-fn what_many_doors_saw_failing_gets_less_and_where_most_fail_none_is_spared() {
-    let mut fixture = Fixture::start(servers(), None);
-    let ill = |ill: &[&str], no| {
-        let version = Version { ballot: Ballot(1), number: no };
-        let ill = ill.iter().map(|id| (id.to_string(), 0.9)).collect();
+fn an_unhealthy_backend_gets_less_and_where_most_are_unhealthy_none_is_spared() {
+    let mut fixture = Fixture::start(backends(), None);
+    let with_unhealthy = |unhealthy: &[&str], number| {
+        let version = Version { ballot: Ballot(1), number };
+        let unhealthy = unhealthy.iter().map(|id| (id.to_string(), 0.9)).collect();
         let tenants = [("t".to_owned(), TenantUsage { requests_per_s: 0.0, quota_shares: 0.5 })].into();
         Update::FleetSummary(Rc::new(FleetSummary {
             version,
             quota_divisor: 1,
             tenants,
-            unhealthy: ill,
+            unhealthy,
             ..FleetSummary::default()
         }))
     };
-    let to_first = |fixture: &mut Fixture| {
-        fixture.pools.buckets = TokenBuckets::new(10_000.0, InitialFill::Full, fixture.snapshot.clock.now());
-        fixture.apply_update(ledger(None));
-        let mut first = 0;
+    let requests_to_e1 = |fixture: &mut Fixture| {
+        fixture.pools.admission.buckets =
+            TokenBuckets::new(10_000.0, InitialFill::Full, fixture.snapshot.clock.now());
+        fixture.apply_update(fleet_summary(None));
+        let mut requests = 0;
         for _ in 0..60 {
             let (txn, actions) = fixture.send_request("/read/x");
-            first += u32::from(fixture.chosen_backend(&actions).as_deref() == Some("e1"));
+            requests += u32::from(fixture.chosen_backend(&actions).as_deref() == Some("e1"));
             fixture.complete(txn, 0, Outcome::Succeeded);
         }
-        first
+        requests
     };
-    let even = to_first(&mut fixture);
-    fixture.apply_update(ill(&["e1"], 2));
-    fixture.pools.ill = [("e1".to_owned(), 0.9)].into();
-    fixture.pools.arrange(SECOND);
-    let size = |fixture: &Fixture, id: &str| {
-        let known = fixture.pools.backends.values().find(|backend| backend.server.id == id);
-        known.and_then(|known| known.shown.as_ref()).map(|shown| shown.capacity)
-    };
-    assert!(size(&fixture, "e1").is_some_and(|size| size < 0.2) && size(&fixture, "e2") == Some(4.0));
+    let even = requests_to_e1(&mut fixture);
+    fixture.apply_update(with_unhealthy(&["e1"], 2));
+    fixture.pools.backends.unhealthy = [("e1".to_owned(), 0.9)].into();
+    fixture.pools.refresh_backends(SECOND);
+    assert!(
+        fixture.capacity("e1").is_some_and(|capacity| capacity < 0.2) && fixture.capacity("e2") == Some(4.0)
+    );
     assert!(even >= 15, "{even} of 60 before");
-    fixture.apply_update(ill(&["e1", "e2"], 3));
-    assert_eq!((size(&fixture, "e1"), size(&fixture, "e2")), (Some(4.0), Some(4.0)), "the cause is shared");
-    // What this door saw itself is told.
+    fixture.apply_update(with_unhealthy(&["e1", "e2"], 3));
+    assert_eq!(
+        (fixture.capacity("e1"), fixture.capacity("e2")),
+        (Some(4.0), Some(4.0)),
+        "the cause is shared"
+    );
+    // What this proxy saw itself is reported.
     let (txn, _) = fixture.send_request("/read/x");
     fixture.complete(txn, 0, Outcome::ConnectionLost);
-    fixture.apply_update(ill(&[], 4));
-    assert_eq!(fixture.pools.reported.attempts.borrow().len(), 1);
+    fixture.apply_update(with_unhealthy(&[], 4));
+    assert_eq!(fixture.pools.status.attempts.borrow().len(), 1);
 }
 
 #[test]
-fn a_round_that_refuses_all_with_nothing_out_begins_anew() {
-    let mut fixture = Fixture::start(vec![server("e1", "s", "east-a"), server("e2", "s", "east-b")], None);
-    // Answers so late that no aim can be met: learnt well, and then never anything else.
+fn a_balancer_that_rejects_everything_with_nothing_in_flight_is_replaced() {
+    let mut fixture = Fixture::start(vec![backend("e1", "s", "east-a"), backend("e2", "s", "east-b")], None);
+    // Answers too late for any latency target: the balancer learns that none can be met, and has nothing to unlearn it by.
     for _ in 0..12 {
         let (txn, actions) = fixture.send_request("/write/x");
         if fixture.chosen_backend(&actions).is_some() {
-            let ending = AttemptReport {
+            let report = AttemptReport {
                 txn,
                 attempt: AttemptNumber(0),
                 outcome: Outcome::Succeeded,
@@ -346,37 +379,38 @@
                 metered_usage: None,
                 actual_cost: None,
             };
-            fixture.pools.decide(SECOND, vec![Event::AttemptEnded(ending)]);
+            fixture.pools.decide(SECOND, vec![Event::AttemptEnded(report)]);
         }
     }
-    fixture.pools.buckets = TokenBuckets::new(1000.0, InitialFill::Full, fixture.snapshot.clock.now());
-    fixture.apply_update(ledger(None));
+    fixture.pools.admission.buckets =
+        TokenBuckets::new(1000.0, InitialFill::Full, fixture.snapshot.clock.now());
+    fixture.apply_update(fleet_summary(None));
     let served = |fixture: &mut Fixture| {
         let (_, actions) = fixture.send_request("/write/x");
         matches!(actions.as_slice(), [Action::SendAttempt { .. }])
     };
-    assert!(!served(&mut fixture), "it refuses");
-    // As if that had gone on for longer than it may.
-    let before = fixture.snapshot.clock.now().before(STUCK * 2);
-    fixture.pools.rounds.values_mut().for_each(|round| round.stuck = Some(before));
+    assert!(!served(&mut fixture), "it rejects");
+    // As if it had rejected everything for longer than a balancer may.
+    let before = fixture.snapshot.clock.now().before(MAX_STALL * 2);
+    fixture.pools.pools.values_mut().for_each(|pool| pool.stalled_since = Some(before));
     served(&mut fixture);
-    assert!(served(&mut fixture), "it has begun anew");
+    assert!(served(&mut fixture), "the new balancer accepts");
 }
 
 #[test]
-fn a_failure_is_passed_on_as_it_is_unless_it_would_promise_something() {
-    let fixture = Fixture::start(servers(), None);
+fn an_error_reply_is_relayed_unless_its_status_says_that_the_request_did_not_run() {
+    let fixture = Fixture::start(backends(), None);
     let reply = |status: u16| {
         use tokio_util::codec::Decoder;
         let text = format!("HTTP/1.1 {status} X\r\nContent-Length: 0\r\n\r\n");
         let mut bytes = bytes::BytesMut::from(text.as_bytes());
         vanewharf_http1::ClientCodec::default().decode(&mut bytes).ok().flatten().expect("a reply")
     };
-    let passed = |status| match fixture.pools.final_answer(TxnId(1), FinalAnswer::Voided, Some(reply(status)))
-    {
-        FinalAnswer::Settled(reply) => Some(reply.status()),
-        _ => None,
-    };
-    assert_eq!((passed(500), passed(504)), (Some(500), Some(504)));
-    assert_eq!([passed(503), passed(429), passed(421), passed(408)], [None; 4], "it may have run");
+    let relayed =
+        |status| match fixture.pools.final_answer(TxnId(1), FinalAnswer::Voided, Some(reply(status))) {
+            FinalAnswer::Settled(reply) => Some(reply.status()),
+            _ => None,
+        };
+    assert_eq!((relayed(500), relayed(504)), (Some(500), Some(504)));
+    assert_eq!([relayed(503), relayed(429), relayed(421), relayed(408)], [None; 4], "it may have run");
 }
--- a/programs/proxy/src/server.rs
+++ b/programs/proxy/src/server.rs
@@ -14,7 +14,6 @@
 use tokio::task::JoinHandle;
 use tokio::time::{Instant, sleep, timeout_at};
 use vanewharf_config::settings::Settings;
-
 use vanewharf_gateway::clock::Clock;
 use vanewharf_gateway::listener::accept_clients;
 use vanewharf_gateway::messages::{BackendUpdate, RouterMessage};
--- a/programs/proxy/src/snapshot.rs
+++ b/programs/proxy/src/snapshot.rs
@@ -52,6 +52,16 @@
         }
     }
 
+    /// Takes up a request that the gate has authorized. Requests before it that are still here are dropped: they were
+    /// rejected after all, and numbers only grow.
+    pub(crate) fn take_authorized(&self, txn: TxnId) -> Option<AuthorizedRequest> {
+        let mut authorized = self.authorized.borrow_mut();
+        let later = authorized.split_off(&TxnId(txn.0 + 1));
+        let request = authorized.remove(&txn);
+        *authorized = later;
+        request
+    }
+
     /// Whether API keys may no longer be honoured: the configuration was not attested for so long that a key in it may
     /// have been revoked since.
     pub fn key_authority_expired(&self) -> bool {
