--- a/crates/compatibility/tests/support/programs.rs
+++ b/crates/compatibility/tests/support/programs.rs
@@ -42,7 +42,9 @@
                     Program::Agent => vanewharf_agent::run(settings, environment, ended)
                         .await
                         .map_err(|error| error.to_string()),
-                    Program::ControlPlane => vanewharf_controller::run(settings, environment, ended).await,
+                    Program::ControlPlane => vanewharf_controller::run(settings, environment, ended)
+                        .await
+                        .map_err(|error| error.to_string()),
                 }
             });
             outcome.expect("the program runs");
--- a/crates/testkit/src/town.rs
+++ b/crates/testkit/src/town.rs
@@ -84,7 +84,9 @@
         Program::Sorter => {
             vanewharf_agent::run(settings, premises, end).await.map_err(|error| error.to_string())
         }
-        Program::Postmaster => vanewharf_controller::run(settings, premises, end).await,
+        Program::Postmaster => {
+            vanewharf_controller::run(settings, premises, end).await.map_err(|error| error.to_string())
+        }
     }
 }
 
--- a/programs/controller/src/lib.rs
+++ b/programs/controller/src/lib.rs
@@ -86,13 +86,17 @@
     }
 }
 
-/// Runs a controller until `end` completes.
+/// Runs a controller until `shutdown` completes.
 ///
 /// # Errors
 /// Where it cannot be started: see [`start`].
-pub async fn run(settings: Settings, environment: Environment, end: ShutdownSignal) -> Result<(), String> {
-    let controller = start(settings, environment).await.map_err(|error| error.to_string())?;
-    let _ = end.await;
+pub async fn run(
+    settings: Settings,
+    environment: Environment,
+    shutdown: ShutdownSignal,
+) -> Result<(), StartError> {
+    let controller = start(settings, environment).await?;
+    let _ = shutdown.await;
     controller.shut_down().await;
     Ok(())
 }
