--- a/crates/exchange/src/connection.rs
+++ b/crates/exchange/src/connection.rs
@@ -37,7 +37,7 @@
     Connected,
     /// It was refused, or was not established in time.
     ConnectFailed,
-    /// No local socket was left to dial with, which says nothing of the backend.
+    /// No local socket was left to dial with, which proves nothing of the backend.
     NoLocalSocket,
     /// The attempt's last byte was written.
     Written,
@@ -54,7 +54,7 @@
     },
     /// The attempt is no longer waited for.
     Cancelled(CancelReason),
-    /// The idle connection was given its next attempt.
+    /// The idle connection was assigned its next attempt.
     AttemptAssigned,
     /// Bytes or the end of the connection were received while it was idle.
     UnsolicitedData,
--- a/crates/exchange/src/txns.rs
+++ b/crates/exchange/src/txns.rs
@@ -22,7 +22,7 @@
 /// has left.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Txn<A, C> {
-    repeat: RepeatRule,
+    retry: RetryRule,
     deadline: Ticks,
     answer: Option<A>,
     attempts: Vec<Attempt<C>>,
@@ -42,11 +42,11 @@
     }
 }
 
-/// Whether a request may run more than once.
+/// Whether a request may be retried after it may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-enum RepeatRule {
-    Repeatable,
-    OnceOnly,
+enum RetryRule {
+    Allowed,
+    OnlyIfNeverRan,
 }
 
 /// The requests in flight.
@@ -105,7 +105,7 @@
     /// The request is not known.
     UnknownTxn,
     /// The request was answered in this very batch, or its time is over: nothing is sent.
-    Moot {
+    NotSent {
         /// The attempt's number.
         no: AttemptNumber,
         /// Whether the request is answered.
@@ -125,12 +125,12 @@
 impl<A, C> Txns<A, C> {
     /// Adds a request that arrived.
     pub fn insert(&mut self, id: TxnId, idempotency: Idempotency, deadline: Ticks, answer: A) {
-        let repeat = if idempotency == Idempotency::NonIdempotent {
-            RepeatRule::OnceOnly
+        let retry = if idempotency == Idempotency::NonIdempotent {
+            RetryRule::OnlyIfNeverRan
         } else {
-            RepeatRule::Repeatable
+            RetryRule::Allowed
         };
-        self.txns.insert(id, Txn { repeat, deadline, answer: Some(answer), attempts: Vec::new() });
+        self.txns.insert(id, Txn { retry, deadline, answer: Some(answer), attempts: Vec::new() });
     }
 
     /// Records that the client has left; returns whether it was still to be answered.
@@ -192,10 +192,10 @@
         self.attempt_mut(id, no)?.canceller.take()
     }
 
-    /// Whether a client may be told that repeating the request is harmless.
-    pub fn is_repeat_harmless(&self, id: TxnId) -> bool {
-        let harmless = |txn: &Txn<A, C>| txn.repeat != RepeatRule::OnceOnly || !txn.may_have_run();
-        self.txns.get(&id).is_none_or(harmless)
+    /// Whether a client may be informed that retrying the request is harmless.
+    pub fn is_retry_safe(&self, id: TxnId) -> bool {
+        let is_safe = |txn: &Txn<A, C>| txn.retry != RetryRule::OnlyIfNeverRan || !txn.may_have_run();
+        self.txns.get(&id).is_none_or(is_safe)
     }
 
     /// Takes what gives the client its final answer. None where the request was settled, or its client left, in this
@@ -218,15 +218,15 @@
             return AttemptStart::UnknownTxn;
         };
         let no = AttemptNumber(txn.attempts.len() as u32);
-        let moot = txn.is_answered() || txn.deadline <= now;
+        let not_sent = txn.is_answered() || txn.deadline <= now;
         let has_run = txn.may_have_run();
-        let (may_have_run, ended) = (!moot, moot);
+        let (may_have_run, ended) = (!not_sent, not_sent);
         txn.attempts.push(Attempt { backend, started: now, may_have_run, canceller: None, ended });
-        if moot {
-            return AttemptStart::Moot { no, complete: txn.is_answered() };
+        if not_sent {
+            return AttemptStart::NotSent { no, complete: txn.is_answered() };
         }
         let deadline = timeout.map_or(txn.deadline, |span| txn.deadline.min(now + span));
-        let permitted = !(txn.repeat == RepeatRule::OnceOnly && has_run);
+        let permitted = !(txn.retry == RetryRule::OnlyIfNeverRan && has_run);
         AttemptStart::Started { no, deadline, permitted }
     }
 
--- a/crates/exchange/src/txns/tests.rs
+++ b/crates/exchange/src/txns/tests.rs
@@ -42,23 +42,23 @@
 #[test]
 fn an_answered_or_expired_txn_starts_no_attempt() {
     let mut txns = txns(Idempotency::Idempotent);
-    assert_eq!(goes(&mut txns, 100), AttemptStart::Moot { no: FIRST, complete: false });
+    assert_eq!(goes(&mut txns, 100), AttemptStart::NotSent { no: FIRST, complete: false });
     assert!(txns.client_left(ONE) && !txns.client_left(ONE));
-    assert_eq!(goes(&mut txns, 20), AttemptStart::Moot { no: AttemptNumber(1), complete: true });
+    assert_eq!(goes(&mut txns, 20), AttemptStart::NotSent { no: AttemptNumber(1), complete: true });
     assert_eq!(txns.start_attempt(TxnId(9), BackendId(7), None, Ticks(0)), AttemptStart::UnknownTxn);
 }
 
 #[test]
 fn a_non_idempotent_txn_is_retried_only_if_nothing_may_have_run() {
     let mut txns = txns(Idempotency::NonIdempotent);
-    assert!(txns.is_repeat_harmless(ONE));
+    assert!(txns.is_retry_safe(ONE));
     goes(&mut txns, 10);
-    assert!(!txns.is_repeat_harmless(ONE), "it may run at any moment");
+    assert!(!txns.is_retry_safe(ONE), "it may run at any moment");
     assert!(matches!(goes(&mut txns, 11), AttemptStart::Started { permitted: false, .. }));
     for no in [0, 1] {
         txns.record_end(ONE, AttemptNumber(no), Outcome::Rejected, Ticks(20)).expect("it was out");
     }
-    assert!(txns.is_repeat_harmless(ONE));
+    assert!(txns.is_retry_safe(ONE));
     assert!(matches!(goes(&mut txns, 21), AttemptStart::Started { permitted: true, .. }));
 }
 
--- a/crates/gateway-settings/src/policy_start.rs
+++ b/crates/gateway-settings/src/balancer_config.rs
@@ -1,4 +1,4 @@
-//! What the policy starts from, and the names that the settings give to what the policy numbers.
+//! The configuration of the balancing policy, and the names that the settings give to what the policy numbers.
 
 use crate::limits::idle_reuse_limit;
 use crate::options::{Options, UnreadableOption};
@@ -18,12 +18,12 @@
     pub locality: String,
 }
 
-/// Reads what the policy of one gateway starts from at `at`.
+/// Reads the configuration of one gateway's policy, which starts at `at`.
 ///
 /// # Errors
 ///
 /// Where an option cannot be read.
-pub fn policy_start(
+pub fn balancer_config(
     options: &Options,
     seed: u64,
     at: Ticks,
@@ -31,14 +31,14 @@
     let mut names = SettingNames { locality: options.text("locality").to_owned(), ..SettingNames::default() };
     let products = products(options, &mut names)?;
     let plans = plans(options, &mut names)?;
-    let start = BalancerConfig {
+    let config = BalancerConfig {
         seed,
         started_at: at,
         gateway: GatewayId(options.optional("me")?.unwrap_or_default()),
         gateway_count: options.optional("balancers")?.unwrap_or(1).max(1),
         products,
         plans,
-        allowed: allowances(options)?,
+        allowed: allowed_actions(options)?,
         warm_up: WarmUp {
             initial_capacity: options.number("rules.cold_from")?,
             ramp_time: options.time("rules.ramp_time")?,
@@ -51,7 +51,7 @@
         peer_messages: options.flag("allowed.peer_messages")?,
         max_cost: options.number("family_info.most_units")?,
     };
-    Ok((start, names))
+    Ok((config, names))
 }
 
 fn products(options: &Options, names: &mut SettingNames) -> Result<Vec<Product>, UnreadableOption> {
@@ -59,9 +59,9 @@
     for item in 0..options.count("classes.count")? {
         let key = |name: &str| format!("classes.{item}.{name}");
         let window = options.time(&key("window"))?;
-        let repeat = match options.text(&key("idempotency")) {
+        let idempotency = match options.text(&key("idempotency")) {
             "retryable" => Idempotency::Idempotent,
-            // Where only some of the backends detect repeats, none is sent.
+            // Where only some of the backends deduplicate, nothing is retried.
             "dedup" if options.text(&key("group")) == "all" => Idempotency::Deduplicated { window },
             _ => Idempotency::NonIdempotent,
         };
@@ -69,7 +69,7 @@
         products.push(Product {
             sla_time: options.time(&key("aim"))?,
             value: options.number(&key("gain"))?,
-            idempotency: repeat,
+            idempotency,
         });
     }
     Ok(products)
@@ -93,7 +93,7 @@
     Ok(plans)
 }
 
-fn allowances(options: &Options) -> Result<AllowedActions, UnreadableOption> {
+fn allowed_actions(options: &Options) -> Result<AllowedActions, UnreadableOption> {
     Ok(AllowedActions {
         cancel: options.flag("allowed.cancel")?,
         hedging: options.flag("allowed.second_copies")?,
--- a/crates/gateway-settings/src/options.rs
+++ b/crates/gateway-settings/src/options.rs
@@ -132,9 +132,9 @@
     }
 }
 
-/// Ticks of a millisecond, rounded down so that an expiry is never taken for later than it is.
+/// Converts milliseconds, rounded down so that an expiry is never taken for later than it is.
 pub fn ticks_from_ms(milliseconds: f64) -> Ticks {
-    // Against a decimal fraction that is represented as slightly less than the whole tenth that it stands for.
+    // Against a decimal fraction that is represented as slightly less than the tick that it stands for.
     const ROUNDING_TOLERANCE: f64 = 1e-6;
     Ticks((milliseconds * 10.0 + ROUNDING_TOLERANCE).floor() as i64)
 }
--- a/crates/gateway-settings/src/tests.rs
+++ b/crates/gateway-settings/src/tests.rs
@@ -21,8 +21,8 @@
         tiers_of_service.0.store_size=16 tiers_of_service.1.name=gold";
     let flat = Options::flat(flat.split(' ').filter_map(|pair| pair.split_once('=')));
     let nested = Options::nested(&nested);
-    let (one, names) = policy_start(&flat, 7, Ticks(5)).expect("readable");
-    let (other, _) = policy_start(&nested, 7, Ticks(5)).expect("readable");
+    let (one, names) = balancer_config(&flat, 7, Ticks(5)).expect("readable");
+    let (other, _) = balancer_config(&nested, 7, Ticks(5)).expect("readable");
     assert_eq!(one, other);
     assert_eq!(names.plans["gold"], PlanId(1));
     let repeat = Idempotency::Deduplicated { window: Ticks(50_002) };
@@ -38,7 +38,7 @@
 #[test]
 fn names_the_option_that_cannot_be_read() {
     let odd = Options::nested(&json!({"classes": [{"gain": "much"}]}));
-    let fault = policy_start(&odd, 7, Ticks(5)).expect_err("no number");
+    let fault = balancer_config(&odd, 7, Ticks(5)).expect_err("no number");
     assert_eq!(fault.to_string(), "option classes.0.gain cannot be read: 'much'");
-    assert!(policy_start(&Options::flat([("rules.cold_from", "inf")]), 7, Ticks(5)).is_err());
+    assert!(balancer_config(&Options::flat([("rules.cold_from", "inf")]), 7, Ticks(5)).is_err());
 }
--- a/crates/http1/src/head.rs
+++ b/crates/http1/src/head.rs
@@ -1,4 +1,4 @@
-//! The head of a message: its first line, its fields, and what they say of the body and the connection.
+//! The head of a message: its first line, its fields, and how they frame the body and the connection.
 
 use crate::body::BodyState;
 use crate::error::ReadError;
@@ -10,7 +10,7 @@
 pub(crate) const MAX_HEAD_BYTES: usize = 64 * 1024;
 const MAX_FIELDS: usize = 64;
 
-/// A complete head, and what it says of the rest.
+/// A complete head, and how it frames the rest.
 pub(crate) struct Head<L> {
     pub(crate) line: L,
     /// In bytes, with the empty line after it.
@@ -30,7 +30,7 @@
     fn is_interim(&self) -> bool;
 }
 
-/// What the fields say of the body and the connection.
+/// How the fields frame the body and the connection.
 #[derive(Default)]
 struct Framing {
     length: Option<usize>,
--- a/programs/gateway/src/answer.rs
+++ b/programs/gateway/src/answer.rs
@@ -8,7 +8,7 @@
 use vanewharf_http1::{ForwardedReply, PlainReply, Reply, ServerCodec};
 use vanewharf_policy::interface::Ticks;
 
-/// A client that accepts no bytes for so long is given up, whatever it requested.
+/// A client that accepts no bytes for so long is disconnected.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
 
 const NOT_ACCEPTED: &str = "not taken on now; trying again is harmless\n";
@@ -17,7 +17,7 @@
 #[derive(Debug)]
 pub enum FinalAnswer {
     /// A backend's reply.
-    Settled(Reply),
+    Forwarded(Reply),
     /// The policy declined the request and nothing has run.
     Declined {
         /// Where a quota was exceeded: when the client may come back. None where capacity was short.
@@ -28,21 +28,21 @@
         /// When the client may come back.
         retry_after: Ticks,
     },
-    /// The request was rejected for what it says, before any routing decision.
+    /// The request is invalid; it was rejected before any routing decision.
     Rejected {
         /// The HTTP status.
         status: u16,
         /// The answer's body.
         reason: &'static str,
     },
-    /// The outcome is not known: the request may have run.
-    Voided,
+    /// The request may have run.
+    OutcomeUnknown,
 }
 
 impl FinalAnswer {
     /// The memory that the answer takes, in bytes.
     pub fn memory_bytes(&self) -> usize {
-        if let FinalAnswer::Settled(reply) = self { reply.memory_bytes() } else { 0 }
+        if let FinalAnswer::Forwarded(reply) = self { reply.memory_bytes() } else { 0 }
     }
 }
 
@@ -55,14 +55,14 @@
     options: &ForwardingOptions,
 ) -> bool {
     let (status, retry_after, body) = match answer {
-        FinalAnswer::Settled(reply) => {
+        FinalAnswer::Forwarded(reply) => {
             let removed_headers = options.response_headers_removed;
             return completes_in_time(client.send(ForwardedReply { reply, removed_headers, close })).await;
         }
         FinalAnswer::Declined { retry_after: Some(wait) } => (429, Some(*wait), "beyond the quota\n"),
         FinalAnswer::Declined { retry_after: None } => (503, options.busy_retry_after, NOT_ACCEPTED),
         FinalAnswer::Busy { retry_after } => (503, Some(*retry_after), NOT_ACCEPTED),
-        FinalAnswer::Voided => (502, None, "the outcome is not known\n"),
+        FinalAnswer::OutcomeUnknown => (502, None, "the outcome is not known\n"),
         FinalAnswer::Rejected { status, reason } => {
             return write_plain(client, *status, &format!("{reason}\n"), close).await;
         }
--- a/programs/gateway/src/client_connection.rs
+++ b/programs/gateway/src/client_connection.rs
@@ -192,7 +192,7 @@
                 answer = &mut answered => {
                     // The router must not drop a request that has no answer yet.
                     self.shared.resources.check(answer.is_ok(), Invariant::AnsweredOnce);
-                    return Some(answer.unwrap_or(FinalAnswer::Voided));
+                    return Some(answer.unwrap_or(FinalAnswer::OutcomeUnknown));
                 }
                 read = self.read(), if read_ahead.is_none() => {
                     if read.is_connection_lost() {
@@ -220,7 +220,7 @@
         self.message_bytes = 0;
     }
 
-    /// Reads on and accounts for the buffers; an incomplete request is given up when memory is short.
+    /// Reads on and accounts for the buffers; an incomplete request is dropped when memory is short.
     fn poll_read(&mut self, cx: &mut Context<'_>) -> Poll<ReadResult> {
         let ClientConnection { framed, guard, message_bytes, shared, .. } = self;
         let read = framed.poll_next_unpin(cx);
@@ -273,7 +273,7 @@
         let resources = &shared.resources;
         loop {
             let _idle = resources.idle_client();
-            // At the end, what the system has accepted counts as taken, read or not.
+            // While draining, a connection that the system has accepted may still carry a request that was not read yet.
             let draining = resources.is_draining();
             let deadline = if draining {
                 Instant::now() + DRAIN_IDLE_TIMEOUT
@@ -281,7 +281,7 @@
                 self.first_request_deadline.unwrap_or(Instant::now() + options.idle_timeout)
             };
             // Cancel safe: what was read stays in the codec. Before draining, a woken connection either closes or, where
-            // draining has just begun, waits anew with the shorter timeout.
+            // draining has just begun, waits again with the shorter timeout.
             tokio::select! {
                 biased;
                 first_byte = self.read_first_byte() => return first_byte,
--- a/programs/gateway/src/config.rs
+++ b/programs/gateway/src/config.rs
@@ -6,8 +6,8 @@
 use std::path::Path;
 use thiserror::Error;
 use vanewharf_gateway_settings::{
-    ConnectionTimeouts, Options, RequestBounds, SettingNames, UnreadableOption, connection_timeouts,
-    discovery_poll_interval, peer_messages_per_s, policy_start, request_bounds,
+    ConnectionTimeouts, Options, RequestBounds, SettingNames, UnreadableOption, balancer_config,
+    connection_timeouts, discovery_poll_interval, peer_messages_per_s, request_bounds,
 };
 use vanewharf_policy::interface::{BalancerConfig, Ticks};
 
@@ -37,11 +37,11 @@
 
 /// What the settings mean.
 pub struct Settings {
-    /// What the policy starts from.
-    pub policy: BalancerConfig,
+    /// What the routing policy starts from.
+    pub balancer: BalancerConfig,
     /// The names of plans and products.
     pub names: SettingNames,
-    /// When backend connections are given up.
+    /// The timeouts of backend connections.
     pub timeouts: ConnectionTimeouts,
     /// How often discovery must be called, where lists come only on request.
     pub discovery_poll_interval: Option<Ticks>,
@@ -68,9 +68,9 @@
 
 impl Settings {
     fn read(options: &Options, seed: u64, now: Ticks) -> Result<Settings, UnreadableOption> {
-        let (policy, names) = policy_start(options, seed, now)?;
+        let (balancer, names) = balancer_config(options, seed, now)?;
         Ok(Settings {
-            policy,
+            balancer,
             names,
             timeouts: connection_timeouts(options)?,
             discovery_poll_interval: discovery_poll_interval(options)?,
--- a/programs/gateway/src/counters.rs
+++ b/programs/gateway/src/counters.rs
@@ -24,31 +24,31 @@
     /// A request was rejected or declined before any routing decision.
     RequestsRejected "turned_back",
     /// A request was answered with a backend's reply.
-    RequestsSettled "settled",
+    RequestsSucceeded "settled",
     /// A request was declined by the policy.
     RequestsDeclined "declined",
     /// A request was answered without its outcome being known.
-    RequestsVoided "voided",
+    RequestsOutcomeUnknown "voided",
     /// A client closed its connection before it was answered.
     ClientsLeft "left",
     /// An attempt was made.
     Attempts "submissions",
     /// An attempt ended with a good reply.
-    AttemptsSettled "submissions_settled",
+    AttemptsSucceeded "submissions_settled",
     /// An attempt ended with a reply that is an error.
     AttemptsError "submissions_error",
     /// An attempt was refused by the backend before it ran.
-    AttemptsTurnedAway "submissions_turned_away",
+    AttemptsRejected "submissions_turned_away",
     /// An attempt ran out of time.
     AttemptsTimedOut "submissions_timed_out",
     /// An attempt got no connection.
-    AttemptsNoConnection "submissions_no_connection",
+    AttemptsConnectFailed "submissions_no_connection",
     /// An attempt's connection broke after the request was written.
-    AttemptsBroken "submissions_broken",
+    AttemptsConnectionLost "submissions_broken",
     /// An attempt was cancelled by the policy.
     AttemptsCancelled "submissions_cancelled",
     /// An attempt was not made: its request was over, or no socket was left.
-    AttemptsMoot "submissions_moot",
+    AttemptsNotSent "submissions_moot",
     /// A client connection was accepted.
     ClientsAccepted "clients_accepted",
     /// An idle client connection was closed to free its socket.
--- a/programs/gateway/src/dialect.rs
+++ b/programs/gateway/src/dialect.rs
@@ -1,7 +1,7 @@
 //! What differs between the programs that forward requests: which requests they admit, by which header fields they
 //! talk to clients and backends, and what a backend's reply proves.
 //!
-//! The stages know no header field's name; they ask the [`HttpDialect`] of the program that they run in.
+//! The stages do not know the names of header fields; they use the [`HttpDialect`] of the program that they run in.
 
 use std::time::Duration;
 use vanewharf_http1::{Reply, Request};
@@ -39,7 +39,7 @@
 /// The header fields that are set and removed when forwarding, and how long clients are waited for.
 #[derive(Clone, Copy, Debug)]
 pub struct ForwardingOptions {
-    /// The field that tells a backend how many milliseconds are left.
+    /// The field in which a backend receives the remaining time, in milliseconds.
     pub time_left_header: &'static str,
     /// Fields of the client's request that are not forwarded to backends.
     pub request_headers_removed: &'static [&'static str],
--- a/programs/gateway/src/discovery.rs
+++ b/programs/gateway/src/discovery.rs
@@ -34,9 +34,9 @@
 /// Why a call gave no list.
 #[derive(Debug, Error)]
 enum CallError {
-    /// A reply other than 200: discovery is reachable and accepts no more calls.
+    /// A reply other than 200: discovery is reachable and refuses calls.
     #[error("discovery takes no more calls")]
-    TurnedAway,
+    Refused,
     /// Changes may have been missed, so the complete list is to be requested.
     #[error("{0}")]
     Failed(&'static str),
@@ -130,7 +130,7 @@
     fn pause_after(&mut self, error: &CallError) -> Duration {
         match error {
             // The next watch starts from the version at hand: nothing is missed.
-            CallError::TurnedAway => {
+            CallError::Refused => {
                 tracing::debug!("{error}");
                 self.pacing.pause_after_refusal()
             }
@@ -168,7 +168,7 @@
             self.connection = None;
         }
         if reply.status() != STATUS_OK {
-            return Err(CallError::TurnedAway);
+            return Err(CallError::Refused);
         }
         serde_json::from_slice(reply.body()).map_err(|_| CallError::Failed("a list that cannot be read"))
     }
--- a/programs/gateway/src/discovery/backend_table.rs
+++ b/programs/gateway/src/discovery/backend_table.rs
@@ -61,7 +61,7 @@
     locality: String,
     version: u64,
     backends: BTreeMap<String, KnownBackend>,
-    /// Each id is given once, so that a late report of a backend that is gone is never taken for another's.
+    /// Each id is assigned once, so that a late report of a backend that is gone is never taken for another's.
     next_id: u32,
 }
 
--- a/programs/gateway/src/discovery/pacing.rs
+++ b/programs/gateway/src/discovery/pacing.rs
@@ -2,7 +2,7 @@
 //!
 //! Gateways that start together must not stay synchronized. Where lists come only on request, the calls of all gateways
 //! at one moment are more than discovery can answer, and so they are again after each fixed pause. Waits and pauses
-//! therefore have a random part, and a call that was turned away is repeated ever later.
+//! therefore have a random part, and a call that was refused is repeated after ever longer pauses.
 
 use crate::clock::to_duration;
 use rand::rngs::SmallRng;
@@ -18,7 +18,7 @@
 /// Between two calls where the first failed or returned nothing at once; it is shorter than the time within which the
 /// next call must be made.
 pub(super) const PAUSE: Duration = Duration::from_millis(100);
-/// The first pause after a call that was turned away, as a part of the interval at which a gateway must call.
+/// The first pause after a refused call, as a part of the interval at which a gateway must call.
 const FIRST_REFUSAL_PAUSE: f64 = 0.4;
 /// The longest such pause. A gateway whose call failed may take four intervals.
 const MAX_REFUSAL_PAUSE: f64 = 2.0;
@@ -28,7 +28,7 @@
 pub struct DiscoveryPacing {
     /// Where lists come only on request: how often a gateway must call.
     poll_interval: Option<Duration>,
-    /// Calls turned away since the last that was answered.
+    /// Calls refused since the last that was answered.
     refusals: i32,
     random: SmallRng,
 }
@@ -55,7 +55,7 @@
         self.refusals = 0;
     }
 
-    /// How long to pause after discovery, though reachable, turned a call away.
+    /// How long to pause after discovery, though reachable, refused a call.
     pub(super) fn pause_after_refusal(&mut self) -> Duration {
         let doubled = FIRST_REFUSAL_PAUSE * 2f64.powi(self.refusals.min(MAX_DOUBLINGS));
         self.refusals += 1;
--- a/programs/gateway/src/main.rs
+++ b/programs/gateway/src/main.rs
@@ -79,11 +79,11 @@
     let clock = Clock::start();
     let config = GatewayConfig::read(arguments.operator.as_deref(), &clock)?;
     if arguments.check {
-        let (name, policy) = (&config.platform.name, &config.settings.policy);
+        let (name, balancer) = (&config.platform.name, &config.settings.balancer);
         tracing::info!(
             name,
-            peers = policy.peer_messages,
-            counter = policy.counter_timeout.is_some(),
+            peers = balancer.peer_messages,
+            counter = balancer.counter_timeout.is_some(),
             "a door would start"
         );
         return Ok(());
--- a/programs/gateway/src/messages.rs
+++ b/programs/gateway/src/messages.rs
@@ -15,7 +15,7 @@
 
 /// An admitted request.
 pub struct NewRequest {
-    /// What the routing policy is told of it.
+    /// The event for the routing policy.
     pub arrival: Arrival,
     /// The request as it was read.
     pub request: Rc<Request>,
@@ -69,7 +69,7 @@
 /// One backend as the routing policy sees it, and where it listens.
 #[derive(Clone, Debug)]
 pub struct BackendEntry {
-    /// Its state, under the id that this process has given to its name.
+    /// Its state, under the id that this process has assigned to its name.
     pub listed: BackendInfo,
     /// Its address; none where the published one cannot be read or it is gone.
     pub address: Option<SocketAddr>,
--- a/programs/gateway/src/platform_config.rs
+++ b/programs/gateway/src/platform_config.rs
@@ -1,5 +1,5 @@
 //! The platform's own file, which names this gateway, its addresses and limits, and the settings. It is read at the start
-//! and again at each reload, of which only the discovery agent's address takes effect.
+//! and at each reload; a reload changes the discovery agent's address only.
 
 use crate::discovery::PublishedList;
 use serde::Deserialize;
--- a/programs/gateway/src/quota_counter.rs
+++ b/programs/gateway/src/quota_counter.rs
@@ -38,8 +38,11 @@
 impl Call {
     fn to_frame(&self) -> BytesFrame {
         let life = (self.expire_after.0 / 10).clamp(*LIFE_MS.start(), *LIFE_MS.end());
-        let words = ["ADDGET".to_owned(), self.key.0.to_string(), self.amount.to_string(), life.to_string()];
-        BytesFrame::Array(words.into_iter().map(|word| BytesFrame::BulkString(word.into())).collect())
+        let arguments =
+            ["ADDGET".to_owned(), self.key.0.to_string(), self.amount.to_string(), life.to_string()];
+        BytesFrame::Array(
+            arguments.into_iter().map(|argument| BytesFrame::BulkString(argument.into())).collect(),
+        )
     }
 }
 
--- a/programs/gateway/src/router.rs
+++ b/programs/gateway/src/router.rs
@@ -56,7 +56,7 @@
     timers: TimerQueue,
     /// Events for the policy's next decision.
     events: Vec<Event>,
-    /// None where no shared counter is configured: the policy is told that its calls were not executed.
+    /// None where no shared counter is configured: calls of the policy are answered as not executed.
     quota_counter: Option<mpsc::UnboundedSender<Call>>,
     /// None where gateways do not exchange messages: messages are counted as not sent.
     peers: Option<Rc<PeerSocket>>,
@@ -237,9 +237,9 @@
         let ReportedUsage { metered_usage, actual_cost } = usage.unwrap_or_default();
         match (reply, answer) {
             (Some(reply), Some(answer)) => {
-                resources.count(Counter::RequestsSettled);
+                resources.count(Counter::RequestsSucceeded);
                 // A client that has left meanwhile is reported by its own connection.
-                let _ = answer.send(FinalAnswer::Settled(reply));
+                let _ = answer.send(FinalAnswer::Forwarded(reply));
             }
             (Some(reply), None) if outcome == Outcome::Error => {
                 if let Some(request) = self.requests.get_mut(&id) {
@@ -262,7 +262,7 @@
             }
             ExpiryAction::Overdue => {
                 self.shared.resources.check(false, Invariant::AnsweredByExpiry);
-                self.conclude(id, FinalAnswer::Voided);
+                self.conclude(id, FinalAnswer::OutcomeUnknown);
             }
         }
     }
@@ -290,13 +290,13 @@
 
 fn outcome_counter(outcome: Outcome) -> Counter {
     match outcome {
-        Outcome::Succeeded => Counter::AttemptsSettled,
+        Outcome::Succeeded => Counter::AttemptsSucceeded,
         Outcome::Error => Counter::AttemptsError,
-        Outcome::Rejected => Counter::AttemptsTurnedAway,
+        Outcome::Rejected => Counter::AttemptsRejected,
         Outcome::TimedOut => Counter::AttemptsTimedOut,
-        Outcome::ConnectFailed => Counter::AttemptsNoConnection,
-        Outcome::ConnectionLost => Counter::AttemptsBroken,
+        Outcome::ConnectFailed => Counter::AttemptsConnectFailed,
+        Outcome::ConnectionLost => Counter::AttemptsConnectionLost,
         Outcome::Cancelled => Counter::AttemptsCancelled,
-        Outcome::NotSent => Counter::AttemptsMoot,
+        Outcome::NotSent => Counter::AttemptsNotSent,
     }
 }
--- a/programs/gateway/src/router/actions.rs
+++ b/programs/gateway/src/router/actions.rs
@@ -22,10 +22,10 @@
                 self.cancel_attempt(txn, attempt, CancelReason::Cancelled)
             }
             Action::Reject { txn, retry_after } => {
-                self.shared.resources.check(self.txns.is_repeat_harmless(txn), Invariant::NoEffectTwice);
+                self.shared.resources.check(self.txns.is_retry_safe(txn), Invariant::NoEffectTwice);
                 self.conclude(txn, FinalAnswer::Declined { retry_after });
             }
-            Action::Fail { txn } => self.conclude(txn, FinalAnswer::Voided),
+            Action::Fail { txn } => self.conclude(txn, FinalAnswer::OutcomeUnknown),
             Action::SetTimer { after, timer } => self.timers.set(now + after, Timer::PolicyWake(timer)),
             Action::SendPeerMessage { to, message } => self.send_to_peer(to, &message),
             Action::IncrementCounter { key, amount, expire_after } => {
@@ -40,7 +40,7 @@
         self.shared.resources.count(counter);
     }
 
-    /// Where no task takes the call, the policy is told at once, as if the counter had refused it.
+    /// Where no task receives the call, it is answered at once, as if the counter had refused it.
     fn call_quota_counter(&mut self, call: Call) {
         self.shared.resources.count(Counter::CounterCalls);
         let key = call.key;
@@ -56,8 +56,8 @@
         };
         let failure = self.requests.get_mut(&id).and_then(|request| request.failure.take());
         let answer = self.policy.final_answer(id, answer, failure);
-        let voided = matches!(answer, FinalAnswer::Voided);
-        let counter = if voided { Counter::RequestsVoided } else { Counter::RequestsDeclined };
+        let voided = matches!(answer, FinalAnswer::OutcomeUnknown);
+        let counter = if voided { Counter::RequestsOutcomeUnknown } else { Counter::RequestsDeclined };
         self.shared.resources.count(counter);
         let _ = answer_sender.send(answer);
     }
@@ -66,7 +66,7 @@
         let resources = &self.shared.resources;
         let (no, deadline) = match self.txns.start_attempt(id, backend, timeout, now) {
             AttemptStart::UnknownTxn => return,
-            AttemptStart::Moot { no, complete } => return self.report_moot(id, no, complete),
+            AttemptStart::NotSent { no, complete } => return self.report_not_sent(id, no, complete),
             AttemptStart::Started { no, deadline, permitted } => {
                 resources.check(permitted, Invariant::NoEffectTwice);
                 (no, deadline)
@@ -87,8 +87,8 @@
         self.dispatch(Attempt { txn: id, no, request, deadline, cancelled, extra_headers }, backend, now);
     }
 
-    fn report_moot(&mut self, id: TxnId, no: AttemptNumber, complete: bool) {
-        self.shared.resources.count(Counter::AttemptsMoot);
+    fn report_not_sent(&mut self, id: TxnId, no: AttemptNumber, complete: bool) {
+        self.shared.resources.count(Counter::AttemptsNotSent);
         let report = AttemptReport {
             txn: id,
             attempt: no,
--- a/programs/gateway/src/router/policy.rs
+++ b/programs/gateway/src/router/policy.rs
@@ -1,4 +1,4 @@
-//! What the router asks of a routing policy, and the policy of the gateway on the platform.
+//! What the router requires of a routing policy, and the policy of the gateway on the platform.
 
 use crate::answer::FinalAnswer;
 use crate::messages::BackendUpdate;
--- a/programs/gateway/src/server.rs
+++ b/programs/gateway/src/server.rs
@@ -24,7 +24,7 @@
 use vanewharf_policy::decide::Balancer;
 use vanewharf_policy::interface::{GatewayId, Ticks};
 
-/// New clients keep coming for a while after the balancer in front was told that this gateway ends.
+/// New clients keep coming for a while after the balancer in front was notified that this gateway ends.
 const ACCEPT_WHILE_ENDING: Duration = Duration::from_millis(500);
 /// How many clients the system queues until they are accepted.
 const BACKLOG: u32 = 1024;
@@ -107,7 +107,7 @@
     pub async fn start(config: GatewayConfig, clock: Clock) -> Result<Server, ServeError> {
         let GatewayConfig { platform, operator, settings } = config;
         let PlatformConfig { name, listen, discovery, seed, limits, known, counter, .. } = platform;
-        let Settings { mut policy, names, timeouts, discovery_poll_interval, bounds, peer_messages_per_s } =
+        let Settings { mut balancer, names, timeouts, discovery_poll_interval, bounds, peer_messages_per_s } =
             settings;
         let resources = Rc::new(Resources::new(ResourceLimits::within(limits.sockets, limits.memory_mb)));
         let (router_messages, received_messages) = mpsc::unbounded_channel();
@@ -120,18 +120,18 @@
         let pacing = DiscoveryPacing::new(discovery_poll_interval, seed);
         let (discovery, known) = Discovery::start(agent_changes, Rc::clone(&shared), locality, known, pacing);
         // The policy calls the counter only where the settings permit it and the platform names one.
-        policy.counter_timeout = policy.counter_timeout.filter(|_| counter.is_some());
+        balancer.counter_timeout = balancer.counter_timeout.filter(|_| counter.is_some());
         let quota_calls = counter
-            .zip(policy.counter_timeout)
+            .zip(balancer.counter_timeout)
             .map(|(address, call_timeout)| spawn_quota_counter(address, call_timeout, &shared));
         let peers = match operator.peers {
             Some(addresses) => {
-                Some(spawn_peers(addresses, policy.gateway, peer_messages_per_s, &shared).await?)
+                Some(spawn_peers(addresses, balancer.gateway, peer_messages_per_s, &shared).await?)
             }
             None => None,
         };
-        let idempotency = policy.products.iter().map(|product| product.idempotency).collect();
-        let policy = PlatformPolicy { balancer: Balancer::new(policy), idempotency };
+        let idempotency = balancer.products.iter().map(|product| product.idempotency).collect();
+        let policy = PlatformPolicy { balancer: Balancer::new(balancer), idempotency };
         let router = Router::new(Rc::clone(&shared), policy, known, quota_calls, peers);
 
         // This policy gets no updates: their queue is closed from the beginning.
@@ -144,14 +144,14 @@
         Ok(Server { shared, router, discovery, accepting, stop_accepting, agent })
     }
 
-    /// Serves until the process is told to end, and then until the last client is answered.
+    /// Serves until SIGTERM, and then until the last client is answered.
     ///
     /// # Errors
     ///
     /// Where a stage that must not end has ended.
     pub async fn run(mut self, mut signals: Signals) -> Result<(), ServeError> {
         loop {
-            // Cancel safe: signals are kept until they are received, and the tasks' handles are polled by reference.
+            // Cancel safe: signals stay queued until they are received, and the tasks' handles are polled by reference.
             tokio::select! {
                 _ = signals.terminate.recv() => break,
                 _ = signals.reload.recv() => self.reload(),
@@ -164,7 +164,7 @@
         Ok(())
     }
 
-    /// Reads the platform's file again; of it, the discovery agent's address takes effect.
+    /// Reads the platform's file again and applies the discovery agent's address.
     fn reload(&self) {
         let resources = &self.shared.resources;
         match PlatformConfig::read() {
--- a/programs/gateway/src/shared.rs
+++ b/programs/gateway/src/shared.rs
@@ -19,7 +19,7 @@
     pub resources: Rc<Resources>,
     /// How this program speaks HTTP.
     pub dialect: Box<dyn HttpDialect>,
-    /// When backend connections are given up.
+    /// The timeouts of backend connections.
     pub timeouts: ConnectionTimeouts,
     /// The ids of the requests that are in flight.
     pub open_ids: OpenIds,
--- a/programs/proxy/src/pools.rs
+++ b/programs/proxy/src/pools.rs
@@ -271,10 +271,10 @@
     /// request did not run: it may have run at another backend.
     fn final_answer(&self, _: TxnId, answer: FinalAnswer, failure: Option<Reply>) -> FinalAnswer {
         match (answer, failure) {
-            (FinalAnswer::Voided | FinalAnswer::Declined { retry_after: None }, Some(reply))
+            (FinalAnswer::OutcomeUnknown | FinalAnswer::Declined { retry_after: None }, Some(reply))
                 if !matches!(reply.status(), 408 | 421 | 429 | 503) =>
             {
-                FinalAnswer::Settled(reply)
+                FinalAnswer::Forwarded(reply)
             }
             (answer, _) => answer,
         }
--- a/programs/proxy/src/pools/tests.rs
+++ b/programs/proxy/src/pools/tests.rs
@@ -407,8 +407,9 @@
         vanewharf_http1::ClientCodec::default().decode(&mut bytes).ok().flatten().expect("a reply")
     };
     let relayed =
-        |status| match fixture.pools.final_answer(TxnId(1), FinalAnswer::Voided, Some(reply(status))) {
-            FinalAnswer::Settled(reply) => Some(reply.status()),
+        |status| match fixture.pools.final_answer(TxnId(1), FinalAnswer::OutcomeUnknown, Some(reply(status)))
+        {
+            FinalAnswer::Forwarded(reply) => Some(reply.status()),
             _ => None,
         };
     assert_eq!((relayed(500), relayed(504)), (Some(500), Some(504)));
--- a/programs/simulator-adapter/src/session.rs
+++ b/programs/simulator-adapter/src/session.rs
@@ -9,7 +9,7 @@
 use std::collections::BTreeMap;
 use std::io::{self, BufRead, Write};
 use thiserror::Error;
-use vanewharf_gateway_settings::{Options, policy_start};
+use vanewharf_gateway_settings::{Options, balancer_config};
 use vanewharf_policy::decide::Balancer;
 use vanewharf_policy::interface::{BackendInfo, Event, Ticks};
 
@@ -177,7 +177,7 @@
 /// A gateway with the settings that the line has.
 fn launch(line: &Line<'_>, now: Ticks) -> Result<SimulatedGateway, InvalidLine> {
     let options = Options::flat(line.fields().iter().copied());
-    let started = policy_start(&options, line.required("init_seed")?, now);
+    let started = balancer_config(&options, line.required("init_seed")?, now);
     let (config, names) = started.map_err(|unreadable| line.invalid(unreadable.into()))?;
     Ok(SimulatedGateway::new(Balancer::new(config), names))
 }
