--- a/crates/consensus/src/accept.rs
+++ b/crates/consensus/src/accept.rs
@@ -1,8 +1,8 @@
 //! The accept round: whether a majority has a proposed register on disk.
 //!
 //! A register that a majority of its own membership has accepted is committed: every later candidate finds it (see
-//! `election`). Until then it may or may not come to be in force, whatever the round's outcome: a voter that was not heard
-//! in time may have accepted it.
+//! `election`). A round that is given up or rejected decides nothing: voters may have accepted the register without their
+//! responses arriving, and a later candidate may find it and commit it.
 
 use crate::quorum::QuorumTracker;
 use std::net::SocketAddr;
@@ -30,7 +30,7 @@
         AcceptRound { tally: QuorumTracker::new(register.membership.clone()) }
     }
 
-    /// Takes in one response. Breaks once the outcome is decided.
+    /// Records one response. Breaks once the outcome is decided.
     pub fn record_response(
         &mut self,
         voter: SocketAddr,
--- a/crates/consensus/src/ballot.rs
+++ b/crates/consensus/src/ballot.rs
@@ -20,11 +20,11 @@
     Ballot((counter << ADDRESS_BITS) | address)
 }
 
-/// The ballot under which a controller seeks the lease or holds it.
+/// The ballot under which a controller campaigns for the lease or holds it.
 ///
-/// A restarted voter may ask the one to which it had promised a ballot whether the lease is still held, so that it need not
-/// stay quiet for a whole lease duration. A controller that answers "no" renounces that ballot for good: votes for it may
-/// still be on their way, and to win by them after that answer would allow two leaseholders at once.
+/// A restarted voter may ask the controller to which it had promised its ballot whether the lease is still held, so that it
+/// need not suspend grants for a whole lease duration. A controller that answers "no" renounces that ballot for good. Votes
+/// for it may still be in flight, and if it won by them after that answer, there could be two leaseholders at once.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct BallotClaim {
     ballot: Ballot,
@@ -37,15 +37,15 @@
         BallotClaim { ballot, renounced: false }
     }
 
-    /// Answers a restarted voter's question whether the lease under `ballot` is still held. Where it is not, the claim on
-    /// that ballot is renounced.
+    /// Answers a restarted voter's question whether the lease under `ballot` is still held. If not, the claim on that ballot
+    /// is renounced.
     pub fn answer_inquiry(&mut self, ballot: Ballot, lease: Option<HeldLease>, now: Timestamp) -> bool {
         let held = lease.is_some_and(|lease| lease.ballot == ballot && lease.is_valid(now));
         self.renounced |= !held && self.ballot == ballot;
         held
     }
 
-    /// Whether votes for `ballot` may still be acted on.
+    /// Whether the controller may still win or renew a lease under `ballot`.
     pub fn is_valid_for(&self, ballot: Ballot) -> bool {
         self.ballot == ballot && !self.renounced
     }
--- a/crates/consensus/src/election.rs
+++ b/crates/consensus/src/election.rs
@@ -1,12 +1,12 @@
-//! The election: one try for the lease under one ballot.
+//! The election: one attempt to win the lease, under one ballot.
 //!
-//! A voter that grants the lease promises to accept nothing under a lower ballot, and tells the newest register that it has
-//! accepted. A register that is committed was accepted by a majority, which shares a voter with the majority that grants
-//! this lease. So the newest register among those granted is at least as new as any committed one; the winner has it
-//! accepted again under its own ballot before it proposes anything else.
+//! A voter that grants the lease promises to accept nothing under a lower ballot, and reports the newest register that it
+//! has accepted. A committed register was accepted by a majority, which shares a voter with the majority that grants this
+//! lease. So the newest reported register is at least as new as any committed one. The winner has it accepted again under its
+//! own ballot before it proposes anything else.
 //!
 //! The register that is found may name another set of voters than the candidate knew of. Then a majority of that set has to
-//! grant the lease, too: a majority of the old one alone may be unaware of what the new set has decided since.
+//! grant the lease, too: a majority of the set that the candidate knew may be unaware of what the newer set has decided.
 
 use crate::membership::all_voters;
 use crate::quorum::QuorumTracker;
@@ -15,7 +15,7 @@
 use std::ops::ControlFlow;
 use vanewharf_protocol::messages::{Ballot, Membership, Register, RegisterRank, Vote, VoteResponse};
 
-/// A try for the lease.
+/// One attempt to win the lease.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Election {
     candidate: SocketAddr,
@@ -24,14 +24,14 @@
     tally: QuorumTracker,
 }
 
-/// Where an election stands once the responses decide it. One in which all have responded before that is lost.
+/// What the responses so far decide. An election is lost if all have responded and nothing was decided.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ElectionOutcome {
     /// The register that was found names other voters: these have to be asked for the lease, too.
     QueryAlso(BTreeSet<SocketAddr>),
     /// The lease is granted. The register has to be accepted under the new ballot before anything else is proposed.
     Won(Box<Register>),
-    /// The candidate is no voter of the newest set, and must not lead it.
+    /// The candidate is not a voter of the newest set, and must not become its leaseholder.
     NotAVoter,
 }
 
@@ -46,7 +46,7 @@
         self.tally.membership()
     }
 
-    /// Takes in one response. Breaks once the outcome is decided, or more voters have to be asked.
+    /// Records one response. Breaks once the outcome is decided, or more voters have to be asked.
     pub fn record_response(
         &mut self,
         voter: SocketAddr,
@@ -71,12 +71,12 @@
         }
     }
 
-    /// The highest ballot that a voter which refused has promised to another; the next try has to be above it.
+    /// The highest ballot that a refusing voter has promised; the next attempt has to use a higher one. 0 if none refused.
     pub fn highest_refused_ballot(&self) -> Ballot {
         self.tally.highest_refused_ballot()
     }
 
-    /// The highest quota divisor known to the voters that granted the lease; 0 where none knows one.
+    /// The highest quota divisor known to the voters that granted the lease; 0 if none knows one.
     pub fn quota_divisor(&self) -> u32 {
         let counts = self.tally.votes().filter_map(|vote| match vote {
             Vote::Granted { quota_divisor, .. } => Some(*quota_divisor),
--- a/crates/consensus/src/follower_tracker.rs
+++ b/crates/consensus/src/follower_tracker.rs
@@ -1,7 +1,7 @@
 //! Tracks which controllers follow the leaseholder, and which of them have the committed register on disk.
 //!
-//! State: for each follower since when it has been in sync, and by which revision it is judged. It is kept by the process
-//! that may hold the lease, and knows nothing of before it took the lease.
+//! State: for each follower, since when it has been in sync and which revision it has to have. It starts empty whenever the
+//! lease is acquired, except after a short loss of the lease.
 
 use crate::planner::VoterCandidate;
 use std::collections::BTreeMap;
@@ -10,17 +10,17 @@
 use vanewharf_clock::Timestamp;
 use vanewharf_protocol::messages::{Follower, Revision};
 
-/// A follower that was not in sync for so long is out of sync. Followers pull more often than this.
+/// A follower that was last seen in sync so long ago is out of sync. Followers pull more often than this.
 pub(crate) const SYNC_TIMEOUT: Duration = Duration::from_millis(1200);
-/// A follower that was not in sync for so long is forgotten.
+/// A follower that was last seen in sync so long ago is forgotten.
 const FOLLOWER_RETENTION: Duration = Duration::from_secs(60);
-/// A leaseholder that has the lease again within this time goes on with what it knew.
+/// A leaseholder that regains the lease within this time continues with what it knew.
 const RESUME_WINDOW: Duration = Duration::from_secs(10);
 
 /// What the leaseholder knows of those that follow it.
 #[derive(Debug, Default)]
 pub struct FollowerTracker {
-    /// When the lease was taken. Moved on by the time in which it was lost for a moment.
+    /// When the lease was acquired, plus the time for which it was lost for a moment.
     tracking_since: Timestamp,
     /// When the lease was lost, while it is.
     lease_lost_at: Option<Timestamp>,
@@ -49,8 +49,8 @@
 }
 
 impl FollowerTracker {
-    /// The lease is taken. Where it was lost for a moment only, what was known counts on without that time, in which
-    /// nobody followed: a voter that had failed before is not waited for once more.
+    /// The lease is acquired. If it was lost for a moment only, tracking continues as if that time, in which nobody followed,
+    /// had not passed: a voter that had failed before is not waited for once more.
     pub fn lease_acquired(&mut self, now: Timestamp) {
         let gap = self.lease_lost_at.take().map(|lost_at| now.since(lost_at));
         match gap.filter(|gap| *gap < RESUME_WINDOW) {
@@ -76,7 +76,7 @@
         self.lease_lost_at = Some(now);
     }
 
-    /// A follower pulls, and reports what it has on disk; `committed` is what it should have soon.
+    /// A follower pulls, and reports what it has on disk; `committed` is the revision that it should have soon.
     pub fn record_pull(&mut self, follower: &Follower, committed: Revision, now: Timestamp) {
         let entry = self.followers.entry(follower.controller.ip);
         let progress = entry.or_insert_with(|| FollowerProgress {
@@ -90,9 +90,9 @@
         self.followers.retain(|_, progress| now.since(progress.last_progress()) < FOLLOWER_RETENTION);
     }
 
-    /// All that may vote: the current voters, whether they were heard from or not, the leaseholder itself, and whoever
-    /// follows it. Nobody is out of sync for longer than the lease was held. `address` tells where the controller of a
-    /// machine is reached.
+    /// All that may be voters: the current ones, whether they follow or not, the leaseholder itself, and its followers. Nobody
+    /// counts as out of sync for longer than the lease has been held. `address` is where the controller of a machine is
+    /// reached.
     pub fn candidates(
         &self,
         voters: &[SocketAddr],
@@ -101,20 +101,14 @@
         now: Timestamp,
     ) -> Vec<VoterCandidate> {
         let tracked_for = now.since(self.tracking_since);
-        // One that was never in sync is no candidate for promotion, however short the lease was held.
+        // One that was never in sync is out of sync, however short the lease has been held.
         let never_in_sync = tracked_for.max(SYNC_TIMEOUT);
         let followers = self.followers.iter().map(|(ip, progress)| {
             let out_of_sync_for = match progress.last_in_sync {
                 Some(seen) => now.since(seen.max(self.tracking_since)),
                 None => never_in_sync,
             };
-            let is_in_sync = out_of_sync_for < SYNC_TIMEOUT;
-            VoterCandidate {
-                address: address(*ip),
-                zone: progress.zone.clone(),
-                out_of_sync_for,
-                in_sync_for: if is_in_sync { now.since(progress.in_sync_since) } else { Duration::ZERO },
-            }
+            progress.candidate(address(*ip), out_of_sync_for, now)
         });
         let mut candidates: Vec<_> = followers.filter(|one| one.address != local.address).collect();
         candidates.push(VoterCandidate {
@@ -138,10 +132,10 @@
 }
 
 impl FollowerProgress {
-    /// Takes in what the follower has on disk; nothing while it has amnesia.
+    /// Records what the follower has on disk; nothing if it has amnesia.
     fn update(&mut self, on_disk: Option<Revision>, committed: Revision, now: Timestamp) {
         let has_required = on_disk.is_some_and(|revision| revision >= self.required_revision);
-        // What was committed a moment ago is still on its way to a follower that had everything before.
+        // A follower that had everything before may not have received yet what was committed a moment ago.
         let is_catching_up =
             self.last_in_sync.is_some() && on_disk.is_some() && now.since(self.required_since) < SYNC_TIMEOUT;
         if has_required {
@@ -155,7 +149,13 @@
         }
     }
 
-    /// When it was last in sync, or since when it is waited for.
+    fn candidate(&self, address: SocketAddr, out_of_sync_for: Duration, now: Timestamp) -> VoterCandidate {
+        let is_in_sync = out_of_sync_for < SYNC_TIMEOUT;
+        let in_sync_for = if is_in_sync { now.since(self.in_sync_since) } else { Duration::ZERO };
+        VoterCandidate { address, zone: self.zone.clone(), out_of_sync_for, in_sync_for }
+    }
+
+    /// When it was last in sync, or since when it has been awaited.
     fn last_progress(&self) -> Timestamp {
         self.last_in_sync.unwrap_or(self.required_since)
     }
--- a/crates/consensus/src/group_commit.rs
+++ b/crates/consensus/src/group_commit.rs
@@ -1,16 +1,14 @@
-//! Group commit: operators' changes that wait are applied together, as one register that a majority accepts in one round.
-//! Each change is applied to the newest proposed register in turn, and has an outcome of its own.
+//! Group commit: pending operators' changes are applied together and committed as one register, in one accept round. They
+//! are applied to the newest proposed register one after the other, and each has an outcome of its own.
 //!
-//! All changes of a group are under way at the same time, so that any order among them is a valid one. Configurations are
-//! applied by their revisions, so that none is overtaken by another one of its own group; evacuations in the order in which
-//! they came.
+//! All changes of a group are concurrent, so any order among them is valid. Configurations are applied in the order of their
+//! revisions, so that none is superseded by another one of its own group; evacuations in the order in which they came.
 
 use serde_json::value::RawValue;
 use vanewharf_config::config::ConfigRevision;
 use vanewharf_protocol::messages::{AcceptedConfig, Register};
 
-/// How many accepted configurations a register remembers: at most 7 KB of it, and more than the changes of the longest day
-/// that was observed.
+/// How many accepted configurations a register remembers: at most 7 KB, and more than were ever observed within a day.
 const RETAINED_REVISIONS: usize = 256;
 
 /// A change that an operator wants made.
@@ -44,27 +42,27 @@
     }
 }
 
-/// What becomes of a change once the register that it was applied to is committed.
+/// The outcome of a change once the register with it is committed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ChangeOutcome {
-    /// It is in force, or was, or is overtaken by a higher revision.
+    /// It is in force, or was, or is superseded by a higher revision.
     Acknowledged,
     /// Another configuration was accepted under its revision.
     Conflict,
 }
 
-/// What a group of changes comes to.
+/// The result of a group of changes.
 #[derive(Clone, Debug)]
 pub struct GroupCommit {
-    /// The register with all changes, still under the ballot and the revision of the one that they were applied to.
+    /// The register with all changes, still under the ballot and the revision of the base register.
     pub register: Register,
-    /// Whether it differs from that one.
+    /// Whether it differs from the base register.
     pub changed: bool,
     /// One outcome for each change, in the order in which the changes were given.
     pub outcomes: Vec<ChangeOutcome>,
 }
 
-/// Applies all changes to a register.
+/// Applies all changes to the base register.
 pub fn apply_changes(base: &Register, changes: &[OperatorChange]) -> GroupCommit {
     let mut register = base.clone();
     remember_config_in_force(&mut register);
--- a/crates/consensus/src/group_commit/tests.rs
+++ b/crates/consensus/src/group_commit/tests.rs
@@ -51,12 +51,12 @@
 fn changes_split_over_two_groups_come_to_the_same_register_as_in_one() {
     let changes =
         [replace(2, "a"), begin_evacuation("x"), replace(4, "b"), end_evacuation("x"), replace(9, "c")];
-    let whole = apply_changes(&Register::empty(), &changes);
+    let undivided = apply_changes(&Register::empty(), &changes);
     for cut in 0..=changes.len() {
         let first = apply_changes(&Register::empty(), &changes[..cut]);
         let second = apply_changes(&first.register, &changes[cut..]);
-        assert_eq!(content(&second), content(&whole), "cut at {cut}");
-        assert_eq!(second.register.accepted_configs, whole.register.accepted_configs);
+        assert_eq!(content(&second), content(&undivided), "cut at {cut}");
+        assert_eq!(second.register.accepted_configs, undivided.register.accepted_configs);
     }
 }
 
--- a/crates/consensus/src/incarnation.rs
+++ b/crates/consensus/src/incarnation.rs
@@ -2,16 +2,16 @@
 //!
 //! # Why votes carry them
 //!
-//! A member that lost its disk has forgotten what it voted (amnesia). A vote that it cast before may still be on its way and
-//! complete a majority that no longer exists: the member would accept the opposite today, and the two majorities would have
-//! no voter in common that remembers both. So a member comes back under a higher incarnation, and makes it known to those
-//! whose answers it recovers from before it votes again. Each vote carries the voter's own incarnation and those that it
-//! knows of others; [`latest_incarnations`] of all votes of a round tells which of them were cast before a loss, and those
-//! are not counted (see `quorum`).
+//! A member that lost its disk does not remember how it voted (amnesia). A vote that it cast before may still be in flight.
+//! If that vote completed a quorum, the member could afterwards vote for the opposite in another quorum, and the two might
+//! have no voter in common that remembers both. So the member returns under a higher incarnation, and a majority records
+//! that incarnation before the member votes again (see `recovery`). Each vote carries the voter's own incarnation and those
+//! that it knows of other members. Votes of an incarnation for which any vote of the round names a later one are not counted
+//! (see `quorum`).
 //!
 //! A quorum that includes the old vote shares at least one other voter with the majority from which the member recovered.
-//! If that voter voted after it had answered the recovery, its vote carries the new incarnation, and the old vote is not
-//! counted. If it voted before, its answer told the member what it had promised or accepted, and the member goes by that.
+//! If that voter voted after it had answered the recovery, its vote names the new incarnation, and the old vote is not
+//! counted. If it voted before, its answer reported what it had promised or accepted, and the member has taken that over.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -1,7 +1,7 @@
 //! The consensus engine of the control plane: which controller holds the lease, and what the operator's register says.
 //!
-//! The engine is pure. It does no input or output, starts no tasks and reads no clock: callers pass the time and the
-//! messages in, and get back what to send and what to write to disk. The controller's replica owns the network, the disk
+//! The engine is pure: it does no I/O, starts no tasks and reads no clock. Callers pass in the time and the messages, and
+//! get back what to send and what to write to disk. The controller's replica owns the network, the disk
 //! and the timers; the model checker under `tests/model/` drives the same code through every order of events.
 //!
 //! # Protocol
@@ -17,8 +17,8 @@
 //!
 //! # Safety
 //!
-//! * *One leaseholder at a time*: a lease is granted by a majority, each voter grants one lease at a time, and the holder
-//!   stops [`LEASE_SAFETY_MARGIN`] before the first voter of that majority can forget it (module `lease`).
+//! * *One leaseholder at a time*: a lease is granted by a majority, each voter grants one lease at a time, and the
+//!   leaseholder stops acting [`LEASE_SAFETY_MARGIN`] before any voter of that majority can grant another (module `lease`).
 //! * *A restarted voter grants nothing for one lease duration*, since leases are not on disk (module `voter`).
 //! * *No committed register is lost*: every later candidate's majority shares a voter with the majority that accepted it
 //!   (modules `election` and `accept`).
--- a/crates/consensus/src/membership.rs
+++ b/crates/consensus/src/membership.rs
@@ -2,11 +2,11 @@
 //!
 //! # Why a change needs both majorities
 //!
-//! A majority of the old set and a majority of the new one need not have a voter in common. If the new set decided alone as
-//! soon as some member had heard of it, the old set could elect another leaseholder or commit another register at the same
-//! time. So a change goes through a joint membership with the old voters as `outgoing`: until it is finished, elections,
-//! renewals and accepted registers need a majority of both sets. Each such quorum shares a voter with every majority of
-//! the old set and with every majority of the new one, so that neither decides without knowing of the other.
+//! A majority of the old set and a majority of the new one need not have a voter in common. If the new set could decide
+//! alone as soon as one member knew of it, the old set could elect another leaseholder or commit another register at the
+//! same time. So a change goes through a joint membership, with the old voters as `outgoing`: until it is finished,
+//! elections, renewals and registers need a majority of both sets. Each such quorum shares a voter with every majority of
+//! the old set and with every majority of the new one, so that no two decisions are made unaware of each other.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -17,9 +17,9 @@
 /// The epoch of the first set of voters; 0 stands for a set that is not known.
 const INITIAL_EPOCH: u64 = 1;
 
-/// The smallest number that is more than half of `voters`.
-pub(crate) fn majority(voters: usize) -> usize {
-    voters / 2 + 1
+/// How many of `voter_count` voters are a majority.
+pub(crate) fn majority(voter_count: usize) -> usize {
+    voter_count / 2 + 1
 }
 
 /// How many voters are needed so that `losses` of them may fail at once and the rest is still a majority. At least one loss
@@ -50,7 +50,7 @@
     has_majority(&membership.voters) && (membership.outgoing.is_empty() || has_majority(&membership.outgoing))
 }
 
-/// Whether there can be no quorum any more, as too many voters are against.
+/// Whether no quorum is possible any more, as too many voters oppose.
 pub(crate) fn quorum_is_impossible(membership: &Membership, opposing: &BTreeSet<SocketAddr>) -> bool {
     let remaining = all_voters(membership).difference(opposing).copied().collect();
     !has_quorum(membership, &remaining)
@@ -70,11 +70,11 @@
     Membership { epoch: membership.epoch + 1, voters: membership.voters.clone(), outgoing: Vec::new() }
 }
 
-/// The next step towards a set of voters, or nothing where it is reached.
+/// The next step towards a set of voters, or nothing if it is reached.
 ///
-/// `committed` has to be the membership of the register in force, not of a newer one on the leaseholder's own disk. A change
-/// that was begun and that perhaps the leaseholder alone has accepted must be begun again: to finish it would hand over to
-/// a set of which no majority of the old one knows.
+/// `committed` has to be the membership of the register in force, not of a newer one on the leaseholder's own disk. A joint
+/// membership that is not committed may be on the leaseholder's disk alone. It is proposed again, never finished: otherwise
+/// the new set would decide alone while no majority of the old set knows of it.
 pub fn next_membership(committed: &Membership, voters: &BTreeSet<SocketAddr>) -> Option<Membership> {
     if !committed.outgoing.is_empty() {
         return Some(finish_change(committed));
--- a/crates/consensus/src/planner.rs
+++ b/crates/consensus/src/planner.rs
@@ -1,8 +1,9 @@
 //! Chooses the next set of voters, one change at a time.
 //!
-//! The number of voters is always odd: a set of four tolerates no more losses than one of three. A failed voter gives way
-//! only to a machine that is in sync, so that the number of tolerated losses does not shrink on the way. Joint consensus
-//! needs a majority of the old set during the change, which is there already, and never the newcomer's vote in particular.
+//! The number of voters is always odd: a set of four tolerates no more losses than one of three. A failed voter is replaced
+//! only by a machine that is in sync, so that the number of tolerated losses does not shrink during the change: joint
+//! consensus needs a majority of the old set, which works already, and a majority of the new one, of which the newcomer's
+//! vote need not be part.
 
 use crate::follower_tracker::SYNC_TIMEOUT;
 use crate::membership::majority;
@@ -11,9 +12,9 @@
 use std::time::Duration;
 use vanewharf_protocol::messages::Membership;
 
-/// A voter that was out of sync for so long has failed, and is replaced if a machine in sync is available.
+/// A voter that is out of sync for so long has failed, and is replaced if a standby is available.
 pub(crate) const FAILURE_TIMEOUT: Duration = Duration::from_secs(3);
-/// A machine has to have been in sync for so long before it becomes a voter.
+/// A machine has to be in sync for so long before it may become a voter.
 pub(crate) const PROMOTION_DELAY: Duration = Duration::from_millis(1000);
 /// Voters are moved between zones only when all have been in sync for so long.
 pub(crate) const REBALANCE_DELAY: Duration = Duration::from_secs(10);
@@ -25,7 +26,7 @@
     pub address: SocketAddr,
     /// Its zone; empty where it is not known.
     pub zone: String,
-    /// For how long it was not heard from, or did not have the committed register on disk in time.
+    /// For how long it has not reported, or has not had the committed register on disk in time.
     pub out_of_sync_for: Duration,
     /// For how long it has been in sync without a break.
     pub in_sync_for: Duration,
@@ -43,10 +44,10 @@
     in_sync.count() >= majority(voters.len())
 }
 
-/// The set of voters that should follow the current one, or nothing where it is as it should be or cannot be improved now.
+/// The set of voters that should follow the current one, or nothing if no change is needed or possible now.
 ///
-/// In this order: the set grows towards `target_size`; a failed voter is replaced; voters are spread over the zones. No set
-/// is chosen of which too few are in sync to finish the change.
+/// In this order: the set grows towards `target_size`; a failed voter is replaced; voters are spread over the zones. A set
+/// that has no majority in sync is not chosen, as the change could not be finished.
 pub fn plan_next_voters(
     membership: &Membership,
     candidates: &[VoterCandidate],
@@ -65,29 +66,29 @@
 struct Planner<'a> {
     voters: BTreeSet<SocketAddr>,
     candidates: &'a [VoterCandidate],
-    /// Machines in sync that are no voters, by address.
-    spares: Vec<SocketAddr>,
+    /// Machines that are in sync and not voters, by address.
+    standbys: Vec<SocketAddr>,
 }
 
 impl<'a> Planner<'a> {
     fn new(membership: &Membership, candidates: &'a [VoterCandidate]) -> Planner<'a> {
         let voters: BTreeSet<_> = membership.voters.iter().copied().collect();
-        let is_spare =
+        let is_standby =
             |one: &&VoterCandidate| !voters.contains(&one.address) && one.in_sync_for >= PROMOTION_DELAY;
-        let mut spares: Vec<_> = candidates.iter().filter(is_spare).map(|one| one.address).collect();
-        spares.sort_unstable();
-        Planner { voters, candidates, spares }
+        let mut standbys: Vec<_> = candidates.iter().filter(is_standby).map(|one| one.address).collect();
+        standbys.sort_unstable();
+        Planner { voters, candidates, standbys }
     }
 
     /// As many voters as wanted, or the odd number below that of which there are enough machines in sync.
     fn grow(&self, target_size: usize) -> Option<BTreeSet<SocketAddr>> {
         let mut voters = self.voters.clone();
-        let mut spares = self.spares.clone();
+        let mut standbys = self.standbys.clone();
         while voters.len() < target_size
-            && let Some(newcomer) = self.best_spare(&voters, &spares)
+            && let Some(newcomer) = self.best_standby(&voters, &standbys)
         {
             voters.insert(newcomer);
-            spares.retain(|spare| *spare != newcomer);
+            standbys.retain(|standby| *standby != newcomer);
         }
         if voters.len().is_multiple_of(2) {
             let last_newcomer = voters.difference(&self.voters).max().copied();
@@ -107,12 +108,12 @@
     fn replace(&self, failed: SocketAddr) -> Option<BTreeSet<SocketAddr>> {
         let mut voters = self.voters.clone();
         voters.remove(&failed);
-        let newcomer = self.best_spare(&voters, &self.spares)?;
+        let newcomer = self.best_standby(&voters, &self.standbys)?;
         voters.insert(newcomer);
         majority_in_sync(&voters, self.candidates).then_some(voters)
     }
 
-    /// One voter less in the zone that has the most of them, where all machines concerned are stable.
+    /// Moves one voter out of the zone that has the most, if all machines concerned are stable.
     fn rebalance_zones(&self) -> Option<BTreeSet<SocketAddr>> {
         let is_stable = |address: &SocketAddr| {
             self.candidate(address).is_some_and(|one| one.in_sync_for >= REBALANCE_DELAY)
@@ -120,8 +121,9 @@
         if !self.voters.iter().all(is_stable) {
             return None;
         }
-        let stable_spares = self.spares.iter().filter(|spare| is_stable(spare));
-        let swaps = stable_spares.flat_map(|spare| self.voters.iter().map(|voter| self.swap(voter, *spare)));
+        let stable_standbys = self.standbys.iter().filter(|standby| is_stable(standby));
+        let swaps =
+            stable_standbys.flat_map(|standby| self.voters.iter().map(|voter| self.swap(voter, *standby)));
         let current = self.most_in_one_zone(&self.voters);
         swaps
             .filter(|voters| self.most_in_one_zone(voters) < current)
@@ -135,14 +137,14 @@
         voters
     }
 
-    /// The spare by which the fullest zone has the fewest voters; of several the one with the lowest address.
-    fn best_spare(&self, voters: &BTreeSet<SocketAddr>, spares: &[SocketAddr]) -> Option<SocketAddr> {
-        let cost = |spare: &SocketAddr| {
-            let mut with_spare = voters.clone();
-            with_spare.insert(*spare);
-            (self.most_in_one_zone(&with_spare), *spare)
+    /// The standby by which the fullest zone has the fewest voters; of several the one with the lowest address.
+    fn best_standby(&self, voters: &BTreeSet<SocketAddr>, standbys: &[SocketAddr]) -> Option<SocketAddr> {
+        let cost = |standby: &SocketAddr| {
+            let mut with_standby = voters.clone();
+            with_standby.insert(*standby);
+            (self.most_in_one_zone(&with_standby), *standby)
         };
-        spares.iter().copied().min_by_key(cost)
+        standbys.iter().copied().min_by_key(cost)
     }
 
     /// How many of these voters the fullest zone holds.
--- a/crates/consensus/src/planner/tests.rs
+++ b/crates/consensus/src/planner/tests.rs
@@ -25,7 +25,7 @@
     nothing_to_do = { "1a= 2b= 3c= 4a=", 3, None },
     a_moment_out_of_sync_is_no_failure = { "1a+ 2b? 3c+ 4d+", 3, None },
     failed_and_replaced = { "1a+ 2b- 3c+ 4d+", 3, Some(&[1, 3, 4]) },
-    no_spare_in_sync = { "1a+ 2b- 3c+ 4d?", 3, None },
+    no_standby_in_sync = { "1a+ 2b- 3c+ 4d?", 3, None },
     replaced_so_that_zones_are_spread = { "1a+ 2b- 3c+ 4a+ 5c+ 6d+", 3, Some(&[1, 3, 6]) },
     one_after_the_other = { "1a+ 2b- 3c- 4d+ 5e+", 3, Some(&[1, 3, 4]) },
     grown_at_once = { "1a+ 2b+ 3c+ 4d+ 5e+", 5, Some(&[1, 2, 3, 4, 5]) },
--- a/crates/consensus/src/pre_vote.rs
+++ b/crates/consensus/src/pre_vote.rs
@@ -2,10 +2,10 @@
 //!
 //! # What it avoids
 //!
-//! A controller that is cut off cannot win an election, but by trying it would promise higher and higher ballots to itself.
-//! Once it is reachable again, its voter would refuse everything that the leaseholder does under its lower ballot, and
-//! force an election although the lease was held all along. A pre-vote promises nothing, so that only a candidate which
-//! could have won raises a ballot. It is not needed for safety: an election without it grants no more than with it.
+//! A controller that is partitioned from the others cannot win an election, but each attempt would make its own voter
+//! promise a higher ballot. Once the partition heals, that voter would refuse the leaseholder's renewals and registers, which
+//! are under a lower ballot, and so force a needless election. A pre-vote promises nothing, so that a ballot is raised only by
+//! a candidate that a majority is willing to grant the lease. It is not needed for safety.
 
 use crate::quorum::QuorumTracker;
 use std::net::SocketAddr;
@@ -24,7 +24,7 @@
         PreVoteRound { tally: QuorumTracker::new(membership) }
     }
 
-    /// Takes in one response. Breaks once a majority is willing, with the highest ballot that any respondent has promised:
+    /// Records one response. Breaks once a majority is willing, with the highest ballot that any respondent has promised:
     /// the candidate's own has to be above it.
     pub fn record_response(&mut self, voter: SocketAddr, response: VoteResponse) -> ControlFlow<Ballot> {
         self.tally.record(voter, response);
--- a/crates/consensus/src/quorum.rs
+++ b/crates/consensus/src/quorum.rs
@@ -16,7 +16,7 @@
 }
 
 impl QuorumTracker {
-    /// A round of which nobody has responded yet.
+    /// A round to which nobody has responded yet.
     pub fn new(membership: Membership) -> QuorumTracker {
         QuorumTracker { membership, responses: Vec::new() }
     }
@@ -26,12 +26,12 @@
         &self.membership
     }
 
-    /// Goes on with another membership; the responses so far count for it, too.
+    /// Continues with another membership; the responses so far count for it, too.
     pub(crate) fn set_membership(&mut self, membership: Membership) {
         self.membership = membership;
     }
 
-    /// Takes in the response of one voter.
+    /// Records the response of one voter.
     pub fn record(&mut self, voter: SocketAddr, response: VoteResponse) {
         self.responses.push((voter, response));
     }
@@ -41,7 +41,7 @@
         has_quorum(&self.membership, &self.assenting_voters())
     }
 
-    /// Whether so many voters refused that the rest is no quorum.
+    /// Whether so many voters refused that the others are no quorum.
     pub(crate) fn is_lost(&self) -> bool {
         let refused =
             |(_, response): &&(SocketAddr, VoteResponse)| matches!(response.vote, Vote::Refused { .. });
@@ -49,17 +49,17 @@
         quorum_is_impossible(&self.membership, &opposing)
     }
 
-    /// All that responded, whatever they said.
+    /// All voters that responded, whatever they voted.
     pub(crate) fn respondents(&self) -> BTreeSet<SocketAddr> {
         self.responses.iter().map(|(voter, _)| *voter).collect()
     }
 
-    /// What was voted, in the order in which it came.
+    /// The votes, in the order in which they came.
     pub(crate) fn votes(&self) -> impl Iterator<Item = &Vote> {
         self.responses.iter().map(|(_, response)| &response.vote)
     }
 
-    /// The highest ballot that a voter which refused has promised; 0 where none refused.
+    /// The highest ballot that a refusing voter has promised; 0 if none refused.
     pub(crate) fn highest_refused_ballot(&self) -> Ballot {
         let refused = self.votes().filter_map(|vote| match vote {
             Vote::Refused { promised, .. } => Some(*promised),
@@ -68,8 +68,8 @@
         refused.max().unwrap_or_default()
     }
 
-    /// Those who assent, without those whose vote was cast before they lost their disk, as far as any voter of this round
-    /// knows of the loss (see `incarnation`).
+    /// The voters that assent. Votes of an incarnation for which any response names a later one are left out: they were cast
+    /// before the voter lost its disk (see `incarnation`).
     pub(crate) fn assenting_voters(&self) -> BTreeSet<SocketAddr> {
         let latest = latest_incarnations(self.responses.iter().map(|(voter, response)| (*voter, response)));
         let counts = |(voter, response): &&(SocketAddr, VoteResponse)| {
--- a/crates/consensus/src/recovery.rs
+++ b/crates/consensus/src/recovery.rs
@@ -1,21 +1,19 @@
 //! Recovery of a member with amnesia: one whose disk was lost, and that no longer knows what it promised and accepted.
 //!
 //! It takes no part in voting until it has recovered. It asks the seeds of its configuration, and all voters that their
-//! answers name, for what they have promised and accepted, and takes over the highest ballot and the newest register.
+//! answers name, what they have promised and accepted, and takes over the highest ballot and the newest register.
 //!
 //! # Whose answers are enough
 //!
-//! A seed may be stale: one that was unreachable while the set of voters changed names an old set. So the newest register
-//! among the answers names the set of which a majority has to have answered. That is safe as a change of the set is
-//! accepted by a majority of the set before it, too (see `membership`): a majority of an old set cannot be unaware of the
-//! next one.
+//! A seed may be stale: one that was unreachable while the set of voters changed names an old set. So answers are needed from
+//! a majority of the set that the newest register among them names. That is safe because a change is also accepted by a
+//! majority of the set before it (see `membership`): a majority of an old set always includes a voter that knows of the next.
 //!
-//! Where the power failed in the first moments, no register was ever accepted, and perhaps no majority remembers the first
-//! set. Then all have to be heard, and each has to be blank or to have amnesia itself; the cluster starts again with its
-//! seeds, provided that all were configured with the same ones.
+//! If the power failed soon after the first start, no register was ever accepted, and there may be no majority that
+//! remembers anything. Then all members have to answer, each either without any register or with amnesia itself; if nobody
+//! remembers anything, the cluster starts again from its seeds, provided that all were configured with the same ones.
 //!
-//! The member answers under a new incarnation, which those that it asked write to disk before they answer (see
-//! `incarnation`).
+//! The member asks under a new incarnation, which the others write to disk before they answer (see `incarnation`).
 
 use crate::incarnation::{latest_incarnations, next_incarnation};
 use crate::membership::{all_voters, has_quorum, initial_membership};
@@ -24,8 +22,8 @@
 use std::net::SocketAddr;
 use vanewharf_protocol::messages::{Ballot, Register, Revision, Vote, VoteResponse};
 
-/// A member with amnesia on its way back, as the owner of the network drives it: ask, record the responses, look at the
-/// next step, and so on.
+/// The recovery of a member with amnesia. Its owner asks the members that [`RecoveryRound::next_step`] names, records their
+/// responses, and repeats that until there is something to restore.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct RecoveryRound {
     member: SocketAddr,
@@ -40,14 +38,14 @@
 /// What a member with amnesia does next.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RecoveryStep {
-    /// It asks these, again and again.
+    /// It asks these, until they decide the recovery.
     Query(BTreeSet<SocketAddr>),
     /// It writes both to disk, the register first, before it votes.
     Restore(Box<VoterRecord>, Box<Register>),
 }
 
 impl RecoveryRound {
-    /// Begins under an incarnation that is likely to be new; `random` goes into it.
+    /// Starts under a new incarnation, whose low bits are taken from `random`.
     pub fn start(member: SocketAddr, seeds: Vec<SocketAddr>, random: u64) -> RecoveryRound {
         RecoveryRound {
             member,
@@ -63,13 +61,14 @@
         self.incarnation
     }
 
-    /// Who has told what it promised and accepted.
+    /// The members that have reported what they promised and accepted.
     pub fn respondents(&self) -> BTreeSet<SocketAddr> {
-        let told = |response: &VoteResponse| matches!(response.vote, Vote::Recovered { .. });
-        self.responses.iter().filter(|(_, response)| told(response)).map(|(member, _)| *member).collect()
+        let has_reported = |response: &VoteResponse| matches!(response.vote, Vote::Recovered { .. });
+        let reported = self.responses.iter().filter(|(_, response)| has_reported(response));
+        reported.map(|(member, _)| *member).collect()
     }
 
-    /// Takes in one response; it replaces an earlier one of the same member.
+    /// Records one response; it replaces an earlier one of the same member.
     pub fn record_response(&mut self, member: SocketAddr, response: VoteResponse) {
         if let Vote::Superseded { incarnation } = response.vote {
             self.highest_known_incarnation = incarnation.max(self.highest_known_incarnation);
@@ -77,11 +76,11 @@
         self.responses.insert(member, response);
     }
 
-    /// By all responses so far. Where another incarnation of this member is known that is not below the current one, it
-    /// begins anew under a higher one, into which `random` goes.
+    /// What to do by all responses so far. If a later incarnation of this member turned out to be known, all responses are
+    /// discarded and it starts again under a higher one, whose low bits are taken from `random`.
     pub fn next_step(&mut self, random: u64) -> RecoveryStep {
         if self.highest_known_incarnation > self.incarnation {
-            // Answers to a lower incarnation do not bar the votes of the one in between.
+            // Those that answered the lower incarnation would still count votes of the one in between.
             self.incarnation = next_incarnation(self.highest_known_incarnation, random);
             self.responses.clear();
         }
@@ -115,7 +114,7 @@
 /// What the responses so far allow a member with amnesia to do.
 #[derive(Debug)]
 pub(crate) enum RecoveryDecision {
-    /// These have to be heard first; empty where those that answered have to be asked again.
+    /// These have to answer first; empty if those that answered have to be asked again.
     Query(BTreeSet<SocketAddr>),
     /// The highest ballot that was promised, and the newest register that was accepted.
     Recover { promised: Ballot, register: Box<Register> },
@@ -134,7 +133,7 @@
     }
 }
 
-/// The responses of the other members, by what they say.
+/// The responses of the other members, by kind.
 struct PeerAnswers<'a> {
     /// What each that remembers has promised and accepted.
     known: BTreeMap<SocketAddr, (Ballot, &'a Register)>,
@@ -173,8 +172,8 @@
         let answered: BTreeSet<_> = self.known.keys().copied().collect();
         let mut peers = all_voters(&newest.membership);
         peers.remove(&member);
-        let heard = |peer: &SocketAddr| answered.contains(peer) || self.amnesic.contains_key(peer);
-        let never_accepted = newest.revision == Revision(0) && peers.iter().all(heard);
+        let has_responded = |peer: &SocketAddr| answered.contains(peer) || self.amnesic.contains_key(peer);
+        let never_accepted = newest.revision == Revision(0) && peers.iter().all(has_responded);
         if has_quorum(&newest.membership, &answered) || never_accepted {
             let promised = self.highest_promised_ballot().max(newest.ballot);
             return RecoveryDecision::Recover { promised, register: Box::new(newest.clone()) };
@@ -182,7 +181,7 @@
         RecoveryDecision::Query(peers.difference(&answered).copied().collect())
     }
 
-    /// Where nobody that answered remembers any register: only if all seeds have amnesia.
+    /// If nobody that answered remembers anything: only if all seeds have amnesia and were configured alike.
     fn decide_without_register(&self, member: SocketAddr, seeds: &[SocketAddr]) -> RecoveryDecision {
         let membership = initial_membership(seeds.to_vec());
         let has_same_seeds = |seed: &SocketAddr| {
--- a/crates/consensus/src/renewal.rs
+++ b/crates/consensus/src/renewal.rs
@@ -1,8 +1,8 @@
 //! The renewal round: whether a majority extends the lease.
 //!
-//! During a change of the set of voters the round needs a majority of both sets (see `membership`), and has to be won
-//! after the joint membership is committed and before the change is finished: a holder whose lease was extended by the old
-//! set alone could be overtaken by a candidate that the new set elects.
+//! During a change of the set of voters the round needs a majority of both sets (see `membership`). One such round has to
+//! succeed after the joint membership is committed and before the change is finished. Otherwise the lease would rest on the
+//! old set alone while the new set, which has not granted it, could elect another leaseholder.
 
 use crate::quorum::QuorumTracker;
 use std::net::SocketAddr;
@@ -14,7 +14,7 @@
 pub enum RenewalOutcome {
     /// A majority renewed the lease.
     Renewed,
-    /// Too few responded or assented; the lease runs on as it was.
+    /// Too few voters responded or assented; the lease is valid for as long as before.
     Incomplete,
     /// No majority renewed the lease, and a voter has promised a higher ballot.
     Superseded,
@@ -38,7 +38,7 @@
         self.tally.membership()
     }
 
-    /// Takes in one response. Breaks once a majority renewed the lease.
+    /// Records one response. Breaks once a majority renewed the lease.
     pub fn record_response(&mut self, voter: SocketAddr, response: VoteResponse) -> ControlFlow<()> {
         self.tally.record(voter, response);
         match self.outcome() {
--- a/crates/consensus/src/test_support.rs
+++ b/crates/consensus/src/test_support.rs
@@ -8,22 +8,27 @@
 /// When each test begins.
 pub const START: Timestamp = Timestamp(1_000_000_000);
 
+/// The address of the controller with that number.
 pub fn address(number: u8) -> SocketAddr {
     SocketAddr::from(([10, 0, 0, number], 7600))
 }
 
+/// The addresses of the controllers with these numbers.
 pub fn addresses(numbers: &[u8]) -> Vec<SocketAddr> {
     numbers.iter().copied().map(address).collect()
 }
 
+/// The addresses of the controllers with these numbers, as a set.
 pub fn address_set(numbers: &[u8]) -> BTreeSet<SocketAddr> {
     numbers.iter().copied().map(address).collect()
 }
 
+/// A membership by the numbers of its voters.
 pub fn membership(epoch: u64, voters: &[u8], outgoing: &[u8]) -> Membership {
     Membership { epoch, voters: addresses(voters), outgoing: addresses(outgoing) }
 }
 
+/// An otherwise empty register.
 pub fn register(ballot: u64, revision: u64, membership: Membership) -> Register {
     Register { ballot: Ballot(ballot), revision: Revision(revision), membership, ..Register::empty() }
 }
@@ -33,14 +38,17 @@
     VoteResponse { incarnation: 0, incarnations: BTreeMap::new(), vote }
 }
 
+/// A granted lease, with the voter's register.
 pub fn granted(register: Register) -> VoteResponse {
     response(Vote::Granted { register, quota_divisor: 8 })
 }
 
+/// A refusal by a voter that has promised that ballot.
 pub fn refused(promised: u64) -> VoteResponse {
     response(Vote::Refused { promised: Ballot(promised), leaseholder: None })
 }
 
+/// The assent to a register or a renewal.
 pub fn accepted() -> VoteResponse {
     response(Vote::Accepted)
 }
--- a/crates/consensus/src/voter.rs
+++ b/crates/consensus/src/voter.rs
@@ -10,11 +10,12 @@
 //! * The promised ballot never falls, and nothing is accepted under a lower one.
 //! * One lease is granted at a time.
 //! * A vote is sent only when what it promises is on disk ([`VoterOutput`]).
-//! * A restarted voter grants no lease for one lease duration. It does not remember the lease that it may have granted just
-//!   before; by then that one has ended. The wait ends sooner where the one to which the ballot was promised says that it
-//!   holds no lease ([`Voter::end_quiet_period`]). At the first start of a cluster nothing was granted before.
-//! * A voter whose record is missing although the cluster was started before has amnesia: it may have promised anything, and
-//!   votes on nothing until it has recovered ([`Voter::complete_recovery`]).
+//! * A restarted voter grants no lease for one lease duration. Leases are not on disk, so it does not remember one that it
+//!   may have granted just before the restart; after one lease duration that one has expired. The wait ends sooner if the
+//!   candidate to which the ballot was promised answers that it holds no lease ([`Voter::end_quiet_period`]). There is no
+//!   wait at the first start of a cluster, as nothing was granted before.
+//! * A voter whose record is missing although the cluster was started before has amnesia: it does not know what it has
+//!   promised, and votes on nothing until it has recovered ([`Voter::complete_recovery`]).
 
 use crate::lease::{GrantedLease, LEASE_DURATION};
 use crate::membership::initial_membership;
@@ -39,22 +40,22 @@
 /// One voter, as a pure state machine.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Voter {
-    /// What it has promised; on disk once `unpersisted` says so.
+    /// What it has promised. `unpersisted` tells what of it may not be on disk yet.
     record: VoterRecord,
     /// The newest accepted register. It is always on disk.
     register: Register,
     lease: Option<GrantedLease>,
     /// A lease that was granted before this start may last until then.
     grants_suspended_until: Timestamp,
-    /// It has lost its record, and not recovered yet.
+    /// Whether it has lost its record and not recovered yet.
     amnesic: bool,
     /// The controllers that this machine was configured with.
     seeds: Vec<SocketAddr>,
     unpersisted: UnpersistedFields,
 }
 
-/// What of the record is not known to be on disk, as a write failed or is under way. It is written again with the next vote
-/// that depends on it.
+/// The fields of the record that may not be on disk yet, as a write failed or is under way. They are written again with the
+/// next vote that depends on them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 struct UnpersistedFields {
     ballot: bool,
@@ -94,7 +95,7 @@
         self.record.clone()
     }
 
-    /// A vote as it is sent: with the incarnations that tell which votes are out of date.
+    /// A vote as it is sent: with the incarnations by which outdated votes are told (see `incarnation`).
     pub fn response(&self, vote: Vote) -> VoteResponse {
         VoteResponse {
             incarnation: self.record.incarnation,
@@ -108,7 +109,8 @@
         self.record.quota_divisor
     }
 
-    /// Quotas are divided between so many proxies now (0: that is not known). Returns what to write, where that is new; no vote waits for it.
+    /// Records between how many proxies quotas are divided now (0: unknown, ignored). Returns what to write if that is new;
+    /// no vote depends on the write.
     pub fn update_quota_divisor(&mut self, quota_divisor: u32) -> Option<DurableWrite> {
         if self.amnesic || quota_divisor == 0 || quota_divisor == self.record.quota_divisor {
             return None;
@@ -117,7 +119,7 @@
         Some(DurableWrite::VoterRecord(self.record()))
     }
 
-    /// Whether it has lost its record, and not recovered yet.
+    /// Whether it has lost its record and not recovered yet.
     pub fn is_amnesic(&self) -> bool {
         self.amnesic
     }
@@ -127,7 +129,7 @@
         self.record.ballot
     }
 
-    /// The promised ballot, where it is known to be on disk. A renewal under it needs no write.
+    /// The promised ballot, if it is known to be on disk. A renewal under it needs no write.
     pub fn persisted_ballot(&self) -> Option<Ballot> {
         (!self.amnesic && !self.unpersisted.ballot).then_some(self.record.ballot)
     }
@@ -137,41 +139,42 @@
         &self.register
     }
 
-    /// Whose lease is valid at this voter.
+    /// Whose lease is valid at this voter, if any.
     pub fn leaseholder(&self, now: Timestamp) -> Option<SocketAddr> {
-        self.lease.filter(|lease| lease.is_valid(now)).map(|lease| lease.holder)
+        self.lease.filter(|lease| lease.is_valid(now)).map(|lease| lease.leaseholder)
     }
 
-    /// Whether this voter's controller may try for the lease itself.
+    /// Whether this voter's controller may campaign for the lease itself.
     pub fn may_campaign(&self, now: Timestamp) -> bool {
         !self.amnesic && now >= self.grants_suspended_until && self.leaseholder(now).is_none()
     }
 
-    /// Ends the suspension of grants after a restart: the one to which `ballot` was promised says that it holds no lease
-    /// under it, and never will (see `ballot::BallotClaim`). Without effect for any other ballot than the promised one.
+    /// Ends the suspension of grants after a restart: the candidate to which `ballot` was promised answers that it holds no
+    /// lease under it, and never will (see `ballot`). Has no effect for any ballot other than the promised one.
     pub fn end_quiet_period(&mut self, ballot: Ballot, now: Timestamp) {
         if ballot == self.record.ballot && self.lease.is_none() {
             self.grants_suspended_until = self.grants_suspended_until.min(now);
         }
     }
 
-    /// Takes over a register that the leaseholder has published as committed, where it is newer than the accepted one.
-    /// Whatever was promised since, it was decided before. Returns what to write; nobody counts this as a vote.
+    /// Takes over a register that the leaseholder has published as committed, if it is newer than the accepted one. It was
+    /// decided by a majority, so a promise made since does not stand against it. Returns what to write; this is no vote.
     pub fn adopt_committed_register(&self, register: &Register) -> Option<DurableWrite> {
         let is_newer = register.membership.epoch > 0 && register.rank() > self.register.rank();
         (!self.amnesic && is_newer).then(|| DurableWrite::Register(Box::new(register.clone())))
     }
 
-    /// A write that this voter asked for is on disk. To be called only after that: what it has on disk is what it votes by.
+    /// Records that a write which this voter requested is on disk. Must not be called before it is: a voter votes by what it
+    /// believes to be on disk.
     pub fn mark_persisted(&mut self, write: DurableWrite) {
         match write {
             DurableWrite::VoterRecord(written) => {
-                // A newer record may still be on its way to the disk.
+                // The record may have changed since this write was requested.
                 self.unpersisted.ballot &= written.ballot != self.record.ballot;
                 self.unpersisted.peer_incarnations &=
                     written.peer_incarnations != self.record.peer_incarnations;
             }
-            // Of two registers that were on their way to the disk at once the newer one stands.
+            // Two writes may be under way at once; the newer register stays.
             DurableWrite::Register(written) if written.rank() < self.register.rank() => {}
             DurableWrite::Register(written) => {
                 self.record.ballot = self.record.ballot.max(written.ballot);
@@ -180,8 +183,8 @@
         }
     }
 
-    /// A voter with amnesia has recovered what the others know, and both are on disk. It grants nothing for one lease
-    /// duration, like any restarted voter: before it forgot, it may have granted a lease.
+    /// Ends amnesia with what was recovered from the others; both have to be on disk. Like any restarted voter it grants no
+    /// lease for one lease duration: it may have granted one before it lost its disk.
     pub fn complete_recovery(&mut self, recovered: &VoterRecord, register: Register, now: Timestamp) {
         self.record = VoterRecord { ballot: recovered.ballot.max(register.ballot), ..recovered.clone() };
         self.register = register;
@@ -191,7 +194,7 @@
     }
 }
 
-/// The register of a cluster in which none was accepted yet; without a membership where the voters are not known.
+/// The register before any was accepted; it names no voters if the initial members are unknown.
 fn initial_register(initial_members: &[SocketAddr]) -> Register {
     let membership = if initial_members.is_empty() {
         Membership::default()
--- a/crates/consensus/src/voter/record.rs
+++ b/crates/consensus/src/voter/record.rs
@@ -1,4 +1,4 @@
-//! What a voter has on disk besides the register, and what it wants written.
+//! What a voter has on disk besides the register, and the writes that it requests.
 
 // Field names in JSON are those of records that are on disk already (`promise-0.json`, `promise-1.json`): Rust fields with
 // newer names keep them by `serde(rename)`.
@@ -26,7 +26,7 @@
     /// This voter's own incarnation. It rises whenever the voter comes back without its disk.
     #[serde(default)]
     pub incarnation: u64,
-    /// The incarnations in which other members have recovered: their votes of before do not count beside this voter's.
+    /// The latest incarnations of other members: votes of their earlier ones are not counted together with this voter's.
     #[serde(rename = "incarnations", default)]
     pub peer_incarnations: BTreeMap<SocketAddr, u64>,
 }
@@ -42,8 +42,8 @@
 
 /// What a voter answers to a request.
 ///
-/// The vote must not be sent before `write` is on disk and [`super::Voter::mark_persisted`] was called: a voter that loses its
-/// power in between would break what it had promised. Where the write fails, [`Vote::StorageFailed`] is sent in its place.
+/// The vote must not be sent before `write` is on disk and [`super::Voter::mark_persisted`] was called: a voter that crashed
+/// in between would not remember what it had promised. If the write fails, [`Vote::StorageFailed`] is sent instead.
 #[derive(Clone, Debug)]
 pub struct VoterOutput {
     /// The vote.
@@ -53,7 +53,7 @@
 }
 
 impl VoterOutput {
-    /// A vote that promises nothing which is not on disk already.
+    /// A vote that depends on nothing that is not on disk already.
     pub(super) fn without_write(vote: Vote) -> VoterOutput {
         VoterOutput { vote, write: None }
     }
--- a/crates/consensus/src/voter/requests.rs
+++ b/crates/consensus/src/voter/requests.rs
@@ -44,36 +44,36 @@
         }
     }
 
-    /// Extends the lease under the promised ballot. A voter that did not take part in the election joins the majority by a
-    /// renewal under a higher ballot, and only then promises something new.
+    /// Extends the lease under the promised ballot. A voter that missed the election joins the lease's majority by a renewal
+    /// under a ballot higher than its own, which it thereby promises.
     ///
-    /// A renewal under the promised ballot is accepted even while grants are suspended after a restart: a ballot is one
-    /// candidate's alone, and nobody can have been granted a lease under a higher one since.
+    /// A renewal under the promised ballot is accepted even while grants are suspended after a restart: no other candidate
+    /// uses that ballot, and this voter has granted no lease under a higher one.
     ///
-    /// It needs no write where the ballot is on disk, and so does not wait while the disk is slow with something else: the
-    /// lease itself is in memory only, and what the voter owes after a crash follows from the ballot on disk and from the
-    /// suspension of grants after the restart.
-    fn handle_renewal(&mut self, ballot: Ballot, holder: SocketAddr, now: Timestamp) -> VoterOutput {
+    /// Such a renewal may be accepted while the disk is slow or busy with another write. It changes nothing durable: the
+    /// ballot is on disk already, and the lease itself is never written, since a restarted voter grants no lease for one lease
+    /// duration anyway. Only a renewal under a ballot that is not on disk yet has to wait for a write.
+    fn handle_renewal(&mut self, ballot: Ballot, leaseholder: SocketAddr, now: Timestamp) -> VoterOutput {
         let joins = ballot > self.record.ballot;
-        if ballot < self.record.ballot || joins && !self.may_grant_lease(holder, now) {
+        if ballot < self.record.ballot || joins && !self.may_grant_lease(leaseholder, now) {
             return self.refuse(now);
         }
-        self.promise_with_lease(ballot, holder, now);
+        self.promise_with_lease(ballot, leaseholder, now);
         self.unpersisted.ballot |= joins;
         let write = self.unpersisted.ballot.then(|| DurableWrite::VoterRecord(self.record()));
         VoterOutput { vote: Vote::Accepted, write }
     }
 
-    /// Accepts a register under the promised ballot or a higher one, never one that is older than the accepted one. It
-    /// becomes this voter's register when it is on disk.
+    /// Accepts a register under the promised ballot or a higher one, unless it is older than the accepted one. It becomes this
+    /// voter's register once it is on disk.
     fn handle_accept(&self, register: Register, now: Timestamp) -> VoterOutput {
-        // A register that names no membership could never be found by a majority again.
+        // No candidate could win with a register that names no voters.
         let names_no_membership = register.membership.epoch == 0;
         let is_older = register.rank() < self.register.rank();
         if names_no_membership || register.ballot < self.record.ballot || is_older {
             return self.refuse(now);
         }
-        // A leaseholder gives each revision once under its ballot, so this is the same register, sent again.
+        // A leaseholder uses each revision once under its ballot, so this is the same register, sent again.
         if register.rank() == self.register.rank() {
             return VoterOutput::without_write(Vote::Accepted);
         }
@@ -88,8 +88,9 @@
         VoterOutput::without_write(Vote::Accepted)
     }
 
-    /// Tells a member with amnesia what this voter has promised and accepted, and remembers its new incarnation. That is
-    /// on disk before the answer is sent, as from then on votes of earlier incarnations must not count beside this voter's.
+    /// Reports to a member with amnesia what this voter has promised and accepted, and records the member's new incarnation.
+    /// The incarnation is on disk before the response is sent: from then on votes of the member's earlier incarnations must
+    /// not be counted together with this voter's.
     fn handle_recovery(&mut self, member: SocketAddr, incarnation: u64) -> VoterOutput {
         let known = self.record.peer_incarnations.get(&member).copied().unwrap_or(0);
         if incarnation < known {
@@ -97,7 +98,7 @@
         }
         self.record.peer_incarnations.insert(member, incarnation);
         self.unpersisted.peer_incarnations |= incarnation > known;
-        // The promised ballot is told, too, so it has to be on disk as well.
+        // The response reports the promised ballot, so that has to be on disk as well.
         let needs_write = self.unpersisted.peer_incarnations || self.unpersisted.ballot;
         VoterOutput {
             vote: Vote::Recovered { promised: self.record.ballot, register: self.register.clone() },
@@ -105,18 +106,18 @@
         }
     }
 
-    /// Whether a lease under a sufficient ballot would be granted: no other one is valid here, and none that was granted
-    /// before a restart can be.
+    /// Whether a lease may be granted to this candidate: no other candidate's lease is valid here, and none that was granted
+    /// before a restart can still be.
     fn may_grant_lease(&self, candidate: SocketAddr, now: Timestamp) -> bool {
         let is_held_by_another =
-            self.lease.is_some_and(|lease| lease.is_valid(now) && lease.holder != candidate);
+            self.lease.is_some_and(|lease| lease.is_valid(now) && lease.leaseholder != candidate);
         !is_held_by_another && now >= self.grants_suspended_until
     }
 
-    fn promise_with_lease(&mut self, ballot: Ballot, holder: SocketAddr, now: Timestamp) {
+    fn promise_with_lease(&mut self, ballot: Ballot, leaseholder: SocketAddr, now: Timestamp) {
         self.record.ballot = ballot;
-        self.record.promised_to = Some(holder);
-        self.lease = Some(GrantedLease::starting(ballot, holder, now));
+        self.record.promised_to = Some(leaseholder);
+        self.lease = Some(GrantedLease::starting(ballot, leaseholder, now));
     }
 
     fn refuse(&self, now: Timestamp) -> VoterOutput {
--- a/crates/consensus/src/voter/tests.rs
+++ b/crates/consensus/src/voter/tests.rs
@@ -28,8 +28,8 @@
     VoteRequest::Lease { ballot: Ballot(ballot), candidate: address(candidate) }
 }
 
-fn renew(ballot: u64, holder: u8) -> VoteRequest {
-    VoteRequest::Renew { ballot: Ballot(ballot), leaseholder: address(holder) }
+fn renew(ballot: u64, leaseholder: u8) -> VoteRequest {
+    VoteRequest::Renew { ballot: Ballot(ballot), leaseholder: address(leaseholder) }
 }
 
 fn recover(member: u8, incarnation: u64) -> VoteRequest {
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn a_restarted_voter_waits_no_longer_once_the_promised_candidate_disowns_the_lease() {
+fn a_restarted_voter_waits_no_longer_once_the_promised_candidate_renounces_the_lease() {
     let mut restarted = restarted_voter(Some(&record_with_ballot(2 << 8)), START);
     restarted.end_quiet_period(Ballot(1 << 8), START);
     assert!(!restarted.may_campaign(START), "that is another ballot");
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn the_quota_divisor_outlasts_a_restart_and_is_told_with_the_grant() {
+fn the_quota_divisor_survives_a_restart_and_is_reported_with_the_grant() {
     let mut voter = initial_voter();
     let write = voter.update_quota_divisor(8);
     assert!(
@@ -165,7 +165,7 @@
 }
 
 #[test]
-fn a_later_incarnation_is_kept_on_disk_and_an_earlier_one_is_told_so() {
+fn a_later_incarnation_is_recorded_on_disk_and_an_earlier_one_is_refused() {
     let mut voter = voter_with_register(4 << 8, 6);
     let output = voter.handle_vote_request(recover(2, 7 << 32), START);
     let Some(DurableWrite::VoterRecord(record)) = output.write else { panic!("nothing to write") };
--- a/crates/consensus/tests/model/checker.rs
+++ b/crates/consensus/tests/model/checker.rs
@@ -25,7 +25,7 @@
         if self.lease_held {
             state = self.elect_first_member(state);
         }
-        if self.change_begun {
+        if self.change_started {
             state = self.begin_initial_change(state);
         }
         if self.lease_held {
@@ -91,7 +91,7 @@
 
     /// Member 0 begins the change to the target set, until a bare majority of both sets has accepted it.
     fn begin_initial_change(&self, mut state: ClusterState) -> ClusterState {
-        state.remaining = Budget { changes_begun: 1, ..Budget::none() };
+        state.remaining = Budget { changes_started: 1, ..Budget::none() };
         state = self.step(&state, Action::BeginChange(0)).expect("it holds the lease");
         while state.members[0].committed_membership().outgoing.is_empty() {
             let first = state.messages[0].clone();
--- a/crates/consensus/tests/model/cluster.rs
+++ b/crates/consensus/tests/model/cluster.rs
@@ -1,8 +1,8 @@
 //! The state of the modelled cluster, what may happen to it, and how much of each.
 //!
-//! Every decision is the crate's own code. What is written here is what the controller's replica does with it
-//! (`programs/controller/src/replica/`), and all that may go wrong on the way: messages come in any order, late, twice or
-//! never, writes fail, machines crash and come back with their disk or without, and clocks run apart.
+//! Every decision is made by the crate's own code. The model adds what the controller's replica does around it
+//! (`programs/controller/src/replica/`), and the faults: messages arrive in any order, late, twice or never, writes fail,
+//! machines crash and restart with or without their disk, and clocks drift.
 
 use crate::member::Member;
 use std::collections::{BTreeMap, BTreeSet};
@@ -10,13 +10,14 @@
 use vanewharf_clock::Timestamp;
 use vanewharf_protocol::messages::{Ballot, Membership, Revision, VoteRequest, VoteResponse};
 
-/// What a member's clock goes on in one tick of true time, in tenths of a millisecond. Two slow ticks are a leaseholder's
-/// whole lease and two fast ones a voter's, so that these two are as far apart as the safety margin allows.
+/// By how much a member's clock advances in one tick of true time, in tenths of a millisecond. Two slow ticks are as long as
+/// a lease at the leaseholder, and two fast ones as long as a lease at a voter: the two clocks are as far apart as the safety
+/// margin allows.
 pub const SLOW_CLOCK: u64 = 6250;
 pub const FAST_CLOCK: u64 = 7500;
 
 const CLOCK_ORIGIN: u64 = 1_000_000_000;
-/// Members are configured with at most so many seeds.
+/// How many seeds members are configured with, at most.
 const MAX_SEEDS: usize = 3;
 
 /// The address of the member at an index.
@@ -40,7 +41,7 @@
     pub renewals: u8,
     /// Operators' changes.
     pub proposals: u8,
-    pub changes_begun: u8,
+    pub changes_started: u8,
     pub changes_finished: u8,
     /// Leases that are given up.
     pub resignations: u8,
@@ -66,7 +67,7 @@
             elections: 0,
             renewals: 0,
             proposals: 0,
-            changes_begun: 0,
+            changes_started: 0,
             changes_finished: 0,
             resignations: 0,
             crashes: 0,
@@ -94,7 +95,7 @@
     NoRenewalByBothSets,
     /// A restarted voter grants leases at once.
     NoQuietPeriod,
-    /// The leaseholder goes by its lease for the whole lease duration.
+    /// The leaseholder acts on its lease for the entire lease duration.
     NoSafetyMargin,
     /// Two candidates may choose the same ballot.
     BallotsNotUnique,
@@ -102,7 +103,7 @@
     VoteBeforeWrite,
     /// A change that this leaseholder began and that was never committed is finished all the same.
     UncommittedChangeFinished,
-    /// A candidate that has said that it holds no lease wins by votes that were on their way.
+    /// A candidate that has answered that it holds no lease wins by votes that were in flight.
     ClaimNotRenounced,
     /// A record whose write failed counts as written when it is asked for again.
     FailedWriteForgotten,
@@ -114,7 +115,7 @@
     pub member_count: usize,
     /// How many of them, from the first on, are the voters of the first start.
     pub initial_voters: usize,
-    /// What each member's clock goes on in a tick.
+    /// By how much each member's clock advances in a tick.
     pub clock_rates: Vec<u64>,
     pub budget: Budget,
     /// How many members may be down or have amnesia at once.
@@ -127,16 +128,16 @@
     pub ticks_since_grant: u8,
     /// Whether member 0 has begun the change to `target_voters`, accepted by a bare majority of both sets: itself and those
     /// with the lowest indices.
-    pub change_begun: bool,
-    /// Votes are received as soon as they are cast, or never: fewer states for the larger clusters. None is late.
+    pub change_started: bool,
+    /// Votes are received as soon as they are cast, or never, but not late: fewer states for the larger clusters.
     pub prompt_votes: bool,
-    /// Whether it is tried from each state that somebody comes to hold the lease.
+    /// Whether each state is checked for liveness: from it, somebody must come to hold the lease.
     pub check_liveness: bool,
     pub planted_fault: Option<PlantedFault>,
 }
 
 impl ClusterModel {
-    /// So many members, all of them voters, with clocks alike.
+    /// That many members, all of them voters, with equal clocks.
     pub fn with_members(member_count: usize, budget: Budget) -> ClusterModel {
         ClusterModel {
             member_count,
@@ -147,7 +148,7 @@
             target_voters: Vec::new(),
             lease_held: true,
             ticks_since_grant: 0,
-            change_begun: false,
+            change_started: false,
             prompt_votes: false,
             check_liveness: false,
             planted_fault: None,
@@ -183,7 +184,7 @@
     }
 }
 
-/// A request on its way, or the response on its way back.
+/// A request in flight, or the response to it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Message {
     pub requester: usize,
@@ -205,7 +206,7 @@
     pub tick: u8,
     pub remaining: Budget,
     pub members: Vec<Member>,
-    /// In a fixed order, so that states that differ in it alone are one.
+    /// In a fixed order, so that states that differ in the order alone are the same.
     pub messages: Vec<Message>,
     /// All elections that were won, with the values that were found.
     pub elections_won: BTreeMap<Ballot, BTreeSet<String>>,
@@ -221,12 +222,12 @@
         self.acknowledged.values().flat_map(|committed| committed.values.iter().cloned()).collect()
     }
 
-    /// Whether messages of that round are on their way.
+    /// Whether messages of that round are in flight.
     pub fn has_messages_of(&self, requester: usize, round: u8) -> bool {
         self.messages.iter().any(|message| message.requester == requester && message.round == round)
     }
 
-    /// Brings messages into their fixed order, each once.
+    /// Sorts messages into their fixed order and removes duplicates.
     pub fn normalize_messages(&mut self) {
         self.messages.sort_by_key(|message| {
             (message.requester, message.round, message.voter, message.response.is_some())
@@ -235,7 +236,7 @@
     }
 }
 
-/// What may happen next. Members are told by their indices.
+/// What may happen next. Members are identified by their indices.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
     Tick,
@@ -250,15 +251,15 @@
     /// It crashes, and its disk is lost.
     LoseDisk(usize),
     Restart(usize),
-    /// A restarted voter asks the one to which it had promised its ballot whether that one still holds the lease.
+    /// A restarted voter asks the candidate to which it had promised its ballot whether that one still holds the lease.
     Inquire(usize),
     TimeOut(usize),
     /// The first takes over the committed register that the second publishes.
     Adopt(usize, usize),
     Deliver(Message),
-    /// It is delivered, and stays on its way.
+    /// It is delivered, and stays in flight.
     DeliverTwice(Message),
-    /// It is delivered, and the vote is lost; where votes are late this is one that stays on its way.
+    /// It is delivered, and the vote is lost.
     DeliverWithoutResponse(Message),
     /// The request is delivered, and the voter's write fails.
     DeliverWithFailedWrite(Message),
--- a/crates/consensus/tests/model/delivery.rs
+++ b/crates/consensus/tests/model/delivery.rs
@@ -1,4 +1,4 @@
-//! What comes of a message that is delivered: to a voter, and back to the one that asked.
+//! The effect of a delivered message: of a request on the voter, and of a response on the requester.
 
 use crate::cluster::{ClusterModel, ClusterState, Committed, Message, PlantedFault, address};
 use crate::invariants::{FOUND, ONE_VALUE};
@@ -100,7 +100,7 @@
                 // Those that have not responded are asked again; what they respond to the first request is not counted.
                 let is_of_round = |one: &Message| one.requester == candidate && one.round == round;
                 state.messages.retain(|one| !(is_of_round(one) && one.response.is_some()));
-                underway.round = self.begin_round(state, candidate, &others, message.request);
+                underway.round = self.start_round(state, candidate, &others, message.request);
                 state.members[candidate].election = Some(underway);
             }
             ControlFlow::Break(ElectionOutcome::Won(found))
--- a/crates/consensus/tests/model/describe.rs
+++ b/crates/consensus/tests/model/describe.rs
@@ -1,4 +1,4 @@
-//! A step of a path as one reads it.
+//! Describes the steps of a path to a violation.
 
 use crate::cluster::{Action, ClusterModel, ClusterState, Message, index_of};
 use vanewharf_protocol::messages::{Ballot, VoteRequest};
--- a/crates/consensus/tests/model/leaseholder.rs
+++ b/crates/consensus/tests/model/leaseholder.rs
@@ -1,4 +1,4 @@
-//! What a candidate and a leaseholder do of their own accord, as the controller's replica does it.
+//! The requests that a candidate and a leaseholder send, as the controller's replica does.
 
 use crate::cluster::{ClusterModel, ClusterState, Message, PlantedFault, address, index_of};
 use crate::member::{AcceptUnderway, ElectionUnderway, Purpose, RenewalUnderway};
@@ -13,16 +13,16 @@
 const NOBODY: usize = 9;
 
 impl ClusterModel {
-    /// Begins a round and sends its requests. Returns the round's number.
-    pub fn begin_round(
+    /// Starts a round and sends its requests. Returns the round's number.
+    pub fn start_round(
         &self,
         state: &mut ClusterState,
         requester: usize,
         voters: &BTreeSet<SocketAddr>,
         request: VoteRequest,
     ) -> u8 {
-        state.members[requester].rounds_begun += 1;
-        let round = state.members[requester].rounds_begun;
+        state.members[requester].rounds_started += 1;
+        let round = state.members[requester].rounds_started;
         self.send_requests(state, requester, round, voters, request);
         round
     }
@@ -57,7 +57,7 @@
         let voters = all_voters(&membership);
         let election = Election::start(address(index), membership, rank);
         let request = VoteRequest::Lease { ballot, candidate: address(index) };
-        let round = self.begin_round(state, index, &voters, request);
+        let round = self.start_round(state, index, &voters, request);
         state.members[index].election = Some(ElectionUnderway { round, ballot, requested_at, election });
     }
 
@@ -68,12 +68,12 @@
         };
         let (requested_at, membership) = (self.now(state, index), state.members[index].membership());
         let request = VoteRequest::Renew { ballot: lease.ballot, leaseholder: address(index) };
-        let round = self.begin_round(state, index, &all_voters(&membership), request);
+        let round = self.start_round(state, index, &all_voters(&membership), request);
         let renewal = RenewalRound::start(lease.ballot, membership);
         state.members[index].renewal = Some(RenewalUnderway { round, requested_at, renewal });
     }
 
-    /// Takes an operator's change. Values are told apart by their count.
+    /// Takes an operator's change. Each adds a different value.
     pub fn propose_value(&self, state: &mut ClusterState, index: usize) {
         state.remaining.proposals -= 1;
         let value = format!("v{}", self.budget.proposals - state.remaining.proposals);
@@ -134,7 +134,7 @@
         let mut voters = all_voters(&state.members[index].membership());
         voters.extend(all_voters(&register.membership));
         let request = VoteRequest::Accept { register: register.clone() };
-        let round = self.begin_round(state, index, &voters, request);
+        let round = self.start_round(state, index, &voters, request);
         state.members[index].accept = Some(AcceptUnderway { round, purpose, register, accept });
     }
 
@@ -147,7 +147,7 @@
         }
     }
 
-    /// Nobody has to wait for the end of votes that were granted for nothing.
+    /// Releases the leases granted in a lost election, so that nobody has to wait for their end.
     pub fn release_lost_election(&self, state: &mut ClusterState, index: usize, lost: &ElectionUnderway) {
         if state.remaining.releases > 0 {
             state.remaining.releases -= 1;
@@ -156,6 +156,6 @@
     }
 
     fn release(&self, state: &mut ClusterState, index: usize, voters: &BTreeSet<SocketAddr>, ballot: Ballot) {
-        self.begin_round(state, index, voters, VoteRequest::Release { ballot });
+        self.start_round(state, index, voters, VoteRequest::Release { ballot });
     }
 }
--- a/crates/consensus/tests/model/main.rs
+++ b/crates/consensus/tests/model/main.rs
@@ -42,15 +42,15 @@
     ClusterModel { clock_rates: vec![SLOW_CLOCK, FAST_CLOCK, FAST_CLOCK], ..three_members() }
 }
 
-/// Where each mechanism is needed, in as few steps as may be.
+/// The smallest configuration in which each mechanism is needed.
 fn where_needed(fault: PlantedFault) -> ClusterModel {
     let (model, budget) = match fault {
         PlantedFault::IncarnationsIgnored | PlantedFault::FirstSeedTrusted => {
             (three_members(), Budget { disk_losses: 1, proposals: 1, ..NONE })
         }
-        PlantedFault::ChangeWithoutOutgoing => (two_voters_replaced(), Budget { changes_begun: 1, ..NONE }),
+        PlantedFault::ChangeWithoutOutgoing => (two_voters_replaced(), Budget { changes_started: 1, ..NONE }),
         PlantedFault::NoRenewalByBothSets => (
-            ClusterModel { change_begun: true, prompt_votes: true, ..one_voter_replaced() },
+            ClusterModel { change_started: true, prompt_votes: true, ..one_voter_replaced() },
             Budget { changes_finished: 1, elections: 1, ..NONE },
         ),
         PlantedFault::NoQuietPeriod => (three_members(), Budget { elections: 1, crashes: 1, ..NONE }),
@@ -62,7 +62,7 @@
         ),
         PlantedFault::UncommittedChangeFinished => (
             ClusterModel { prompt_votes: true, ..two_voters_replaced() },
-            Budget { changes_begun: 1, changes_finished: 1, timeouts: 1, ..NONE },
+            Budget { changes_started: 1, changes_finished: 1, timeouts: 1, ..NONE },
         ),
         PlantedFault::ClaimNotRenounced => (
             ClusterModel { lease_held: false, ..three_members() },
@@ -122,7 +122,7 @@
     assert_nothing_breaks(&format!("with all, where {fault:?} breaks"), where_needed(fault), UNBOUNDED_DEPTH);
 }
 
-/// From each state somebody comes to hold the lease once all are up and all is delivered.
+/// From each state, somebody comes to hold the lease once all members are up and all messages are delivered.
 #[parameterized(
     crash = { Budget { elections: 1, crashes: 1, ..NONE } },
     disk_loss = { Budget { disk_losses: 1, ..NONE } },
@@ -133,7 +133,8 @@
     assert_nothing_breaks("liveness", model, UNBOUNDED_DEPTH);
 }
 
-/// More than may be lost: as long as no disk is lost, no invariant is broken, and all goes on once they are back.
+/// More losses than are tolerated: as long as no disk is lost, no invariant is broken, and the cluster works again once they
+/// are back.
 #[test]
 fn two_of_three_down_at_once_cost_time_alone() {
     let model = ClusterModel {
@@ -161,7 +162,7 @@
 }
 
 const MIXED: Budget = Budget { ticks: 2, elections: 2, renewals: 1, proposals: 1, crashes: 1, ..NONE };
-const CHANGE: Budget = Budget { changes_begun: 1, changes_finished: 1, renewals: 1, elections: 1, ..NONE };
+const CHANGE: Budget = Budget { changes_started: 1, changes_finished: 1, renewals: 1, elections: 1, ..NONE };
 
 #[parameterized(
     late_votes = { "3 members, late votes, a crash", 10, ClusterModel { budget: MIXED, ..clocks_apart() } },
@@ -184,7 +185,7 @@
         ..one_voter_replaced()
     } },
     replaced_disk_loss = { "3 members, a replacement finished, a disk lost", 9, ClusterModel {
-        change_begun: true,
+        change_started: true,
         prompt_votes: true,
         budget: Budget {
             changes_finished: 1, renewals: 1, elections: 1, disk_losses: 1, proposals: 1, ..NONE
--- a/crates/consensus/tests/model/member.rs
+++ b/crates/consensus/tests/model/member.rs
@@ -53,8 +53,8 @@
     pub voter: Voter,
     pub record_on_disk: Option<VoterRecord>,
     pub register_on_disk: Option<Register>,
-    /// The rounds that it ever began, so that votes of those that are over are told apart.
-    pub rounds_begun: u8,
+    /// How many rounds it ever started; their numbers tell votes of different rounds apart.
+    pub rounds_started: u8,
     pub highest_ballot_seen: Ballot,
     pub claim: BallotClaim,
     pub election: Option<ElectionUnderway>,
@@ -66,20 +66,20 @@
     pub accept: Option<AcceptUnderway>,
     /// The newest committed register that it knows of, and publishes.
     pub published: Option<Register>,
-    /// It began a change, and both sets have not renewed its lease since.
+    /// It has started a change, and its lease has not been renewed by both sets since.
     pub needs_renewal_by_both_sets: bool,
     pub recovery: Option<RecoveryUnderway>,
 }
 
 impl Member {
-    /// One that runs and has begun nothing yet.
+    /// A running member that has started no round yet.
     pub fn new(voter: Voter, record_on_disk: VoterRecord) -> Member {
         Member {
             running: true,
             voter,
             record_on_disk: Some(record_on_disk),
             register_on_disk: None,
-            rounds_begun: 0,
+            rounds_started: 0,
             highest_ballot_seen: Ballot(0),
             claim: BallotClaim::default(),
             election: None,
@@ -145,7 +145,7 @@
         self.lease.is_some_and(|lease| lease.is_valid(now))
     }
 
-    /// The rounds of which it still counts responses.
+    /// The rounds whose responses it still counts.
     pub fn open_rounds(&self) -> [Option<u8>; 4] {
         [
             self.election.as_ref().map(|underway| underway.round),
--- a/crates/consensus/tests/model/possible_actions.rs
+++ b/crates/consensus/tests/model/possible_actions.rs
@@ -77,7 +77,7 @@
         if remaining.proposals > 0 {
             actions.push(Action::Propose(index));
         }
-        if remaining.changes_begun > 0 && self.may_begin_change(member) {
+        if remaining.changes_started > 0 && self.may_begin_change(member) {
             actions.push(Action::BeginChange(index));
         }
         if remaining.changes_finished > 0 && self.may_finish_change(member) {
--- a/crates/consensus/tests/model/restart.rs
+++ b/crates/consensus/tests/model/restart.rs
@@ -8,7 +8,7 @@
 use vanewharf_protocol::messages::{Register, Vote, VoteRequest, VoteResponse};
 
 impl ClusterModel {
-    /// The process ends, and with it what was on its way to it; requests that it has sent may still arrive.
+    /// The process ends, and messages to it are lost; requests that it has sent may still arrive.
     pub fn crash(&self, state: &mut ClusterState, index: usize) {
         state.members[index].crash();
         let is_lost = |message: &Message| {
@@ -40,14 +40,16 @@
         let Some(promised_to) = record.promised_to.map(index_of) else {
             return;
         };
-        let (now, holders_now) = (self.now(state, asker), self.now(state, promised_to));
-        let holder = &mut state.members[promised_to];
-        let mut claim = holder.claim;
-        if !holder.running || claim.answer_inquiry(record.ballot, holder.lease, holders_now) {
+        let (now, time_at_promised) = (self.now(state, asker), self.now(state, promised_to));
+        let promised_member = &mut state.members[promised_to];
+        let mut claim = promised_member.claim;
+        if !promised_member.running
+            || claim.answer_inquiry(record.ballot, promised_member.lease, time_at_promised)
+        {
             return;
         }
         if !self.has(PlantedFault::ClaimNotRenounced) {
-            holder.claim = claim;
+            promised_member.claim = claim;
         }
         state.members[asker].voter.end_quiet_period(record.ballot, now);
     }
@@ -56,7 +58,7 @@
         let recovery = RecoveryRound::start(address(index), self.seeds(), random);
         let request = VoteRequest::Recover { member: address(index), incarnation: recovery.incarnation() };
         let others = self.seeds().into_iter().filter(|seed| *seed != address(index)).collect();
-        let round = self.begin_round(state, index, &others, request);
+        let round = self.start_round(state, index, &others, request);
         state.members[index].recovery = Some(RecoveryUnderway { round, recovery });
     }
 
@@ -80,7 +82,7 @@
                 // What others respond to the incarnation before is not counted any more.
                 let (index, incarnation) = (message.requester, underway.recovery.incarnation());
                 let request = VoteRequest::Recover { member: address(index), incarnation };
-                underway.round = self.begin_round(state, index, &others, request);
+                underway.round = self.start_round(state, index, &others, request);
                 state.members[index].recovery = Some(underway);
             }
             RecoveryStep::Query(others) => {
@@ -90,7 +92,7 @@
         }
     }
 
-    /// Asks those that have not responded usefully, and of which no message is on its way.
+    /// Asks those that have reported nothing yet and have no message in flight.
     fn query_remaining(
         &self,
         state: &mut ClusterState,
@@ -129,7 +131,7 @@
         }
     }
 
-    /// With the fault planted, the first answer is believed.
+    /// With the fault planted, the first answer is taken for the outcome.
     fn step_of_first_seed(
         &self,
         state: &ClusterState,
--- a/crates/consensus/tests/model/transitions.rs
+++ b/crates/consensus/tests/model/transitions.rs
@@ -1,4 +1,4 @@
-//! What comes of each action.
+//! The state that each action leads to.
 
 use crate::cluster::{Action, ClusterModel, ClusterState, Message};
 use crate::member::{Member, Purpose};
@@ -17,7 +17,7 @@
             Action::Renew(index) => self.renew(&mut next, index),
             Action::Propose(index) => self.propose_value(&mut next, index),
             Action::BeginChange(index) => {
-                next.remaining.changes_begun -= 1;
+                next.remaining.changes_started -= 1;
                 self.reconfigure(&mut next, index, Purpose::BeginChange);
             }
             Action::FinishChange(index) => {
@@ -97,8 +97,8 @@
         Some(())
     }
 
-    /// Votes of rounds that are over are counted by nobody, and requests below a promise that cannot be lost do nothing:
-    /// states that differ in these alone are one.
+    /// Drops votes of rounds that are over, which nobody counts, and requests below a promise that cannot be lost, which have
+    /// no effect: states that differ in these alone are the same.
     fn drop_messages_without_effect(&mut self) {
         let (members, disks_may_be_lost) = (&self.members, self.remaining.disk_losses > 0);
         self.messages.retain(|message| {
