--- a/crates/compatibility/tests/calls.rs
+++ b/crates/compatibility/tests/calls.rs
@@ -57,7 +57,7 @@
     on_local_runtime(async {
         let environment = Environment::of_machine(None).expect("a network");
         let mut caller = RpcClient::new(at, &environment.network);
-        caller.post::<_, Vec<u8>>("/asked", &json!({"a": 1}), WITHIN).await.expect("an answer");
+        caller.call::<_, Vec<u8>>("/asked", &json!({"a": 1}), WITHIN).await.expect("an answer");
         caller.get::<Vec<u8>>("/fetched", WITHIN).await.expect("an answer");
         caller.send("GET", "/called", "", WITHIN).await.expect("an answer");
     });
--- /dev/null
+++ b/crates/rpc/src/client/tests.rs
@@ -0,0 +1,224 @@
+use super::*;
+use futures_util::SinkExt;
+use std::cell::Cell;
+use std::io;
+use tokio::io::duplex;
+use tokio::sync::mpsc;
+use tokio::task::LocalSet;
+use vanewharf_http1::{PlainReply, ServerCodec};
+use vanewharf_runtime::environment::{BoxFuture, Listener};
+use yare::parameterized;
+
+const WITHIN: Duration = Duration::from_millis(300);
+
+/// A network whose other side is the test itself: connections arrive at the receiver.
+struct TestNetwork {
+    connections: mpsc::UnboundedSender<Stream>,
+    last_id: Cell<u64>,
+}
+
+impl Network for TestNetwork {
+    fn connect(&self, _: SocketAddr) -> BoxFuture<'static, io::Result<Stream>> {
+        let (client, server) = duplex(1 << 16);
+        let sent =
+            self.connections.send(Box::new(server)).map_err(|_| io::ErrorKind::ConnectionRefused.into());
+        Box::pin(async move { sent.map(|()| Box::new(client) as Stream) })
+    }
+
+    fn listen(&self, _: SocketAddr) -> io::Result<Box<dyn Listener>> {
+        Err(io::ErrorKind::Unsupported.into())
+    }
+
+    fn unique_id(&self) -> u64 {
+        self.last_id.set(self.last_id.get() + 1);
+        self.last_id.get()
+    }
+}
+
+fn client_and_connections() -> (RpcClient, mpsc::UnboundedReceiver<Stream>) {
+    let (connections, arriving) = mpsc::unbounded_channel();
+    let network: Rc<dyn Network> = Rc::new(TestNetwork { connections, last_id: Cell::new(0) });
+    let client = RpcClient::new("10.0.0.1:7600".parse().expect("an address"), &network);
+    (client, arriving)
+}
+
+/// The other side of one connection.
+struct TestServer(Framed<Stream, ServerCodec>);
+
+impl TestServer {
+    async fn accept(arriving: &mut mpsc::UnboundedReceiver<Stream>) -> TestServer {
+        let stream = arriving.recv().await.expect("it connects");
+        TestServer(Framed::new(stream, ServerCodec::with_max_body(MAX_BODY_BYTES)))
+    }
+
+    /// The path and the id of the next call.
+    async fn receive(&mut self) -> (String, Option<String>) {
+        let request = self.0.next().await.expect("a call").expect("that can be read");
+        (request.target().to_owned(), request.field(CALL_ID).map(str::to_owned))
+    }
+
+    async fn respond(&mut self, id: Option<&str>, body: &str) {
+        let fields: Vec<_> = id.map(|id| (CALL_ID, id)).into_iter().collect();
+        let reply = PlainReply { status: 200, fields: &fields, body: body.as_bytes(), close: false };
+        self.0.send(reply).await.expect("it is connected");
+    }
+}
+
+async fn run_with_deadline(test: impl Future<Output = ()>) {
+    // By the simulated clock: a test that waits for what never comes fails.
+    let result = timeout(Duration::from_secs(60), LocalSet::new().run_until(test)).await;
+    result.expect("what was waited for has come");
+}
+
+/// What is wrong with a response on a reused connection.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum Fault {
+    Duplicated,
+    Reordered,
+    WithoutId,
+    Malformed,
+}
+
+#[parameterized(
+    duplicated = { Fault::Duplicated },
+    reordered = { Fault::Reordered },
+    without_id = { Fault::WithoutId },
+    malformed = { Fault::Malformed },
+)]
+#[test_macro(tokio::test(start_paused = true))]
+async fn a_response_reaches_only_the_call_that_it_answers(fault: Fault) {
+    run_with_deadline(async {
+        let (mut client, mut arriving) = client_and_connections();
+        let calls = async {
+            assert_eq!(client.call::<_, u32>("/pull", &1, WITHIN).await.expect("answered"), 1);
+            client.call::<_, u32>("/pull", &2, WITHIN).await
+        };
+        let server = async {
+            let mut first = TestServer::accept(&mut arriving).await;
+            let (_, id) = first.receive().await;
+            first.respond(id.as_deref(), "1").await;
+            if fault == Fault::Duplicated {
+                // It arrives when the next call is in flight already.
+                first.receive().await;
+                first.respond(id.as_deref(), "1").await;
+            } else {
+                let (_, id) = first.receive().await;
+                match fault {
+                    Fault::Reordered => first.respond(Some("7-1"), "1").await,
+                    Fault::WithoutId => first.respond(None, "1").await,
+                    _ => first.0.get_mut().write_all(b"HTP/1 no answer\r\n\r\n").await.expect("connected"),
+                }
+                assert!(id.is_some());
+            }
+            if fault != Fault::Malformed {
+                assert!(first.0.next().await.is_none(), "its connection is closed");
+                let mut second = TestServer::accept(&mut arriving).await;
+                let (_, id) = second.receive().await;
+                second.respond(id.as_deref(), "2").await;
+            }
+        };
+        let (response, ()) = tokio::join!(calls, server);
+        match fault {
+            Fault::Malformed => assert!(matches!(response, Err(RpcError::Malformed)), "{response:?}"),
+            _ => assert_eq!(response.expect("its own"), 2),
+        }
+    })
+    .await;
+}
+
+#[tokio::test(start_paused = true)]
+async fn a_late_response_reaches_no_call() {
+    run_with_deadline(async {
+        let (mut client, mut arriving) = client_and_connections();
+        let calls = async {
+            assert!(matches!(client.call::<_, u32>("/pull", &1, WITHIN).await, Err(RpcError::Timeout)));
+            client.call::<_, u32>("/pull", &2, WITHIN).await.expect("answered")
+        };
+        let server = async {
+            let mut first = TestServer::accept(&mut arriving).await;
+            let (_, late) = first.receive().await;
+            let mut second = TestServer::accept(&mut arriving).await;
+            assert!(first.0.next().await.is_none(), "that connection is closed");
+            let (_, id) = second.receive().await;
+            assert_ne!(id, late);
+            second.respond(id.as_deref(), "2").await;
+        };
+        assert_eq!(tokio::join!(calls, server).0, 2);
+    })
+    .await;
+}
+
+/// How a call is retried.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum Retry {
+    WithSameId,
+    WithNewId,
+    Never,
+}
+
+/// What is sent again when a reused connection breaks after the request was written.
+#[parameterized(
+    cumulative_effect_with_the_same_id = { "/lend", ServerKind::Internal, "POST", Retry::WithSameId },
+    idempotent_with_a_new_id = { "/pull", ServerKind::Internal, "POST", Retry::WithNewId },
+    external_read_without_id = { "/instances", ServerKind::External, "GET", Retry::WithSameId },
+    external_write_never = { "/-/Configuration.Replace", ServerKind::External, "POST", Retry::Never },
+)]
+#[test_macro(tokio::test(start_paused = true))]
+async fn a_call_that_may_have_arrived_is_retried_only_if_that_does_no_harm(
+    path: &str,
+    server: ServerKind,
+    method: &str,
+    retry: Retry,
+) {
+    run_with_deadline(async {
+        let (mut client, mut arriving) = client_and_connections();
+        let calls = async {
+            for _ in 0..2 {
+                let call = Call { method, path, body: "1", server };
+                if let Err(error) = client.send_with_retry(call, WITHIN).await {
+                    assert!(matches!(error, RpcError::ConnectionLost) && retry == Retry::Never, "{error:?}");
+                }
+            }
+        };
+        let server = async {
+            let mut first = TestServer::accept(&mut arriving).await;
+            let (_, id) = first.receive().await;
+            first.respond(id.as_deref(), "1").await;
+            let (_, id) = first.receive().await;
+            drop(first);
+            if retry != Retry::Never {
+                let mut second = TestServer::accept(&mut arriving).await;
+                let (target, retried_id) = second.receive().await;
+                assert_eq!((target.as_str(), retried_id == id), (path, retry == Retry::WithSameId));
+                second.respond(retried_id.as_deref(), "1").await;
+            }
+        };
+        tokio::join!(calls, server);
+        assert!(arriving.try_recv().is_err(), "no more connections than these");
+    })
+    .await;
+}
+
+#[tokio::test(start_paused = true)]
+async fn an_idle_connection_on_which_something_arrived_is_not_reused() {
+    run_with_deadline(async {
+        let (mut client, mut arriving) = client_and_connections();
+        let call = || Call { method: "GET", path: "/instances", body: "", server: ServerKind::External };
+        let first = async {
+            let mut first = TestServer::accept(&mut arriving).await;
+            let (_, id) = first.receive().await;
+            first.respond(id.as_deref(), "1").await;
+            first
+        };
+        let (_, mut first) = tokio::join!(client.send_with_retry(call(), WITHIN), first);
+        first.respond(None, "1").await;
+        let server = async {
+            let mut second = TestServer::accept(&mut arriving).await;
+            second.receive().await;
+            second.respond(None, "2").await;
+        };
+        let (response, ()) = tokio::join!(client.send_with_retry(call(), WITHIN), server);
+        assert_eq!(response.expect("answered"), RawResponse { status: 200, body: b"2".to_vec() });
+    })
+    .await;
+}
--- a/crates/rpc/src/lib.rs
+++ b/crates/rpc/src/lib.rs
@@ -1,7 +1,23 @@
-//! HTTP calls between the system's programs, and the feed of versions that readers pull.
+//! HTTP/1.1 calls between the system's programs: a client whose calls end in time, a server that recognizes repeated calls,
+//! and the publisher of versions that readers pull.
+//!
+//! The system's own calls carry a [call id](vanewharf_protocol::deduplication::CallId), and their responses the id of
+//! the call that they answer.
 
-mod call;
+#![forbid(unsafe_code)]
+#![warn(missing_docs)]
+
+mod client;
+mod compression;
+mod error;
+mod limits;
 mod publisher;
+mod response;
+mod server;
 
-pub use call::{MOST_BODY, RpcClient, RpcError, RpcResponse, serve, serve_deduplicated};
+pub use client::{RawResponse, RpcClient};
+pub use error::RpcError;
+pub use limits::MAX_BODY_BYTES;
 pub use publisher::Publisher;
+pub use response::RpcResponse;
+pub use server::{serve, serve_deduplicated};
--- a/crates/rpc/src/publisher.rs
+++ b/crates/rpc/src/publisher.rs
@@ -1,6 +1,7 @@
-//! A process' store, those who wait for something new in it, and the loop that pulls from others.
+//! The versions that a process has, those who wait for something newer, and the pull from another process.
 
-use crate::call::{RpcClient, RpcError};
+use crate::client::RpcClient;
+use crate::error::RpcError;
 use std::cell::{Ref, RefCell};
 use std::rc::Rc;
 use std::time::Duration;
@@ -11,67 +12,86 @@
 use vanewharf_protocol::messages::{PullRequest, PullResponse};
 use vanewharf_protocol::version_store::{AppliedUpdates, RegisterForm, VersionStore};
 
-/// The longest that an answer is held back.
-const LONGEST: Duration = Duration::from_secs(2);
-/// Beyond what an answer may be held back for.
-const ON_THE_WAY: Duration = Duration::from_millis(350);
+/// The longest that a response is delayed, whatever the request names.
+const MAX_WAIT: Duration = Duration::from_secs(2);
+/// What a pull may take in addition to the wait that it names.
+const NETWORK_ALLOWANCE: Duration = Duration::from_millis(350);
 
+/// A process' [`VersionStore`] with those who wait for an update of it. Clones share both.
 #[derive(Clone)]
 pub struct Publisher {
+    /// The process' clock.
     pub clock: MonotonicClock,
     store: Rc<RefCell<VersionStore>>,
-    /// Whoever waits is woken in the order in which they came.
-    changed: Rc<Notify>,
+    /// Wakes waiting responses in the order in which their requests came.
+    updated: Rc<Notify>,
 }
 
 impl Publisher {
+    /// One with an empty store.
     pub fn new(clock: MonotonicClock) -> Publisher {
-        Publisher { clock, store: Rc::default(), changed: Rc::default() }
+        Publisher { clock, store: Rc::default(), updated: Rc::default() }
     }
 
+    /// The present instant by the process' clock.
     pub fn now(&self) -> Timestamp {
         self.clock.now()
     }
 
+    /// The store, to read from; the borrow must not be held across an await.
     pub fn store(&self) -> Ref<'_, VersionStore> {
         self.store.borrow()
     }
 
-    /// Whoever waits is woken where the change says so.
+    /// Changes the store, and wakes those who wait where `change` says that there is something newer.
     pub fn update(&self, change: impl FnOnce(&mut VersionStore) -> bool) {
-        let changed = change(&mut self.store.borrow_mut());
-        if changed {
-            self.changed.notify_waiters();
+        let has_changed = change(&mut self.store.borrow_mut());
+        if has_changed {
+            self.updated.notify_waiters();
         }
     }
 
-    /// The answer to a pull, as soon as there is something new or the reader would wait no longer.
-    pub async fn respond(&self, pull: &PullRequest) -> PullResponse {
-        let begun = self.now();
-        let until = self.clock.instant(begun.after(Duration::from_millis(pull.wait_ms).min(LONGEST)));
+    /// The response to a pull, as soon as there is something newer or the request's wait is over.
+    ///
+    /// # Cancel safety
+    ///
+    /// The future changes nothing.
+    pub async fn respond(&self, request: &PullRequest) -> PullResponse {
+        let received_at = self.now();
+        let wait = Duration::from_millis(request.wait_ms).min(MAX_WAIT);
+        let deadline = self.clock.instant(received_at.after(wait));
         loop {
             let now = self.now();
-            if self.store().is_newer_than(&pull.versions) || self.clock.instant(now) >= until {
-                // A postmaster keeps the register as it was sent.
-                let form =
-                    if pull.follower.is_some() { RegisterForm::Verbatim } else { RegisterForm::Incremental };
-                return self.store().response_to(&pull.versions, form, now.since(begun), now);
+            if self.store().is_newer_than(&request.versions) || self.clock.instant(now) >= deadline {
+                let form = match &request.follower {
+                    Some(_) => RegisterForm::Verbatim,
+                    None => RegisterForm::Incremental,
+                };
+                return self.store().response_to(&request.versions, form, now.since(received_at), now);
             }
-            // Nothing else runs between the look at the store and the first poll here.
-            let _ = timeout_at(until, self.changed.notified()).await;
+            // No update is missed: nothing else runs between the look at the store and the first poll here.
+            let _ = timeout_at(deadline, self.updated.notified()).await;
         }
     }
 
-    /// One pull: what was new.
-    pub async fn pull(&self, from: &mut RpcClient, pull: &PullRequest) -> Result<AppliedUpdates, RpcError> {
-        let (asked, wait) = (self.now(), Duration::from_millis(pull.wait_ms));
-        let within = wait + ON_THE_WAY;
-        let mail: PullResponse = from.post(endpoints::PULL, pull, within).await?;
-        let mut news = AppliedUpdates::default();
+    /// Pulls once and takes over what is newer.
+    ///
+    /// # Errors
+    ///
+    /// Where the call fails; nothing has changed then.
+    pub async fn pull(
+        &self,
+        source: &mut RpcClient,
+        request: &PullRequest,
+    ) -> Result<AppliedUpdates, RpcError> {
+        let sent_at = self.now();
+        let within = Duration::from_millis(request.wait_ms) + NETWORK_ALLOWANCE;
+        let response: PullResponse = source.call(endpoints::PULL, request, within).await?;
+        let mut updates = AppliedUpdates::default();
         self.update(|store| {
-            news = store.apply(mail, asked, self.clock.now());
-            news.any()
+            updates = store.apply(response, sent_at, self.clock.now());
+            updates.any()
         });
-        Ok(news)
+        Ok(updates)
     }
 }
--- /dev/null
+++ b/crates/rpc/src/server/dispatcher.rs
@@ -0,0 +1,60 @@
+//! Passes requests to the handler, repeated calls excepted.
+
+use crate::response::RpcResponse;
+use std::cell::RefCell;
+use tokio::time::Instant;
+use vanewharf_http1::Request;
+use vanewharf_protocol::deduplication::{CallHistory, CallId, CallStatus, has_cumulative_effect};
+use vanewharf_protocol::endpoints::{CALL_ID, CALL_REPEATED};
+
+/// The handler of a server, with the calls that it has had.
+pub(super) struct Dispatcher<H> {
+    handler: H,
+    /// None where the server is public, so that call ids mean nothing.
+    history: Option<RefCell<CallHistory<RpcResponse>>>,
+}
+
+impl<H> Dispatcher<H> {
+    pub(super) fn new(handler: H) -> Dispatcher<H> {
+        Dispatcher { handler, history: None }
+    }
+
+    pub(super) fn with_deduplication(handler: H) -> Dispatcher<H> {
+        Dispatcher { handler, history: Some(RefCell::default()) }
+    }
+
+    /// The handler's response, or that to a repeated call. Where the future is dropped, no response is recorded: the call
+    /// counts as repeated from then on.
+    pub(super) async fn dispatch<F>(&self, request: Request) -> RpcResponse
+    where
+        H: Fn(Request) -> F,
+        F: Future<Output = RpcResponse>,
+    {
+        let (Some(id), Some(history)) = (request.field(CALL_ID), &self.history) else {
+            return (self.handler)(request).await;
+        };
+        let id: CallId = match id.parse() {
+            Ok(id) => id,
+            Err(error) => return RpcResponse::with_status(400, &error.to_string()),
+        };
+        // The borrow ends before the handler runs.
+        let status = history.borrow_mut().observe(id, Instant::now());
+        match status {
+            CallStatus::Answered(mut response) => {
+                response.headers.push((CALL_REPEATED, "1".to_owned()));
+                response
+            }
+            CallStatus::Repeated => {
+                RpcResponse::with_status(409, "this call, or a later one of its caller, was heard before")
+            }
+            CallStatus::New => {
+                let is_recorded = has_cumulative_effect(request.target());
+                let response = (self.handler)(request).await;
+                if is_recorded {
+                    history.borrow_mut().record_answer(id, response.clone());
+                }
+                response
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/rpc/tests/disconnected_clients.rs
@@ -0,0 +1,128 @@
+//! The server, on loopback: a client that disconnects is noticed, and one that sends further requests gets them answered.
+
+use std::cell::RefCell;
+use std::io::Write;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::net::TcpStream;
+use tokio::sync::{Notify, mpsc};
+use tokio::task::LocalSet;
+use tokio::time::timeout;
+use vanewharf_http1::Request;
+use vanewharf_rpc::{RpcResponse, serve};
+use vanewharf_runtime::environment::{Environment, Listener};
+
+const DEADLINE: Duration = Duration::from_secs(20);
+
+fn on_loopback<F: Future<Output = ()>>(test: impl FnOnce(Box<dyn Listener>, SocketAddr) -> F) {
+    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+    runtime.block_on(LocalSet::new().run_until(async {
+        let environment = Environment::of_machine(None).expect("no disk is needed");
+        // A port that was free a moment ago.
+        let free = std::net::TcpListener::bind("127.0.0.1:0").expect("a port").local_addr();
+        let address = free.expect("an address");
+        let listener = environment.network.listen(address).expect("it is free");
+        timeout(DEADLINE, test(listener, address)).await.expect("in time");
+    }));
+}
+
+fn request(path: &str) -> Vec<u8> {
+    format!("POST {path} HTTP/1.1\r\nHost: x\r\nContent-Length: 2\r\n\r\n{{}}").into_bytes()
+}
+
+/// A response with the request's path as its body.
+fn echo(request: &Request) -> RpcResponse {
+    RpcResponse { status: 200, headers: Vec::new(), body: request.target().as_bytes().to_vec() }
+}
+
+/// Another client's complete call.
+async fn call(address: SocketAddr, path: &str) {
+    let mut client = TcpStream::connect(address).await.expect("it listens");
+    client.write_all(&request(path)).await.expect("sent");
+    client.read_u8().await.expect("a response");
+}
+
+/// Sends a message when it is dropped.
+struct NotifyOnDrop(mpsc::UnboundedSender<()>);
+
+impl Drop for NotifyOnDrop {
+    fn drop(&mut self) {
+        let _ = self.0.send(());
+    }
+}
+
+#[test]
+fn a_handler_whose_client_disconnects_is_dropped_at_its_await_point() {
+    on_loopback(|listener, address| async move {
+        let (started, mut is_started) = mpsc::unbounded_channel();
+        let (dropped, mut is_dropped) = mpsc::unbounded_channel();
+        tokio::task::spawn_local(serve(listener, move |request| {
+            let (started, guard) = (started.clone(), NotifyOnDrop(dropped.clone()));
+            async move {
+                let _ = started.send(());
+                std::future::pending::<()>().await;
+                drop(guard);
+                echo(&request)
+            }
+        }));
+        let mut client = TcpStream::connect(address).await.expect("it listens");
+        client.write_all(&request("/wait")).await.expect("sent");
+        is_started.recv().await.expect("started");
+        drop(client);
+        is_dropped.recv().await.expect("dropped");
+    });
+}
+
+#[test]
+fn a_request_that_arrives_together_with_its_connections_end_is_not_handled() {
+    on_loopback(|listener, address| async move {
+        // Both are there before the server looks: it does not run until they were sent.
+        let mut client = std::net::TcpStream::connect(address).expect("the backlog takes it");
+        client.write_all(&request("/late")).expect("sent");
+        drop(client);
+        let handled = Rc::new(RefCell::new(Vec::new()));
+        let handler_log = Rc::clone(&handled);
+        tokio::task::spawn_local(serve(listener, move |request| {
+            let handled = Rc::clone(&handler_log);
+            async move {
+                handled.borrow_mut().push(request.target().to_owned());
+                echo(&request)
+            }
+        }));
+        // When one that came after it is answered, the first one has been read.
+        call(address, "/next").await;
+        assert_eq!(*handled.borrow(), ["/next"]);
+    });
+}
+
+#[test]
+fn requests_that_arrive_while_one_is_handled_are_answered_in_their_order() {
+    on_loopback(|listener, address| async move {
+        let resume = Rc::new(Notify::new());
+        let resumed = Rc::clone(&resume);
+        tokio::task::spawn_local(serve(listener, move |request| {
+            let resumed = Rc::clone(&resumed);
+            async move {
+                if request.target() == "/1" {
+                    resumed.notified().await;
+                }
+                echo(&request)
+            }
+        }));
+        let mut client = TcpStream::connect(address).await.expect("it listens");
+        let requests: Vec<u8> = ["/1", "/2", "/3"].iter().flat_map(|path| request(path)).collect();
+        client.write_all(&requests).await.expect("sent");
+        call(address, "/4").await;
+        resume.notify_one();
+        let (mut text, mut buffer) = (String::new(), [0; 1024]);
+        while text.matches("\r\n\r\n/").count() < 3 {
+            let length = client.read(&mut buffer).await.expect("responses");
+            assert!(length > 0, "it ended after {text}");
+            text.push_str(&String::from_utf8_lossy(&buffer[..length]));
+        }
+        let positions = ["/1", "/2", "/3"].map(|path| text.find(path).expect("there"));
+        assert!(positions.is_sorted(), "{text}");
+    });
+}
--- a/crates/system-simulator/examples/capacity.rs
+++ b/crates/system-simulator/examples/capacity.rs
@@ -526,7 +526,7 @@
         let (mut caller, asked) = (RpcClient::new(at, &net), asked.clone());
         tokio::task::spawn_local(async move {
             for _ in 0..each {
-                let _: A = caller.post(path, &asked, Duration::from_secs(9)).await.expect("an answer");
+                let _: A = caller.call(path, &asked, Duration::from_secs(9)).await.expect("an answer");
             }
         })
     };
@@ -556,7 +556,7 @@
         let token = TokenCounts::from([("tenant-000123".to_owned(), 1)]);
         for (name, kind) in [("/lend, one token", 0), ("/pull, no tenants", 1), ("/pull, 100 tenants", 2)] {
             let within = Duration::from_secs(9);
-            let before: Duration = asking.post("/spent", &(), within).await.expect("told");
+            let before: Duration = asking.call("/spent", &(), within).await.expect("told");
             let (began, many) = (Instant::now(), (32, 1_500));
             match kind {
                 0 => calls_of::<_, TokenCounts>(at, (endpoints::LEASE_TOKENS, token.clone()), many).await,
@@ -564,7 +564,7 @@
                 _ => calls_of::<_, PullResponse>(at, (endpoints::PULL, long.clone()), many).await,
             }
             let wall = began.elapsed().as_secs_f64();
-            let after: Duration = asking.post("/spent", &(), within).await.expect("told");
+            let after: Duration = asking.call("/spent", &(), within).await.expect("told");
             let count = (many.0 * many.1) as f64;
             let each = (after - before).as_secs_f64() * 1e6 / count;
             println!("| {name} | {count} | {each:.1} | {:.0} |", count / wall);
--- a/crates/system-simulator/src/day.rs
+++ b/crates/system-simulator/src/day.rs
@@ -20,7 +20,7 @@
 use vanewharf_config::config::Config;
 use vanewharf_protocol::messages::{PullRequest, Register};
 use vanewharf_rpc::Publisher;
-use vanewharf_rpc::RpcClient;
+use vanewharf_rpc::{RawResponse, RpcClient};
 use vanewharf_runtime::environment::Environment;
 
 const SERVICES: [&str; 2] = ["reads", "writes"];
@@ -485,7 +485,7 @@
     for _ in 0..3 {
         let mut caller = RpcClient::new(to, &premises.network);
         let answer = timeout(WITHIN, caller.send(method, path, body, WITHIN)).await;
-        let (status, text) = answer.ok()?.ok()?;
+        let RawResponse { status, body: text } = answer.ok()?.ok()?;
         if status != 307 {
             return Some((status, text));
         }
--- a/crates/system-simulator/tests/cut.rs
+++ b/crates/system-simulator/tests/cut.rs
@@ -12,7 +12,7 @@
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 use vanewharf_protocol::endpoints;
 use vanewharf_protocol::version_store::VersionStore;
-use vanewharf_rpc::RpcClient;
+use vanewharf_rpc::{RawResponse, RpcClient};
 use vanewharf_runtime::environment::Environment;
 use vanewharf_system_simulator::disk::{Health, Left};
 use vanewharf_system_simulator::many::each;
@@ -93,7 +93,7 @@
 ) -> Option<(u16, Option<SocketAddr>)> {
     let (method, path, body) = call;
     let mut caller = RpcClient::new(office, &premises.network);
-    let (status, text) = caller.send(method, path, body, WITHIN).await.ok()?;
+    let RawResponse { status, body: text } = caller.send(method, path, body, WITHIN).await.ok()?;
     let text: Value = serde_json::from_slice(&text).unwrap_or_default();
     let there = text["location"].as_str().and_then(|text| {
         text.trim_start_matches("http://").split('/').next().and_then(|address| address.parse().ok())
@@ -124,8 +124,8 @@
     for _ in 0..3 {
         let mut caller = RpcClient::new(to, &premises.network);
         let read = caller.send("GET", "/-/Configuration.Read", "", WITHIN).await.expect("answered");
-        let text = String::from_utf8(read.1).expect("text");
-        if read.0 != 307 {
+        let text = String::from_utf8(read.body).expect("text");
+        if read.status != 307 {
             return text;
         }
         let there: Value = serde_json::from_str(&text).expect("JSON");
@@ -371,7 +371,7 @@
             let mut caller = RpcClient::new(at, &premises.network);
             // As one that is no member of theirs: it leaves no mark that counts.
             let recover = r#"{"Recover":{"member":"10.9.9.9:1","incarnation":0}}"#;
-            let known = caller.send("POST", endpoints::VOTE, recover, WITHIN).await.expect("answered").1;
+            let known = caller.send("POST", endpoints::VOTE, recover, WITHIN).await.expect("answered").body;
             let known: Value = serde_json::from_slice(&known).expect("JSON");
             let known = &known["vote"]["Known"];
             told.insert(office, (known["promised"].to_string(), known["register"]["no"].to_string()));
--- a/crates/system-simulator/tests/orders.rs
+++ b/crates/system-simulator/tests/orders.rs
@@ -58,7 +58,11 @@
     let method = if path.ends_with("Read") { "GET" } else { "POST" };
     let net = world.network.at(operator(no));
     let mut caller = RpcClient::new(world.office(office), &net);
-    timeout(SILENCE, caller.send(method, path, body, SILENCE)).await.ok()?.ok()
+    timeout(SILENCE, caller.send(method, path, body, SILENCE))
+        .await
+        .ok()?
+        .ok()
+        .map(|response| (response.status, response.body))
 }
 
 /// At one postmaster after the other until it is clear: the status, or none where that took too long.
@@ -107,7 +111,7 @@
         reports: Vec::new(),
     };
     let mut caller = RpcClient::new(inside, &world.network.at(operator(7)));
-    let mail: PullResponse = caller.post(endpoints::PULL, &pull, SILENCE).await.expect("answered");
+    let mail: PullResponse = caller.call(endpoints::PULL, &pull, SILENCE).await.expect("answered");
     mail.register.expect("a register").evacuated
 }
 
@@ -176,7 +180,10 @@
             // A connection that is up, whose bytes are then held on their way.
             let (here, there) = (operator(0), world.machines[holder].ip);
             let mut caller = RpcClient::new(world.office(holder), &world.network.at(here));
-            assert_eq!(caller.send("GET", "/-/Configuration.Read", "", SILENCE).await.expect("up").0, 200);
+            assert_eq!(
+                caller.send("GET", "/-/Configuration.Read", "", SILENCE).await.expect("up").status,
+                200
+            );
             world.network.cut(here, there);
             assert!(caller.send("POST", finish, "", SILENCE).await.is_err(), "nothing can be heard");
             drop(caller);
@@ -383,7 +390,7 @@
             async move {
                 let (begun, path) = (Instant::now(), format!("/-/Evacuation.Begin/{zone}"));
                 let answer = RpcClient::new(to, &net).send("POST", &path, "", ACKNOWLEDGE).await;
-                (answer.ok().map(|(status, _)| status), begun.elapsed())
+                (answer.ok().map(|response| response.status), begun.elapsed())
             }
         };
         let holder = loop {
--- a/programs/agent/src/peer_shuffle.rs
+++ b/programs/agent/src/peer_shuffle.rs
@@ -33,7 +33,7 @@
 async fn shuffle_with(state: &AgentState, peer: IpAddr, random_offset: usize) {
     let sample = state.peers.borrow().sample(random_offset, state.publisher.now());
     let mut client = RpcClient::new(state.settings.agent_address(peer), &state.environment.network);
-    match client.post::<_, Vec<PeerEntry>>(endpoints::GOSSIP, &sample, ANSWER_TIMEOUT).await {
+    match client.call::<_, Vec<PeerEntry>>(endpoints::GOSSIP, &sample, ANSWER_TIMEOUT).await {
         Ok(received) => state.peers.borrow_mut().merge(&received, state.publisher.now()),
         Err(_) => state.peers.borrow_mut().remove(peer),
     }
--- a/programs/controller/src/platform.rs
+++ b/programs/controller/src/platform.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 use vanewharf_protocol::messages::Backend;
-use vanewharf_rpc::{RpcClient, RpcError};
+use vanewharf_rpc::{RawResponse, RpcClient, RpcError};
 use vanewharf_runtime::environment::Network;
 
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(900);
@@ -96,8 +96,10 @@
             None => "/instances".to_owned(),
         };
         match self.rpc.send("GET", &path, "", REQUEST_TIMEOUT).await? {
-            (200, body) => serde_json::from_slice(&body).map_err(|_| RpcError::Malformed),
-            (status, _) => Err(RpcError::Status(status)),
+            RawResponse { status: 200, body } => {
+                serde_json::from_slice(&body).map_err(|_| RpcError::Malformed)
+            }
+            RawResponse { status, .. } => Err(RpcError::Status(status)),
         }
     }
 }
--- a/programs/controller/src/replica/recovery.rs
+++ b/programs/controller/src/replica/recovery.rs
@@ -30,7 +30,7 @@
                 Some(self.confirm_lease(record.ballot))
             } else {
                 let mut client = RpcClient::new(leaseholder, &self.environment.network);
-                client.post(endpoints::HOLDS_LEASE, &record.ballot, LEASE_QUERY_TIMEOUT).await.ok()
+                client.call(endpoints::HOLDS_LEASE, &record.ballot, LEASE_QUERY_TIMEOUT).await.ok()
             };
             match holds_lease {
                 Some(true) => return,
--- a/programs/controller/src/replica/vote_rpc.rs
+++ b/programs/controller/src/replica/vote_rpc.rs
@@ -83,7 +83,7 @@
     ) -> Option<VoteResponse> {
         let idle_client = self.idle_clients.borrow_mut().get_mut(&voter).and_then(Vec::pop);
         let mut client = idle_client.unwrap_or_else(|| RpcClient::new(voter, &self.environment.network));
-        let response = client.post(endpoints::VOTE, request, response_timeout).await.ok()?;
+        let response = client.call(endpoints::VOTE, request, response_timeout).await.ok()?;
         self.idle_clients.borrow_mut().entry(voter).or_default().push(client);
         Some(response)
     }
--- a/programs/proxy/src/token_client.rs
+++ b/programs/proxy/src/token_client.rs
@@ -101,7 +101,7 @@
         for _ in 0..MAX_CALLS {
             let ip = self.nearest_controller()?;
             let mut caller = self.caller(self.settings.controller_address(ip));
-            match caller.post(endpoints::LEASE_TOKENS, &wanted, TOKEN_REQUEST_TIMEOUT).await {
+            match caller.call(endpoints::LEASE_TOKENS, &wanted, TOKEN_REQUEST_TIMEOUT).await {
                 Ok(leased) => {
                     self.idle_callers.borrow_mut().push(caller);
                     return Some(leased);
