--- /dev/null
+++ b/crates/testkit/src/backend.rs
@@ -0,0 +1,240 @@
+//! A fake backend: answers requests as a test tells it to and records those it has executed.
+
+use crate::http::{self, Message};
+use crate::platform::lock;
+use socket2::SockRef;
+use std::io::{self, Write};
+use std::net::{IpAddr, Shutdown, SocketAddr, TcpListener, TcpStream};
+use std::sync::{Arc, Mutex};
+use std::thread;
+use std::time::Duration;
+
+const STATUS_OK: &str = "HTTP/1.1 200 OK";
+/// An `Attempt-Id` that belongs to no request.
+const UNKNOWN_ATTEMPT: &str = "another";
+/// The body of a response that belongs to another request.
+const FOREIGN_BODY: &str = "another's";
+
+/// What a backend does with each request.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Behavior {
+    /// Executes it and responds 200 with its own id as the body.
+    Serves,
+    /// Does not execute it and says so (`Not-Executed`).
+    Sheds,
+    /// Executes it and closes the connection without a response.
+    ClosesWithoutResponse,
+    /// Executes it and resets the connection.
+    ResetsConnection,
+    /// Executes it and never responds.
+    NeverResponds,
+    /// Executes it, and responds under another request's id before its own.
+    RespondsForAnotherFirst,
+    /// Executes it and responds under another request's id only.
+    RespondsForAnotherOnly,
+    /// Executes it, and repeats the previous request's response before its own.
+    RepeatsPreviousResponse,
+    /// Executes it and responds twice.
+    RespondsTwice,
+    /// Executes it and responds without `Attempt-Id`.
+    OmitsAttemptId,
+    /// Executes it and responds without `Backend-Seal`.
+    OmitsSeal,
+    /// Executes it and sends bytes that are not HTTP.
+    SendsGarbage,
+    /// Executes it and closes within the response's body.
+    TruncatesResponse,
+    /// Executes it and responds 500.
+    Fails,
+    /// Executes it and responds with this status, whatever the status claims about the execution.
+    ClaimsStatus(u16),
+}
+
+/// A request that a backend has executed.
+#[derive(Clone, Debug)]
+pub struct ExecutedRequest {
+    /// Its `Attempt-Id`.
+    pub attempt: String,
+    /// The tenant's name, as the proxy sent it.
+    pub customer: Option<String>,
+    /// The access key, where the proxy let one through.
+    pub access_key: Option<String>,
+    /// The path it was sent to.
+    pub path: String,
+}
+
+/// One backend instance on a loopback address.
+pub struct FakeBackend {
+    /// The instance's id on the platform.
+    pub id: String,
+    /// The service it belongs to.
+    pub service: String,
+    /// The zone it runs in.
+    pub zone: String,
+    /// Where it listens.
+    pub address: SocketAddr,
+    state: Arc<BackendState>,
+}
+
+/// Shared by a backend's connections.
+struct BackendState {
+    id: String,
+    behavior: Mutex<Behavior>,
+    executed: Mutex<Vec<ExecutedRequest>>,
+}
+
+impl FakeBackend {
+    /// Starts a backend that serves, on a free port of this address.
+    ///
+    /// # Panics
+    ///
+    /// Where the address cannot be bound.
+    pub fn start(ip: IpAddr, id: &str, service: &str, zone: &str) -> FakeBackend {
+        let listener = TcpListener::bind((ip, 0)).expect("a free loopback address");
+        let address = listener.local_addr().expect("the listener is bound");
+        let state = Arc::new(BackendState {
+            id: id.to_owned(),
+            behavior: Mutex::new(Behavior::Serves),
+            executed: Mutex::default(),
+        });
+        let server = Arc::clone(&state);
+        thread::spawn(move || {
+            for stream in listener.incoming().map_while(Result::ok) {
+                let server = Arc::clone(&server);
+                thread::spawn(move || server.serve_connection(stream));
+            }
+        });
+        FakeBackend { id: id.to_owned(), service: service.to_owned(), zone: zone.to_owned(), address, state }
+    }
+
+    /// From the next request on it behaves like this.
+    pub fn set_behavior(&self, behavior: Behavior) {
+        *lock(&self.state.behavior) = behavior;
+    }
+
+    /// The requests it has executed, in order.
+    pub fn executed_requests(&self) -> Vec<ExecutedRequest> {
+        lock(&self.state.executed).clone()
+    }
+}
+
+/// Whether a connection goes on after a response.
+enum Connection {
+    KeepAlive,
+    Close,
+}
+
+impl BackendState {
+    fn serve_connection(&self, mut stream: TcpStream) {
+        let mut previous_attempt: Option<String> = None;
+        while let Ok(Some(request)) = http::read_message(&mut stream) {
+            let attempt = request.header("Attempt-Id").unwrap_or_default().to_owned();
+            if request.header("Expected-Instance").is_some_and(|expected| expected != self.id) {
+                let headers = [("Instance-Id", self.id.as_str())];
+                let _ = http::write_message(&mut stream, "HTTP/1.1 421 Misdirected Request", &headers, "");
+                continue;
+            }
+            let behavior = *lock(&self.behavior);
+            if behavior == Behavior::Sheds {
+                let headers = [("Not-Executed", "1"), ("Attempt-Id", attempt.as_str())];
+                let _ = http::write_message(&mut stream, "HTTP/1.1 503 Service Unavailable", &headers, "");
+                continue;
+            }
+            self.record_execution(&request, &attempt);
+            let mut responder = Responder { stream: &mut stream, id: &self.id, attempt: &attempt };
+            match responder.respond(behavior, previous_attempt.as_deref()) {
+                Ok(Connection::KeepAlive) => previous_attempt = Some(attempt),
+                Ok(Connection::Close) | Err(_) => return,
+            }
+        }
+    }
+
+    fn record_execution(&self, request: &Message, attempt: &str) {
+        let header = |name| request.header(name).map(str::to_owned);
+        lock(&self.executed).push(ExecutedRequest {
+            attempt: attempt.to_owned(),
+            customer: header("Customer-Name"),
+            access_key: header("X-Api-Key"),
+            path: request.path().to_owned(),
+        });
+    }
+}
+
+/// Writes the responses to one executed request.
+struct Responder<'a> {
+    stream: &'a mut TcpStream,
+    id: &'a str,
+    attempt: &'a str,
+}
+
+impl Responder<'_> {
+    fn respond(&mut self, behavior: Behavior, previous_attempt: Option<&str>) -> io::Result<Connection> {
+        match behavior {
+            Behavior::ClosesWithoutResponse => {
+                let _ = self.stream.shutdown(Shutdown::Both);
+                return Ok(Connection::Close);
+            }
+            Behavior::ResetsConnection => {
+                let _ = SockRef::from(&*self.stream).set_linger(Some(Duration::ZERO));
+                return Ok(Connection::Close);
+            }
+            Behavior::NeverResponds => {
+                // Returns when the peer closes.
+                let _ = http::read_message(self.stream);
+                return Ok(Connection::Close);
+            }
+            Behavior::TruncatesResponse => {
+                self.write_truncated_response()?;
+                return Ok(Connection::Close);
+            }
+            Behavior::SendsGarbage => self.stream.write_all(b"HTP/0.1 so so\r\n\r\n")?,
+            Behavior::Fails => self.write_own("HTTP/1.1 500 Internal Backend Error", "failed")?,
+            Behavior::ClaimsStatus(status) => {
+                self.write_own(&format!("HTTP/1.1 {status} So It Says"), "feigned")?;
+            }
+            Behavior::OmitsAttemptId => {
+                http::write_message(self.stream, STATUS_OK, &[("Backend-Seal", "s.1")], self.id)?;
+            }
+            Behavior::OmitsSeal => {
+                http::write_message(self.stream, STATUS_OK, &[("Attempt-Id", self.attempt)], self.id)?;
+            }
+            Behavior::RespondsForAnotherOnly => self.write_foreign(UNKNOWN_ATTEMPT)?,
+            Behavior::RespondsForAnotherFirst => {
+                self.write_foreign(UNKNOWN_ATTEMPT)?;
+                self.write_own(STATUS_OK, self.id)?;
+            }
+            Behavior::RepeatsPreviousResponse => {
+                previous_attempt.map_or(Ok(()), |previous| self.write_foreign(previous))?;
+                self.write_own(STATUS_OK, self.id)?;
+            }
+            Behavior::RespondsTwice => {
+                self.write_own(STATUS_OK, self.id)?;
+                self.write_own(STATUS_OK, FOREIGN_BODY)?;
+            }
+            Behavior::Serves | Behavior::Sheds => self.write_own(STATUS_OK, self.id)?,
+        }
+        Ok(Connection::KeepAlive)
+    }
+
+    /// A response with this request's id.
+    fn write_own(&mut self, status_line: &str, body: &str) -> io::Result<()> {
+        let headers = [("Attempt-Id", self.attempt), ("Backend-Seal", "s.1")];
+        http::write_message(self.stream, status_line, &headers, body)
+    }
+
+    /// A response with another request's id.
+    fn write_foreign(&mut self, attempt: &str) -> io::Result<()> {
+        let headers = [("Attempt-Id", attempt), ("Backend-Seal", "s.2")];
+        http::write_message(self.stream, STATUS_OK, &headers, FOREIGN_BODY)
+    }
+
+    /// A head that announces more bytes than follow.
+    fn write_truncated_response(&mut self) -> io::Result<()> {
+        let attempt = self.attempt;
+        let head = format!(
+            "{STATUS_OK}\r\nAttempt-Id: {attempt}\r\nBackend-Seal: s.1\r\nContent-Length: 100\r\n\r\n"
+        );
+        self.stream.write_all(head.as_bytes())?;
+        self.stream.write_all(self.id.as_bytes())
+    }
+}
--- a/crates/testkit/src/http.rs
+++ b/crates/testkit/src/http.rs
@@ -1,36 +1,47 @@
-//! Messages as the stand-ins read and write them: one at a time, blocking, in time.
+//! HTTP/1.1 as the fakes and the tests use it: blocking, one message at a time, with a read timeout.
 
 use std::io::{self, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-const WITHIN: Duration = Duration::from_secs(6);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
+const READ_TIMEOUT: Duration = Duration::from_secs(6);
 
+/// A request or a response.
 #[derive(Clone, Debug, Default)]
 pub struct Message {
-    /// The first line's words.
-    pub line: Vec<String>,
-    pub fields: Vec<(String, String)>,
+    /// The words of the request line or status line.
+    pub start_line: Vec<String>,
+    /// Header names and values, as they were sent and in that order.
+    pub headers: Vec<(String, String)>,
+    /// The body, as far as it is UTF-8.
     pub body: String,
 }
 
 impl Message {
-    pub fn field(&self, name: &str) -> Option<&str> {
-        let found = self.fields.iter().find(|(known, _)| known.eq_ignore_ascii_case(name));
+    /// The value of the first header with that name, in any case.
+    pub fn header(&self, name: &str) -> Option<&str> {
+        let found = self.headers.iter().find(|(known, _)| known.eq_ignore_ascii_case(name));
         found.map(|(_, value)| value.as_str())
     }
 
+    /// A response's status; 0 where the message has none.
     pub fn status(&self) -> u16 {
-        self.line.get(1).and_then(|status| status.parse().ok()).unwrap_or(0)
+        self.start_line.get(1).and_then(|status| status.parse().ok()).unwrap_or(0)
     }
 
+    /// A request's path.
     pub fn path(&self) -> &str {
-        self.line.get(1).map_or("", String::as_str)
+        self.start_line.get(1).map_or("", String::as_str)
     }
 }
 
-/// The next message; none where the other side has ended the connection.
-pub fn read(stream: &mut TcpStream) -> io::Result<Option<Message>> {
+/// Reads the next message; `None` where the peer has closed the connection.
+///
+/// # Errors
+///
+/// Where the stream fails, times out, or ends within the body.
+pub fn read_message(stream: &mut TcpStream) -> io::Result<Option<Message>> {
     let (mut head, mut byte) = (Vec::new(), [0; 1]);
     while !head.ends_with(b"\r\n\r\n") {
         if stream.read(&mut byte)? == 0 {
@@ -38,42 +49,58 @@
         }
         head.push(byte[0]);
     }
-    let text = String::from_utf8_lossy(&head).into_owned();
-    let mut lines = text.lines();
-    let line = lines.next().unwrap_or_default().split(' ').map(str::to_owned).collect();
-    let field = |line: &str| line.split_once(": ").map(|(name, value)| (name.to_owned(), value.to_owned()));
-    let fields: Vec<_> = lines.filter_map(field).collect();
-    let mut message = Message { line, fields, body: String::new() };
-    let length = message.field("Content-Length").and_then(|length| length.parse().ok()).unwrap_or(0);
+    let mut message = parse_head(&String::from_utf8_lossy(&head));
+    let length = message.header("Content-Length").and_then(|length| length.parse().ok()).unwrap_or(0);
     let mut body = vec![0; length];
     stream.read_exact(&mut body)?;
     message.body = String::from_utf8_lossy(&body).into_owned();
     Ok(Some(message))
 }
 
-pub fn write(stream: &mut TcpStream, line: &str, fields: &[(&str, &str)], body: &str) -> io::Result<()> {
-    let mut text = format!("{line}\r\n");
-    for (name, value) in fields {
+fn parse_head(head: &str) -> Message {
+    let mut lines = head.lines();
+    let start_line = lines.next().unwrap_or_default().split(' ').map(str::to_owned).collect();
+    let header = |line: &str| line.split_once(": ").map(|(name, value)| (name.to_owned(), value.to_owned()));
+    Message { start_line, headers: lines.filter_map(header).collect(), body: String::new() }
+}
+
+/// Writes one message; the `Content-Length` header is added.
+///
+/// # Errors
+///
+/// Where the stream fails.
+pub fn write_message(
+    stream: &mut TcpStream,
+    start_line: &str,
+    headers: &[(&str, &str)],
+    body: &str,
+) -> io::Result<()> {
+    let mut text = format!("{start_line}\r\n");
+    for (name, value) in headers {
         text.push_str(&format!("{name}: {value}\r\n"));
     }
     text.push_str(&format!("Content-Length: {}\r\n\r\n{body}", body.len()));
     stream.write_all(text.as_bytes())
 }
 
-/// One call on a connection of its own.
-pub fn call(
+/// Sends one request on a connection of its own and reads its response. A `Host` header is added where there is none.
+///
+/// # Errors
+///
+/// Where the peer cannot be reached in 0.5 s, closes without a response, or sends nothing for 6 s.
+pub fn send_request(
     to: SocketAddr,
     method: &str,
     path: &str,
-    fields: &[(&str, &str)],
+    headers: &[(&str, &str)],
     body: &str,
 ) -> io::Result<Message> {
-    let mut stream = TcpStream::connect_timeout(&to, Duration::from_millis(500))?;
-    stream.set_read_timeout(Some(WITHIN))?;
-    let host = fields.iter().any(|(name, _)| *name == "Host");
-    let own = to.to_string();
-    let mut all: Vec<_> = if host { Vec::new() } else { vec![("Host", own.as_str())] };
-    all.extend_from_slice(fields);
-    write(&mut stream, &format!("{method} {path} HTTP/1.1"), &all, body)?;
-    read(&mut stream)?.ok_or_else(|| io::ErrorKind::UnexpectedEof.into())
+    let mut stream = TcpStream::connect_timeout(&to, CONNECT_TIMEOUT)?;
+    stream.set_read_timeout(Some(READ_TIMEOUT))?;
+    let address = to.to_string();
+    let has_host = headers.iter().any(|(name, _)| *name == "Host");
+    let mut all_headers = if has_host { Vec::new() } else { vec![("Host", address.as_str())] };
+    all_headers.extend_from_slice(headers);
+    write_message(&mut stream, &format!("{method} {path} HTTP/1.1"), &all_headers, body)?;
+    read_message(&mut stream)?.ok_or_else(|| io::ErrorKind::UnexpectedEof.into())
 }
--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -1,6 +1,14 @@
-//! A whole system on loopback: the real programs, each on a thread and a loopback address of its own, among stand-ins
-//! for all that they talk to. What the stand-ins saw is kept, so that histories can be checked after the fact.
+//! A test cluster on loopback: the real programs of the system, each on its own thread and loopback address, connected
+//! to fake backends and a fake cloud platform. The fakes record what they receive, so that a test can check the
+//! history after the fact.
 
+#![forbid(unsafe_code)]
+#![warn(missing_docs)]
+
+pub mod backend;
+pub mod cluster;
+pub mod config;
 pub mod http;
-pub mod stand_ins;
-pub mod town;
+pub mod platform;
+mod process;
+mod settings;
--- a/crates/testkit/tests/backends.rs
+++ b/crates/testkit/tests/backends.rs
@@ -1,99 +1,111 @@
-//! Backends that err, each in its own way, towards requests that may be repeated and others: nothing that may
-//! have run is sent again or promised not to have, and no answer goes to another caller.
+//! Faulty backends: whatever a backend does wrong, a mutating request that may have executed is neither retried nor
+//! reported as not executed, and no response reaches another client.
 
-use vanewharf_testkit::http::{Message, call};
-use vanewharf_testkit::stand_ins::{Backend, Manner};
-use vanewharf_testkit::town::{Town, config};
+use vanewharf_testkit::backend::{Behavior, FakeBackend};
+use vanewharf_testkit::cluster::TestCluster;
+use vanewharf_testkit::config::config;
+use vanewharf_testkit::http::{Message, send_request};
 use yare::parameterized;
 
-fn town() -> Town {
-    let town = Town::start(1, |_| {});
-    assert_eq!(town.order("POST", "/-/Configuration.Replace", &config(1, |_| {})).status(), 200);
-    town.until_status(0, "/read/x", Some("key-a"), 200);
-    town.until("the others serve, too", || {
-        let answer = town.ask_as(0, "POST", "/write/x", Some("key-a"), "first").ok()?;
+fn start_cluster() -> TestCluster {
+    let cluster = TestCluster::start(1, |_| {});
+    assert_eq!(cluster.send_command("POST", "/-/Configuration.Replace", &config(1, |_| {})).status(), 200);
+    cluster.wait_for_status(0, "/read/x", Some("key-a"), 200);
+    cluster.wait_until("the mutating route is served", || {
+        let answer = cluster.send_request_as(0, "POST", "/write/x", Some("key-a"), "first").ok()?;
         (answer.status() == 200).then_some(())
     });
-    town
+    cluster
 }
 
-fn ask(town: &Town, path: &str, attempt: &str) -> Option<Message> {
-    let fields = [
+fn send(cluster: &TestCluster, path: &str, attempt: &str) -> Option<Message> {
+    let headers = [
         ("Host", "shop.example"),
         ("Attempt-Id", attempt),
         ("Remaining-Milliseconds", "400"),
         ("X-Api-Key", "key-a"),
     ];
-    call(town.door(0), if path == "/read/x" { "GET" } else { "POST" }, path, &fields, "").ok()
+    send_request(
+        cluster.frontend_address(0),
+        if path == "/read/x" { "GET" } else { "POST" },
+        path,
+        &headers,
+        "",
+    )
+    .ok()
 }
 
-fn ran(town: &Town, attempt: &str) -> usize {
-    let all = town.backends.iter().flat_map(Backend::ran);
-    all.filter(|ran| ran.attempt == attempt).count()
+fn count_executions(cluster: &TestCluster, attempt: &str) -> usize {
+    let all = cluster.backends.iter().flat_map(FakeBackend::executed_requests);
+    all.filter(|request| request.attempt == attempt).count()
 }
 
-/// Statuses that promise that a request has not run and never will.
-const PROMISES: [u16; 4] = [408, 421, 429, 503];
+/// Statuses that assert that a request has not executed and never will.
+const NOT_EXECUTED_STATUSES: [u16; 4] = [408, 421, 429, 503];
 
-/// What one asked for was told, and how often it ran.
-fn check(town: &Town, manner: Manner, mutating: bool, attempt: &str) -> (u16, usize) {
+/// Sends a request and checks its response; returns the status and how often the request executed.
+fn send_and_check(cluster: &TestCluster, behavior: Behavior, mutating: bool, attempt: &str) -> (u16, usize) {
     let path = if mutating { "/write/x" } else { "/read/x" };
-    let answer = ask(town, path, attempt);
-    let times = ran(town, attempt);
-    let what = format!("{manner:?} {path} ran {times} times: {answer:?}");
+    let answer = send(cluster, path, attempt);
+    let executions = count_executions(cluster, attempt);
+    let context = format!("{behavior:?} {path} executed {executions} times: {answer:?}");
     let Some(answer) = answer else {
-        panic!("no answer: {what}");
+        panic!("no answer: {context}");
     };
     if answer.status() == 200 {
-        assert_eq!(answer.field("Attempt-Id"), Some(attempt), "{what}");
-        assert!(answer.body.starts_with("i-") && answer.field("Backend-Seal") == Some("s.1"), "{what}");
-        assert!(times >= 1, "{what}");
+        assert_eq!(answer.header("Attempt-Id"), Some(attempt), "{context}");
+        assert!(answer.body.starts_with("i-") && answer.header("Backend-Seal") == Some("s.1"), "{context}");
+        assert!(executions >= 1, "{context}");
     }
     if mutating {
-        assert!(times <= 1, "sent twice: {what}");
-        assert!(times == 0 || !PROMISES.contains(&answer.status()), "it has run: {what}");
+        assert!(executions <= 1, "sent twice: {context}");
+        assert!(
+            executions == 0 || !NOT_EXECUTED_STATUSES.contains(&answer.status()),
+            "it has executed: {context}"
+        );
     } else {
-        assert!(times <= 2, "{what}");
+        assert!(executions <= 2, "{context}");
     }
-    (answer.status(), times)
+    (answer.status(), executions)
 }
 
 #[parameterized(
-    loses_answers = { Manner::LosesAnswers, false },
-    resets = { Manner::Resets, false },
-    keeps_silent = { Manner::KeepsSilent, false },
-    answers_twice = { Manner::AnswersTwice, true },
-    answers_another = { Manner::AnswersAnother, false },
-    answers_late = { Manner::AnswersLate, true },
-    adds_an_answer = { Manner::AddsAnAnswer, true },
-    answers_nobody = { Manner::AnswersNobody, false },
-    answers_unsealed = { Manner::AnswersUnsealed, false },
-    garbles = { Manner::Garbles, false },
-    cuts_short = { Manner::CutsShort, false },
-    fails = { Manner::Fails, false },
-    feigns_408 = { Manner::Feigns(408), false },
-    feigns_429 = { Manner::Feigns(429), false },
-    feigns_503 = { Manner::Feigns(503), false },
-    sheds = { Manner::Sheds, false },
+    closes_without_response = { Behavior::ClosesWithoutResponse, false },
+    resets_connection = { Behavior::ResetsConnection, false },
+    never_responds = { Behavior::NeverResponds, false },
+    responds_for_another_first = { Behavior::RespondsForAnotherFirst, true },
+    responds_for_another_only = { Behavior::RespondsForAnotherOnly, false },
+    repeats_previous_response = { Behavior::RepeatsPreviousResponse, true },
+    responds_twice = { Behavior::RespondsTwice, true },
+    omits_attempt_id = { Behavior::OmitsAttemptId, false },
+    omits_seal = { Behavior::OmitsSeal, false },
+    sends_garbage = { Behavior::SendsGarbage, false },
+    truncates_response = { Behavior::TruncatesResponse, false },
+    fails = { Behavior::Fails, false },
+    claims_status_408 = { Behavior::ClaimsStatus(408), false },
+    claims_status_429 = { Behavior::ClaimsStatus(429), false },
+    claims_status_503 = { Behavior::ClaimsStatus(503), false },
+    sheds = { Behavior::Sheds, false },
 )]
-fn a_backend_that_errs_neither_runs_twice_nor_answers_another_caller(manner: Manner, served: bool) {
-    let town = town();
-    town.backends.iter().for_each(|backend| backend.be(manner));
+fn faulty_backends_cause_no_duplicate_execution_and_no_foreign_response(behavior: Behavior, served: bool) {
+    let cluster = start_cluster();
+    cluster.backends.iter().for_each(|backend| backend.set_behavior(behavior));
     for mutating in [true, false] {
-        let mut runs = 0;
-        for turn in 0..6 {
-            let (status, times) = check(&town, manner, mutating, &format!("{mutating}-{turn}"));
-            assert_eq!(served, status == 200, "{manner:?}, mutating {mutating}, turn {turn}: {status}");
-            runs += times;
+        let mut total = 0;
+        for round in 0..6 {
+            let (status, executions) =
+                send_and_check(&cluster, behavior, mutating, &format!("{mutating}-{round}"));
+            assert_eq!(served, status == 200, "{behavior:?}, mutating {mutating}, round {round}: {status}");
+            total += executions;
         }
-        assert_eq!(runs > 0, manner != Manner::Sheds, "{manner:?} was met");
+        assert_eq!(total > 0, behavior != Behavior::Sheds, "{behavior:?} reached a backend");
     }
-    town.backends.iter().for_each(|backend| backend.be(Manner::Serves));
-    // What was left on any connection reaches nobody.
-    let mut well = 0;
-    town.until("they are well again", || {
-        well += 1;
-        let (status, _) = check(&town, Manner::Serves, well % 2 == 0, &format!("well-{well}"));
-        (status == 200 && well > 12).then_some(())
+    cluster.backends.iter().for_each(|backend| backend.set_behavior(Behavior::Serves));
+    // Bytes left over on a connection must not reach a client.
+    let mut sent = 0;
+    cluster.wait_until("all backends serve again", || {
+        sent += 1;
+        let (status, _) = send_and_check(&cluster, Behavior::Serves, sent % 2 == 0, &format!("well-{sent}"));
+        (status == 200 && sent > 12).then_some(())
     });
 }
--- a/programs/cli/src/system.rs
+++ b/programs/cli/src/system.rs
@@ -1,10 +1,12 @@
-//! `vanewharf system`: the whole system on this machine's loopback, among stand-ins, to be looked at.
+//! `vanewharf system`: a demonstration of a whole cluster on this machine's loopback, with fake backends.
 
 use clap::Subcommand;
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
+use vanewharf_testkit::cluster::{CONTROLLERS, TestCluster};
+use vanewharf_testkit::config::config;
 use vanewharf_testkit::http::Message;
-use vanewharf_testkit::town::{OFFICES, Town, config};
+use vanewharf_testkit::platform::Lifecycle;
 
 #[derive(Subcommand)]
 pub enum System {
@@ -20,36 +22,40 @@
 impl System {
     pub fn run(self) {
         let System::Try { seconds } = self;
-        let mut town = Town::start(2, |_| {});
+        let mut cluster = TestCluster::start(2, |_| {});
         say(
             "three postmasters, two doors with a carrier and a sorter each, four backends, a platform: started",
         );
-        let answer = town.order("POST", "/-/Configuration.Replace", &config(1, |_| {}));
+        let answer = cluster.send_command("POST", "/-/Configuration.Replace", &config(1, |_| {}));
         say(&format!("operator: Configuration.Replace r1 -> {}", answer.status()));
         for door in 0..2 {
-            town.until_status(door, "/read/x", Some("key-a"), 200);
-            say(&format!("door {door} at {} serves", town.door(door)));
+            cluster.wait_for_status(door, "/read/x", Some("key-a"), 200);
+            say(&format!("door {door} at {} serves", cluster.frontend_address(door)));
         }
         let third = Duration::from_secs(seconds) / 3;
-        letters(&town, third, "undisturbed");
-        town.kill(0);
+        send_requests(&cluster, third, "undisturbed");
+        cluster.kill_machine(0);
         say("central-0 has lost its processes");
-        letters(&town, third, "without it");
-        let answer = town.order("POST", "/-/Configuration.Replace", &config(2, |_| {}));
+        send_requests(&cluster, third, "without it");
+        let answer = cluster.send_command("POST", "/-/Configuration.Replace", &config(2, |_| {}));
         say(&format!("operator: Configuration.Replace r2 -> {} by the two that are left", answer.status()));
-        town.boot(0);
-        let shown: Vec<_> =
-            town.backends.iter().enumerate().map(|(no, backend)| (backend, no != 0)).collect();
-        town.platform.show(&shown);
-        say(&format!("central-0 is back; the platform shows {} as draining", town.backends[0].id));
-        letters(&town, third, "draining");
-        let read = town.order("GET", "/-/Configuration.Read", "");
+        cluster.start_machine(0);
+        let instances: Vec<_> = cluster
+            .backends
+            .iter()
+            .enumerate()
+            .map(|(no, backend)| (backend, if no == 0 { Lifecycle::Draining } else { Lifecycle::Available }))
+            .collect();
+        cluster.platform.set_instances(&instances);
+        say(&format!("central-0 is back; the platform shows {} as draining", cluster.backends[0].id));
+        send_requests(&cluster, third, "draining");
+        let read = cluster.send_command("GET", "/-/Configuration.Read", "");
         say(&format!(
             "operator: Configuration.Read -> {} {}",
             read.status(),
             read.body.get(..17).unwrap_or_default()
         ));
-        say(&format!("{OFFICES} disks held the operator's register; all of it is deleted now"));
+        say(&format!("{CONTROLLERS} disks held the operator's register; all of it is deleted now"));
     }
 }
 
@@ -57,8 +63,8 @@
     println!("{what}");
 }
 
-/// Requests at both doors for a while, and how they were answered.
-fn letters(town: &Town, span: Duration, when: &str) {
+/// Sends requests to both proxies for a while and prints how they were answered.
+fn send_requests(cluster: &TestCluster, span: Duration, when: &str) {
     let (begun, mut answers) = (Instant::now(), BTreeMap::<String, u64>::new());
     while begun.elapsed() < span {
         for (door, (method, path, key)) in
@@ -66,7 +72,7 @@
                 .iter()
                 .enumerate()
         {
-            let answer = town.ask(door % 2, method, path, Some(key));
+            let answer = cluster.send_request(door % 2, method, path, Some(key));
             let name = |answer: Message| match answer.status() {
                 200 => format!("200 from {}", answer.body),
                 status => status.to_string(),
