--- a/crates/maintenance/src/tests.rs
+++ b/crates/maintenance/tests/windows.rs
@@ -1,4 +1,9 @@
-use super::*;
+//! Which hours are open, and what a file must contain.
+
+use jiff::civil::Time;
+use jiff::tz::TimeZone;
+use std::time::Duration;
+use vanewharf_maintenance::{BackendNode, MaintenanceSchedule, Timestamp, WindowState};
 use yare::parameterized;
 
 fn file(zone: &str, hours: &str, more: &str) -> String {
@@ -11,10 +16,14 @@
 const NIGHTS: &str =
     r#"{"days": ["mon", "tue", "wed", "thu", "fri", "sat", "sun"], "from": "22:30", "to": "02:30"}"#;
 
-fn table(zone: &str, hours: &str, more: &str) -> MaintenanceSchedule {
+fn schedule(zone: &str, hours: &str, more: &str) -> MaintenanceSchedule {
     MaintenanceSchedule::parse(file(zone, hours, more).as_bytes()).expect("it can be read")
 }
 
+fn node<'a>(zone: &'a str, service: &'a str) -> BackendNode<'a> {
+    BackendNode { zone, service, id: "i" }
+}
+
 fn at(text: &str) -> Timestamp {
     text.parse().expect("a time")
 }
@@ -28,11 +37,11 @@
     closed_at_christmas = { "2026-12-24T22:00:00Z", None, Some("2026-12-27T21:30:05Z") },
     one_more_morning = { "2026-12-28T09:00:00Z", Some("2026-12-28T10:59:55Z"), None },
 )]
-fn it_is_open_by_the_hours_of_the_zone(now: &str, until: Option<&str>, opens: Option<&str>) {
+fn windows_are_open_by_the_hours_of_the_time_zone(now: &str, until: Option<&str>, opens: Option<&str>) {
     // The last evening before is cut at midnight, as the 25th is closed; the 26th's hours reach into the 27th.
     let more = r#""closed": [{"from": "2026-12-24", "to": "2026-12-27", "why": "release days"}],
         "open": [{"date": "2026-12-28", "from": "09:30", "to": "12:00"}],"#;
-    let table = table("Europe/Ljubljana", NIGHTS, more);
+    let schedule = schedule("Europe/Ljubljana", NIGHTS, more);
     let expected = match until {
         Some(until) => WindowState::Open { until: at(until) },
         None => WindowState::Closed { opens: opens.map(at) },
@@ -42,7 +51,7 @@
         "2026-12-24T22:00:00Z" => WindowState::Closed { opens: Some(at("2026-12-27T23:00:05Z")) },
         _ => expected,
     };
-    assert_eq!(table.contracts["c"].window_state(at(now)), expected);
+    assert_eq!(schedule.contracts["c"].window_state(at(now)), expected);
 }
 
 /// Every five minutes through the nights on which clocks change: never open at a time that is outside by the wall clock, and on
@@ -51,20 +60,22 @@
     spring = { "2027-03-26T12:00:00Z", "2027-03-28" },
     autumn = { "2026-10-23T12:00:00Z", "2026-10-25" },
 )]
-fn doubtful_hours_are_outside(from: &str, changes: &str) {
+fn hours_in_doubt_are_closed(from: &str, changes: &str) {
     for hours in
         [("01:30", "02:30"), ("02:15", "02:45"), ("02:30", "04:00"), ("23:00", "02:10"), ("02:00", "03:00")]
     {
         let days = r#"["mon", "tue", "wed", "thu", "fri", "sat", "sun"]"#;
         let text = format!(r#"{{"days": {days}, "from": "{}", "to": "{}"}}"#, hours.0, hours.1);
-        let mut contract = table("Europe/Ljubljana", &text, "").contracts.remove("c").expect("there is one");
-        contract.margin = Duration::ZERO;
+        let time_zone = TimeZone::get("Europe/Ljubljana").expect("a time zone");
+        let mut contract =
+            schedule("Europe/Ljubljana", &text, "").contracts.remove("c").expect("there is one");
+        contract.clock_margin = Duration::ZERO;
         let (begins, ends): (Time, Time) =
             (hours.0.parse().expect("a time"), hours.1.parse().expect("a time"));
         let mut open = 0;
         for minute in (0..4 * 24 * 60).step_by(5) {
             let now = at(from).checked_add(jiff::SignedDuration::from_mins(minute)).expect("soon");
-            let civil = now.to_zoned(contract.zone.clone());
+            let civil = now.to_zoned(time_zone.clone());
             let wall = civil.time();
             let inside =
                 if begins < ends { (begins..ends).contains(&wall) } else { wall >= begins || wall < ends };
@@ -88,25 +99,25 @@
             "hours": [{"days": ["wed"], "from": "20:00", "to": "23:00"}], "when_hours_end": "hold", "clock_margin": "0s"},
         "service": {"nodes": {"services": ["objava"]}, "time_zone": "Africa/Accra", "most_out": 2, "longest_drain": "60s",
             "hours": [{"days": ["wed"], "from": "20:30", "to": "23:30"}], "when_hours_end": "finish", "clock_margin": "0s"}}}"#;
-    let table = MaintenanceSchedule::parse(text.as_bytes()).expect("it can be read");
+    let schedule = MaintenanceSchedule::parse(text.as_bytes()).expect("it can be read");
     let now = at("2026-12-02T19:30:00Z");
     assert_eq!(
-        table.window_state(("lj-a", "lastnistvo", "i"), now),
+        schedule.window_state(node("lj-a", "lastnistvo"), now),
         WindowState::Open { until: at("2026-12-02T22:00:00Z") }
     );
-    let both = ("lj-a", "objava", "i");
+    let both = node("lj-a", "objava");
     assert_eq!(
-        table.window_state(both, now),
+        schedule.window_state(both, now),
         WindowState::Closed { opens: Some(at("2026-12-02T20:30:00Z")) }
     );
     assert_eq!(
-        table.window_state(both, at("2026-12-02T21:00:00Z")),
+        schedule.window_state(both, at("2026-12-02T21:00:00Z")),
         WindowState::Open { until: at("2026-12-02T22:00:00Z") }
     );
     assert_eq!(
-        table.window_state(("mb-a", "lastnistvo", "i"), now),
+        schedule.window_state(node("mb-a", "lastnistvo"), now),
         WindowState::Closed { opens: None },
-        "no contract"
+        "no contract covers it"
     );
 }
 
@@ -119,11 +130,11 @@
     margin = { "\"clock_margin\"", "\"margin\"", "contracts.c.clock_margin is missing" },
     backwards = { "2026-12-24", "2026-12-28", "contracts.c.closed.0: it ends before it begins" },
 )]
-fn what_is_wrong_is_named_by_its_place(from: &str, to: &str, why: &str) {
+fn an_error_names_its_place_in_the_file(from: &str, to: &str, why: &str) {
     let more = r#""closed": [{"from": "2026-12-24", "to": "2026-12-27", "why": "release days"}],"#;
     let good = file("Europe/Ljubljana", NIGHTS, more);
     assert!(MaintenanceSchedule::parse(good.as_bytes()).is_ok());
-    let spoilt = good.replace(from, to);
-    assert_ne!(spoilt, good);
-    assert_eq!(MaintenanceSchedule::parse(spoilt.as_bytes()).expect_err("spoilt").to_string(), why);
+    let invalid = good.replace(from, to);
+    assert_ne!(invalid, good);
+    assert_eq!(MaintenanceSchedule::parse(invalid.as_bytes()).expect_err("invalid").to_string(), why);
 }
--- a/programs/cli/src/main.rs
+++ b/programs/cli/src/main.rs
@@ -10,7 +10,7 @@
 use vanewharf_config::config::Config as SystemConfig;
 use vanewharf_config::settings::Settings;
 use vanewharf_gateway_settings::Options;
-use vanewharf_maintenance::{MaintenanceSchedule, Timestamp, WindowState};
+use vanewharf_maintenance::{BackendNode, MaintenanceSchedule, Timestamp, WindowState};
 use vanewharf_simulator::arrivals::traced;
 use vanewharf_simulator::experiment::Experiment;
 use vanewharf_simulator::run::{Outcome, run, run_with};
@@ -442,9 +442,10 @@
         let [zone, service, id] = parts.as_slice() else {
             return Err(format!("--node {node}: ZONE/SERVICE/ID is wanted"));
         };
-        let covering: Vec<_> = table.contracts_covering(zone, service, id).map(|(name, _)| name).collect();
+        let backend = BackendNode { zone, service, id };
+        let covering: Vec<_> = table.contracts_covering(backend).map(|(name, _)| name).collect();
         println!("{node}: {} contracts: {}", covering.len(), covering.join(", "));
-        told(node, table.window_state((zone, service, id), now));
+        told(node, table.window_state(backend, now));
         return Ok(());
     }
     for (name, contract) in &table.contracts {
