--- a/crates/exchange/src/connection/tests.rs
+++ b/crates/exchange/src/connection/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
-fn after(kept: bool, what: &[ConnectionEvent]) -> (ConnectionState, AttemptEffect) {
-    what.iter().fold((ConnectionState::for_attempt(kept), AttemptEffect::Pending), |(state, _), event| {
+fn after(reused: bool, events: &[ConnectionEvent]) -> (ConnectionState, AttemptEffect) {
+    events.iter().fold((ConnectionState::for_attempt(reused), AttemptEffect::Pending), |(state, _), event| {
         state.on_event(*event)
     })
 }
@@ -73,8 +73,8 @@
             AttemptEffect::Unexpected,
         ),
     ];
-    for (kept, what, line, then) in cases {
-        assert_eq!(after(*kept, what), (*line, *then), "{what:?}");
+    for (reused, events, state, effect) in cases {
+        assert_eq!(after(*reused, events), (*state, *effect), "{events:?}");
     }
     let idle = ConnectionState::Idle.on_event(AttemptAssigned);
     assert_eq!(idle, (ConnectionState::Writing { fresh: false }, AttemptEffect::Pending));
--- a/crates/exchange/src/txns.rs
+++ b/crates/exchange/src/txns.rs
@@ -107,14 +107,14 @@
     /// The request was answered in this very batch, or its time is over: nothing is sent.
     NotSent {
         /// The attempt's number.
-        no: AttemptNumber,
+        number: AttemptNumber,
         /// Whether the request is answered.
         complete: bool,
     },
     /// The attempt is to be sent.
     Started {
         /// The attempt's number.
-        no: AttemptNumber,
+        number: AttemptNumber,
         /// When its reply is no longer waited for.
         deadline: Ticks,
         /// Whether the request cannot take effect twice by it.
@@ -155,12 +155,12 @@
     pub fn record_end(
         &mut self,
         id: TxnId,
-        no: AttemptNumber,
+        number: AttemptNumber,
         outcome: Outcome,
         now: Ticks,
     ) -> Result<EndedAttempt<A>, UnexpectedEnd> {
         let txn = self.txns.get_mut(&id).ok_or(UnexpectedEnd::UnknownAttempt)?;
-        let attempt = txn.attempts.get_mut(no.0 as usize).ok_or(UnexpectedEnd::UnknownAttempt)?;
+        let attempt = txn.attempts.get_mut(number.0 as usize).ok_or(UnexpectedEnd::UnknownAttempt)?;
         let already_ended = std::mem::replace(&mut attempt.ended, true);
         attempt.canceller = None;
         attempt.may_have_run = !outcome.never_ran();
@@ -180,7 +180,7 @@
             return ExpiryAction::Nothing;
         };
         let in_flight = txn.attempts.iter().enumerate().filter(|(_, attempt)| !attempt.ended);
-        let in_flight: Vec<_> = in_flight.map(|(no, _)| AttemptNumber(no as u32)).collect();
+        let in_flight: Vec<_> = in_flight.map(|(number, _)| AttemptNumber(number as u32)).collect();
         if !in_flight.is_empty() {
             return ExpiryAction::CancelAttempts(in_flight);
         }
@@ -188,8 +188,8 @@
     }
 
     /// Takes what cancels an attempt. None the second time, and where its outcome was recorded.
-    pub fn take_canceller(&mut self, id: TxnId, no: AttemptNumber) -> Option<C> {
-        self.attempt_mut(id, no)?.canceller.take()
+    pub fn take_canceller(&mut self, id: TxnId, number: AttemptNumber) -> Option<C> {
+        self.attempt_mut(id, number)?.canceller.take()
     }
 
     /// Whether a client may be informed that retrying the request is harmless.
@@ -217,22 +217,22 @@
         let Some(txn) = self.txns.get_mut(&id) else {
             return AttemptStart::UnknownTxn;
         };
-        let no = AttemptNumber(txn.attempts.len() as u32);
+        let number = AttemptNumber(txn.attempts.len() as u32);
         let not_sent = txn.is_answered() || txn.deadline <= now;
         let has_run = txn.may_have_run();
         let (may_have_run, ended) = (!not_sent, not_sent);
         txn.attempts.push(Attempt { backend, started: now, may_have_run, canceller: None, ended });
         if not_sent {
-            return AttemptStart::NotSent { no, complete: txn.is_answered() };
+            return AttemptStart::NotSent { number, complete: txn.is_answered() };
         }
         let deadline = timeout.map_or(txn.deadline, |span| txn.deadline.min(now + span));
         let permitted = !(txn.retry == RetryRule::OnlyIfNeverRan && has_run);
-        AttemptStart::Started { no, deadline, permitted }
+        AttemptStart::Started { number, deadline, permitted }
     }
 
     /// Sets what cancels an attempt that was started.
-    pub fn set_canceller(&mut self, id: TxnId, no: AttemptNumber, canceller: C) {
-        if let Some(attempt) = self.attempt_mut(id, no) {
+    pub fn set_canceller(&mut self, id: TxnId, number: AttemptNumber, canceller: C) {
+        if let Some(attempt) = self.attempt_mut(id, number) {
             attempt.canceller = Some(canceller);
         }
     }
@@ -255,8 +255,8 @@
         self.txns.is_empty()
     }
 
-    fn attempt_mut(&mut self, id: TxnId, no: AttemptNumber) -> Option<&mut Attempt<C>> {
-        self.txns.get_mut(&id)?.attempts.get_mut(no.0 as usize)
+    fn attempt_mut(&mut self, id: TxnId, number: AttemptNumber) -> Option<&mut Attempt<C>> {
+        self.txns.get_mut(&id)?.attempts.get_mut(number.0 as usize)
     }
 }
 
--- a/crates/exchange/src/txns/tests.rs
+++ b/crates/exchange/src/txns/tests.rs
@@ -3,33 +3,34 @@
 const ONE: TxnId = TxnId(1);
 const FIRST: AttemptNumber = AttemptNumber(0);
 
-fn txns(repeat: Idempotency) -> Txns<&'static str, &'static str> {
+fn txns(idempotency: Idempotency) -> Txns<&'static str, &'static str> {
     let mut txns = Txns::default();
-    txns.insert(ONE, repeat, Ticks(100), "answer");
+    txns.insert(ONE, idempotency, Ticks(100), "answer");
     txns
 }
 
-fn goes(txns: &mut Txns<&'static str, &'static str>, now: i64) -> AttemptStart {
-    let submit = txns.start_attempt(ONE, BackendId(7), None, Ticks(now));
-    if let AttemptStart::Started { no, .. } = submit {
-        txns.set_canceller(ONE, no, "call off");
+fn start(txns: &mut Txns<&'static str, &'static str>, now: i64) -> AttemptStart {
+    let started = txns.start_attempt(ONE, BackendId(7), None, Ticks(now));
+    if let AttemptStart::Started { number, .. } = started {
+        txns.set_canceller(ONE, number, "cancel");
     }
-    submit
+    started
 }
 
 #[test]
 fn a_txn_has_one_answer_and_is_removed_when_no_attempt_is_in_flight() {
     let mut txns = txns(Idempotency::Idempotent);
     assert_eq!(
-        goes(&mut txns, 10),
-        AttemptStart::Started { no: FIRST, deadline: Ticks(100), permitted: true }
+        start(&mut txns, 10),
+        AttemptStart::Started { number: FIRST, deadline: Ticks(100), permitted: true }
     );
-    goes(&mut txns, 12);
-    let ended = txns.record_end(ONE, FIRST, Outcome::Succeeded, Ticks(30)).expect("it was out");
+    start(&mut txns, 12);
+    let ended = txns.record_end(ONE, FIRST, Outcome::Succeeded, Ticks(30)).expect("it was in flight");
     assert_eq!((ended.answer, ended.complete, ended.latency), (Some("answer"), true, Ticks(20)));
     assert_eq!(txns.take_answer(ONE), None, "answered already");
-    assert_eq!(txns.remove_finished(), [], "the other is still out");
-    let other = txns.record_end(ONE, AttemptNumber(1), Outcome::Succeeded, Ticks(40)).expect("it was out");
+    assert_eq!(txns.remove_finished(), [], "the other is still in flight");
+    let other =
+        txns.record_end(ONE, AttemptNumber(1), Outcome::Succeeded, Ticks(40)).expect("it was in flight");
     assert_eq!((other.answer, other.complete), (None, true));
     assert_eq!(txns.remove_finished(), [ONE]);
     assert_eq!(
@@ -42,9 +43,9 @@
 #[test]
 fn an_answered_or_expired_txn_starts_no_attempt() {
     let mut txns = txns(Idempotency::Idempotent);
-    assert_eq!(goes(&mut txns, 100), AttemptStart::NotSent { no: FIRST, complete: false });
+    assert_eq!(start(&mut txns, 100), AttemptStart::NotSent { number: FIRST, complete: false });
     assert!(txns.client_left(ONE) && !txns.client_left(ONE));
-    assert_eq!(goes(&mut txns, 20), AttemptStart::NotSent { no: AttemptNumber(1), complete: true });
+    assert_eq!(start(&mut txns, 20), AttemptStart::NotSent { number: AttemptNumber(1), complete: true });
     assert_eq!(txns.start_attempt(TxnId(9), BackendId(7), None, Ticks(0)), AttemptStart::UnknownTxn);
 }
 
@@ -52,24 +53,24 @@
 fn a_non_idempotent_txn_is_retried_only_if_nothing_may_have_run() {
     let mut txns = txns(Idempotency::NonIdempotent);
     assert!(txns.is_retry_safe(ONE));
-    goes(&mut txns, 10);
+    start(&mut txns, 10);
     assert!(!txns.is_retry_safe(ONE), "it may run at any moment");
-    assert!(matches!(goes(&mut txns, 11), AttemptStart::Started { permitted: false, .. }));
-    for no in [0, 1] {
-        txns.record_end(ONE, AttemptNumber(no), Outcome::Rejected, Ticks(20)).expect("it was out");
+    assert!(matches!(start(&mut txns, 11), AttemptStart::Started { permitted: false, .. }));
+    for number in [0, 1] {
+        txns.record_end(ONE, AttemptNumber(number), Outcome::Rejected, Ticks(20)).expect("it was in flight");
     }
     assert!(txns.is_retry_safe(ONE));
-    assert!(matches!(goes(&mut txns, 21), AttemptStart::Started { permitted: true, .. }));
+    assert!(matches!(start(&mut txns, 21), AttemptStart::Started { permitted: true, .. }));
 }
 
 #[test]
 fn expiry_cancels_attempts_once_and_reports_an_overdue_txn() {
     let mut txns = txns(Idempotency::Idempotent);
     assert_eq!(txns.expire(ONE), ExpiryAction::Overdue);
-    goes(&mut txns, 10);
+    start(&mut txns, 10);
     assert_eq!(txns.expire(ONE), ExpiryAction::CancelAttempts(vec![FIRST]));
-    assert_eq!((txns.take_canceller(ONE, FIRST), txns.take_canceller(ONE, FIRST)), (Some("call off"), None));
-    txns.record_end(ONE, FIRST, Outcome::TimedOut, Ticks(100)).expect("it was out");
+    assert_eq!((txns.take_canceller(ONE, FIRST), txns.take_canceller(ONE, FIRST)), (Some("cancel"), None));
+    txns.record_end(ONE, FIRST, Outcome::TimedOut, Ticks(100)).expect("it was in flight");
     assert_eq!(txns.record_end(ONE, FIRST, Outcome::Succeeded, Ticks(101)), Err(UnexpectedEnd::AlreadyEnded));
     assert!(txns.take_answer(ONE).is_some());
     assert_eq!(txns.expire(ONE), ExpiryAction::Nothing);
@@ -79,8 +80,8 @@
 #[test]
 fn an_attempt_timeout_is_capped_by_the_deadline() {
     let mut txns = txns(Idempotency::Idempotent);
-    let with =
+    let start_with_timeout =
         |txns: &mut Txns<_, &str>, span| txns.start_attempt(ONE, BackendId(7), Some(Ticks(span)), Ticks(10));
-    assert!(matches!(with(&mut txns, 20), AttemptStart::Started { deadline: Ticks(30), .. }));
-    assert!(matches!(with(&mut txns, 500), AttemptStart::Started { deadline: Ticks(100), .. }));
+    assert!(matches!(start_with_timeout(&mut txns, 20), AttemptStart::Started { deadline: Ticks(30), .. }));
+    assert!(matches!(start_with_timeout(&mut txns, 500), AttemptStart::Started { deadline: Ticks(100), .. }));
 }
--- a/crates/gateway-settings/src/check/tests.rs
+++ b/crates/gateway-settings/src/check/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
 use serde_json::{Value, json};
 
-/// Changes to settings that are good by themselves: (path, value), null takes one out.
-fn checked(changes: &[(&str, Value)], peers: Option<usize>) -> Result<(), String> {
+/// Checks valid settings after changes: (path, value), where null removes a setting.
+fn check_changed(changes: &[(&str, Value)], peers: Option<usize>) -> Result<(), String> {
     let mut settings = json!({
         "balancers": 3, "me": 1,
         "allowed": {"cancel": true, "peer_messages": peers.is_some(), "max_retry_after": 1000.0,
@@ -23,10 +23,10 @@
 
 #[test]
 fn accepts_either_shape_by_itself() {
-    assert_eq!(checked(&[], None), Ok(()));
-    assert_eq!(checked(&[], Some(3)), Ok(()));
+    assert_eq!(check_changed(&[], None), Ok(()));
+    assert_eq!(check_changed(&[], Some(3)), Ok(()));
     // As a platform that names neither doors nor numbers has it.
-    assert_eq!(checked(&[("/me", json!(null)), ("/balancers", json!(null))], None), Ok(()));
+    assert_eq!(check_changed(&[("/me", json!(null)), ("/balancers", json!(null))], None), Ok(()));
 }
 
 #[test]
@@ -51,7 +51,7 @@
         ("/family_info/count_wait", json!(null), "family_info.count_wait"),
     ];
     for (path, value, key) in cases {
-        let refused = checked(&[(path, value.clone())], None).expect_err(path);
+        let refused = check_changed(&[(path, value.clone())], None).expect_err(path);
         assert!(refused.starts_with(&format!("{key} is refused: ")), "{path} {value}: {refused}");
         assert!(!refused.contains('\n'));
     }
@@ -70,7 +70,7 @@
         ("/family_info/peer_in_per_s", json!(0), Some(3), "family_info.peer_in_per_s"),
     ];
     for (path, value, peers, key) in cases {
-        let refused = checked(&[(path, value)], peers).expect_err(path);
+        let refused = check_changed(&[(path, value)], peers).expect_err(path);
         assert!(refused.starts_with(&format!("{key} is refused: ")), "{path}: {refused}");
     }
 }
--- a/crates/gateway-settings/src/tests.rs
+++ b/crates/gateway-settings/src/tests.rs
@@ -27,18 +27,18 @@
     assert_eq!(names.plans["gold"], PlanId(1));
     let repeat = Idempotency::Deduplicated { window: Ticks(50_002) };
     assert_eq!((one.products[0].idempotency, one.plans[0].rate), (repeat, 2.0));
-    let told = ConnectionTimeouts { idle: Ticks(150_000), dial: Ticks(2_500) };
-    assert_eq!(connection_timeouts(&nested).expect("readable"), told);
-    assert_eq!(connection_timeouts(&flat).expect("readable"), told);
-    let told = RequestBounds { max_cost: 8.0, gateways: 3, max_expiries: vec![Ticks(15_010)] };
-    assert_eq!(request_bounds(&nested).expect("readable"), told);
-    assert_eq!(request_bounds(&flat).expect("readable"), told);
+    let expected = ConnectionTimeouts { idle: Ticks(150_000), dial: Ticks(2_500) };
+    assert_eq!(connection_timeouts(&nested).expect("readable"), expected);
+    assert_eq!(connection_timeouts(&flat).expect("readable"), expected);
+    let expected = RequestBounds { max_cost: 8.0, gateways: 3, max_expiries: vec![Ticks(15_010)] };
+    assert_eq!(request_bounds(&nested).expect("readable"), expected);
+    assert_eq!(request_bounds(&flat).expect("readable"), expected);
 }
 
 #[test]
 fn names_the_option_that_cannot_be_read() {
-    let odd = Options::nested(&json!({"classes": [{"gain": "much"}]}));
-    let fault = balancer_config(&odd, 7, Ticks(5)).expect_err("no number");
-    assert_eq!(fault.to_string(), "option classes.0.gain cannot be read: 'much'");
+    let unreadable = Options::nested(&json!({"classes": [{"gain": "much"}]}));
+    let error = balancer_config(&unreadable, 7, Ticks(5)).expect_err("no number");
+    assert_eq!(error.to_string(), "option classes.0.gain cannot be read: 'much'");
     assert!(balancer_config(&Options::flat([("rules.cold_from", "inf")]), 7, Ticks(5)).is_err());
 }
--- a/programs/gateway/src/backend_connection.rs
+++ b/programs/gateway/src/backend_connection.rs
@@ -51,8 +51,8 @@
     /// Makes one attempt and reports its end; returns the next one, once there is one.
     async fn serve(&mut self, next: NextAttempt) -> Option<NextAttempt> {
         let NextAttempt { mut attempt, reused } = next;
-        let (txn, no) = (attempt.txn, attempt.no);
-        let result = |outcome| AttemptResult::without_reply(txn, no, outcome);
+        let (txn, number) = (attempt.txn, attempt.number);
+        let result = |outcome| AttemptResult::without_reply(txn, number, outcome);
         let idle_before = reused.as_ref().map(|reused| self.shared.clock.now() - reused.idle_since);
         let mut connection = match reused {
             Some(reused) => reused.connection,
@@ -138,10 +138,10 @@
     }
 
     fn report(&self, result: AttemptResult) {
-        let AttemptResult { txn, no, outcome, ref idle_connection, .. } = result;
+        let AttemptResult { txn, number, outcome, ref idle_connection, .. } = result;
         tracing::debug!(
             txn = txn.0,
-            no = no.0,
+            no = number.0,
             ?outcome,
             reusable = idle_connection.is_some(),
             "attempt ended"
--- a/programs/gateway/src/connection_pool/tests.rs
+++ b/programs/gateway/src/connection_pool/tests.rs
@@ -8,7 +8,7 @@
     BackendInfo { backend: ONE, status, capacity: 1.0, local: true, started_at }
 }
 
-/// A pool told 40 ms, with connections idle since each of the times.
+/// A pool for an idle timeout of 40 ms, with connections idle since each of the times.
 fn pool(since: &[i64]) -> (ConnectionPool, Vec<oneshot::Receiver<Attempt>>) {
     let mut pool = ConnectionPool::new(Ticks(400));
     pool.update_backend(&listed(BackendStatus::Ready, None), "127.0.0.1:1".parse().ok());
@@ -34,7 +34,7 @@
 #[test]
 fn drops_idle_connections_to_a_moved_restarted_or_draining_backend() {
     let here = "127.0.0.1:1".parse().ok();
-    for (entry, address, kept) in [
+    for (entry, address, reused) in [
         (listed(BackendStatus::Ready, None), here, true),
         (listed(BackendStatus::Ready, Some(Ticks(5))), here, false),
         (listed(BackendStatus::Ready, None), "127.0.0.1:2".parse().ok(), false),
@@ -43,12 +43,12 @@
     ] {
         let (mut pool, _connections) = pool(&[0]);
         pool.update_backend(&entry, address);
-        assert_eq!(pool.take_idle(ONE, Ticks(1)).is_some(), kept, "{entry:?}");
+        assert_eq!(pool.take_idle(ONE, Ticks(1)).is_some(), reused, "{entry:?}");
     }
     let (mut pool, _connections) = pool(&[0]);
     pool.retain(|_| false);
     assert!(!pool.is_ready(ONE) && pool.take_idle(ONE, Ticks(1)).is_none());
-    assert!(pool.backends.is_empty(), "nothing is kept of what is gone");
+    assert!(pool.backends.is_empty(), "nothing is retained of what is gone");
 }
 
 #[test]
--- a/programs/gateway/src/discovery/pacing/tests.rs
+++ b/programs/gateway/src/discovery/pacing/tests.rs
@@ -2,11 +2,11 @@
 
 const WITHIN: Option<Ticks> = Some(Ticks(100_000));
 
-/// How many of a hundred doors call in the busiest second, where each is turned away at every call.
+/// How many of a hundred gateways call in the busiest second, where each is turned away at every call.
 fn busiest(mut next: impl FnMut(u64) -> Box<dyn FnMut() -> Duration>) -> usize {
     let mut seconds = [0; 120];
-    for door in 0..100 {
-        let (mut pause, mut at) = (next(door), Duration::ZERO);
+    for gateway in 0..100 {
+        let (mut pause, mut at) = (next(gateway), Duration::ZERO);
         while at.as_secs() < 120 {
             seconds[at.as_secs() as usize] += 1;
             at += pause();
@@ -18,8 +18,8 @@
 #[test]
 fn refused_gateways_call_less_often_and_apart() {
     let fixed = busiest(|_| Box::new(|| PAUSE));
-    let paced = busiest(|door| {
-        let mut pacing = DiscoveryPacing::new(WITHIN, door);
+    let paced = busiest(|gateway| {
+        let mut pacing = DiscoveryPacing::new(WITHIN, gateway);
         Box::new(move || pacing.pause_after_refusal())
     });
     assert!(fixed == 1000 && (1..=20).contains(&paced), "{fixed} and {paced}");
@@ -37,7 +37,8 @@
 
 #[test]
 fn watches_are_longer_where_lists_cost_and_spread_out() {
-    let waits: Vec<_> = (0..100).map(|door| DiscoveryPacing::new(WITHIN, door).watch_duration()).collect();
+    let waits: Vec<_> =
+        (0..100).map(|gateway| DiscoveryPacing::new(WITHIN, gateway).watch_duration()).collect();
     assert!(waits.iter().all(|wait| (10..=20).contains(&wait.as_secs())), "{waits:?}");
     let same = waits.iter().filter(|wait| wait.as_secs() == waits[0].as_secs()).count();
     assert!(same < 30, "{same} of 100 end in one second");
--- a/programs/gateway/src/messages.rs
+++ b/programs/gateway/src/messages.rs
@@ -30,7 +30,7 @@
     /// The request that the attempt was made for.
     pub txn: TxnId,
     /// Which of the request's attempts it was.
-    pub no: AttemptNumber,
+    pub number: AttemptNumber,
     /// What is proved of it.
     pub outcome: Outcome,
     /// The backend's reply, where there was one.
@@ -43,8 +43,8 @@
 
 impl AttemptResult {
     /// A result without a reply and without a connection to reuse.
-    pub fn without_reply(txn: TxnId, no: AttemptNumber, outcome: Outcome) -> AttemptResult {
-        AttemptResult { txn, no, outcome, reply: None, idle_connection: None, idle_before_loss: None }
+    pub fn without_reply(txn: TxnId, number: AttemptNumber, outcome: Outcome) -> AttemptResult {
+        AttemptResult { txn, number, outcome, reply: None, idle_connection: None, idle_before_loss: None }
     }
 }
 
@@ -98,7 +98,7 @@
     /// The request's id in this process.
     pub txn: TxnId,
     /// Which of the request's attempts it is.
-    pub no: AttemptNumber,
+    pub number: AttemptNumber,
     /// The request to be forwarded.
     pub request: Rc<Request>,
     /// When the reply is no longer waited for.
--- a/programs/gateway/src/router.rs
+++ b/programs/gateway/src/router.rs
@@ -151,7 +151,9 @@
         while let Some(timer) = self.timers.pop_due(now) {
             match timer {
                 Timer::PolicyWake(timer) => self.events.push(Event::TimerFired(timer)),
-                Timer::AttemptTimeout(txn, no) => self.cancel_attempt(txn, no, CancelReason::TimedOut),
+                Timer::AttemptTimeout(txn, number) => {
+                    self.cancel_attempt(txn, number, CancelReason::TimedOut)
+                }
                 Timer::Expiry(txn) => self.expire(txn),
                 Timer::Sweep => {
                     for _ in 0..self.pool.sweep(now) {
@@ -220,9 +222,9 @@
 
     fn handle_attempt_result(&mut self, result: AttemptResult, now: Ticks) {
         let resources = &self.shared.resources;
-        let AttemptResult { txn: id, no, outcome, reply, idle_connection, idle_before_loss } = result;
+        let AttemptResult { txn: id, number, outcome, reply, idle_connection, idle_before_loss } = result;
         resources.count(outcome_counter(outcome));
-        let ended = self.txns.record_end(id, no, outcome, now);
+        let ended = self.txns.record_end(id, number, outcome, now);
         resources.check(ended.is_ok(), Invariant::EndedOnce);
         let Ok(EndedAttempt { backend, latency, complete, answer }) = ended else {
             return;
@@ -248,8 +250,15 @@
             }
             _ => {}
         }
-        let report =
-            AttemptReport { txn: id, attempt: no, outcome, latency, complete, metered_usage, actual_cost };
+        let report = AttemptReport {
+            txn: id,
+            attempt: number,
+            outcome,
+            latency,
+            complete,
+            metered_usage,
+            actual_cost,
+        };
         self.events.push(Event::AttemptEnded(report));
     }
 
@@ -258,7 +267,9 @@
         match self.txns.expire(id) {
             ExpiryAction::Nothing => {}
             ExpiryAction::CancelAttempts(in_flight) => {
-                in_flight.into_iter().for_each(|no| self.cancel_attempt(id, no, CancelReason::TimedOut));
+                in_flight
+                    .into_iter()
+                    .for_each(|number| self.cancel_attempt(id, number, CancelReason::TimedOut));
             }
             ExpiryAction::Overdue => {
                 self.shared.resources.check(false, Invariant::AnsweredByExpiry);
@@ -267,8 +278,8 @@
         }
     }
 
-    fn cancel_attempt(&mut self, id: TxnId, no: AttemptNumber, reason: CancelReason) {
-        if let Some(canceller) = self.txns.take_canceller(id, no) {
+    fn cancel_attempt(&mut self, id: TxnId, number: AttemptNumber, reason: CancelReason) {
+        if let Some(canceller) = self.txns.take_canceller(id, number) {
             // Its outcome may be queued already.
             let _ = canceller.send(reason);
         }
--- a/programs/gateway/src/router/actions.rs
+++ b/programs/gateway/src/router/actions.rs
@@ -64,12 +64,12 @@
 
     fn start_attempt(&mut self, id: TxnId, backend: BackendId, timeout: Option<Ticks>, now: Ticks) {
         let resources = &self.shared.resources;
-        let (no, deadline) = match self.txns.start_attempt(id, backend, timeout, now) {
+        let (number, deadline) = match self.txns.start_attempt(id, backend, timeout, now) {
             AttemptStart::UnknownTxn => return,
-            AttemptStart::NotSent { no, complete } => return self.report_not_sent(id, no, complete),
-            AttemptStart::Started { no, deadline, permitted } => {
+            AttemptStart::NotSent { number, complete } => return self.report_not_sent(id, number, complete),
+            AttemptStart::Started { number, deadline, permitted } => {
                 resources.check(permitted, Invariant::NoEffectTwice);
-                (no, deadline)
+                (number, deadline)
             }
         };
         resources.count(Counter::Attempts);
@@ -79,19 +79,19 @@
         };
         let request = Rc::clone(&request.request);
         let (canceller, cancelled) = oneshot::channel();
-        self.txns.set_canceller(id, no, canceller);
+        self.txns.set_canceller(id, number, canceller);
         let extra_headers = self.policy.extra_headers(id, backend);
         if timeout.is_some() {
-            self.timers.set(deadline, Timer::AttemptTimeout(id, no));
+            self.timers.set(deadline, Timer::AttemptTimeout(id, number));
         }
-        self.dispatch(Attempt { txn: id, no, request, deadline, cancelled, extra_headers }, backend, now);
+        self.dispatch(Attempt { txn: id, number, request, deadline, cancelled, extra_headers }, backend, now);
     }
 
-    fn report_not_sent(&mut self, id: TxnId, no: AttemptNumber, complete: bool) {
+    fn report_not_sent(&mut self, id: TxnId, number: AttemptNumber, complete: bool) {
         self.shared.resources.count(Counter::AttemptsNotSent);
         let report = AttemptReport {
             txn: id,
-            attempt: no,
+            attempt: number,
             outcome: Outcome::NotSent,
             latency: Ticks(0),
             complete,
@@ -120,7 +120,8 @@
                 drop(tokio::task::spawn_local(backend_connection::run(attempt, address, shared)));
             }
             None => {
-                let result = AttemptResult::without_reply(attempt.txn, attempt.no, Outcome::ConnectFailed);
+                let result =
+                    AttemptResult::without_reply(attempt.txn, attempt.number, Outcome::ConnectFailed);
                 shared.notify_router(RouterMessage::AttemptEnded(result));
             }
         }
--- a/programs/gateway/tests/peer_messages.rs
+++ b/programs/gateway/tests/peer_messages.rs
@@ -81,12 +81,12 @@
         let mut buffer = [0; 512];
         let begun = std::time::Instant::now();
         while answered < if decision.is_ok() { 1 } else { 2 } {
-            assert!(begun.elapsed() < TEST_TIMEOUT, "no ask came");
+            assert!(begun.elapsed() < TEST_TIMEOUT, "no request came");
             for peer in [&first, &second] {
                 if let Ok((length, from)) = peer.socket.recv_from(&mut buffer) {
                     let message = codec::decode(&buffer[4..length]).expect("a message");
                     if let PeerMessage::QuotaRequest { request, claim } = message {
-                        assert_eq!(buffer[..4], 2u32.to_be_bytes(), "it says its own number");
+                        assert_eq!(buffer[..4], 2u32.to_be_bytes(), "it states its own number");
                         assert_eq!((claim.cost, claim.subset_size, claim.retry), (1.0, 2, false));
                         peer.send(from, &PeerMessage::QuotaResponse { request, claim, decision });
                         answered += 1;
@@ -103,7 +103,7 @@
     both(Err(QuotaRejection { retry_after: Some(vanewharf_policy::interface::Ticks(4_000)) }));
     let answer = client.read_answer();
     assert_eq!(answer.status(), 429);
-    assert_eq!(answer.field("Retry-After"), Some("0.4000"), "the keeper's own advice");
+    assert_eq!(answer.field("Retry-After"), Some("0.4000"), "the owner's own advice");
     assert!(gateway.counter("peers_told") >= 3 && gateway.counter("peers_heard") == 3);
 }
 
@@ -119,7 +119,7 @@
         // A tenth of the SLA time of 400 ms for each of the two, and no more, is what a txn may lose to them.
         assert!(took < Duration::from_millis(2 * 40 + 250), "{took:?}");
     }
-    assert_eq!(client.request(&look_request()).status(), 200, "a plan with no rate asks nobody");
+    assert_eq!(client.request(&look_request()).status(), 200, "a plan with no rate needs no owner");
 }
 
 #[test]
@@ -133,7 +133,7 @@
     unlisted.send(own, &message);
     Peer { socket: first.socket.try_clone().expect("a copy"), number: 1 }.send(own, &message);
     Peer { socket: first.socket.try_clone().expect("a copy"), number: 77 }.send(own, &message);
-    let odd = [
+    let malformed = [
         Vec::new(),
         vec![0, 0],
         0u32.to_be_bytes().to_vec(),
@@ -142,14 +142,14 @@
         [&0u32.to_be_bytes()[..], &[0xff; 40]].concat(),
         [&0u32.to_be_bytes()[..], &encoded, &[0; 2_000]].concat(),
     ];
-    for datagram in &odd {
+    for datagram in &malformed {
         first.socket.send_to(datagram, own).expect("loopback takes it");
     }
     // In the order of sending, so when this one is answered all others were.
     first.send(own, &message);
     while gateway.counter("peers_heard") < 1 {}
     assert_eq!(gateway.counter("peers_heard"), 1);
-    assert_eq!(gateway.counter("peers_dropped"), 3 + odd.len() as u64);
+    assert_eq!(gateway.counter("peers_dropped"), 3 + malformed.len() as u64);
     let mut client = gateway.client();
     assert_eq!(client.request(&look_request()).status(), 200, "and it serves on");
 }
@@ -178,9 +178,9 @@
     );
     assert!(both.iter().all(|gateway| gateway.counter("peers_told") >= 1));
     // A plan whose store a slice does hold is decided at the gateway itself, as ever.
-    let told = both[0].counter("peers_told");
+    let sent_before = both[0].counter("peers_told");
     assert_eq!(both[0].client().request(&look_request()).status(), 200);
-    assert_eq!(both[0].counter("peers_told"), told);
+    assert_eq!(both[0].counter("peers_told"), sent_before);
 }
 
 /// What the program says when it ends by itself, and that it failed.
--- a/programs/gateway/tests/quota_counter.rs
+++ b/programs/gateway/tests/quota_counter.rs
@@ -98,10 +98,14 @@
     assert_eq!(answer.status(), 429, "the window holds two units");
     assert!(answer.field("Retry-After").is_some());
     let calls: Vec<_> = counter.calls.try_iter().collect();
-    assert_eq!(calls.len(), 2, "none for the third, as the second told that the window is full: {calls:?}");
+    assert_eq!(
+        calls.len(),
+        2,
+        "none for the third, as the second reply showed that the window is full: {calls:?}"
+    );
     assert!(calls.iter().all(|(key, amount)| *key == calls[0].0 && *amount == 1.0), "{calls:?}");
     assert_eq!(gateway.counter("counter_totals"), 2);
-    assert_eq!(client.request(&look_request()).status(), 200, "a plan with no rate asks no counter");
+    assert_eq!(client.request(&look_request()).status(), 200, "a plan with no rate needs no counter");
 }
 
 #[test]
@@ -123,7 +127,7 @@
             backend.next_request();
         }
         assert!(backend.seen.recv_timeout(Duration::from_millis(200)).is_err(), "nothing is sent twice");
-        assert!(counter.calls.try_iter().count() >= 1, "the counter was asked");
+        assert!(counter.calls.try_iter().count() >= 1, "the counter was called");
         let failed = gateway.counter("counter_not_added") + gateway.counter("counter_unknown");
         assert!(failed >= 1, "its failures are counted");
     }
--- a/programs/gateway/tests/requests.rs
+++ b/programs/gateway/tests/requests.rs
@@ -8,8 +8,8 @@
 
 #[test]
 fn forwards_request_and_reply_unchanged() {
-    let told = "X-Quota-Used: 12\r\nX-Units-Charged: 1\r\nContent-Type: text/plain\r\n";
-    let backend = Backend::new("a", vec![ok(told, "seen"), ok("", "booked")]);
+    let fields = "X-Quota-Used: 12\r\nX-Units-Charged: 1\r\nContent-Type: text/plain\r\n";
+    let backend = Backend::new("a", vec![ok(fields, "seen"), ok("", "booked")]);
     let gateway = Gateway::start(&[&backend]);
     let mut client = gateway.client();
     let answer = client.request(&look_request());
