--- a/programs/cli/src/main.rs
+++ b/programs/cli/src/main.rs
@@ -397,8 +397,8 @@
     let file = fs::File::open(path).map_err(|error| format!("{}: {error}", path.display()))?;
     let taken = traces::read_trace(std::io::BufReader::new(file), mapping, &plans);
     let taken = taken.map_err(|refused| format!("{}: {refused}", path.display()))?;
-    for (wrong, (count, line)) in &taken.rejected {
-        tracing::warn!(count, first_line = line, "left out: {wrong}");
+    for (defect, rejected) in &taken.rejected {
+        tracing::warn!(count = rejected.count, first_line = rejected.first_line, "left out: {defect}");
     }
     tracing::info!(rows = taken.rows.len(), left_out = taken.rejected_count(), "trace read");
     if taken.rows.is_empty() {
@@ -415,8 +415,8 @@
         let glance = traces::summarize_trace(&rows);
         println!("{} txns of {} customers in {:.1} s", glance.rows, glance.customers, glance.seconds);
         println!("{} in the busiest second", glance.peak_rows_per_second);
-        for (product, (count, units)) in &glance.by_product {
-            println!("{product}: {count} txns, {units:.0} units");
+        for (product, totals) in &glance.by_product {
+            println!("{product}: {} txns, {:.0} units", totals.rows, totals.units);
         }
         return Ok(());
     };
