--- a/crates/compatibility/tests/documents.rs
+++ b/crates/compatibility/tests/documents.rs
@@ -7,8 +7,8 @@
 use std::fmt::Debug;
 use std::path::{Path, PathBuf};
 use support::{assert_golden, read_golden};
-use vanewharf_config::config::{Config, RouteKind};
-use vanewharf_config::settings::Settings;
+use vanewharf_config::configuration::{Config, RouteKind, WeightedService};
+use vanewharf_config::settings::{PortRange, Settings};
 
 const CONFIGURATION: &str = "configuration/valid.json";
 const SETTINGS: &str = "configuration/settings.json";
@@ -38,6 +38,10 @@
     Settings::parse(text).map_err(|error| error.to_string())
 }
 
+fn weighted(service: &str, weight: f64) -> WeightedService {
+    WeightedService { service: service.to_owned(), weight }
+}
+
 #[test]
 fn valid_configuration() {
     let config = read_configuration(&read_golden(CONFIGURATION)).expect("it is valid");
@@ -49,8 +53,8 @@
     assert_eq!((read.precedence, read.max_attempts, read.public), (1, 2, false));
     assert_eq!((split.precedence, split.max_attempts, split.public), (0, 1, false));
     assert_eq!(read.home_regions, ["east"]);
-    assert_eq!(read.services, [("reads".to_owned(), 1.0)]);
-    assert_eq!(split.services, [("reads".to_owned(), 1.0), ("writes".to_owned(), 2.5)]);
+    assert_eq!(read.services, [weighted("reads", 1.0)]);
+    assert_eq!(split.services, [weighted("reads", 1.0), weighted("writes", 2.5)]);
     let (reads, writes) = (&config.services["reads"], &config.services["writes"]);
     assert_eq!((reads.health_path.as_str(), reads.connection_limit), ("/health", 100));
     assert_eq!((reads.warmup.as_millis(), reads.warmup_per_s), (3000, 20.0));
@@ -127,7 +131,7 @@
     assert_eq!(listens("directory_service"), "10.0.0.1:8201");
     assert_eq!(listens("frontend"), "10.0.0.1:8206");
     assert_eq!(listens("readiness"), "10.0.0.1:8207");
-    assert_eq!(settings.internal_ports, (7600, 7615));
+    assert_eq!(settings.internal_ports, PortRange { first: 7600, last: 7615 });
     let peer = "10.0.0.2".parse().expect("an address");
     assert_eq!(settings.controller_address(peer).to_string(), "10.0.0.2:7600");
     assert_eq!(settings.agent_address(peer).to_string(), "10.0.0.2:7601");
--- a/crates/config/src/config/tests.rs
+++ b/crates/config/src/configuration/tests.rs
@@ -1,7 +1,8 @@
 use super::*;
 use yare::parameterized;
 
-fn body() -> String {
+/// A valid configuration with each optional field present at least once.
+fn valid_text() -> String {
     r#"{"revision":"r7","routes":{"one":{"hostname":"A.example","path_prefix":"/a/","route_kind":"read_only",
     "deadline":"1000ms","target":"400ms","precedence":2,"weighted_split":[{"service":"s","weight":90},
     {"service":"t","weight":10}],"tries":2,"public":false,"home_regions":[]},"two":{"hostname":"b.example",
@@ -15,8 +16,8 @@
 }
 
 #[test]
-fn a_whole_one_is_read() {
-    let config = Config::parse(body().as_bytes()).expect("sound");
+fn a_valid_configuration_is_parsed() {
+    let config = Config::parse(valid_text().as_bytes()).expect("valid");
     assert_eq!(config.revision, ConfigRevision(7));
     let (one, two) = (&config.routes["one"], &config.routes["two"]);
     assert_eq!((one.hostname.as_str(), one.services.len()), ("a.example", 2));
@@ -26,23 +27,23 @@
 }
 
 #[parameterized(
-    cut_short = { "\"odd\":1}", "", "it is no whole JSON document" },
-    odd_kind = { "mutating", "maybe", "routes.two.route_kind: neither read_only nor mutating" },
+    truncated = { "\"odd\":1}", "", "it is no whole JSON document" },
+    unknown_kind = { "mutating", "maybe", "routes.two.route_kind: neither read_only nor mutating" },
     no_attempts = { "\"tries\":1", "\"tries\":0", "routes.two.tries: 0 tries" },
     unknown_service = { "\"service\":\"t\",\n    \"tries\"", "\"service\":\"u\",\n    \"tries\"",
         "routes.two: the service u is not known" },
     no_weight = { "90},\n    {\"service\":\"t\",\"weight\":10", "0},\n    {\"service\":\"t\",\"weight\":0",
         "routes.one.weighted_split: the weights add up to 0" },
-    no_timeout = { "2.5s", "0s", "routes.two.deadline: a deadline of 0" },
-    aim_over = { "\"target\":\"400ms\",\"precedence\":1", "\"target\":\"62500ms\",\"precedence\":1",
+    zero_deadline = { "2.5s", "0s", "routes.two.deadline: a deadline of 0" },
+    target_too_far_above_the_deadline = { "\"target\":\"400ms\",\"precedence\":1", "\"target\":\"62500ms\",\"precedence\":1",
         "routes.two.target: a minute or more above the deadline" },
     shared_key = { "[\"m\"]", "[\"l\"]", "customers.d: it shares a key with c" },
-    no_version = { "r7", "7", "revision: a version is r and a number" },
+    malformed_revision = { "r7", "7", "revision: a version is r and a number" },
     no_limits = { "\"limits\"", "\"bounds\"", "limits is missing" },
-    odd_time = { "3000ms", "soon", "limits.header_deadline is not a time such as 1500ms or 2.5s" }
+    malformed_duration = { "3000ms", "soon", "limits.header_deadline is not a time such as 1500ms or 2.5s" }
 )]
-fn an_invalid_one_is_refused_by_name(from: &str, to: &str, why: &str) {
-    let spoilt = body().replace(from, to);
-    assert_ne!(spoilt, body());
-    assert_eq!(Config::parse(spoilt.as_bytes()).expect_err("invalid").to_string(), why);
+fn an_invalid_configuration_is_refused_with_the_place_of_the_fault(from: &str, to: &str, error: &str) {
+    let invalid = valid_text().replace(from, to);
+    assert_ne!(invalid, valid_text());
+    assert_eq!(Config::parse(invalid.as_bytes()).expect_err("invalid").to_string(), error);
 }
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,5 +1,9 @@
-//! Settings files and operators' configurations: reading and checking, with errors that name the place.
+//! Settings files of processes and configurations of operators: parsing and validation, with errors that name the place in
+//! the document.
 
-pub mod config;
+#![forbid(unsafe_code)]
+#![warn(missing_docs)]
+
+pub mod configuration;
 pub mod document;
 pub mod settings;
--- a/crates/consensus/src/group_commit.rs
+++ b/crates/consensus/src/group_commit.rs
@@ -5,7 +5,7 @@
 //! revisions, so that none is superseded by another one of its own group; evacuations in the order in which they came.
 
 use serde_json::value::RawValue;
-use vanewharf_config::config::ConfigRevision;
+use vanewharf_config::configuration::ConfigRevision;
 use vanewharf_protocol::messages::{AcceptedConfig, Register};
 
 /// How many accepted configurations a register remembers: at most 7 KB, and more than were ever observed within a day.
--- a/crates/discovery/src/client_resolution.rs
+++ b/crates/discovery/src/client_resolution.rs
@@ -2,7 +2,7 @@
 //! asks for.
 
 use std::collections::{BTreeMap, BTreeSet};
-use vanewharf_config::config::Config;
+use vanewharf_config::configuration::Config;
 use vanewharf_protocol::messages::ProxyEntry;
 
 /// The proxies that a client is sent to, at most `max`, in the order given.
--- a/crates/system-simulator/examples/capacity.rs
+++ b/crates/system-simulator/examples/capacity.rs
@@ -18,7 +18,7 @@
 use std::time::{Duration, Instant};
 use tokio::sync::mpsc;
 use vanewharf_clock::{MonotonicClock, Timestamp};
-use vanewharf_config::config::Config;
+use vanewharf_config::configuration::Config;
 use vanewharf_config::settings::LimitsTable;
 use vanewharf_discovery::{FleetAggregator, summary_for_proxies};
 use vanewharf_gateway::router::RoutingPolicy;
--- a/crates/system-simulator/src/day.rs
+++ b/crates/system-simulator/src/day.rs
@@ -17,7 +17,7 @@
 use tokio::runtime::Builder;
 use tokio::task::LocalSet;
 use tokio::time::{Instant, sleep, sleep_until, timeout};
-use vanewharf_config::config::Config;
+use vanewharf_config::configuration::Config;
 use vanewharf_protocol::messages::{PullRequest, Register};
 use vanewharf_rpc::Publisher;
 use vanewharf_rpc::{RawResponse, RpcClient};
--- a/crates/system-simulator/src/door.rs
+++ b/crates/system-simulator/src/door.rs
@@ -12,7 +12,7 @@
 use tokio::sync::mpsc;
 use tokio::time::{Instant, sleep};
 use tokio_util::codec::Decoder;
-use vanewharf_config::config::Config;
+use vanewharf_config::configuration::Config;
 use vanewharf_config::settings::Settings;
 use vanewharf_gateway::dialect::{Admission, HttpDialect};
 use vanewharf_gateway::router::RoutingPolicy;
--- a/programs/cli/src/main.rs
+++ b/programs/cli/src/main.rs
@@ -7,7 +7,7 @@
 use std::fs;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
-use vanewharf_config::config::Config as SystemConfig;
+use vanewharf_config::configuration::Config as SystemConfig;
 use vanewharf_config::settings::Settings;
 use vanewharf_gateway_settings::Options;
 use vanewharf_maintenance::{BackendNode, MaintenanceSchedule, Timestamp, WindowState};
--- a/programs/controller/src/operator_api.rs
+++ b/programs/controller/src/operator_api.rs
@@ -11,7 +11,7 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use thiserror::Error;
-use vanewharf_config::config::Config;
+use vanewharf_config::configuration::Config;
 use vanewharf_config::document::DocumentError;
 use vanewharf_consensus::{OperatorChange, VoterCandidate, majority_in_sync};
 use vanewharf_http1::Request;
--- a/programs/controller/src/replica.rs
+++ b/programs/controller/src/replica.rs
@@ -30,7 +30,7 @@
 use std::time::Duration;
 use tokio::sync::mpsc;
 use vanewharf_clock::{MonotonicClock, Timestamp};
-use vanewharf_config::config::Config;
+use vanewharf_config::configuration::Config;
 use vanewharf_consensus::{BallotClaim, HeldLease, Voter, all_voters};
 use vanewharf_protocol::messages::{Ballot, Membership, Register, RegisterRank, Revision};
 use vanewharf_rpc::{Publisher, RpcClient};
--- a/programs/controller/src/roles/token_lending.rs
+++ b/programs/controller/src/roles/token_lending.rs
@@ -5,7 +5,7 @@
 
 use std::net::IpAddr;
 use vanewharf_clock::Timestamp;
-use vanewharf_config::config::Config;
+use vanewharf_config::configuration::Config;
 use vanewharf_protocol::messages::{FleetSummary, TokenCounts, TokenLeaseReport};
 use vanewharf_quota::{InitialFill, Quota, TokenBuckets};
 
--- a/programs/proxy/src/pools.rs
+++ b/programs/proxy/src/pools.rs
@@ -31,7 +31,7 @@
 use std::rc::Rc;
 use tokio::sync::mpsc;
 use vanewharf_clock::MonotonicClock;
-use vanewharf_config::config::RouteKind;
+use vanewharf_config::configuration::RouteKind;
 use vanewharf_config::settings::LimitsTable;
 use vanewharf_gateway::answer::FinalAnswer;
 use vanewharf_gateway::messages::BackendUpdate;
--- a/programs/proxy/src/pools/backend_pool.rs
+++ b/programs/proxy/src/pools/backend_pool.rs
@@ -6,7 +6,7 @@
 use rand::rngs::SmallRng;
 use std::time::Duration;
 use vanewharf_clock::Timestamp;
-use vanewharf_config::config::RouteKind;
+use vanewharf_config::configuration::RouteKind;
 use vanewharf_policy::decide::Balancer;
 use vanewharf_policy::interface::{
     Action, AllowedActions, Arrival, BackendId, BackendInfo, BackendStatus, BalancerConfig, Event, GatewayId,
--- a/programs/proxy/src/pools/request.rs
+++ b/programs/proxy/src/pools/request.rs
@@ -7,7 +7,7 @@
 use crate::routing::{RouteRule, Tenant};
 use crate::snapshot::AuthorizedRequest;
 use std::rc::Rc;
-use vanewharf_config::config::RouteKind;
+use vanewharf_config::configuration::RouteKind;
 use vanewharf_policy::interface::{AttemptNumber, BackendId, Outcome, Ticks};
 
 /// One attempt that was sent to a backend.
--- a/programs/proxy/src/routing.rs
+++ b/programs/proxy/src/routing.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 use thiserror::Error;
-use vanewharf_config::config::{Config, Customer, Limits, Route, RouteKind, Service};
+use vanewharf_config::configuration::{self, Config, Customer, Limits, Route, RouteKind, Service};
 use vanewharf_protocol::messages::Register;
 use vanewharf_quota::Quota;
 
@@ -139,7 +139,10 @@
     }
 
     fn add_route(&mut self, route: Route) {
-        let service = |(name, weight): (String, f64)| WeightedService { name: Rc::from(name), weight };
+        let service = |weighted: configuration::WeightedService| WeightedService {
+            name: Rc::from(weighted.service),
+            weight: weighted.weight,
+        };
         let rule = RouteRule {
             host: Rc::from(route.hostname.as_str()),
             kind: route.kind,
