--- a/crates/simulator/examples/pace.rs
+++ b/crates/simulator/examples/pace.rs
@@ -1,12 +1,12 @@
-//! How fast the lab is: emulated txns a second of wall time by doors and backends, and an hour's trace.
+//! How fast the simulator is: simulated requests a second of wall time by doors and backends, and an hour's trace.
 //! `cargo run --release -p vanewharf-simulator --example pace`; figures in docs/lab.md.
 
 use std::time::Instant;
-use vanewharf_simulator::arrivals::{drawn, traced};
+use vanewharf_simulator::arrivals::{generated, traced};
 use vanewharf_simulator::experiment::Experiment;
-use vanewharf_simulator::policy::Module;
+use vanewharf_simulator::policy::BalancerPolicy;
 use vanewharf_simulator::run::run_with;
-use vanewharf_simulator::world::World;
+use vanewharf_simulator::simulation::Simulation;
 use vanewharf_traces::Row;
 
 fn experiment(doors: usize, backends: usize, length_s: f64) -> Experiment {
@@ -27,12 +27,12 @@
         for backends in [200, 2_000] {
             // About as many tries for each size.
             let experiment = experiment(doors, backends, if backends > 1_000 { 10.0 } else { 60.0 });
-            let arrivals = drawn(&experiment, 1);
+            let arrivals = generated(&experiment, 1);
             let began = Instant::now();
-            let record = World::new(&experiment, &arrivals, 1, Module::default()).run();
+            let record = Simulation::new(&experiment, &arrivals, 1, BalancerPolicy::default()).run();
             let wall = began.elapsed().as_secs_f64();
-            let pace = record.firsts as f64 / wall;
-            println!("| {doors} | {backends} | {} | {pace:.0} | {wall:.2} |", record.firsts);
+            let pace = record.first_tries as f64 / wall;
+            println!("| {doors} | {backends} | {} | {pace:.0} | {wall:.2} |", record.first_tries);
         }
     }
     let experiment = Experiment { length_s: 3_600.0, ..experiment(30, 40, 3_600.0) };
@@ -54,7 +54,7 @@
     let figures = [0, 1].map(|_| run_with(&experiment, &traced(&experiment, &rows, 1), 1));
     let wall = began.elapsed().as_secs_f64() / 2.0;
     let [one, other] =
-        figures.map(|outcome| (outcome.module.g, outcome.score, outcome.module.bill.submissions));
+        figures.map(|outcome| (outcome.balancer.g, outcome.score, outcome.balancer.usage.attempts));
     println!("an hour of {} txns, three policies: {wall:.1} s; twice the same: {}", rows.len(), one == other);
     println!("G {:.4}, score {:.3}", one.0, one.1);
 }
--- a/crates/simulator/src/plots.rs
+++ b/crates/simulator/src/plots.rs
@@ -1,60 +1,66 @@
-//! Plots, in SVG by plotters and in PNG from the same drawing. No font of the system is asked for: in the PNG letters are
-//! the eight-by-eight dots of the font8x8 crate, so that every machine draws the same.
+//! Plots, in SVG by plotters and in PNG from the same drawing. No font of the system is used: letters of the PNG are the
+//! eight-by-eight pixels of the font8x8 crate, so that every machine draws the same.
 
+use crate::report::policies;
 use crate::run::Outcome;
-use crate::score::Second;
+use crate::score::SecondStats;
 use crate::sweep::Point;
 use font8x8::UnicodeFonts;
 use plotters::prelude::*;
 use plotters_backend::{BackendColor, BackendCoord, BackendTextStyle, DrawingBackend, DrawingErrorKind};
 use std::convert::Infallible;
 use std::fmt;
+use thiserror::Error;
 
+/// Width and height of a plot in pixels.
 const SIZE: (u32, u32) = (960, 480);
 
-/// One line of a plot: its name and its points.
+/// One line of a plot.
 pub struct Line {
+    /// Its name in the legend.
     pub name: String,
+    /// Its points, across and up.
     pub points: Vec<(f64, f64)>,
 }
 
+/// A plot of lines.
 pub struct Plot {
+    /// The name of its file.
     pub name: &'static str,
+    /// What stands above it.
     pub title: String,
+    /// What the axis across stands for.
     pub across: String,
+    /// What is drawn.
     pub lines: Vec<Line>,
-    /// Drawn through as a bound.
+    /// A bound, drawn through as a line of its own.
     pub bound: Option<f64>,
 }
 
-#[derive(Debug)]
-pub struct Undrawn(String);
+/// A plot could not be drawn; the text is that of the library that draws.
+#[derive(Debug, Error)]
+#[error("cannot draw: {0}")]
+pub struct DrawError(String);
 
-impl fmt::Display for Undrawn {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "cannot draw: {}", self.0)
+impl DrawError {
+    fn new(error: impl fmt::Display) -> DrawError {
+        DrawError(error.to_string())
     }
 }
 
-impl std::error::Error for Undrawn {}
-
-fn undrawn(error: impl fmt::Display) -> Undrawn {
-    Undrawn(error.to_string())
-}
-
-/// What a run leaves to see.
+/// The plots of a run.
 pub fn of_run(outcome: &Outcome) -> Vec<Plot> {
-    let seconds = &outcome.module.seconds;
-    let line = |name: &str, of: &dyn Fn(&Second) -> f64| {
+    let seconds = &outcome.balancer.seconds;
+    let line = |name: &str, of: &dyn Fn(&SecondStats) -> f64| {
         let points = seconds.iter().enumerate().map(|(no, second)| (no as f64, of(second)));
         Line { name: name.to_owned(), points: points.collect() }
     };
-    let share = |of: &[Second]| {
+    let share = |of: &[SecondStats]| {
         let points = of.iter().enumerate().filter(|(_, second)| second.offered > 0.0);
         points.map(|(no, second)| (no as f64, (second.served / second.offered).min(1.2))).collect()
     };
-    let served = [("module", &outcome.module), ("plainest", &outcome.plainest), ("seeing", &outcome.seeing)];
-    let served = served.map(|(name, record)| Line { name: name.to_owned(), points: share(&record.seconds) });
+    let served = policies(outcome)
+        .map(|(name, record)| Line { name: name.to_owned(), points: share(&record.seconds) });
     let plot = |name, title: &str, lines, bound| Plot {
         name,
         title: title.to_owned(),
@@ -68,10 +74,10 @@
             "answers",
             "first tries a second, by what became of them",
             vec![
-                line("came", &|second| second.firsts as f64),
-                line("in time", &|second| second.settled as f64),
+                line("came", &|second| second.first_tries as f64),
+                line("in time", &|second| second.in_time as f64),
                 line("late", &|second| second.late as f64),
-                line("declined", &|second| second.declined as f64),
+                line("declined", &|second| second.rejected as f64),
                 line("failed", &|second| second.failed as f64),
             ],
             None,
@@ -89,8 +95,8 @@
             "margins",
             "how near the rules: ceilings and cold backends, 1 is over",
             vec![
-                line("ceiling", &|second| second.nearest_ceiling.max(0.0)),
-                line("cold backend", &|second| second.nearest_fall),
+                line("ceiling", &|second| second.nearest_hard_limit.max(0.0)),
+                line("cold backend", &|second| second.nearest_overload),
             ],
             Some(1.0),
         ),
@@ -117,26 +123,34 @@
 }
 
 impl Plot {
-    pub fn svg(&self) -> Result<String, Undrawn> {
+    /// The plot as an SVG file.
+    ///
+    /// # Errors
+    /// If it cannot be drawn.
+    pub fn svg(&self) -> Result<String, DrawError> {
         let mut text = String::new();
         self.draw(SVGBackend::with_string(&mut text, SIZE).into_drawing_area())?;
         Ok(text)
     }
 
-    pub fn png(&self) -> Result<Vec<u8>, Undrawn> {
-        let mut dots = vec![0xff; (SIZE.0 * SIZE.1 * 3) as usize];
-        self.draw(Dots { dots: &mut dots }.into_drawing_area())?;
+    /// The plot as a PNG file.
+    ///
+    /// # Errors
+    /// If it cannot be drawn or encoded.
+    pub fn png(&self) -> Result<Vec<u8>, DrawError> {
+        let mut pixels = vec![0xff; (SIZE.0 * SIZE.1 * 3) as usize];
+        self.draw(Pixels { pixels: &mut pixels }.into_drawing_area())?;
         let mut bytes = Vec::new();
         let mut encoder = png::Encoder::new(&mut bytes, SIZE.0, SIZE.1);
         encoder.set_color(png::ColorType::Rgb);
-        let mut writer = encoder.write_header().map_err(undrawn)?;
-        writer.write_image_data(&dots).map_err(undrawn)?;
+        let mut writer = encoder.write_header().map_err(DrawError::new)?;
+        writer.write_image_data(&pixels).map_err(DrawError::new)?;
         drop(writer);
         Ok(bytes)
     }
 
-    fn draw<D: DrawingBackend>(&self, area: DrawingArea<D, plotters::coord::Shift>) -> Result<(), Undrawn> {
-        area.fill(&WHITE).map_err(undrawn)?;
+    fn draw<D: DrawingBackend>(&self, area: DrawingArea<D, plotters::coord::Shift>) -> Result<(), DrawError> {
+        area.fill(&WHITE).map_err(DrawError::new)?;
         let all = || self.lines.iter().flat_map(|line| line.points.iter().copied());
         let least = all().map(|point| point.0).fold(f64::MAX, f64::min);
         let most = all().map(|point| point.0).fold(f64::MIN, f64::max);
@@ -148,38 +162,39 @@
             .x_label_area_size(36)
             .y_label_area_size(64)
             .build_cartesian_2d(least..most, 0.0..high)
-            .map_err(undrawn)?;
+            .map_err(DrawError::new)?;
         let mut mesh = chart.configure_mesh();
         mesh.x_desc(&self.across).label_style(("monospace", 12)).axis_desc_style(("monospace", 12));
-        mesh.draw().map_err(undrawn)?;
+        mesh.draw().map_err(DrawError::new)?;
         if let Some(bound) = self.bound {
             let line = [(least, bound), (most, bound)];
-            chart.draw_series(LineSeries::new(line, BLACK.mix(0.5))).map_err(undrawn)?;
+            chart.draw_series(LineSeries::new(line, BLACK.mix(0.5))).map_err(DrawError::new)?;
         }
         for (no, line) in self.lines.iter().enumerate() {
             let color = Palette99::pick(no).to_rgba();
             let series =
                 LineSeries::new(line.points.iter().copied(), ShapeStyle::from(color).stroke_width(2));
-            let drawn = chart.draw_series(series).map_err(undrawn)?;
+            let drawn = chart.draw_series(series).map_err(DrawError::new)?;
             drawn
                 .label(format!("{}   ", line.name))
                 .legend(move |(x, y)| PathElement::new([(x, y), (x + 16, y)], color));
         }
         let mut labels = chart.configure_series_labels();
         labels.background_style(WHITE.mix(0.85)).border_style(BLACK.mix(0.3)).label_font(("monospace", 12));
-        labels.draw().map_err(undrawn)?;
-        area.present().map_err(undrawn)
+        labels.draw().map_err(DrawError::new)?;
+        area.present().map_err(DrawError::new)
     }
 }
 
-/// Dots in rows of red, green and blue, with letters of its own.
-struct Dots<'a> {
-    dots: &'a mut [u8],
+/// Pixels in rows of red, green and blue, with letters of its own.
+struct Pixels<'a> {
+    pixels: &'a mut [u8],
 }
 
+/// Width and height of a letter in pixels.
 const LETTER: i32 = 8;
 
-impl DrawingBackend for Dots<'_> {
+impl DrawingBackend for Pixels<'_> {
     type ErrorType = Infallible;
 
     fn get_size(&self) -> (u32, u32) {
@@ -205,8 +220,8 @@
         }
         let from = ((y as u32 * SIZE.0 + x as u32) * 3) as usize;
         let (red, green, blue) = color.rgb;
-        for (dot, ink) in self.dots[from..from + 3].iter_mut().zip([red, green, blue]) {
-            *dot = (f64::from(*dot) * (1.0 - color.alpha) + f64::from(ink) * color.alpha).round() as u8;
+        for (pixel, ink) in self.pixels[from..from + 3].iter_mut().zip([red, green, blue]) {
+            *pixel = (f64::from(*pixel) * (1.0 - color.alpha) + f64::from(ink) * color.alpha).round() as u8;
         }
         Ok(())
     }
--- /dev/null
+++ b/crates/simulator/src/simulation/attempts.rs
@@ -0,0 +1,356 @@
+//! Attempts: from a gateway over a connection to a backend, through its work, and back.
+
+use super::clients::ClientTry;
+use super::event_queue::SimEvent;
+use super::gateways::IDLE_TIMEOUT_PART;
+use super::{OPEN_SPAN, Simulation};
+use crate::arrivals::FirstTry;
+use crate::backends::{Cancellation, Reception, State};
+use crate::experiment::Repeat;
+use crate::policy::Policy;
+use crate::random::{millis, seconds};
+use crate::rules::Rule;
+use vanewharf_policy::interface::{
+    AttemptNumber, AttemptReport, BackendId, BackendStatus, Event, Outcome, Ticks, TxnId,
+};
+
+/// Of the work that overloads a backend while it warms up, the part from gateways that knew of its start with which the
+/// rule is broken.
+const INFORMED_PART: f64 = 2.0 / 3.0;
+
+/// One attempt of a gateway at a backend.
+#[derive(Default)]
+pub(super) struct Attempt {
+    pub(super) client_try: usize,
+    number: u32,
+    pub(super) backend: usize,
+    pub(super) sent_at: Ticks,
+    /// Whether its outcome is on its way to the gateway or was read there.
+    pub(super) ended: bool,
+    pub(super) may_have_run: bool,
+    /// The backend's incarnation when the attempt reached it.
+    incarnation: u32,
+    /// Whether a core works on it.
+    running: bool,
+}
+
+/// Idle connections of a gateway to a backend.
+pub(super) struct IdleConnections {
+    count: u32,
+    /// Until when they are kept.
+    open_until: Ticks,
+}
+
+impl<P: Policy> Simulation<'_, P> {
+    /// A gateway sends a request to a backend.
+    pub(super) fn send_attempt(
+        &mut self,
+        gateway: usize,
+        txn: TxnId,
+        backend: BackendId,
+        timeout: Option<Ticks>,
+    ) {
+        let (client_try, backend) = (txn.0 as usize, backend.0 as usize);
+        let known = self.tries.get(client_try).is_some_and(|one| one.gateway == gateway);
+        if !known || backend >= self.backends.len() {
+            let what = format!("door {gateway} submits what it was not given: {client_try}");
+            return self.violate(Rule::OneAnswer, what);
+        }
+        if self.tries[client_try].answered {
+            let what = format!("txn {client_try} is submitted after its final answer");
+            return self.violate(Rule::OneAnswer, what);
+        }
+        let earlier = self.tries[client_try].attempts.clone();
+        let number = earlier.len() as u32;
+        let most = self.experiment.allow.most_submissions as u32;
+        let not_sent = number >= most || self.now >= self.tries[client_try].deadline;
+        let attempt = self.attempts.len();
+        let (sent_at, may_have_run) = (self.now, !not_sent);
+        let new = Attempt { client_try, number, backend, sent_at, may_have_run, ..Attempt::default() };
+        self.attempts.push(new);
+        self.tries[client_try].attempts.push(attempt);
+        if not_sent {
+            return self.end_attempt(attempt, Outcome::NotSent);
+        }
+        self.check_repeat(client_try, &earlier);
+        self.check_drain(gateway, backend);
+        if number == 0 {
+            self.charge_quota(client_try);
+        }
+        self.transmit(attempt, gateway, backend, timeout);
+    }
+
+    /// Whether the earlier attempts of a request allow another.
+    fn check_repeat(&mut self, client_try: usize, earlier: &[usize]) {
+        let first = self.arrivals.first_tries[self.tries[client_try].first_try];
+        let product = &self.experiment.product[first.product.0];
+        let in_flight = earlier.iter().any(|&other| !self.attempts[other].ended);
+        if in_flight && !self.experiment.allow.second_copies {
+            self.violate(Rule::NoEffectTwice, format!("txn {client_try} has two submissions out"));
+        }
+        let may_have_run = earlier.iter().find(|&&other| self.attempts[other].may_have_run);
+        match (product.repeat, may_have_run) {
+            (Repeat::OnceOnly, Some(_)) => {
+                let what = format!("once-only txn {client_try} is submitted again");
+                self.violate(Rule::NoEffectTwice, what);
+            }
+            (Repeat::Referenced, Some(&other))
+                if self.now - self.attempts[other].sent_at > millis(product.window_ms) =>
+            {
+                let what = format!("txn {client_try} is repeated past its window");
+                self.violate(Rule::NoEffectTwice, what);
+            }
+            _ => {}
+        }
+    }
+
+    /// Whether a gateway may still send to a backend that it knows to stop.
+    fn check_drain(&mut self, gateway: usize, backend: usize) {
+        let grace = millis(self.experiment.rules.drain_grace_ms);
+        let stopped_at = self.gateways[gateway].backends[backend].stopped_at;
+        if let Some(stopped_at) = stopped_at.filter(|stopped_at| self.now - *stopped_at > grace) {
+            let late = (self.now - stopped_at).seconds();
+            let what = format!("door {gateway} sends to backend {backend} {late:.1} s after it was told");
+            self.violate(Rule::Drains, what);
+        }
+    }
+
+    /// The first attempt of a request uses its customer's quota, by the true books.
+    fn charge_quota(&mut self, client_try: usize) {
+        let first: FirstTry = self.arrivals.first_tries[self.tries[client_try].first_try];
+        let (now, meter) = (self.now, self.experiment.meter.as_ref());
+        let quota = &mut self.quotas[first.customer];
+        let inside = quota.sent.try_take(first.units, now);
+        quota.record_usage(first.units, now, meter);
+        let limit = quota.hard_limit.as_mut();
+        let over = limit.map_or(f64::MIN, |limit| limit.overdraw(first.units, now));
+        let (slack, depth) = (quota.slack, quota.depth);
+        self.tries[client_try].inside = Some(inside);
+        self.score.record_sent(&first, inside);
+        // The part of the hard limit and its slack that is used.
+        self.score.record_hard_limit(&first, (over + depth) / (depth + slack).max(1e-9));
+        if over > slack + 1e-6 {
+            let customer = first.customer;
+            let what = format!("customer {customer} is {over:.1} units beyond its ceiling");
+            self.violate(Rule::HardLimits, what);
+        }
+    }
+
+    /// Sends an attempt over an idle connection, or over a new one.
+    fn transmit(&mut self, attempt: usize, gateway: usize, backend: usize, timeout: Option<Ticks>) {
+        let cross_zone = self.crosses_zones(gateway, backend);
+        self.score.usage.attempts += 1;
+        self.score.usage.cross_zone += u64::from(cross_zone);
+        let delay = self.one_way_delay(cross_zone);
+        let cut = self.is_cut_off(gateway, backend);
+        let arrives_after = if self.take_idle_connection(gateway, backend) {
+            delay
+        } else if self.connect(attempt, gateway, backend, delay, cut) {
+            delay.times(3.0)
+        } else {
+            return;
+        };
+        if let Some(timeout) = timeout {
+            self.schedule(self.now + timeout, SimEvent::AttemptTimesOut { attempt });
+        }
+        if !cut {
+            self.schedule(self.now + arrives_after, SimEvent::AttemptArrives { attempt });
+        }
+    }
+
+    fn take_idle_connection(&mut self, gateway: usize, backend: usize) -> bool {
+        let idle = self.idle_connections.get_mut(&(gateway, backend));
+        let Some(idle) = idle.filter(|idle| idle.count > 0 && idle.open_until > self.now) else {
+            return false;
+        };
+        idle.count -= 1;
+        true
+    }
+
+    /// Opens a connection; where that fails, the attempt ends by it.
+    fn connect(&mut self, attempt: usize, gateway: usize, backend: usize, delay: Ticks, cut: bool) -> bool {
+        self.score.usage.handshakes += 1;
+        let fails_after = match self.backends[backend].state {
+            _ if cut => Some(millis(self.experiment.net.dial_ms)),
+            State::Unresponsive => Some(millis(self.experiment.net.dial_ms)),
+            State::Down => Some(delay.times(2.0)),
+            State::Up => None,
+        };
+        if let Some(span) = fails_after {
+            let outcome = Outcome::ConnectFailed;
+            self.schedule(self.now + span, SimEvent::AttemptAnswered { attempt, outcome });
+            return false;
+        }
+        self.add_load(gateway, backend, self.experiment.fleet.handshake_ms);
+        true
+    }
+
+    fn is_cut_off(&self, gateway: usize, backend: usize) -> bool {
+        let zones = (self.gateways[gateway].zone, self.backends[backend].zone);
+        self.faults.cut_zone.is_some_and(|cut| zones.0 != zones.1 && (zones.0 == cut || zones.1 == cut))
+    }
+
+    /// Work reaches a backend; where that overloads it while it warms up, it goes down.
+    fn add_load(&mut self, gateway: usize, backend: usize, work_ms: f64) {
+        let known = self.gateways[gateway].backends[backend].started_at;
+        let informed = known == self.backends[backend].started_at;
+        let (fleet, rules) = (&self.experiment.fleet, &self.experiment.rules);
+        self.score.record_overload(self.now, self.backends[backend].overload(self.now, fleet, rules));
+        let overloaded = self.backends[backend].record_load(work_ms, informed, self.now, fleet, rules);
+        if let Some(informed_part) = overloaded {
+            self.score.usage.overloaded_backends += 1;
+            if informed_part >= INFORMED_PART {
+                self.violate(Rule::WarmUp, format!("backend {backend} is pushed over while cold"));
+            }
+            self.publish(backend, BackendStatus::Gone, self.experiment.discovery.silent_late_s);
+            self.reset_connections(backend);
+        }
+    }
+
+    /// An attempt reaches its backend.
+    pub(super) fn receive_attempt(&mut self, attempt: usize) {
+        let Attempt { client_try, backend, ended, .. } = self.attempts[attempt];
+        if ended {
+            return;
+        }
+        let gateway = self.tries[client_try].gateway;
+        let work = self.arrivals.first_tries[self.tries[client_try].first_try].work_ms;
+        self.add_load(gateway, backend, work);
+        self.attempts[attempt].incarnation = self.backends[backend].incarnation;
+        let reception = self.backends[backend].receive(attempt, &self.experiment.fleet);
+        let delay = self.one_way_delay(self.crosses_zones(gateway, backend));
+        let outcome = match reception {
+            Reception::Started => return self.begin_work(attempt),
+            Reception::Queued | Reception::Lost => return,
+            Reception::Rejected => Outcome::Rejected,
+            Reception::Refused => Outcome::ConnectionLost,
+        };
+        self.schedule(self.now + delay, SimEvent::AttemptAnswered { attempt, outcome });
+    }
+
+    fn begin_work(&mut self, attempt: usize) {
+        self.attempts[attempt].running = true;
+        let Attempt { client_try, backend, .. } = self.attempts[attempt];
+        let work = self.arrivals.first_tries[self.tries[client_try].first_try].work_ms;
+        let time = self.backends[backend].work_time(work, self.now, &self.experiment.fleet);
+        self.backends[backend].worked_ms += work;
+        self.score.record_work(self.now, work);
+        self.tries[client_try].runs += 1;
+        if self.is_once_only(client_try) && self.tries[client_try].runs > 1 {
+            self.violate(Rule::NoEffectTwice, format!("once-only txn {client_try} runs twice"));
+        }
+        let incarnation = self.backends[backend].incarnation;
+        let ends_at = self.now + seconds(time).max(Ticks(1));
+        self.schedule(ends_at, SimEvent::WorkEnds { attempt, incarnation });
+    }
+
+    /// A core has done an attempt's work.
+    pub(super) fn finish_work(&mut self, attempt: usize, incarnation: u32) {
+        let Attempt { client_try, backend, running, .. } = self.attempts[attempt];
+        let state = &self.backends[backend];
+        if state.incarnation != incarnation || state.state == State::Unresponsive {
+            return;
+        }
+        // Cancelled in its work: its core is free already.
+        if !running {
+            return;
+        }
+        self.free_core(attempt, backend);
+        let gateway = self.tries[client_try].gateway;
+        let delay = self.one_way_delay(self.crosses_zones(gateway, backend));
+        if self.is_cut_off(gateway, backend) {
+            return;
+        }
+        let lost_answers = self.backends[backend].lost_answers;
+        let lost = lost_answers > 0.0 && self.random.net.unit() < lost_answers;
+        let outcome = if lost { Outcome::ConnectionLost } else { Outcome::Succeeded };
+        self.schedule(self.now + delay, SimEvent::AttemptAnswered { attempt, outcome });
+    }
+
+    fn free_core(&mut self, attempt: usize, backend: usize) {
+        self.attempts[attempt].running = false;
+        if let Some(next) = self.backends[backend].next_in_queue() {
+            self.begin_work(next);
+        }
+    }
+
+    /// An attempt's outcome reaches its gateway; a good response leaves its connection idle.
+    pub(super) fn answer_attempt(&mut self, attempt: usize, outcome: Outcome) {
+        let Attempt { client_try, backend, ended, .. } = self.attempts[attempt];
+        if outcome == Outcome::Succeeded && !ended {
+            let open_until = self.now + seconds(self.experiment.fleet.idle_s * IDLE_TIMEOUT_PART);
+            let key = (self.tries[client_try].gateway, backend);
+            let new = || IdleConnections { count: 0, open_until };
+            let idle = self.idle_connections.entry(key).or_insert_with(new);
+            let count = if idle.open_until > self.now { idle.count + 1 } else { 1 };
+            *idle = IdleConnections { count, open_until };
+        }
+        self.end_attempt(attempt, outcome);
+    }
+
+    /// An attempt ends for its gateway, once; a cancellation reaches the backend a moment later.
+    pub(super) fn end_attempt(&mut self, attempt: usize, outcome: Outcome) {
+        let Attempt { client_try, number, backend, sent_at, ended, .. } = self.attempts[attempt];
+        if ended {
+            return;
+        }
+        // Until the gateway has read its end it may have run, for all that the gateway knows.
+        self.attempts[attempt].ended = true;
+        if matches!(outcome, Outcome::Cancelled | Outcome::TimedOut) {
+            let cross_zone = self.crosses_zones(self.tries[client_try].gateway, backend);
+            let delay = self.one_way_delay(cross_zone);
+            self.schedule(self.now + delay, SimEvent::CancellationArrives { attempt });
+        }
+        let first = self.arrivals.first_tries[self.tries[client_try].first_try];
+        let estimated = self.experiment.product[first.product.0].guess > 0.0;
+        let report = AttemptReport {
+            txn: TxnId(client_try as u64),
+            attempt: AttemptNumber(number),
+            outcome,
+            latency: self.now - sent_at,
+            complete: false,
+            metered_usage: self.metered_usage(first.customer, outcome),
+            actual_cost: (estimated && outcome == Outcome::Succeeded).then_some(first.true_units),
+        };
+        let ClientTry { gateway, incarnation, .. } = self.tries[client_try];
+        self.deliver(gateway, incarnation, Event::AttemptEnded(report));
+    }
+
+    /// The reading of the meter that a backend's response carries.
+    fn metered_usage(&mut self, customer: usize, outcome: Outcome) -> Option<f64> {
+        if !matches!(outcome, Outcome::Succeeded | Outcome::Error | Outcome::Rejected) {
+            return None;
+        }
+        let meter = self.experiment.meter.as_ref()?;
+        let late = self.random.services.span(meter.late_s) + self.faults.extra_delay_s;
+        self.quotas[customer].metered_usage(self.now, seconds(late), meter)
+    }
+
+    /// A cancellation reaches the attempt's backend.
+    pub(super) fn cancel_at_backend(&mut self, attempt: usize) {
+        let Attempt { backend, incarnation, running, .. } = self.attempts[attempt];
+        if incarnation != self.backends[backend].incarnation {
+            return;
+        }
+        let stops = self.experiment.fleet.stops;
+        let cancelled = self.backends[backend].cancel(attempt, running, stops);
+        if cancelled == Some(Cancellation::CoreFreed) {
+            self.free_core(attempt, backend);
+        }
+    }
+
+    /// The connections of a process that has died are reset at once.
+    pub(super) fn reset_connections(&mut self, backend: usize) {
+        self.idle_connections.retain(|(_, to), _| *to != backend);
+        let in_flight: Vec<_> = (0..self.attempts.len())
+            .rev()
+            .take_while(|&attempt| self.now - self.attempts[attempt].sent_at < seconds(OPEN_SPAN))
+            .filter(|&attempt| self.attempts[attempt].backend == backend && !self.attempts[attempt].ended)
+            .collect();
+        for attempt in in_flight {
+            let delay = self.one_way_delay(false);
+            let outcome = Outcome::ConnectionLost;
+            self.schedule(self.now + delay, SimEvent::AttemptAnswered { attempt, outcome });
+        }
+    }
+}
--- a/crates/simulator/tests/rules.rs
+++ b/crates/simulator/tests/rules.rs
@@ -1,14 +1,14 @@
-//! The lab's own rule checker, against policies that break one rule each and the module, which must not; and the
+//! The simulator's own rule checker, against policies that break one rule each and the project's, which must not; and the
 //! faults that the rules are there for.
 
 use vanewharf_policy::decide::Balancer;
 use vanewharf_policy::interface::*;
-use vanewharf_simulator::arrivals::drawn;
+use vanewharf_simulator::arrivals::generated;
 use vanewharf_simulator::experiment::Experiment;
-use vanewharf_simulator::policy::{Inside, Module, Plainest, Policy, Seen};
+use vanewharf_simulator::policy::{BalancerPolicy, FleetView, Policy, QuotaOracle, RoundRobin};
 use vanewharf_simulator::rules::Rule;
-use vanewharf_simulator::score::Record;
-use vanewharf_simulator::world::World;
+use vanewharf_simulator::score::RunRecord;
+use vanewharf_simulator::simulation::Simulation;
 
 fn experiment(more: &str) -> Experiment {
     let text = format!(
@@ -23,58 +23,58 @@
     Experiment::parse(&text).expect("good")
 }
 
-fn played<P: Policy>(experiment: &Experiment, policy: P) -> Record {
-    let arrivals = drawn(experiment, 3);
-    World::new(experiment, &arrivals, 3, policy).run()
+fn run<P: Policy>(experiment: &Experiment, policy: P) -> RunRecord {
+    let arrivals = generated(experiment, 3);
+    Simulation::new(experiment, &arrivals, 3, policy).run()
 }
 
-/// The module, with its actions changed on the way out.
+/// The balancer, with its actions changed on the way out.
 struct Twisted<F> {
-    module: Module,
+    balancer: BalancerPolicy,
     twist: F,
     filter: fn(&Event) -> bool,
 }
 
 impl<F: FnMut(usize, Vec<Action>) -> Vec<Action>> Policy for Twisted<F> {
-    fn starts(&mut self, door: usize, told: BalancerConfig) {
-        self.module.starts(door, told);
+    fn start_gateway(&mut self, gateway: usize, config: BalancerConfig) {
+        self.balancer.start_gateway(gateway, config);
     }
 
-    fn stops(&mut self, door: usize) {
-        self.module.stops(door);
+    fn stop_gateway(&mut self, gateway: usize) {
+        self.balancer.stop_gateway(gateway);
     }
 
     fn decide(
         &mut self,
-        door: usize,
+        gateway: usize,
         now: Ticks,
         events: Vec<Event>,
-        seen: &Seen,
-        inside: &mut Inside<'_>,
+        view: &FleetView,
+        inside: &mut QuotaOracle<'_>,
     ) -> Vec<Action> {
         let events = events.into_iter().filter(self.filter).collect();
-        let actions = self.module.decide(door, now, events, seen, inside);
-        (self.twist)(door, actions)
+        let actions = self.balancer.decide(gateway, now, events, view, inside);
+        (self.twist)(gateway, actions)
     }
 }
 
 fn twisted(twist: impl FnMut(usize, Vec<Action>) -> Vec<Action>, filter: fn(&Event) -> bool) -> impl Policy {
-    Twisted { module: Module::default(), twist, filter }
+    Twisted { balancer: BalancerPolicy::default(), twist, filter }
 }
 
-fn broken(record: &Record) -> Vec<Rule> {
-    record.breaches().into_keys().collect()
+fn broken(record: &RunRecord) -> Vec<Rule> {
+    record.violation_counts().into_keys().collect()
 }
 
 #[test]
-fn the_module_keeps_all_rules_where_nothing_goes_wrong() {
-    let record = played(&experiment(""), Module::default());
-    assert_eq!(broken(&record), [], "{:?}", record.broken.first());
+fn the_balancer_keeps_all_rules_without_faults() {
+    let record = run(&experiment(""), BalancerPolicy::default());
+    assert_eq!(broken(&record), [], "{:?}", record.violations.first());
     assert!(record.g > 0.7, "and is of use: {}", record.g);
 }
 
 #[test]
-fn a_txn_that_nobody_answers_breaks_the_first_rule() {
+fn a_request_without_an_answer_breaks_the_first_rule() {
     let mut left = 3;
     let forgets = move |_, mut actions: Vec<Action>| {
         actions.retain(|action| {
@@ -84,12 +84,12 @@
         });
         actions
     };
-    let record = played(&experiment(""), twisted(forgets, |_| true));
+    let record = run(&experiment(""), twisted(forgets, |_| true));
     assert_eq!(broken(&record), [Rule::OneAnswer]);
 }
 
 #[test]
-fn a_submission_after_the_answer_breaks_it_too() {
+fn an_attempt_after_the_answer_breaks_it_too() {
     let sends_on = |_, mut actions: Vec<Action>| {
         let answered = actions.iter().find_map(|action| match action {
             Action::Reject { txn, .. } => Some(*txn),
@@ -98,83 +98,88 @@
         actions.extend(answered.map(|txn| Action::SendAttempt { txn, backend: BackendId(0), timeout: None }));
         actions
     };
-    assert_eq!(broken(&played(&experiment(""), twisted(sends_on, |_| true))), [Rule::OneAnswer]);
+    assert_eq!(broken(&run(&experiment(""), twisted(sends_on, |_| true))), [Rule::OneAnswer]);
 }
 
 #[test]
-fn a_once_only_txn_sent_twice_breaks_the_second() {
+fn a_once_only_request_sent_twice_breaks_the_second() {
     let doubles = |_, actions: Vec<Action>| {
         let both = actions.into_iter().flat_map(|action| match action {
-            Action::SendAttempt { txn, backend, timeout: time_out } => {
+            Action::SendAttempt { txn, backend, timeout } => {
                 let other = BackendId((backend.0 + 1) % 12);
-                vec![action, Action::SendAttempt { txn, backend: other, timeout: time_out }]
+                vec![action, Action::SendAttempt { txn, backend: other, timeout }]
             }
             _ => vec![action],
         });
         both.collect()
     };
-    assert!(broken(&played(&experiment(""), twisted(doubles, |_| true))).contains(&Rule::NoEffectTwice));
+    assert!(broken(&run(&experiment(""), twisted(doubles, |_| true))).contains(&Rule::NoEffectTwice));
 }
 
 const DRAIN: &str = "[[fault]]\nkind = \"drain\"\nat_s = 6\nfor_s = 6\npart = 0.5\nevery_s = 4\n\
     [[fault]]\nkind = \"flood\"\nat_s = 5\nfor_s = 8\npart = 0.1\nsize = 6\n";
 
 #[test]
-fn a_drain_in_a_burst_is_kept_by_the_module_and_broken_by_one_that_does_not_listen() {
+fn a_drain_in_a_burst_is_kept_by_the_balancer_and_broken_without_discovery() {
     let experiment = experiment(DRAIN);
-    let record = played(&experiment, Module::default());
-    assert_eq!(broken(&record), [], "{:?}", record.broken.first());
-    // Hears its first list and no change of it.
+    let record = run(&experiment, BalancerPolicy::default());
+    assert_eq!(broken(&record), [], "{:?}", record.violations.first());
+    // Receives its first list and no change of it.
     let deaf = twisted(|_, actions| actions, |event| !matches!(event, Event::BackendChanges(_)));
-    assert!(broken(&played(&experiment, deaf)).contains(&Rule::Drains));
+    assert!(broken(&run(&experiment, deaf)).contains(&Rule::Drains));
 }
 
 const RESTART: &str = "[[fault]]\nkind = \"crash\"\nat_s = 5\nfor_s = 3\npart = 0.5\nby = \"cell\"\n";
 
 #[test]
-fn cold_backends_that_return_together_are_not_pushed_over_by_the_module() {
+fn backends_that_warm_up_together_are_not_overloaded_by_the_balancer() {
     let experiment = experiment(RESTART);
-    let record = played(&experiment, Module::default());
-    assert_eq!((broken(&record), record.bill.fallen), (vec![], 0), "{:?}", record.broken.first());
-    let nearest = record.seconds.iter().map(|second| second.nearest_fall).fold(0.0, f64::max);
+    let record = run(&experiment, BalancerPolicy::default());
+    assert_eq!(
+        (broken(&record), record.usage.overloaded_backends),
+        (vec![], 0),
+        "{:?}",
+        record.violations.first()
+    );
+    let nearest = record.seconds.iter().map(|second| second.nearest_overload).fold(0.0, f64::max);
     assert!(nearest > 0.02, "cold ones did get work: {nearest}");
     // One that takes them for as good as the others, where they bear little.
     let blind =
-        played(&self::experiment(&format!("{RESTART}[rules]\nfall_multiple = 1.2\n")), Plainest::default());
-    assert!(broken(&blind).contains(&Rule::ColdBackends), "{:?}", blind.breaches());
+        run(&self::experiment(&format!("{RESTART}[rules]\nfall_multiple = 1.2\n")), RoundRobin::default());
+    assert!(broken(&blind).contains(&Rule::WarmUp), "{:?}", blind.violation_counts());
 }
 
 #[test]
-fn a_ceiling_is_broken_by_one_that_lets_all_in() {
+fn a_hard_limit_is_broken_by_one_that_admits_all() {
     let experiment = experiment("[customers]\nheavy = 0.5\nheavy_x = [4, 5]\nfull = 0\nspiky = 0\n");
-    assert!(broken(&played(&experiment, Plainest::default())).contains(&Rule::Ceilings));
-    assert_eq!(broken(&played(&experiment, Module::default())), []);
+    assert!(broken(&run(&experiment, RoundRobin::default())).contains(&Rule::HardLimits));
+    assert_eq!(broken(&run(&experiment, BalancerPolicy::default())), []);
 }
 
 #[test]
-fn all_that_goes_wrong_at_once_breaks_no_rule_of_the_module() {
+fn the_balancer_keeps_all_rules_with_all_faults_at_once() {
     let all = "[[fault]]\nkind = \"door-crash\"\nat_s = 4\nfor_s = 2\npart = 0.5\n\
         [[fault]]\nkind = \"silent\"\nat_s = 6\nfor_s = 4\npart = 0.2\n[[fault]]\nkind = \"answers-lost\"\nat_s = 8\nfor_s = 6\npart = 0.5\nsize = 0.3\n\
         [[fault]]\nkind = \"flap\"\nat_s = 10\nfor_s = 5\npart = 0.2\nevery_s = 2\n[[fault]]\nkind = \"list-late\"\nat_s = 9\nfor_s = 5\nsize = 3\n\
         [[fault]]\nkind = \"slow\"\nat_s = 12\nfor_s = 5\npart = 0.3\nsize = 5\n";
-    let record = played(&experiment(all), Module::default());
-    assert_eq!(broken(&record), [], "{:?}", record.broken.first());
-    assert!(record.total(|second| second.settled as f64) > 0.0);
+    let record = run(&experiment(all), BalancerPolicy::default());
+    assert_eq!(broken(&record), [], "{:?}", record.violations.first());
+    assert!(record.total(|second| second.in_time as f64) > 0.0);
 }
 
 #[test]
-fn doors_that_stand_still_and_talk_lose_no_txn() {
+fn gateways_that_stall_and_exchange_messages_lose_no_request() {
     let text = "[peers]\ntakes_ms = [5, 28]\nloss = 0.05\nin_per_s = 40\n\
         [[fault]]\nkind = \"door-stall\"\nat_s = 3\nfor_s = 14\npart = 0.8\nsize = 1.2\nevery_s = 2\n";
-    let record = played(&experiment(text), Module::default());
-    assert!(record.bill.words > 100);
-    assert_eq!(broken(&record), [], "{:?}", record.broken.first());
+    let record = run(&experiment(text), BalancerPolicy::default());
+    assert!(record.usage.peer_messages > 100);
+    assert_eq!(broken(&record), [], "{:?}", record.violations.first());
 }
 
 #[test]
-fn a_lone_door_of_the_module_decides_as_in_the_lab() {
-    // The lab hosts the very same doors: one started by hand answers a batch as the lab's policy does.
-    let told = |seed| BalancerConfig {
+fn a_lone_balancer_decides_as_in_the_simulator() {
+    // The simulator hosts the very same decisions: a balancer started by hand answers a batch as its policy does.
+    let config = |seed| BalancerConfig {
         seed,
         started_at: Ticks(0),
         gateway: GatewayId(0),
@@ -205,9 +210,9 @@
         };
         vec![Event::BackendList(vec![one])]
     };
-    let mut module = Module::default();
-    module.starts(0, told(5));
-    let seen = Seen { waits: Vec::new(), paces: Vec::new() };
-    let by_lab = module.decide(0, Ticks(10), listing(), &seen, &mut |_| true);
-    assert_eq!(by_lab, Balancer::new(told(5)).decide(Ticks(10), listing()));
+    let mut balancer = BalancerPolicy::default();
+    balancer.start_gateway(0, config(5));
+    let view = FleetView { waits: Vec::new(), paces: Vec::new() };
+    let by_lab = balancer.decide(0, Ticks(10), listing(), &view, &mut |_| true);
+    assert_eq!(by_lab, Balancer::new(config(5)).decide(Ticks(10), listing()));
 }
--- a/programs/cli/src/main.rs
+++ b/programs/cli/src/main.rs
@@ -219,7 +219,7 @@
 }
 
 fn draw(folder: &Path, prefix: &str, plot: &plots::Plot) -> Result<(), String> {
-    let undrawn = |error: plots::Undrawn| error.to_string();
+    let undrawn = |error: plots::DrawError| error.to_string();
     write(folder, &format!("{prefix}{}.svg", plot.name), plot.svg().map_err(undrawn)?)?;
     write(folder, &format!("{prefix}{}.png", plot.name), plot.png().map_err(undrawn)?)
 }
@@ -243,12 +243,12 @@
         tracing::info!(
             seed,
             score = outcome.score,
-            g = outcome.module.g,
+            g = outcome.balancer.g,
             floor = outcome.floor,
             top = outcome.top,
             "ran"
         );
-        for broken in outcome.module.broken.iter().take(3) {
+        for broken in outcome.balancer.violations.iter().take(3) {
             tracing::warn!(seed, rule = %broken.rule, at_s = broken.at.seconds(), what = broken.what, "rule broken");
         }
         outcomes.push(outcome);
@@ -265,7 +265,7 @@
     } else {
         print!("{}", report::summary(&experiment, &outcomes));
     }
-    let broken = outcomes.iter().filter(|outcome| !outcome.module.broken.is_empty()).count();
+    let broken = outcomes.iter().filter(|outcome| !outcome.balancer.violations.is_empty()).count();
     if strict && broken > 0 {
         Err(format!("{broken} of {} runs broke a rule", outcomes.len()))
     } else {
@@ -374,10 +374,11 @@
     let seeds = if seeds.is_empty() { vec![experiment.seed] } else { seeds.to_vec() };
     let told = |point: &sweep::Point| {
         let values: Vec<_> = point.values.iter().map(ToString::to_string).collect();
-        let broken = point.outcomes.iter().any(|one| !one.module.broken.is_empty());
+        let broken = point.outcomes.iter().any(|one| !one.balancer.violations.is_empty());
         tracing::info!(values = values.join(", "), score = point.score(), broken, "point");
     };
-    let (keys, points) = sweep::sweep(&text, &seeds, told).map_err(|fault| fault.to_string())?;
+    let sweep::SweepResult { keys, points } =
+        sweep::sweep(&text, &seeds, told).map_err(|fault| fault.to_string())?;
     let summary = report::sweep_summary(&experiment, &keys, &points);
     let Some(folder) = out else {
         print!("{summary}");
