--- a/programs/gateway/src/counters.rs
+++ b/programs/gateway/src/counters.rs
@@ -76,13 +76,13 @@
     /// The platform's file could not be reloaded.
     ReloadFailures "reload_failures",
     /// A call to the shared quota counter was made.
-    CounterCalls "counter_calls",
+    QuotaCounterCalls "counter_calls",
     /// The shared quota counter answered with a total.
-    CounterTotals "counter_totals",
+    QuotaCounterTotals "counter_totals",
     /// The shared quota counter was not reached or refused the call.
-    CounterNotAdded "counter_not_added",
+    QuotaCounterNotAdded "counter_not_added",
     /// It is not known whether the shared quota counter executed the call.
-    CounterUnknown "counter_unknown",
+    QuotaCounterUnknown "counter_unknown",
     /// A message was sent to another gateway.
     PeerMessagesSent "peers_told",
     /// A message to another gateway could not be sent.
--- a/programs/gateway/src/router.rs
+++ b/programs/gateway/src/router.rs
@@ -182,9 +182,9 @@
             }
             RouterMessage::QuotaCounterReply(key, reply) => {
                 self.shared.resources.count(match reply {
-                    CounterReply::Total(_) => Counter::CounterTotals,
-                    CounterReply::NotAdded => Counter::CounterNotAdded,
-                    CounterReply::Unknown => Counter::CounterUnknown,
+                    CounterReply::Total(_) => Counter::QuotaCounterTotals,
+                    CounterReply::NotAdded => Counter::QuotaCounterNotAdded,
+                    CounterReply::Unknown => Counter::QuotaCounterUnknown,
                 });
                 self.events.push(Event::CounterReplied { key, reply });
             }
--- a/programs/gateway/src/router/actions.rs
+++ b/programs/gateway/src/router/actions.rs
@@ -42,7 +42,7 @@
 
     /// Where no task receives the call, it is answered at once, as if the counter had refused it.
     fn call_quota_counter(&mut self, call: Call) {
-        self.shared.resources.count(Counter::CounterCalls);
+        self.shared.resources.count(Counter::QuotaCounterCalls);
         let key = call.key;
         if self.quota_counter.as_ref().is_none_or(|counter| counter.send(call).is_err()) {
             self.events.push(Event::CounterReplied { key, reply: CounterReply::NotAdded });
