--- a/crates/consensus/src/ballot/tests.rs
+++ b/crates/consensus/src/ballot/tests.rs
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn a_candidate_that_says_it_holds_no_lease_never_wins_by_votes_on_their_way() {
+fn a_candidate_that_renounced_its_ballot_never_wins_by_votes_in_flight() {
     let mut claim = BallotClaim::new(Ballot(7));
     let lease = Some(HeldLease::granted(Ballot(7), START));
     assert!(claim.answer_inquiry(Ballot(7), lease, START) && claim.is_valid_for(Ballot(7)));
--- a/crates/consensus/src/follower_tracker/tests.rs
+++ b/crates/consensus/src/follower_tracker/tests.rs
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn a_lease_that_is_had_again_soon_goes_on_with_what_was_known_of_followers() {
+fn a_lease_regained_soon_continues_with_what_was_known_of_followers() {
     let mut tracker = FollowerTracker::default();
     let after = |milliseconds: u64| START.after(Duration::from_millis(milliseconds));
     let pull = |tracker: &mut FollowerTracker, now| {
--- a/crates/consensus/src/membership/tests.rs
+++ b/crates/consensus/src/membership/tests.rs
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn a_change_that_is_not_committed_is_begun_again_and_never_finished() {
+fn a_change_that_is_not_committed_is_proposed_again_and_never_finished() {
     let (old, wanted) = (membership(1, &[1, 2, 3], &[]), address_set(&[1, 4, 5]));
     let change = begin_change(&old, &wanted);
     assert_eq!(
--- a/crates/consensus/src/quorum.rs
+++ b/crates/consensus/src/quorum.rs
@@ -12,7 +12,23 @@
 pub struct QuorumTracker {
     membership: Membership,
     /// In the order in which they came.
-    responses: Vec<(SocketAddr, VoteResponse)>,
+    responses: Vec<RecordedResponse>,
+}
+
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+struct RecordedResponse {
+    voter: SocketAddr,
+    response: VoteResponse,
+}
+
+impl RecordedResponse {
+    fn assents(&self) -> bool {
+        matches!(self.response.vote, Vote::Granted { .. } | Vote::Willing { .. } | Vote::Accepted)
+    }
+
+    fn refuses(&self) -> bool {
+        matches!(self.response.vote, Vote::Refused { .. })
+    }
 }
 
 impl QuorumTracker {
@@ -33,7 +49,7 @@
 
     /// Records the response of one voter.
     pub fn record(&mut self, voter: SocketAddr, response: VoteResponse) {
-        self.responses.push((voter, response));
+        self.responses.push(RecordedResponse { voter, response });
     }
 
     /// Whether those who assent so far are a quorum.
@@ -43,20 +59,18 @@
 
     /// Whether so many voters refused that the others are no quorum.
     pub(crate) fn is_lost(&self) -> bool {
-        let refused =
-            |(_, response): &&(SocketAddr, VoteResponse)| matches!(response.vote, Vote::Refused { .. });
-        let opposing = self.responses.iter().filter(refused).map(|(voter, _)| *voter).collect();
+        let opposing = self.responses.iter().filter(|one| one.refuses()).map(|one| one.voter).collect();
         quorum_is_impossible(&self.membership, &opposing)
     }
 
     /// All voters that responded, whatever they voted.
     pub(crate) fn respondents(&self) -> BTreeSet<SocketAddr> {
-        self.responses.iter().map(|(voter, _)| *voter).collect()
+        self.responses.iter().map(|one| one.voter).collect()
     }
 
     /// The votes, in the order in which they came.
     pub(crate) fn votes(&self) -> impl Iterator<Item = &Vote> {
-        self.responses.iter().map(|(_, response)| &response.vote)
+        self.responses.iter().map(|one| &one.response.vote)
     }
 
     /// The highest ballot that a refusing voter has promised; 0 if none refused.
@@ -71,17 +85,13 @@
     /// The voters that assent. Votes of an incarnation for which any response names a later one are left out: they were cast
     /// before the voter lost its disk (see `incarnation`).
     pub(crate) fn assenting_voters(&self) -> BTreeSet<SocketAddr> {
-        let latest = latest_incarnations(self.responses.iter().map(|(voter, response)| (*voter, response)));
-        let counts = |(voter, response): &&(SocketAddr, VoteResponse)| {
-            is_assent(&response.vote) && latest.get(voter) == Some(&response.incarnation)
-        };
-        self.responses.iter().filter(counts).map(|(voter, _)| *voter).collect()
+        let responses = self.responses.iter().map(|one| (one.voter, &one.response));
+        let latest = latest_incarnations(responses);
+        let is_current = |one: &RecordedResponse| latest.get(&one.voter) == Some(&one.response.incarnation);
+        let counted = self.responses.iter().filter(|one| one.assents() && is_current(one));
+        counted.map(|one| one.voter).collect()
     }
 }
 
-fn is_assent(vote: &Vote) -> bool {
-    matches!(vote, Vote::Granted { .. } | Vote::Willing { .. } | Vote::Accepted)
-}
-
 #[cfg(test)]
 mod tests;
