--- a/crates/policy/tests/quota_owners.rs
+++ b/crates/policy/tests/quota_owners.rs
@@ -84,36 +84,38 @@
     actions.iter().filter(answer).count()
 }
 
-/// The gateways, and what each has still to hear, in the order of its time.
+/// The gateways, and the events that each will get, in order of time.
 struct Fleet {
     gateways: Vec<Balancer>,
     due: BTreeMap<Ticks, VecDeque<(u32, Event)>>,
     messages: u64,
     /// Each `n`th message is lost.
     loses: u64,
-    in_ms: i64,
+    /// How long a message takes.
+    delay_ms: i64,
     admitted: u64,
-    declined: u64,
+    rejected: u64,
     slowest: Ticks,
-    asked: BTreeMap<TxnId, Ticks>,
+    /// When each request without an answer came.
+    open: BTreeMap<TxnId, Ticks>,
 }
 
 impl Fleet {
-    fn new(loses: u64, in_ms: i64) -> Fleet {
+    fn new(loses: u64, delay_ms: i64) -> Fleet {
         let mut gateways: Vec<Balancer> =
             (0..GATEWAYS).map(|gateway| Balancer::new(config(gateway))).collect();
-        let (due, asked, slowest) = (BTreeMap::new(), BTreeMap::new(), Ticks(0));
+        let (due, open, slowest) = (BTreeMap::new(), BTreeMap::new(), Ticks(0));
         let begun: Vec<_> =
             gateways.iter_mut().map(|gateway| gateway.decide(Ticks(0), vec![listing()])).collect();
         let mut fleet =
-            Fleet { gateways, due, messages: 0, loses, in_ms, admitted: 0, declined: 0, slowest, asked };
+            Fleet { gateways, due, messages: 0, loses, delay_ms, admitted: 0, rejected: 0, slowest, open };
         for (gateway, actions) in (0..).zip(begun) {
             fleet.carry_out(gateway, Ticks(0), actions);
         }
         fleet
     }
 
-    fn post(&mut self, at: Ticks, gateway: u32, event: Event) {
+    fn schedule(&mut self, at: Ticks, gateway: u32, event: Event) {
         self.due.entry(at).or_default().push_back((gateway, event));
     }
 
@@ -122,8 +124,8 @@
             match action {
                 Action::SendAttempt { txn, .. } => {
                     self.admitted += 1;
-                    self.answered(txn, now);
-                    let ending = AttemptReport {
+                    self.record_answer(txn, now);
+                    let report = AttemptReport {
                         txn,
                         attempt: AttemptNumber(0),
                         outcome: Outcome::Succeeded,
@@ -132,15 +134,15 @@
                         metered_usage: None,
                         actual_cost: None,
                     };
-                    self.post(now + Ticks(500), gateway, Event::AttemptEnded(ending));
+                    self.schedule(now + Ticks(500), gateway, Event::AttemptEnded(report));
                 }
                 Action::Reject { txn, retry_after } => {
                     assert!(retry_after.is_some_and(|span| span <= Ticks(10_000)));
-                    self.declined += 1;
-                    self.answered(txn, now);
+                    self.rejected += 1;
+                    self.record_answer(txn, now);
                 }
                 Action::SetTimer { after, timer } if now < Ticks(620_000) => {
-                    self.post(now + after, gateway, Event::TimerFired(timer))
+                    self.schedule(now + after, gateway, Event::TimerFired(timer))
                 }
                 Action::SendPeerMessage { to, message } => {
                     let bytes = codec::encode(&message);
@@ -148,8 +150,8 @@
                     self.messages += 1;
                     if self.loses == 0 || !self.messages.is_multiple_of(self.loses) {
                         let message = codec::decode(&bytes).expect("what was written is read");
-                        let heard = Event::PeerMessageReceived { from: GatewayId(gateway), message };
-                        self.post(now + Ticks(10 * self.in_ms), to.0, heard);
+                        let received = Event::PeerMessageReceived { from: GatewayId(gateway), message };
+                        self.schedule(now + Ticks(10 * self.delay_ms), to.0, received);
                     }
                 }
                 _ => {}
@@ -157,8 +159,8 @@
         }
     }
 
-    fn answered(&mut self, txn: TxnId, now: Ticks) {
-        let at = self.asked.remove(&txn).expect("answered once");
+    fn record_answer(&mut self, txn: TxnId, now: Ticks) {
+        let at = self.open.remove(&txn).expect("answered once");
         self.slowest = self.slowest.max(now - at);
     }
 
@@ -167,18 +169,18 @@
         for no in 0..60 * rate {
             let now = Ticks(1_000 + no * 10_000 / rate);
             let gateway = (no as u32 * 7) % GATEWAYS;
-            self.post(now, gateway, arrival(no as u64, 5, now, Ticks(40_000)));
+            self.schedule(now, gateway, arrival(no as u64, 5, now, Ticks(40_000)));
         }
         while let Some((now, events)) = self.due.pop_first() {
             for (gateway, event) in events {
                 if let Event::RequestArrived(arrival) = &event {
-                    self.asked.insert(arrival.txn, now);
+                    self.open.insert(arrival.txn, now);
                 }
                 let actions = self.gateways[gateway as usize].decide(now, vec![event]);
                 self.carry_out(gateway, now, actions);
             }
         }
-        assert!(self.asked.is_empty(), "each has its answer");
+        assert!(self.open.is_empty(), "each has its answer");
     }
 }
 
@@ -192,7 +194,7 @@
     assert!((0.9..=1.02).contains(&admitted), "{admitted} of the quota");
     assert!(fleet.slowest <= Ticks(800), "two answers' way there and back: {:?}", fleet.slowest);
     // A refusal is asked of both owners, and its gateways are notified now and then that its quota is exhausted.
-    let messages = fleet.messages as f64 / (fleet.admitted + fleet.declined) as f64;
+    let messages = fleet.messages as f64 / (fleet.admitted + fleet.rejected) as f64;
     assert!(messages <= 6.0, "{messages} messages a txn");
 }
 
@@ -200,7 +202,7 @@
 fn a_customer_inside_its_quota_is_rejected_nothing() {
     let mut fleet = Fleet::new(0, 20);
     fleet.run(1);
-    assert!(fleet.declined <= 1, "{} declined", fleet.declined);
+    assert!(fleet.rejected <= 1, "{} rejected", fleet.rejected);
 }
 
 #[test]
@@ -232,14 +234,14 @@
         assert_eq!(answers(&actions) + usize::from(!sent_messages(&actions).is_empty()), 1, "{actions:?}");
         answers(&actions) == 0
     };
-    // Beats come as they should; most customers have their owners at other gateways.
+    // Heartbeats come as they should; most customers have their owners at other gateways.
     let holds = |gateway: &mut Balancer, from: i64, stays| {
         (0..20).filter(|no| held(gateway, (from + no) as u64, Ticks(from * 10 + no), stays)).count()
     };
     assert!(holds(&mut gateway, 100, Ticks(30_000)) >= 15);
     assert_eq!(holds(&mut gateway, 130, Ticks(20_000)), 0, "a client that stays two SLA times is not held");
-    // Nothing was heard for 3 s, not even this gateway's own beat.
-    assert_eq!(holds(&mut gateway, 4_000, Ticks(30_000)), 0, "it may stand still as long again");
+    // Nothing came for 3 s, not even this gateway's own heartbeat.
+    assert_eq!(holds(&mut gateway, 4_000, Ticks(30_000)), 0, "it may stall as long again");
     assert!(holds(&mut gateway, 4_100, Ticks(60_000)) >= 15);
 }
 
@@ -255,8 +257,8 @@
         cost: 1.0,
         retry: false,
     };
-    let heard = |message| Event::PeerMessageReceived { from: GatewayId(3), message };
-    let no = QuotaRequestId(3);
+    let received = |message| Event::PeerMessageReceived { from: GatewayId(3), message };
+    let request = QuotaRequestId(3);
     let odd = [
         QuotaClaim { plan: PlanId(9), ..claim },
         QuotaClaim { subset_size: 0, ..claim },
@@ -267,18 +269,18 @@
     ];
     for claim in odd {
         for message in [
-            PeerMessage::QuotaRequest { request: no, claim },
-            PeerMessage::QuotaResponse { request: no, claim, decision: Ok(()) },
+            PeerMessage::QuotaRequest { request, claim },
+            PeerMessage::QuotaResponse { request, claim, decision: Ok(()) },
             PeerMessage::QuotaRefund { claim },
         ] {
             assert_eq!(
-                sent_messages(&gateway.decide(Ticks(10), vec![heard(message)])),
+                sent_messages(&gateway.decide(Ticks(10), vec![received(message)])),
                 vec![],
                 "{message:?}"
             );
         }
     }
-    // Another gateway's verdict for an ask that is out to the owner leaves it out.
+    // Another gateway's response to a request that is pending at the owner leaves it pending.
     let mut asked = Vec::new();
     let mut customer = 5;
     while asked.is_empty() {
@@ -286,15 +288,15 @@
         let now = Ticks(20);
         asked = sent_messages(&gateway.decide(now, vec![arrival(customer, customer, now, Ticks(40_000))]));
     }
-    let (owner, PeerMessage::QuotaRequest { request: no, claim }) = asked[0] else { panic!("{asked:?}") };
+    let (owner, PeerMessage::QuotaRequest { request, claim }) = asked[0] else { panic!("{asked:?}") };
     let stranger = GatewayId((owner.0 + 1) % GATEWAYS);
-    let message = PeerMessage::QuotaResponse { request: no, claim, decision: Ok(()) };
+    let message = PeerMessage::QuotaResponse { request, claim, decision: Ok(()) };
     let actions = gateway.decide(Ticks(30), vec![Event::PeerMessageReceived { from: stranger, message }]);
     assert_eq!(answers(&actions), 0, "{actions:?}");
     let actions = gateway.decide(Ticks(40), vec![Event::PeerMessageReceived { from: owner, message }]);
     assert_eq!(answers(&actions), 1, "{actions:?}");
-    // A verdict that comes when its ask is over goes back to the owner.
-    let late = PeerMessage::QuotaResponse { request: no, claim, decision: Ok(()) };
+    // A response that comes when its request is over is refunded to the owner.
+    let late = PeerMessage::QuotaResponse { request, claim, decision: Ok(()) };
     let actions = gateway.decide(Ticks(50), vec![Event::PeerMessageReceived { from: owner, message: late }]);
     assert_eq!(sent_messages(&actions), vec![(owner, PeerMessage::QuotaRefund { claim })]);
 }
@@ -310,17 +312,19 @@
         cost: 2.0,
         retry: false,
     };
-    let heard = |message| vec![Event::PeerMessageReceived { from: GatewayId(3), message }];
+    let received = |message| vec![Event::PeerMessageReceived { from: GatewayId(3), message }];
     let mut admitted = |now: i64| {
-        let asks = (0..20).map(|_| {
-            gateway.decide(Ticks(now), heard(PeerMessage::QuotaRequest { request: QuotaRequestId(3), claim }))
+        let requests = (0..20).map(|_| {
+            gateway
+                .decide(Ticks(now), received(PeerMessage::QuotaRequest { request: QuotaRequestId(3), claim }))
         });
-        let verdicts = asks.flat_map(|actions| sent_messages(&actions));
-        let got = verdicts
+        let decisions = requests.flat_map(|actions| sent_messages(&actions));
+        let granted = decisions
             .filter(|(_, message)| matches!(message, PeerMessage::QuotaResponse { decision: Ok(()), .. }))
             .count();
-        (0..got).for_each(|_| drop(gateway.decide(Ticks(now), heard(PeerMessage::QuotaRefund { claim }))));
-        got
+        (0..granted)
+            .for_each(|_| drop(gateway.decide(Ticks(now), received(PeerMessage::QuotaRefund { claim }))));
+        granted
     };
     assert_eq!(
         (admitted(10), admitted(20)),
@@ -355,7 +359,7 @@
     assert_eq!(codec::decode(&[0xff; 4096]), None);
 }
 
-/// A gateway to which owners have said yes often, so that what is in doubt goes in.
+/// A gateway to which owners have often said yes, so that what is in doubt is admitted.
 struct Trusting {
     gateway: Balancer,
     txn: u64,
@@ -368,59 +372,59 @@
         gateway.decide(Ticks(0), vec![listing()]);
         let mut trusting = Trusting { gateway, txn: 1_000, now: Ticks(10) };
         for customer in 1_000..1_040 {
-            let asked = trusting.asks(customer);
-            trusting.hears(&asked, Ok(()));
+            let asked = trusting.request(customer);
+            trusting.receive_decision(&asked, Ok(()));
         }
         trusting
     }
 
-    /// Time passes as the beat has it, so that no stall is seen.
-    fn passes(&mut self) {
+    /// Time passes in small steps, so that no stall is seen.
+    fn advance(&mut self) {
         self.now = self.now + Ticks(10);
     }
 
-    fn asks(&mut self, customer: u64) -> Vec<Action> {
-        self.passes();
+    fn request(&mut self, customer: u64) -> Vec<Action> {
+        self.advance();
         self.txn += 1;
         self.gateway.decide(self.now, vec![arrival(self.txn, customer, self.now, Ticks(40_000))])
     }
 
-    fn hears(&mut self, asked: &[Action], verdict: QuotaDecision) -> Vec<Action> {
-        self.passes();
-        let Some(&(owner, PeerMessage::QuotaRequest { request: no, claim })) = sent_messages(asked).first()
+    fn receive_decision(&mut self, asked: &[Action], decision: QuotaDecision) -> Vec<Action> {
+        self.advance();
+        let Some(&(owner, PeerMessage::QuotaRequest { request, claim })) = sent_messages(asked).first()
         else {
             return Vec::new();
         };
-        let message = PeerMessage::QuotaResponse { request: no, claim, decision: verdict };
+        let message = PeerMessage::QuotaResponse { request, claim, decision };
         self.gateway.decide(self.now, vec![Event::PeerMessageReceived { from: owner, message }])
     }
 
-    /// The owner last asked says nothing in time.
-    fn waits(&mut self, asked: &[Action]) -> Vec<Action> {
-        self.passes();
+    /// The owner last asked does not respond in time.
+    fn time_out(&mut self, asked: &[Action]) -> Vec<Action> {
+        self.advance();
         let timer = asked.iter().find_map(|action| match action {
             Action::SetTimer { timer, .. } => Some(*timer),
             _ => None,
         });
-        self.gateway.decide(self.now, vec![Event::TimerFired(timer.expect("an ask has a timer"))])
+        self.gateway.decide(self.now, vec![Event::TimerFired(timer.expect("a request has a timer"))])
     }
 }
 
-fn submits(actions: &[Action]) -> bool {
+fn sends_attempt(actions: &[Action]) -> bool {
     actions.iter().any(|action| matches!(action, Action::SendAttempt { .. }))
 }
 
 #[test]
 fn a_refusal_holds_where_the_other_owner_is_unresponsive() {
     let mut gateway = Trusting::new();
-    let asked = gateway.asks(5);
-    let again = gateway.waits(&asked);
-    assert!(submits(&gateway.waits(&again)), "nobody said no: in doubt it goes in");
-    let asked = gateway.asks(6);
-    let again = gateway.hears(&asked, Err(QuotaRejection { retry_after: None }));
-    assert_eq!(sent_messages(&again).len(), 1, "the other owner is asked");
-    let last = gateway.waits(&again);
-    assert!(!submits(&last) && answers(&last) == 1, "{last:?}");
+    let asked = gateway.request(5);
+    let second = gateway.time_out(&asked);
+    assert!(sends_attempt(&gateway.time_out(&second)), "nobody said no: in doubt it is admitted");
+    let asked = gateway.request(6);
+    let second = gateway.receive_decision(&asked, Err(QuotaRejection { retry_after: None }));
+    assert_eq!(sent_messages(&second).len(), 1, "the other owner is asked");
+    let last = gateway.time_out(&second);
+    assert!(!sends_attempt(&last) && answers(&last) == 1, "{last:?}");
 }
 
 #[test]
@@ -430,19 +434,19 @@
     let full =
         Event::PeerMessageReceived { from: GatewayId(3), message: PeerMessage::QuotaExhausted { customer } };
     gateway.gateway.decide(gateway.now, vec![full]);
-    let asked = gateway.asks(7);
-    let again = gateway.waits(&asked);
-    assert!(!submits(&gateway.waits(&again)), "in doubt");
-    let asked = gateway.asks(7);
-    assert!(submits(&gateway.hears(&asked, Ok(()))), "an owner's message stands above it");
-    // Beats go on meanwhile.
+    let asked = gateway.request(7);
+    let second = gateway.time_out(&asked);
+    assert!(!sends_attempt(&gateway.time_out(&second)), "in doubt");
+    let asked = gateway.request(7);
+    assert!(sends_attempt(&gateway.receive_decision(&asked, Ok(()))), "an owner's decision stands above it");
+    // Heartbeats go on meanwhile.
     for _ in 0..45 {
         gateway.now = gateway.now + Ticks(2_500);
         gateway.gateway.decide(gateway.now, Vec::new());
     }
-    let asked = gateway.asks(7);
-    let again = gateway.waits(&asked);
-    assert!(submits(&gateway.waits(&again)), "forgotten after ten seconds");
+    let asked = gateway.request(7);
+    let second = gateway.time_out(&asked);
+    assert!(sends_attempt(&gateway.time_out(&second)), "forgotten after ten seconds");
 }
 
 #[test]
--- a/crates/policy/tests/scenarios.rs
+++ b/crates/policy/tests/scenarios.rs
@@ -11,9 +11,9 @@
     products: Vec<String>,
     plans: Vec<String>,
     names: Vec<String>,
-    /// The txn, number and backend of each submission that has no outcome yet.
-    out: Vec<(u64, u32, u32)>,
-    tries: HashMap<u64, u32>,
+    /// The txn, number and backend of each attempt that has no outcome yet.
+    in_flight: Vec<(u64, u32, u32)>,
+    attempts: HashMap<u64, u32>,
     next_txn: u64,
 }
 
@@ -63,8 +63,8 @@
             gateway: GatewayId(0),
         };
         let (products, plans, names) = (Vec::new(), Vec::new(), Vec::new());
-        let (out, tries) = (Vec::new(), HashMap::new());
-        ScenarioRunner { gateway: None, config, products, plans, names, out, tries, next_txn: 1000 }
+        let (in_flight, attempts) = (Vec::new(), HashMap::new());
+        ScenarioRunner { gateway: None, config, products, plans, names, in_flight, attempts, next_txn: 1000 }
     }
 
     fn id(&mut self, name: &str) -> u32 {
@@ -158,7 +158,7 @@
             _ => {
                 let (txn, no) = words[1].split_once('.').expect("txn.number");
                 let (txn, no) = (txn.parse().expect("a txn"), no.parse().expect("a number"));
-                self.out.retain(|&(id, number, _)| (id, number) != (txn, no));
+                self.in_flight.retain(|&(id, number, _)| (id, number) != (txn, no));
                 let outcome = match words[2] {
                     "settled" => Outcome::Succeeded,
                     "error" => Outcome::Error,
@@ -190,8 +190,8 @@
         let actions = gateway.decide(now, events);
         for action in &actions {
             if let Action::SendAttempt { txn, backend, .. } = action {
-                let no = self.tries.entry(txn.0).or_default();
-                self.out.push((txn.0, *no, backend.0));
+                let no = self.attempts.entry(txn.0).or_default();
+                self.in_flight.push((txn.0, *no, backend.0));
                 *no += 1;
             }
         }
@@ -207,7 +207,7 @@
         while now < to {
             if words.contains(&"settling") {
                 let mute = value_of(words, "mute").map(|name| self.id(name));
-                let out = self.out.clone();
+                let out = self.in_flight.clone();
                 for (txn, no, _) in out.into_iter().filter(|(_, _, at)| Some(*at) != mute) {
                     let id = format!("{txn}.{no}");
                     let used =
@@ -259,7 +259,7 @@
         }
         let now = ms(words[0]);
         if words[1] == "restart" {
-            (self.gateway, self.out) = (None, Vec::new());
+            (self.gateway, self.in_flight) = (None, Vec::new());
             return;
         }
         let events = if words[1] == "tick" { Vec::new() } else { vec![self.event(now, &words[1..])] };
@@ -278,15 +278,15 @@
             Action::SendAttempt { txn, backend, .. } => {
                 format!("submit {} {}", txn.0, self.names[backend.0 as usize])
             }
-            Action::CancelAttempt { txn, attempt: no } => format!("cancel {}.{}", txn.0, no.0),
+            Action::CancelAttempt { txn, attempt } => format!("cancel {}.{}", txn.0, attempt.0),
             Action::Reject { txn, retry_after: None } => format!("decline {} unadvised", txn.0),
             Action::Reject { txn, retry_after: Some(span) } => {
                 format!("decline {} after {}", txn.0, span.0 / 10)
             }
             Action::Fail { txn } => format!("void {}", txn.0),
             Action::SetTimer { after, timer } => format!("wake {} after {}", timer.0, after.0 / 10),
-            Action::IncrementCounter { key: name, amount: step, .. } => format!("count {} {step}", name.0),
-            Action::SendPeerMessage { to, message: word } => format!("tell {} {word:?}", to.0),
+            Action::IncrementCounter { key, amount, .. } => format!("count {} {amount}", key.0),
+            Action::SendPeerMessage { to, message } => format!("tell {} {message:?}", to.0),
         }
     }
 }
--- a/crates/policy/tests/shared_counter.rs
+++ b/crates/policy/tests/shared_counter.rs
@@ -1,8 +1,8 @@
 //! Many gateways in one process around a stand-in for the shared quota counter: one customer asks three times
-//! its quota, spread evenly over all its gateways, and what all gateways let in together is held against what a
-//! bucket of the plan's burst and rate lets in. Without the counter each gateway's slice is below one txn, and
-//! the gateways together let in far more: the cause the counter is called for. Beside it, what one gateway does as
-//! its calls fail, and which backends it draws.
+//! its quota, spread evenly over all its gateways, and what all gateways admit together is compared with what a
+//! bucket of the plan's burst and rate admits. Without the counter each gateway's share is below one request, and
+//! the gateways together admit far more: the cause the counter is called for. Beside it, what one gateway does as
+//! its calls fail, and which backends it chooses.
 
 use std::collections::{BTreeMap, HashMap};
 use vanewharf_policy::decide::Balancer;
@@ -18,7 +18,7 @@
 enum Counter {
     Absent,
     Answers,
-    /// Turns away every call but each `n`th.
+    /// Rejects every call but each `n`th.
     Overloaded(u64),
 }
 
@@ -82,15 +82,15 @@
     }
 }
 
-fn as_retry(arrival: Arrival, again: bool) -> Arrival {
-    Arrival { claim: QuotaClaim { retry: again, ..arrival.claim }, ..arrival }
+fn as_retry(arrival: Arrival, retry: bool) -> Arrival {
+    Arrival { claim: QuotaClaim { retry, ..arrival.claim }, ..arrival }
 }
 
 fn through_one_gateway(arrival: Arrival) -> Arrival {
     Arrival { claim: QuotaClaim { subset_size: 1, ..arrival.claim }, ..arrival }
 }
 
-/// Its first submission has settled, in 50 ms.
+/// Its first attempt has succeeded, in 50 ms.
 fn succeeded_now(txn: TxnId) -> Event {
     Event::AttemptEnded(AttemptReport {
         txn,
@@ -108,10 +108,10 @@
     counter: Counter,
     totals: HashMap<CounterKey, f64>,
     calls: u64,
-    /// What each gateway has still to hear: answers of the counter, endings of submissions.
+    /// The events that each gateway will get: replies of the counter, ends of attempts.
     pending: Vec<Vec<Event>>,
     admitted: f64,
-    declined: u64,
+    rejected: u64,
     answered: BTreeMap<TxnId, u32>,
     costs: HashMap<TxnId, f64>,
 }
@@ -126,25 +126,25 @@
         let pending = vec![Vec::new(); GATEWAYS as usize];
         let (totals, answered) = (HashMap::new(), BTreeMap::new());
         let costs = HashMap::new();
-        Fleet { gateways, counter, totals, calls: 0, pending, admitted: 0.0, declined: 0, answered, costs }
+        Fleet { gateways, counter, totals, calls: 0, pending, admitted: 0.0, rejected: 0, answered, costs }
     }
 
     fn batch(&mut self, gateway: usize, now: Ticks, mut events: Vec<Event>) {
         events.append(&mut self.pending[gateway]);
         for action in self.gateways[gateway].decide(now, events) {
             match action {
-                Action::IncrementCounter { key: name, amount: step, expire_after: forget_after } => {
-                    assert!(forget_after <= Ticks(600_000), "a name lives 60 s at most");
+                Action::IncrementCounter { key, amount, expire_after } => {
+                    assert!(expire_after <= Ticks(600_000), "a key lives 60 s at most");
                     self.calls += 1;
-                    let counted = match self.counter {
+                    let reply = match self.counter {
                         Counter::Overloaded(n) if !self.calls.is_multiple_of(n) => CounterReply::NotAdded,
                         _ => {
-                            let total = self.totals.entry(name).or_default();
-                            *total += step;
+                            let total = self.totals.entry(key).or_default();
+                            *total += amount;
                             CounterReply::Total(*total)
                         }
                     };
-                    self.pending[gateway].push(Event::CounterReplied { key: name, reply: counted });
+                    self.pending[gateway].push(Event::CounterReplied { key, reply });
                 }
                 Action::SendAttempt { txn, .. } => {
                     *self.answered.entry(txn).or_default() += 1;
@@ -153,7 +153,7 @@
                 }
                 Action::Reject { txn, .. } | Action::Fail { txn } => {
                     *self.answered.entry(txn).or_default() += 1;
-                    self.declined += 1;
+                    self.rejected += 1;
                 }
                 _ => {}
             }
@@ -180,9 +180,9 @@
     }
 }
 
-/// What a bucket of the plan lets in over the day, and a tenth more for the seams of the counter's windows.
+/// What a bucket of the plan admits over the run, and a tenth more for the seams of the counter's windows.
 /// The windows give the rate over each span of burst over rate, but not the burst a full bucket has at the
-/// start: over a day of many spans that is one burst.
+/// start: over a run of many spans that is one burst.
 fn bound() -> f64 {
     (BURST + RATE * SECONDS as f64) * 1.1
 }
@@ -200,9 +200,9 @@
     let mut fleet = Fleet::new(Counter::Answers);
     fleet.run();
     assert!(fleet.admitted <= bound(), "admitted {} of a bound {}", fleet.admitted, bound());
-    // Declining all would keep to it too: what the quota holds goes in.
+    // Rejecting all would keep to it too: what the quota holds is admitted.
     assert!(fleet.admitted >= 0.65 * (BURST + RATE * SECONDS as f64), "admitted only {}", fleet.admitted);
-    assert!(fleet.declined > 0);
+    assert!(fleet.rejected > 0);
 }
 
 #[test]
@@ -218,7 +218,7 @@
 /// all the same: what many gateways do at once, each harmless alone.
 fn answered_by_second(capacity: usize) -> Vec<u64> {
     let mut fleet = Fleet::new(Counter::Answers);
-    let (mut txn, mut line, mut answered) = (0, 0, vec![0; 20]);
+    let (mut txn, mut queued, mut answered) = (0, 0, vec![0; 20]);
     for step in 0..200 {
         let now = Ticks(step * 1_000 + 10);
         for turn in 0..GATEWAYS as usize {
@@ -226,16 +226,16 @@
             txn += 1;
             let arrived = Event::RequestArrived(arrival(txn, txn, 1.0, now));
             let actions = fleet.gateways[gateway].decide(now, vec![arrived]);
-            let delay = Ticks((1_000 * line / capacity) as i64);
+            let delay = Ticks((1_000 * queued / capacity) as i64);
             let reply = if delay < Ticks(800) { CounterReply::Total(1.0) } else { CounterReply::Unknown };
-            let Some(event) = counted(&actions, reply) else {
+            let Some(event) = replied(&actions, reply) else {
                 continue;
             };
-            line += 1;
+            queued += 1;
             answered[step as usize / 10] += u64::from(reply != CounterReply::Unknown);
             fleet.gateways[gateway].decide(now + delay.min(Ticks(800)), vec![event]);
         }
-        line = line.saturating_sub(capacity);
+        queued = queued.saturating_sub(capacity);
     }
     answered
 }
@@ -251,11 +251,9 @@
     actions.iter().filter(|action| matches!(action, Action::IncrementCounter { .. })).count()
 }
 
-fn counted(actions: &[Action], counted: CounterReply) -> Option<Event> {
+fn replied(actions: &[Action], reply: CounterReply) -> Option<Event> {
     actions.iter().find_map(|action| match action {
-        Action::IncrementCounter { key: name, .. } => {
-            Some(Event::CounterReplied { key: *name, reply: counted })
-        }
+        Action::IncrementCounter { key, .. } => Some(Event::CounterReplied { key: *key, reply }),
         _ => None,
     })
 }
@@ -272,7 +270,7 @@
             let actions = gateway.decide(now, vec![Event::RequestArrived(arrival(id, id, 1.0, now))]);
             made += calls(&actions);
             // In doubt or not, the answer follows the counter's at once.
-            let decided = counted(&actions, counter).map(|event| gateway.decide(now + took, vec![event]));
+            let decided = replied(&actions, counter).map(|event| gateway.decide(now + took, vec![event]));
             let decided = decided.unwrap_or(actions);
             assert!(
                 decided.iter().any(|one| matches!(one, Action::SendAttempt { .. } | Action::Reject { .. }))
@@ -295,7 +293,7 @@
     assert!(repeat.iter().any(|action| matches!(action, Action::Reject { .. })));
     let first = gateway.decide(Ticks(20), vec![at(2, false, Ticks(20))]);
     assert_eq!(calls(&first), 1);
-    let full = counted(&first, CounterReply::Total(BURST + 8.0)).expect("it called");
+    let full = replied(&first, CounterReply::Total(BURST + 8.0)).expect("it called");
     gateway.decide(Ticks(40), vec![full]);
     let next = gateway.decide(Ticks(50), vec![at(3, false, Ticks(50))]);
     assert_eq!(calls(&next), 0, "{next:?}");
@@ -318,7 +316,7 @@
             let now = Ticks(txn * 100_000);
             let asked =
                 gateway.decide(now, vec![Event::RequestArrived(arrival(txn as u64, txn as u64, 1.0, now))]);
-            let event = counted(&asked, reply).expect("rested, so it calls");
+            let event = replied(&asked, reply).expect("rested, so it calls");
             last = gateway.decide(now + Ticks(20), vec![event]);
         }
         // Its answer tells of the customer's use: from now on a reading is current.
@@ -330,8 +328,8 @@
                 .decide(now, vec![Event::AttemptEnded(AttemptReport { metered_usage: Some(0.2), ..ending })]);
             let again = Event::RequestArrived(arrival(1_000_000 + id.0, id.0, 1.0, now));
             let asked = gateway.decide(now + Ticks(10), vec![again]);
-            // The reading may be old: the counter is asked all the same; what it leaves in doubt is declined.
-            let event = counted(&asked, CounterReply::NotAdded).unwrap_or(Event::TimerFired(TimerId(9)));
+            // The reading may be old: the counter is asked all the same; what it leaves in doubt is rejected.
+            let event = replied(&asked, CounterReply::NotAdded).unwrap_or(Event::TimerFired(TimerId(9)));
             let actions = [asked, gateway.decide(now + Ticks(20), vec![event])].concat();
             assert!(actions.iter().any(|action| matches!(action, Action::Reject { .. })), "{actions:?}");
         }
@@ -352,19 +350,19 @@
     let both = [1, 2].map(|txn| Event::RequestArrived(arrival(txn, 5, 3.0, now)));
     let asked = gateway.decide(now, both.to_vec());
     assert_eq!(calls(&asked), 2, "{asked:?}");
-    let reply = counted(&asked, CounterReply::Total(6.0)).expect("it called");
+    let reply = replied(&asked, CounterReply::Total(6.0)).expect("it called");
     let answers = gateway.decide(now + Ticks(20), vec![reply.clone(), reply]);
     let sent = |action: &&Action| matches!(action, Action::SendAttempt { .. });
     assert_eq!(answers.iter().filter(sent).count(), 1, "{answers:?}");
     assert!(answers.iter().any(|action| matches!(action, Action::Reject { .. })), "{answers:?}");
 }
 
-/// The part of one gateway's txns, five a second over 40 backends, that go where an answer came less than 4 s
+/// The part of one gateway's requests, five a second over 40 backends, that go where an answer came less than 4 s
 /// ago.
-fn part_sent_to_connected(kept: Ticks) -> f64 {
-    let mut gateway = Balancer::new(BalancerConfig { idle_timeout: kept, ..config(0, Counter::Absent) });
+fn part_sent_to_connected(idle_timeout: Ticks) -> f64 {
+    let mut gateway = Balancer::new(BalancerConfig { idle_timeout, ..config(0, Counter::Absent) });
     gateway.decide(Ticks(0), vec![listing(40)]);
-    let (mut settled, mut known): (HashMap<BackendId, Ticks>, u32) = (HashMap::new(), 0);
+    let (mut succeeded, mut connected): (HashMap<BackendId, Ticks>, u32) = (HashMap::new(), 0);
     for txn in 0..400 {
         let now = Ticks(txn * 2_000 + 10);
         // A customer each, so that no quota is in the way.
@@ -373,24 +371,24 @@
         let [Action::SendAttempt { txn, backend, .. }] = actions[..] else {
             panic!("sent at once, and nothing else: {actions:?}");
         };
-        known += u32::from(settled.insert(backend, now).is_some_and(|at| now - at < Ticks(40_000)));
+        connected += u32::from(succeeded.insert(backend, now).is_some_and(|at| now - at < Ticks(40_000)));
         gateway.decide(now + Ticks(500), vec![succeeded_now(txn)]);
     }
-    f64::from(known) / 400.0
+    f64::from(connected) / 400.0
 }
 
 #[test]
 fn a_backend_with_an_open_connection_is_chosen_more_often_and_not_alone() {
     let (without, with) = (part_sent_to_connected(Ticks(0)), part_sent_to_connected(Ticks(40_000)));
     assert!(without < 0.5, "at random {without}");
-    assert!((0.65..0.98).contains(&with), "kept {with}");
+    assert!((0.65..0.98).contains(&with), "connected {with}");
 }
 
 #[test]
 fn customers_of_larger_shares_are_counted_only_while_the_counter_answers_all() {
     let mut gateway = Balancer::new(config(0, Counter::Answers));
     gateway.decide(Ticks(0), vec![listing(4)]);
-    // Through eight gateways a slice holds a quarter of the largest txn; through all forty a twentieth.
+    // Through eight gateways a share holds a quarter of the largest request; through all forty a twentieth.
     let arrived = |txn: u64, width, now| {
         let arrival = arrival(txn, txn, 1.0, now);
         Event::RequestArrived(Arrival {
@@ -402,14 +400,14 @@
         let now = Ticks(txn as i64 * 1_000);
         let asked = gateway.decide(now, vec![arrived(txn, width, now)]);
         let made = calls(&asked);
-        counted(&asked, counter).map(|event| gateway.decide(now + Ticks(20), vec![event]));
+        replied(&asked, counter).map(|event| gateway.decide(now + Ticks(20), vec![event]));
         made
     };
     assert_eq!(called(1, 8, CounterReply::Total(1.0)), 1);
     let failed: usize = (2..60).map(|txn| called(txn, GATEWAYS, CounterReply::NotAdded)).sum();
     assert!(failed >= 4, "{failed} calls failed");
     let wide: usize = (60..80).map(|txn| called(txn, 8, CounterReply::Total(1.0))).sum();
-    assert_eq!(wide, 0, "turned away again and again, the counter is left to those whom no slice serves");
+    assert_eq!(wide, 0, "rejected again and again, the counter is left to those whom no share serves");
     let slim: usize = (300..320).map(|txn| called(txn, GATEWAYS, CounterReply::Total(1.0))).sum();
     assert!(slim >= 10, "{slim} of 20 called");
 }
@@ -421,7 +419,7 @@
     let mut called = |txn: u64, cost: f64, counter| -> usize {
         let now = Ticks(txn as i64 * 500);
         let asked = gateway.decide(now, vec![Event::RequestArrived(arrival(txn, txn, cost, now))]);
-        counted(&asked, counter).map(|event| gateway.decide(now + Ticks(20), vec![event]));
+        replied(&asked, counter).map(|event| gateway.decide(now + Ticks(20), vec![event]));
         calls(&asked)
     };
     let mut alternating = |from: u64, counter| {
