--- a/crates/clock/src/lib.rs
+++ b/crates/clock/src/lib.rs
@@ -1,7 +1,7 @@
 //! Instants and durations by the process' monotonic clock.
 //!
-//! A [`Timestamp`] counts tenths of a millisecond and means something within one process only. What is sent to others
-//! is always a duration.
+//! A [`Timestamp`] counts tenths of a millisecond and means something within one process only. What is sent
+//! to others is always a duration.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
@@ -68,8 +68,8 @@
     /// The runtime's instant at which this clock shows the timestamp, to wait until then.
     pub fn instant(&self, at: Timestamp) -> Instant {
         let elapsed = Duration::from_micros(at.0.saturating_sub(ORIGIN) * TICK_MICROS);
-        // Never before this clock shows it, however the division rounds: else whoever waits until then would find it
-        // too early and wait in a busy loop.
+        // Never before this clock shows it, however the division rounds: else whoever waits until then would
+        // find it too early and wait in a busy loop.
         let rounding = if self.rate == 1.0 { Duration::ZERO } else { Duration::from_micros(1) };
         self.started + elapsed.div_f64(self.rate) + rounding
     }
--- a/crates/config/src/document.rs
+++ b/crates/config/src/document.rs
@@ -98,7 +98,7 @@
         Ok(value.map(|value| self.child(name, value)))
     }
 
-    /// The value of a field as `read` takes it, or the default where it is missing or null.
+    /// The value of a field, converted by `read`, or the default where it is missing or null.
     ///
     /// # Errors
     ///
@@ -119,8 +119,8 @@
     ///
     /// # Errors
     ///
-    /// [`DocumentError::Missing`] where it is missing or null, [`DocumentError::WrongType`] where this value is no
-    /// object.
+    /// [`DocumentError::Missing`] where it is missing or null, [`DocumentError::WrongType`] where this value
+    /// is no object.
     pub fn required(&self, name: &str) -> DocumentResult<JsonNode<'a>> {
         self.optional(name)?.ok_or_else(|| DocumentError::Missing { path: self.path_of(name) })
     }
@@ -226,7 +226,7 @@
             (None, Some(digits)) => (digits, 1.0),
             (None, None) => return Err(self.wrong_type(DURATION_FORM)),
         };
-        // The parser of numbers would also take signs, exponents and names such as `inf`.
+        // The parser of numbers also accepts signs, exponents and names such as `inf`.
         let is_decimal = digits.bytes().all(|byte| byte.is_ascii_digit() || byte == b'.');
         let number = digits.parse::<f64>().ok().filter(|_| is_decimal);
         let seconds = number.ok_or_else(|| self.wrong_type(DURATION_FORM))? * seconds_per_unit;
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,5 +1,5 @@
-//! Settings files of processes and configurations of operators: parsing and validation, with errors that name the place in
-//! the document.
+//! Settings files of processes and configurations of operators: parsing and validation, with errors that name
+//! the place in the document.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/crates/config/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -12,13 +12,13 @@
 /// The environment variable with the path of the settings file.
 const PATH_VARIABLE: &str = "VANEWHARF_SETTINGS";
 
-/// Offsets from the first internal port: the controller for internal calls, the agent for other agents, and the agent for
-/// the proxy on its machine.
+/// Offsets from the first internal port: the controller for internal calls, the agent for other agents, and
+/// the agent for the proxy on its machine.
 const CONTROLLER_PORT_OFFSET: u16 = 0;
 const AGENT_PORT_OFFSET: u16 = 1;
 const AGENT_LOOPBACK_PORT_OFFSET: u16 = 2;
 
-/// Machine losses that are tolerated where the settings do not say.
+/// Machine losses that are tolerated unless the settings name another number.
 const DEFAULT_MACHINE_LOSSES: u64 = 1;
 
 /// Why a process has no settings.
@@ -45,7 +45,7 @@
     },
 }
 
-/// Limits that the system as a whole must keep, as far as the programs need them.
+/// Limits on the system as a whole, as far as the programs need them.
 #[derive(Clone, Debug)]
 pub struct LimitsTable {
     /// Whether the limit on revocation holds for proxies without contact to the leaseholder too.
@@ -75,7 +75,7 @@
 pub struct CloudApi {
     /// Where it serves HTTP.
     pub address: SocketAddr,
-    /// Calls a second that it takes.
+    /// Calls a second that it permits.
     pub rate_per_s: f64,
     /// How far its list may lag behind.
     pub allowed_lag: Duration,
@@ -119,7 +119,7 @@
     pub data_directory: Option<PathBuf>,
     /// How many machines with a disk may be lost at once.
     pub tolerated_machine_losses: u64,
-    /// Limits that the system as a whole must keep.
+    /// Limits on the system as a whole.
     pub limits_table: LimitsTable,
     /// None where the process does not use it.
     pub cloud_api: Option<CloudApi>,
@@ -194,7 +194,7 @@
     ///
     /// # Errors
     ///
-    /// [`DocumentError::Missing`] where the settings do not say.
+    /// [`DocumentError::Missing`] where the settings name none.
     pub fn listen_address(&self, kind: &'static str) -> DocumentResult<SocketAddr> {
         let missing = || DocumentError::Missing { path: format!("listen_addresses.{kind}") };
         self.listen_addresses.get(kind).copied().ok_or_else(missing)
--- a/crates/protocol/src/deduplication.rs
+++ b/crates/protocol/src/deduplication.rs
@@ -1,5 +1,5 @@
-//! Ids of calls between the system's own processes, and what a server remembers of them: a call that arrives again, late
-//! or duplicated by the network, is recognized and has no effect.
+//! Ids of calls between the system's own processes, and what a server remembers of them: a call that arrives
+//! again, late or duplicated by the network, is recognized and has no effect.
 
 use crate::endpoints;
 use std::collections::BTreeMap;
@@ -8,8 +8,8 @@
 use thiserror::Error;
 use tokio::time::Instant;
 
-/// Callers that are remembered; of more, those that called longest ago are forgotten, and a call of theirs that
-/// arrives again would pass for a new one.
+/// Callers that are remembered; of more, those that called longest ago are forgotten, and a call of theirs
+/// that arrives again would pass for a new one.
 const MAX_CALLERS: usize = 4096;
 
 /// Identifies a call. It is written as two hexadecimal numbers, joined by `-`.
@@ -42,13 +42,13 @@
     }
 }
 
-/// Whether the effects of two equal calls add up. Such a call is retried under the same id, and the server gives the answer
-/// that it gave before. All others are idempotent, and are retried under a new id.
+/// Whether the effects of two equal calls add up. Such a call is retried under the same id, and the server
+/// gives the answer that it gave before. All others are idempotent, and are retried under a new id.
 pub fn has_cumulative_effect(path: &str) -> bool {
     path == endpoints::LEASE_TOKENS
 }
 
-/// What is remembered of a caller.
+/// The latest call of one caller.
 #[derive(Clone, Debug)]
 struct CallerState<T> {
     /// Of its latest call.
@@ -58,14 +58,14 @@
     last_call_at: Instant,
 }
 
-/// What a call is to a server.
+/// Whether a server has seen a call before.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CallStatus<T> {
     /// It has not arrived before.
     New,
     /// It has arrived before, and was given this answer.
     Answered(T),
-    /// It, or a later one of its caller, has arrived before, and its answer is not in hand.
+    /// It, or a later one of its caller, has arrived before; no answer to it is recorded.
     Repeated,
 }
 
@@ -82,7 +82,7 @@
 }
 
 impl<T: Clone> CallHistory<T> {
-    /// Records the call, where it is new, and says what it is.
+    /// Records the call where it is new, and returns its status.
     pub fn observe(&mut self, id: CallId, now: Instant) -> CallStatus<T> {
         let fresh = CallerState { sequence: id.sequence, answer: None, last_call_at: now };
         match self.callers.get_mut(&id.caller) {
--- a/crates/protocol/src/endpoints.rs
+++ b/crates/protocol/src/endpoints.rs
@@ -5,7 +5,8 @@
 /// `POST` [`PullRequest`](crate::messages::PullRequest), answered by
 /// [`PullResponse`](crate::messages::PullResponse).
 pub const PULL: &str = "/pull";
-/// `POST` [`VoteRequest`](crate::messages::VoteRequest), answered by [`VoteResponse`](crate::messages::VoteResponse).
+/// `POST` [`VoteRequest`](crate::messages::VoteRequest), answered by
+/// [`VoteResponse`](crate::messages::VoteResponse).
 pub const VOTE: &str = "/vote";
 /// `POST` the [`Ballot`](crate::messages::Ballot) of a lease, answered by whether it is still held.
 pub const HOLDS_LEASE: &str = "/holds";
--- a/crates/protocol/src/history.rs
+++ b/crates/protocol/src/history.rs
@@ -1,8 +1,8 @@
-//! The last changes of what is published, so that a reader that is few versions behind gets these in place of a
-//! snapshot.
+//! The last changes of what is published, so that a reader that is few versions behind gets these in place of
+//! a snapshot.
 //!
-//! Each process that passes versions on keeps a history of its own, of replacements that it saw and of changes that it
-//! followed. A reader that is farther behind, or whose result differs from the publisher's, gets a snapshot.
+//! Each process that serves readers has a history of its own, of the replacements and changes that it has
+//! applied. A reader that is farther behind, or whose result differs from the publisher's, gets a snapshot.
 
 mod backend_list_history;
 mod config_document;
--- a/crates/protocol/src/history/backend_list_history.rs
+++ b/crates/protocol/src/history/backend_list_history.rs
@@ -18,7 +18,7 @@
     pub taken_at: Timestamp,
 }
 
-/// Changes that lead to the list in hand, without a gap between one and the next.
+/// Changes that lead to the current list, without a gap between one and the next.
 #[derive(Clone, Debug, Default)]
 pub struct BackendListHistory {
     changes: VecDeque<TimedChange>,
@@ -32,8 +32,8 @@
 }
 
 impl BackendListHistory {
-    /// The list in hand was replaced by a newer one. Where half of all backends or more have changed, all changes are
-    /// dropped.
+    /// Records that the current list was replaced by a newer one. Where half of all backends or more have
+    /// changed, all changes are dropped.
     pub fn record_replacement(&mut self, old: Option<TakenList<'_>>, new: TakenList<'_>) {
         let Some(old) = old else {
             return self.changes.clear();
@@ -61,8 +61,8 @@
         self.retain(change, new.taken_at);
     }
 
-    /// The changes from that version to the list in hand, which was taken at `taken_at`; none where they are not
-    /// retained. Their age is that of the list in hand, and warm-up times count from when it was taken.
+    /// The changes from that version to the current list, which was taken at `taken_at`; none where they are
+    /// not retained. Their age is that of the current list, and warm-up times count from when it was taken.
     pub fn changes_since(
         &self,
         version: Version,
@@ -80,8 +80,8 @@
         Some(self.changes.iter().skip(first).map(aged).collect())
     }
 
-    /// The list in hand after these changes, the newest of which was taken at `taken_at`. None, and nothing changed here,
-    /// where they do not start from it.
+    /// The list that results from these changes, the newest of which was taken at `taken_at`. None, without
+    /// any effect, where they do not start from the current one.
     pub fn apply_changes(
         &mut self,
         old: TakenList<'_>,
--- a/crates/protocol/src/history/config_document.rs
+++ b/crates/protocol/src/history/config_document.rs
@@ -4,8 +4,8 @@
 use serde_json::value::RawValue;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A configuration, split into its top-level parts and the entries of those that are tables. Values below are kept as
-/// text. Two equal documents have the same [`text`](ConfigDocument::text).
+/// A configuration, split into its top-level parts and the entries of those that are tables. Values below are
+/// stored as text. Two equal documents have the same [`text`](ConfigDocument::text).
 #[derive(Clone, Debug, Default)]
 pub struct ConfigDocument {
     parts: BTreeMap<String, Part>,
--- a/crates/protocol/src/history/register_history.rs
+++ b/crates/protocol/src/history/register_history.rs
@@ -10,10 +10,10 @@
 /// The approximate size of an edit beside its value.
 const EDIT_OVERHEAD_BYTES: usize = 60;
 
-/// Changes that lead to the register in hand, without a gap between one and the next.
+/// Changes that lead to the current register, without a gap between one and the next.
 #[derive(Clone, Debug, Default)]
 pub struct RegisterHistory {
-    /// The configuration in hand; the next change is computed against it.
+    /// The current configuration; the next change is computed against it.
     document: Option<ConfigDocument>,
     /// Of the document's text, where it is known.
     checksum: Option<u32>,
@@ -27,8 +27,8 @@
 }
 
 impl RegisterHistory {
-    /// The register in hand was replaced by a newer one. Where the difference between the two is not much shorter than
-    /// the newer one, all changes are dropped.
+    /// Records that the current register was replaced by a newer one. Where the difference between the two is
+    /// not much shorter than the newer one, all changes are dropped.
     pub fn record_replacement(&mut self, old: Option<&Register>, new: &Register) {
         let document = new.config.as_ref().and_then(|config| ConfigDocument::parse(config));
         let change = match (old, &self.document, &document) {
@@ -45,14 +45,14 @@
         }
     }
 
-    /// The changes from that revision to the register in hand; none where they are not retained.
+    /// The changes from that revision to the current register; none where they are not retained.
     pub fn changes_since(&self, revision: Revision) -> Option<Vec<RegisterChange>> {
         let first = self.changes.iter().position(|sized| sized.change.from == revision)?;
         Some(self.changes.iter().skip(first).map(|sized| sized.change.clone()).collect())
     }
 
-    /// The register in hand after these changes. None, and nothing changed here, where they do not start from it or the
-    /// result's checksum is not what they say.
+    /// The register that results from these changes. None, without any effect, where they do not start from
+    /// the current one or the result's checksum is not theirs.
     pub fn apply_changes(&mut self, register: &Register, changes: Vec<RegisterChange>) -> Option<Register> {
         let mut revision = register.revision;
         for change in &changes {
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -1,5 +1,5 @@
-//! The protocol between the system's programs: messages, their versions, changes between two versions, endpoints and
-//! call ids.
+//! The protocol between the system's programs: messages, their versions, changes between two versions,
+//! endpoints and call ids.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/crates/protocol/src/messages/consensus.rs
+++ b/crates/protocol/src/messages/consensus.rs
@@ -8,8 +8,8 @@
 /// What a candidate or the leaseholder requests of a voter.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum VoteRequest {
-    /// Whether a lease would be granted now; the voter promises nothing. Without it, a candidate that cannot win, as it is
-    /// partitioned, would return with a higher ballot and so preempt the leaseholder.
+    /// Whether a lease would be granted now; the voter promises nothing. Without it, a candidate that cannot
+    /// win, as it is partitioned, would return with a higher ballot and so preempt the leaseholder.
     PreVote {
         /// Who would become leaseholder.
         #[serde(rename = "holder")]
@@ -41,8 +41,8 @@
         /// The lease's.
         ballot: Ballot,
     },
-    /// For the voter's state, by a member with amnesia: from then on, votes that the member cast in an earlier incarnation
-    /// do not count together with the voter's.
+    /// For the voter's state, by a member with amnesia: from then on, votes that the member cast in an
+    /// earlier incarnation do not count together with the voter's.
     Recover {
         /// The address of the member with amnesia.
         member: SocketAddr,
@@ -101,8 +101,8 @@
     StorageFailed,
 }
 
-/// A vote, with the incarnation of the voter and those that it knows of the others. By these a vote that a member cast
-/// before it lost its disk does not count together with the vote of one that knows of the loss.
+/// A vote, with the incarnation of the voter and those that it knows of the others. By these a vote that a
+/// member cast before it lost its disk does not count together with the vote of one that knows of the loss.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct VoteResponse {
     /// The voter's own.
--- a/crates/protocol/src/messages/fleet.rs
+++ b/crates/protocol/src/messages/fleet.rs
@@ -65,8 +65,8 @@
     pub quota_divisor: u32,
     /// Usage by tenant.
     pub tenants: BTreeMap<String, TenantUsage>,
-    /// By how many controllers the tenants' quotas are divided, where proxies are too many to hold a share each:
-    /// controllers then hold the shares and lease tokens to proxies. None: proxies hold the shares.
+    /// By how many controllers the tenants' quotas are divided, where proxies are too many to hold a share
+    /// each: controllers then hold the shares and lease tokens to proxies. None: proxies hold the shares.
     #[serde(rename = "lenders")]
     pub token_lenders: Option<u32>,
     /// Hosts most of whose requests are on routes with home regions.
--- a/crates/protocol/src/messages/pull.rs
+++ b/crates/protocol/src/messages/pull.rs
@@ -36,7 +36,7 @@
     /// Its machine.
     #[serde(rename = "row")]
     pub controller: ControllerEntry,
-    /// The register on its disk; none while it has amnesia, which is to say that it has lost its record.
+    /// The register on its disk; none while it has amnesia, having lost its disk's content.
     #[serde(rename = "kept")]
     pub persisted: Option<RegisterRank>,
 }
@@ -76,11 +76,11 @@
     /// Always a snapshot.
     #[serde(rename = "ledger")]
     pub fleet_summary: Option<FleetSummary>,
-    /// How long ago the register that the reader now has was attested to be the newest acknowledged one, counted from
-    /// when the response was sent; none: it never was.
+    /// How long ago the register that the reader now has was attested to be the newest acknowledged one,
+    /// counted from when the response was sent; none: it never was.
     #[serde(rename = "sure_ms")]
     pub attested_age_ms: Option<u64>,
-    /// How long the response was delayed for want of something new.
+    /// How long the response was delayed until there was something new, or the wait was over.
     #[serde(rename = "held_ms")]
     pub delay_ms: u64,
     /// The address of the leaseholder for internal calls, where it is known.
--- a/crates/protocol/src/messages/register.rs
+++ b/crates/protocol/src/messages/register.rs
@@ -6,7 +6,7 @@
 use std::hash::{Hash, Hasher};
 use std::net::SocketAddr;
 
-/// Orders leases: each lease that a majority grants has a higher one. The low bits tell candidates apart.
+/// Orders leases: each lease that a majority grants has a higher one. The low bits differ between candidates.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Ballot(pub u64);
 
@@ -14,8 +14,8 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Revision(pub u64);
 
-/// Orders two registers: the greater one is the one that later leaseholders go by. On the wire and on disk it is an
-/// array of the two numbers.
+/// Orders two registers: the greater one is the one that later leaseholders go by. On the wire and on disk it
+/// is an array of the two numbers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(from = "(Ballot, Revision)", into = "(Ballot, Revision)")]
 pub struct RegisterRank {
@@ -37,7 +37,8 @@
     }
 }
 
-/// The operator's register: the newest configuration, as it was sent, and the zones that are to get no traffic.
+/// The operator's register: the newest configuration, as it was sent, and the zones that are to get no
+/// traffic.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Register {
     /// Of the leaseholder that wrote it.
@@ -56,8 +57,8 @@
     pub accepted_configs: Vec<AcceptedConfig>,
 }
 
-/// The replicas that grant leases and store the register. It changes by joint consensus: while there are outgoing
-/// voters, a majority of these is needed in addition to a majority of the voters.
+/// The replicas that grant leases and store the register. It changes by joint consensus: while there are
+/// outgoing voters, a majority of these is needed in addition to a majority of the voters.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Membership {
     /// Counts up with each change; 0: the membership is not known.
@@ -69,7 +70,8 @@
     pub outgoing: Vec<SocketAddr>,
 }
 
-/// A configuration that was accepted. By this, one that is sent again is told from another one with the same number.
+/// A configuration that was accepted. It distinguishes one that is sent again from another one with the same
+/// number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AcceptedConfig {
     /// The number in the configuration.
@@ -131,7 +133,8 @@
         (self.rank(), config, &self.evacuated, &self.membership)
     }
 
-    /// Whether the two have the same effect on traffic: ballot, revision and membership are no business of a proxy.
+    /// Whether the two have the same effect on traffic: ballot, revision and membership are no business of a
+    /// proxy.
     pub fn routes_like(&self, other: &Register) -> bool {
         let (config, other_config) = (self.config.as_deref(), other.config.as_deref());
         self.evacuated == other.evacuated && config.map(RawValue::get) == other_config.map(RawValue::get)
--- a/crates/protocol/src/messages/reports.rs
+++ b/crates/protocol/src/messages/reports.rs
@@ -16,8 +16,8 @@
     pub incarnation: u64,
     /// How long ago the report was made.
     pub age_ms: u64,
-    /// The last [`quota_divisor`](super::FleetSummary::quota_divisor) that it got: a leaseholder that has lost its
-    /// state starts from that.
+    /// The last [`quota_divisor`](super::FleetSummary::quota_divisor) that it got: a leaseholder that has
+    /// lost its state starts from that.
     #[serde(rename = "counted", default)]
     pub quota_divisor: u32,
     /// Requests admitted since the start, by tenant.
--- a/crates/protocol/src/version_store.rs
+++ b/crates/protocol/src/version_store.rs
@@ -1,7 +1,7 @@
-//! The versions of each source that a process has, and what it passes on to readers.
+//! The current version of each source in a process, applied from pull responses and served to readers.
 //!
-//! Invariants: what is in hand never goes back to an older version, and [`VersionStore::attested_at`] is never later
-//! than the time at which the register in hand was in fact the newest acknowledged one.
+//! Invariants: no source goes back to an older version, and at [`VersionStore::attested_at`] the current
+//! register was in fact the newest acknowledged one.
 
 use crate::history::{BackendListHistory, RegisterHistory, TakenList};
 use crate::messages::{
@@ -13,15 +13,16 @@
 use std::time::Duration;
 use vanewharf_clock::Timestamp;
 
-/// The newest version of each source in hand, with the history of their last changes.
+/// The current version of each source, with the history of their last changes.
 #[derive(Clone, Debug, Default)]
 pub struct VersionStore {
     /// None until there was one.
     pub register: Option<Rc<Register>>,
     register_history: RegisterHistory,
     backend_list_history: BackendListHistory,
-    /// Changes that came do not apply to what is in hand: the next pull requests a snapshot.
+    /// Received changes did not apply to the current register: the next pull requests a snapshot.
     needs_register_snapshot: bool,
+    /// Received changes did not apply to the current list: the next pull requests a snapshot.
     needs_backend_list_snapshot: bool,
     /// None until there was one.
     pub backend_list: Option<Rc<BackendList>>,
@@ -29,16 +30,16 @@
     pub backend_list_taken_at: Timestamp,
     /// None until there was one.
     pub fleet_summary: Option<Rc<FleetSummary>>,
-    /// When the summary came.
+    /// When the summary was received.
     pub fleet_summary_received_at: Timestamp,
-    /// When the register in hand was attested to be the newest acknowledged one, and the list of backends at least the one
-    /// that the leaseholder had; none: never.
+    /// When the current register was attested to be the newest acknowledged one, and the current list of
+    /// backends to be no older than the leaseholder's; none: never.
     pub attested_at: Option<Timestamp>,
     /// The address of the leaseholder for internal calls, as far as is known.
     pub leaseholder: Option<SocketAddr>,
 }
 
-/// What of a response was newer than what was in hand.
+/// Which sources a response has replaced.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct AppliedUpdates {
     /// The register was replaced.
@@ -47,7 +48,8 @@
     pub backend_list: bool,
     /// The fleet's summary was replaced.
     pub fleet_summary: bool,
-    /// When the register that the sender has was attested to be the newest one, whatever is in hand here.
+    /// When the sender's register was attested to be the newest one, whether or not the response could be
+    /// applied.
     pub attested_at: Option<Timestamp>,
 }
 
@@ -58,7 +60,7 @@
     }
 }
 
-/// How a reader wants the register.
+/// The form in which a reader gets the register.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RegisterForm {
     /// As the operator sent it, with the list of accepted configurations: for controllers, which store it.
@@ -68,7 +70,7 @@
 }
 
 impl VersionStore {
-    /// The versions in hand, for a pull; of a source whose snapshot is needed, that there is nothing.
+    /// The current versions, for a pull request; the lowest version for a source whose snapshot is needed.
     pub fn versions(&self) -> VersionVector {
         let register = self.register.as_ref().filter(|_| !self.needs_register_snapshot);
         let backend_list = self.backend_list.as_ref().filter(|_| !self.needs_backend_list_snapshot);
@@ -87,7 +89,7 @@
             || own.fleet_summary > reader.fleet_summary
     }
 
-    /// Replaces the register, where this one is newer, and says whether it was.
+    /// Replaces the register where this one is newer, and returns whether it was.
     pub fn set_register(&mut self, register: Rc<Register>) -> bool {
         let is_newer = self.register.as_ref().is_none_or(|current| register.revision > current.revision);
         if is_newer {
@@ -98,7 +100,7 @@
         is_newer
     }
 
-    /// Replaces the list of backends, where this one is newer, and says whether it was.
+    /// Replaces the list of backends where this one is newer, and returns whether it was.
     pub fn set_backend_list(&mut self, list: BackendList, now: Timestamp) -> bool {
         let is_newer = self.backend_list.as_ref().is_none_or(|current| list.version > current.version);
         if is_newer {
@@ -113,7 +115,7 @@
         is_newer
     }
 
-    /// Replaces the fleet's summary, where this one is newer, and says whether it was.
+    /// Replaces the fleet's summary where this one is newer, and returns whether it was.
     pub fn set_fleet_summary(&mut self, summary: FleetSummary, now: Timestamp) -> bool {
         let is_newer = self.fleet_summary.as_ref().is_none_or(|current| summary.version > current.version);
         if is_newer {
@@ -123,13 +125,14 @@
         is_newer
     }
 
-    /// The register in hand was the newest acknowledged one at that time.
+    /// Records that the current register was the newest acknowledged one at that time.
     pub fn attest(&mut self, at: Timestamp) {
         self.attested_at = self.attested_at.max(Some(at));
     }
 
-    /// Takes over what is newer in the response to a pull that was sent at `sent_at`. The response was made no sooner than
-    /// the delay that it names after that, from which follows what its ages are at least counted from.
+    /// Applies what is newer in the response to a pull that was sent at `sent_at`. The response was made no
+    /// sooner than its `delay_ms` after that; its ages are counted from that earliest time, so that nothing
+    /// passes for fresher than it is.
     pub fn apply(&mut self, response: PullResponse, sent_at: Timestamp, now: Timestamp) -> AppliedUpdates {
         let answered_at = sent_at.after(Duration::from_millis(response.delay_ms));
         let attested_age = response.attested_age_ms.map(Duration::from_millis);
@@ -140,8 +143,8 @@
             fleet_summary: response.fleet_summary.is_some_and(|summary| self.set_fleet_summary(summary, now)),
             attested_at: attested_age.map(|age| answered_at.before(age)),
         };
-        // It is attested of all that the response contains: where the register or the list could not be followed, what
-        // is in hand is older.
+        // The attestation is of all that the response contains: where changes could not be applied, the
+        // current register or list is older.
         let follows_all = !self.needs_register_snapshot && !self.needs_backend_list_snapshot;
         if let Some(attested_at) = updates.attested_at.filter(|_| follows_all) {
             self.attest(attested_at);
@@ -198,7 +201,8 @@
         followed
     }
 
-    /// What a reader with these versions lacks; the response was delayed by that long.
+    /// The response to a reader with these versions: all that is newer. `delay` is how long the response was
+    /// delayed.
     pub fn response_to(
         &self,
         reader: &VersionVector,
--- a/crates/protocol/tests/incremental_updates.rs
+++ b/crates/protocol/tests/incremental_updates.rs
@@ -1,4 +1,5 @@
-//! Readers that get changes in place of snapshots end up with what the publisher has, or notice that they do not.
+//! Readers that get changes in place of snapshots end up with what the publisher has, or notice that they do
+//! not.
 
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -29,7 +30,8 @@
     };
     let routes: serde_json::Map<_, _> = routes.iter().map(route).collect();
     let config = json!({"revision": format!("r{number}"), "routes": routes,
-        "services": {"s": {"a": other_parts}}, "limits": {"b": 1}, "odd": other_parts, "list": [other_parts, 2]});
+        "services": {"s": {"a": other_parts}},
+        "limits": {"b": 1}, "odd": other_parts, "list": [other_parts, 2]});
     let config = RawValue::from_string(config.to_string()).ok();
     Register { revision: Revision(number), ballot: Ballot(number / 5), config, ..Register::empty() }
 }
--- a/crates/rpc/src/client.rs
+++ b/crates/rpc/src/client.rs
@@ -26,8 +26,8 @@
 ///
 /// # Cancel safety
 ///
-/// A call whose future is dropped may or may not reach the server; its connection is closed, and the client can be
-/// used further.
+/// A call whose future is dropped may or may not reach the server; its connection is closed, and the client
+/// can be used further.
 pub struct RpcClient {
     /// The server's address.
     pub address: SocketAddr,
@@ -75,8 +75,8 @@
         RpcClient { address, network: Rc::clone(network), idle: None, last_call }
     }
 
-    /// Sends a JSON message to one of the system's own processes. `within` is how long the server may send nothing: a
-    /// response whose bytes keep arriving over a narrow link may take longer.
+    /// Sends a JSON message to one of the system's own processes. `within` is how long the server may send
+    /// nothing: a response whose bytes keep arriving over a narrow link may take longer.
     ///
     /// # Errors
     ///
@@ -130,8 +130,9 @@
         }
     }
 
-    /// Where a reused connection breaks, or gives the response to another call, the call is sent once more on a new
-    /// connection if that does no harm: an idempotent one as a new call, one whose effects add up under the same id.
+    /// Where a reused connection breaks, or gives the response to another call, the call is sent once more on
+    /// a new connection if that does no harm: an idempotent one as a new call, one whose effects add up under
+    /// the same id.
     async fn send_with_retry(&mut self, call: Call<'_>, within: Duration) -> Result<RawResponse, RpcError> {
         self.idle = self.idle.take().and_then(usable);
         let is_reused = self.idle.is_some();
--- a/crates/rpc/src/lib.rs
+++ b/crates/rpc/src/lib.rs
@@ -1,8 +1,8 @@
-//! HTTP/1.1 calls between the system's programs: a client whose calls end in time, a server that recognizes repeated calls,
-//! and the publisher of versions that readers pull.
+//! HTTP/1.1 calls between the system's programs: a client whose calls end in time, a server that recognizes
+//! repeated calls, and the publisher of versions that readers pull.
 //!
-//! The system's own calls carry a [call id](vanewharf_protocol::deduplication::CallId), and their responses the id of
-//! the call that they answer.
+//! The system's own calls carry a [call id](vanewharf_protocol::deduplication::CallId), and their responses
+//! the id of the call that they answer.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/crates/rpc/src/limits.rs
+++ b/crates/rpc/src/limits.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-/// For a connection to be established; across regions that takes two round trips.
+/// For a connection to be established, which takes two round trips across regions.
 pub(crate) const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 /// From a request's first byte to its last.
 pub(crate) const REQUEST_TIMEOUT: Duration = Duration::from_secs(3);
--- a/crates/rpc/src/publisher.rs
+++ b/crates/rpc/src/publisher.rs
@@ -12,9 +12,9 @@
 use vanewharf_protocol::messages::{PullRequest, PullResponse};
 use vanewharf_protocol::version_store::{AppliedUpdates, RegisterForm, VersionStore};
 
-/// The longest that a response is delayed, whatever the request names.
+/// The longest that a response is delayed, whatever wait is requested.
 const MAX_WAIT: Duration = Duration::from_secs(2);
-/// What a pull may take in addition to the wait that it names.
+/// For the network, in addition to the wait that a pull requests.
 const NETWORK_ALLOWANCE: Duration = Duration::from_millis(350);
 
 /// A process' [`VersionStore`] with those who wait for an update of it. Clones share both.
@@ -43,7 +43,7 @@
         self.store.borrow()
     }
 
-    /// Changes the store, and wakes those who wait where `change` says that there is something newer.
+    /// Changes the store, and wakes waiting responses where `change` returns true.
     pub fn update(&self, change: impl FnOnce(&mut VersionStore) -> bool) {
         let has_changed = change(&mut self.store.borrow_mut());
         if has_changed {
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Pulls once and takes over what is newer.
+    /// Pulls once and applies what is newer.
     ///
     /// # Errors
     ///
--- a/crates/rpc/src/server.rs
+++ b/crates/rpc/src/server.rs
@@ -27,8 +27,8 @@
     accept_connections(listener, Dispatcher::new(handler)).await;
 }
 
-/// Serves the system's own calls: one that arrives again is not handled again. Its response is that which was given
-/// before, where the effects of such calls add up, and status 409 otherwise.
+/// Serves the system's own calls: one that arrives again is not handled again. Its response is that which was
+/// given before, where the effects of such calls add up, and status 409 otherwise.
 pub async fn serve_deduplicated<H, F>(listener: Box<dyn Listener>, handler: H)
 where
     H: Fn(Request) -> F + 'static,
--- a/crates/rpc/src/server/connection.rs
+++ b/crates/rpc/src/server/connection.rs
@@ -35,8 +35,8 @@
         ServerConnection { framed, read_ahead: None }
     }
 
-    /// The next request, or the response to one that is refused for its form. None where the connection has ended or was
-    /// idle for too long.
+    /// The next request, or the response to one that is refused for its form. None where the connection has
+    /// ended or was idle for too long.
     pub(super) async fn read_request(&mut self) -> Option<Result<Request, RpcResponse>> {
         let read = match self.read_ahead.take() {
             Some(read) => Some(read),
@@ -80,14 +80,15 @@
         }
     }
 
-    /// Writes the response to a malformed request. Whether the connection can be used further, which it cannot.
+    /// Writes the response to a malformed request. Whether the connection can be used further, which it
+    /// cannot.
     pub(super) async fn refuse(&mut self, response: RpcResponse) -> bool {
         self.write(&response, None, true).await
     }
 
-    /// The response, or nothing where the client has disconnected. Then nobody waits for it any more, and the handler's
-    /// future is dropped at its current await point. The connection is polled first, as a request that the network has
-    /// delayed arrives together with the connection's end.
+    /// The response, or nothing where the client has disconnected. Then nobody waits for it any more, and the
+    /// handler's future is dropped at its current await point. The connection is polled first, as a request
+    /// that the network has delayed arrives together with the connection's end.
     async fn unless_disconnected(
         &mut self,
         response: impl Future<Output = RpcResponse>,
--- a/crates/rpc/src/server/dispatcher.rs
+++ b/crates/rpc/src/server/dispatcher.rs
@@ -23,8 +23,8 @@
         Dispatcher { handler, history: Some(RefCell::default()) }
     }
 
-    /// The handler's response, or that to a repeated call. Where the future is dropped, no response is recorded: the call
-    /// counts as repeated from then on.
+    /// The handler's response, or that to a repeated call. Where the future is dropped, no response is
+    /// recorded: the call counts as repeated from then on.
     pub(super) async fn dispatch<F>(&self, request: Request) -> RpcResponse
     where
         H: Fn(Request) -> F,
--- a/crates/rpc/tests/disconnected_clients.rs
+++ b/crates/rpc/tests/disconnected_clients.rs
@@ -1,4 +1,5 @@
-//! The server, on loopback: a client that disconnects is noticed, and one that sends further requests gets them answered.
+//! The server, on loopback: a client that disconnects is noticed, and one that sends further requests gets
+//! them answered.
 
 use std::cell::RefCell;
 use std::io::Write;
--- a/crates/runtime/src/environment.rs
+++ b/crates/runtime/src/environment.rs
@@ -1,7 +1,7 @@
 //! What a program finds where it runs: the network, a directory for its data, a clock and randomness.
 //!
-//! On a machine these are the operating system's. A simulator implements [`Network`] and [`Directory`] itself, so that the
-//! same programs run on simulated networks, clocks and disks.
+//! On a machine these are the operating system's. A simulator implements [`Network`] and [`Directory`]
+//! itself, so that the same programs run on simulated networks, clocks and disks.
 
 mod disk;
 mod tcp;
@@ -157,7 +157,7 @@
         self.random.borrow_mut().random_range(0..end.max(1))
     }
 
-    /// A random number that tells one incarnation of a process from the others.
+    /// A random number that identifies one incarnation of a process.
     pub fn random_incarnation(&self) -> u64 {
         self.random_below(u64::MAX >> 1)
     }
--- a/crates/runtime/src/environment/disk.rs
+++ b/crates/runtime/src/environment/disk.rs
@@ -1,4 +1,5 @@
-//! A directory on the machine's disk. A thread of its own executes operations, as they block for as long as the disk does.
+//! A directory on the machine's disk. A thread of its own executes operations, as they block for as long as
+//! the disk does.
 
 use super::{BoxFuture, Directory, FileOperation};
 use std::collections::BTreeMap;
@@ -12,7 +13,7 @@
 const THREAD_NAME: &str = "disk";
 const THREAD_STACK_BYTES: usize = 256 << 10;
 
-/// Operations to execute, and whom to tell the result.
+/// Operations to execute, and the receiver of their result.
 struct Job {
     operations: Vec<FileOperation>,
     result: oneshot::Sender<io::Result<()>>,
--- a/crates/runtime/src/environment/tcp.rs
+++ b/crates/runtime/src/environment/tcp.rs
@@ -36,7 +36,8 @@
     }
 }
 
-/// Small messages are sent at once (`TCP_NODELAY`); a connection on which that cannot be set works all the same.
+/// Small messages are sent at once (`TCP_NODELAY`); a connection on which that cannot be set works all the
+/// same.
 fn without_delay(stream: TcpStream) -> Stream {
     let _ = stream.set_nodelay(true);
     Box::new(stream)
--- a/crates/runtime/src/lib.rs
+++ b/crates/runtime/src/lib.rs
@@ -1,4 +1,5 @@
-//! What a program runs on: its environment (network, directory, clock, randomness), the log and the main function.
+//! What a program runs on: its environment (network, directory, clock, randomness), the log and the main
+//! function.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/crates/runtime/src/log.rs
+++ b/crates/runtime/src/log.rs
@@ -1,5 +1,5 @@
-//! The program's log: a ring of the last lines in memory, written to standard error when there is a warning or an error,
-//! together with what led up to it.
+//! The program's log: a ring of the last lines in memory, written to standard error when there is a warning
+//! or an error, together with what led up to it.
 
 use spdlog::formatter::{Formatter, FormatterContext, FullFormatter};
 use spdlog::sink::{GetSinkProp, Sink, SinkProp};
@@ -29,7 +29,7 @@
     fn log(&self, record: &Record) -> spdlog::Result<()> {
         let (mut line, mut context) = (StringBuf::new(), FormatterContext::new());
         self.formatter.format(record, &mut line, &mut context)?;
-        // A thread that panicked with the lock left whole lines at least.
+        // A thread that panicked while it held the lock has left complete lines.
         let mut lines = self.lines.lock().unwrap_or_else(PoisonError::into_inner);
         if lines.len() == RING_LINES {
             lines.pop_front();
@@ -67,7 +67,8 @@
     }
 }
 
-/// Switches the log off, for many systems in one process, as a line would not say which of them it comes from.
+/// Switches the log off. For many simulated systems in one process, as a line does not name the one that it
+/// is from.
 pub fn disable() {
     spdlog::default_logger().set_level_filter(LevelFilter::Off);
 }
--- a/crates/runtime/src/program.rs
+++ b/crates/runtime/src/program.rs
@@ -28,15 +28,15 @@
     Run(E),
 }
 
-/// What a command line asks for.
+/// What the command line requests.
 enum Invocation {
     Run(Box<Settings>),
     /// All there was to print is printed.
     Exit(ExitCode),
 }
 
-/// Parses the command line and runs the program until it ends; it gets a [`ShutdownSignal`] on SIGTERM. Failures are
-/// printed to standard error.
+/// Parses the command line and runs the program until it ends; it gets a [`ShutdownSignal`] on SIGTERM.
+/// Failures are printed to standard error.
 pub fn main<F, R, E>(name: &str, version: &str, run: F) -> ExitCode
 where
     F: FnOnce(Settings, Environment, ShutdownSignal) -> R,
@@ -70,7 +70,8 @@
 {
     // First of all, as a signal without a handler ends the process.
     let mut terminate = signal(SignalKind::terminate()).map_err(ProgramError::Signals)?;
-    // Held so that SIGHUP is ignored: settings are not reloaded, as what may change in them is replicated by the system.
+    // Held so that SIGHUP is ignored: settings are not reloaded, as what may change in them is replicated by
+    // the system.
     let _hangup = signal(SignalKind::hangup()).map_err(ProgramError::Signals)?;
     let (shutdown, shutdown_signal) = oneshot::channel();
     tokio::task::spawn_local(async move {
