--- a/programs/agent/src/lib.rs
+++ b/programs/agent/src/lib.rs
@@ -1,10 +1,10 @@
 //! The agent: runs alongside a proxy, on its machine, and keeps the link to the control plane for it.
 //!
-//! It pulls updates from a controller ([`upstream`]) and serves them to the proxy over loopback ([`proxy_api`]), whose
-//! reports it sends with its own pulls. Agents exchange the peers that they know ([`peer_shuffle`], [`peer_api`]): where no
-//! controller is up to date an agent pulls through a peer, which relays its reports ([`reports`]).
+//! It pulls updates from a controller (`upstream`) and serves them to the proxy over loopback (`proxy_api`), whose
+//! reports it sends with its own pulls. Agents exchange the peers that they know (`peer_shuffle`, `peer_api`): where no
+//! controller is up to date an agent pulls through a peer, which relays its reports (`reports`).
 //!
-//! Everything runs on one thread, in tasks of the current local set. The tasks share [`AgentState`]; no borrow of its
+//! Everything runs on one thread, in tasks of the current local set. The tasks share `AgentState`; no borrow of its
 //! cells is held across an await.
 
 #![forbid(unsafe_code)]
