--- a/crates/rpc/src/response.rs
+++ b/crates/rpc/src/response.rs
@@ -16,12 +16,14 @@
 }
 
 impl RpcResponse {
-    /// One with a status below 300 and an empty object, or with a status above and the reason.
-    pub fn with_status(status: u16, reason: &str) -> RpcResponse {
-        let body = match status {
-            ..300 => "{}".to_owned(),
-            _ => serde_json::json!({ "error": reason }).to_string(),
-        };
+    /// One with status 200 and an empty object.
+    pub fn empty() -> RpcResponse {
+        RpcResponse { status: 200, headers: Vec::new(), body: b"{}".to_vec() }
+    }
+
+    /// One with the status of a failure, and the reason in the body.
+    pub fn error(status: u16, reason: &str) -> RpcResponse {
+        let body = serde_json::json!({ "error": reason }).to_string();
         RpcResponse { status, headers: Vec::new(), body: body.into_bytes() }
     }
 
@@ -29,7 +31,7 @@
     pub fn json<T: Serialize>(message: &T) -> RpcResponse {
         match serde_json::to_vec(message) {
             Ok(body) => RpcResponse { status: 200, headers: Vec::new(), body },
-            Err(_) => RpcResponse::with_status(500, "the answer cannot be written"),
+            Err(_) => RpcResponse::error(500, "the answer cannot be written"),
         }
     }
 
--- a/crates/rpc/src/server/connection.rs
+++ b/crates/rpc/src/server/connection.rs
@@ -143,8 +143,8 @@
 fn refusal(error: &ReadError) -> Option<RpcResponse> {
     match error {
         ReadError::Io(_) | ReadError::UnexpectedEof => None,
-        ReadError::HeadTooLarge => Some(RpcResponse::with_status(431, "the head is too large")),
-        ReadError::BodyTooLarge => Some(RpcResponse::with_status(413, "the body is too large")),
-        other => Some(RpcResponse::with_status(400, &other.to_string())),
+        ReadError::HeadTooLarge => Some(RpcResponse::error(431, "the head is too large")),
+        ReadError::BodyTooLarge => Some(RpcResponse::error(413, "the body is too large")),
+        other => Some(RpcResponse::error(400, &other.to_string())),
     }
 }
--- a/crates/rpc/src/server/dispatcher.rs
+++ b/crates/rpc/src/server/dispatcher.rs
@@ -35,7 +35,7 @@
         };
         let id: CallId = match id.parse() {
             Ok(id) => id,
-            Err(error) => return RpcResponse::with_status(400, &error.to_string()),
+            Err(error) => return RpcResponse::error(400, &error.to_string()),
         };
         // The borrow ends before the handler runs.
         let status = history.borrow_mut().observe(id, Instant::now());
@@ -45,7 +45,7 @@
                 response
             }
             CallStatus::Repeated => {
-                RpcResponse::with_status(409, "this call, or a later one of its caller, was heard before")
+                RpcResponse::error(409, "this call, or a later one of its caller, was heard before")
             }
             CallStatus::New => {
                 let is_recorded = has_cumulative_effect(request.target());
--- a/crates/system-simulator/src/world.rs
+++ b/crates/system-simulator/src/world.rs
@@ -236,9 +236,7 @@
         let ear = ear.expect("nothing else listens there");
         tokio::task::spawn_local(serve(ear, move |request| {
             let page = (request.target().starts_with("/instances")).then(|| town.page());
-            async move {
-                page.map_or(RpcResponse::with_status(404, "no such call"), |page| RpcResponse::json(&page))
-            }
+            async move { page.map_or(RpcResponse::error(404, "no such call"), |page| RpcResponse::json(&page)) }
         }));
     }
 
--- a/programs/agent/src/peer_api.rs
+++ b/programs/agent/src/peer_api.rs
@@ -22,7 +22,7 @@
     match (request.method(), request.target()) {
         ("POST", endpoints::GOSSIP) => handle_shuffle(&state, random_offset, &request),
         ("POST", endpoints::PULL) => handle_pull(&state, &request).await,
-        _ => RpcResponse::with_status(404, "there is no such call"),
+        _ => RpcResponse::error(404, "there is no such call"),
     }
 }
 
@@ -30,7 +30,7 @@
 fn handle_shuffle(state: &AgentState, random_offset: usize, request: &Request) -> RpcResponse {
     let received: Vec<PeerEntry> = match serde_json::from_slice(request.body()) {
         Ok(received) => received,
-        Err(error) => return RpcResponse::with_status(400, &error.to_string()),
+        Err(error) => return RpcResponse::error(400, &error.to_string()),
     };
     let now = state.publisher.now();
     let mut peers = state.peers.borrow_mut();
@@ -42,7 +42,7 @@
 async fn handle_pull(state: &AgentState, request: &Request) -> RpcResponse {
     let pull: PullRequest = match serde_json::from_slice(request.body()) {
         Ok(pull) => pull,
-        Err(error) => return RpcResponse::with_status(400, &error.to_string()),
+        Err(error) => return RpcResponse::error(400, &error.to_string()),
     };
     state.reports.borrow_mut().record_relayed(&pull.reports, state.publisher.now());
     RpcResponse::json(&state.publisher.respond(&pull).await).compressed_for(request)
--- a/programs/agent/src/proxy_api.rs
+++ b/programs/agent/src/proxy_api.rs
@@ -16,14 +16,14 @@
 async fn handle_request(state: Rc<AgentState>, request: Request) -> RpcResponse {
     match (request.method(), request.target()) {
         ("POST", endpoints::PULL) => handle_pull(&state, &request).await,
-        _ => RpcResponse::with_status(404, "there is no such call"),
+        _ => RpcResponse::error(404, "there is no such call"),
     }
 }
 
 async fn handle_pull(state: &AgentState, request: &Request) -> RpcResponse {
     let mut pull: PullRequest = match serde_json::from_slice(request.body()) {
         Ok(pull) => pull,
-        Err(error) => return RpcResponse::with_status(400, &error.to_string()),
+        Err(error) => return RpcResponse::error(400, &error.to_string()),
     };
     if let Some(report) = pull.reports.pop() {
         state.reports.borrow_mut().record_local(report, state.publisher.now());
--- a/programs/controller/src/internal_api.rs
+++ b/programs/controller/src/internal_api.rs
@@ -36,12 +36,12 @@
         }
         ("GET", endpoints::PEERS) => RpcResponse::json(&choose_peers(state)),
         ("GET", endpoints::MEMBERSHIP) => RpcResponse::json(&state.replica.membership()),
-        _ => return Err(RpcResponse::with_status(404, "there is no such call")),
+        _ => return Err(RpcResponse::error(404, "there is no such call")),
     })
 }
 
 fn decode_body<T: DeserializeOwned>(request: &Request) -> Result<T, RpcResponse> {
-    serde_json::from_slice(request.body()).map_err(|error| RpcResponse::with_status(400, &error.to_string()))
+    serde_json::from_slice(request.body()).map_err(|error| RpcResponse::error(400, &error.to_string()))
 }
 
 /// A pull by an agent or another controller: records its reports, and answers with the versions that it lacks.
--- a/programs/controller/src/operator_api.rs
+++ b/programs/controller/src/operator_api.rs
@@ -80,7 +80,7 @@
     let outcome = match execute(state, orders, request, call).await {
         Ok(outcome) => outcome,
         Err(Refusal::NotLeaseholder) => OrderOutcome::NotLeaseholder,
-        Err(refusal) => return RpcResponse::with_status(refusal.status(), &refusal.to_string()),
+        Err(refusal) => return RpcResponse::error(refusal.status(), &refusal.to_string()),
     };
     response_to(state, request, outcome)
 }
@@ -181,12 +181,12 @@
         OrderOutcome::Configuration(Some(config)) => {
             RpcResponse { status: 200, headers: Vec::new(), body: config.get().as_bytes().to_vec() }
         }
-        OrderOutcome::Configuration(None) => RpcResponse::with_status(404, "no configuration was sent yet"),
+        OrderOutcome::Configuration(None) => RpcResponse::error(404, "no configuration was sent yet"),
         OrderOutcome::Conflict { held } => {
             let text = format!("another configuration was taken under its number; r{held} is held");
-            RpcResponse::with_status(409, &text)
+            RpcResponse::error(409, &text)
         }
-        OrderOutcome::Uncertain => RpcResponse::with_status(503, "not certain to hold; send it again"),
+        OrderOutcome::Uncertain => RpcResponse::error(503, "not certain to hold; send it again"),
         OrderOutcome::NotLeaseholder => redirect(state, request),
     }
 }
@@ -197,7 +197,7 @@
     let leaseholder = state.replica.leaseholder().filter(|leaseholder| *leaseholder != state.replica.address);
     let Some((leaseholder, control_plane)) = leaseholder.zip(control_plane) else {
         let refusal = Refusal::NotLeaseholder;
-        return RpcResponse::with_status(refusal.status(), &refusal.to_string());
+        return RpcResponse::error(refusal.status(), &refusal.to_string());
     };
     let address = SocketAddr::new(leaseholder.ip(), control_plane.port());
     let location = format!("http://{address}{}", request.target());
--- a/programs/controller/src/public_api.rs
+++ b/programs/controller/src/public_api.rs
@@ -17,6 +17,6 @@
     match (request.method(), segments.as_slice()) {
         ("GET", ["-", "resolution"]) => registry_api::resolve(state, query),
         (_, ["-", call @ ..]) => operator_api::handle(state, orders, request, call).await,
-        _ => RpcResponse::with_status(404, "calls begin with /-/"),
+        _ => RpcResponse::error(404, "calls begin with /-/"),
     }
 }
--- a/programs/controller/src/registry_api.rs
+++ b/programs/controller/src/registry_api.rs
@@ -34,7 +34,7 @@
     let region = query_value(query, "region");
     let addresses = proxy_addresses(state, &host, region);
     if addresses.is_empty() {
-        return RpcResponse::with_status(503, "no doors are known yet");
+        return RpcResponse::error(503, "no doors are known yet");
     }
     let lifetime = ANSWER_LIFETIME.min(state.settings.limits_table.ttl_max);
     RpcResponse::json(&json!({ "addresses": addresses, "lifetime": format!("{}ms", lifetime.as_millis()) }))
--- a/programs/proxy/src/server.rs
+++ b/programs/proxy/src/server.rs
@@ -114,9 +114,9 @@
         let ready = is_probe.then(|| readiness.is_ready());
         async move {
             match ready {
-                Some(true) => RpcResponse::with_status(200, ""),
-                Some(false) => RpcResponse::with_status(503, "not ready"),
-                None => RpcResponse::with_status(404, "there is no such call"),
+                Some(true) => RpcResponse::empty(),
+                Some(false) => RpcResponse::error(503, "not ready"),
+                None => RpcResponse::error(404, "there is no such call"),
             }
         }
     }));
