--- a/crates/clock/src/lib.rs
+++ b/crates/clock/src/lib.rs
@@ -4,7 +4,6 @@
 //! to others is always a duration.
 
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -2,7 +2,6 @@
 //! the place in the document.
 
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 pub mod configuration;
 pub mod document;
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -27,7 +27,6 @@
 //!   (module `incarnation`).
 
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 mod accept;
 mod ballot;
--- a/crates/discovery/src/lib.rs
+++ b/crates/discovery/src/lib.rs
@@ -4,7 +4,6 @@
 //! Nothing here does input or output; callers pass the current time.
 
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 mod admission_rates;
 mod aggregator;
--- a/crates/exchange/src/lib.rs
+++ b/crates/exchange/src/lib.rs
@@ -4,7 +4,6 @@
 //! The gateway drives them by what happens on its sockets and carries out what they decide.
 
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 pub mod connection;
 pub mod txns;
--- a/crates/gateway-settings/src/lib.rs
+++ b/crates/gateway-settings/src/lib.rs
@@ -5,7 +5,6 @@
 //! other crate knows the names that the settings use.
 
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 mod balancer_config;
 mod check;
--- a/crates/health/src/lib.rs
+++ b/crates/health/src/lib.rs
@@ -6,7 +6,6 @@
 //! Nothing here does input or output; callers pass the current time and random numbers.
 
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 mod attempt_history;
 mod key_authorization;
--- a/crates/http1/src/lib.rs
+++ b/crates/http1/src/lib.rs
@@ -5,7 +5,6 @@
 //! it, so that the buffer is never shared and is compacted in place.
 
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 mod body;
 mod codec;
--- a/crates/maintenance/src/lib.rs
+++ b/crates/maintenance/src/lib.rs
@@ -5,7 +5,6 @@
 //! judging clock may be off, at both ends of each window.
 
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 mod contract;
 mod parse;
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -6,7 +6,6 @@
 //! between gateways. `policy` in deploy/balancer.toml names the files that decide.
 
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 mod backends;
 pub mod codec;
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -2,7 +2,6 @@
 //! endpoints and call ids.
 
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 pub mod deduplication;
 pub mod endpoints;
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -20,7 +20,6 @@
 //! Nothing here does input or output; callers pass the current time.
 
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 mod bucket;
 mod fallback;
--- a/crates/rpc/src/lib.rs
+++ b/crates/rpc/src/lib.rs
@@ -5,7 +5,6 @@
 //! the id of the call that they answer.
 
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 mod client;
 mod compression;
--- a/crates/runtime/src/lib.rs
+++ b/crates/runtime/src/lib.rs
@@ -2,7 +2,6 @@
 //! function.
 
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 pub mod environment;
 pub mod log;
--- a/crates/simulator/src/lib.rs
+++ b/crates/simulator/src/lib.rs
@@ -6,7 +6,6 @@
 //! seed and policy give the same figures to the byte.
 
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 pub mod arrivals;
 pub mod backends;
--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -3,7 +3,6 @@
 //! history after the fact.
 
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 pub mod backend;
 pub mod cluster;
--- a/crates/traces/src/lib.rs
+++ b/crates/traces/src/lib.rs
@@ -4,7 +4,6 @@
 //! whose header lacks a named column is an error.
 
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 mod error;
 mod export;
--- a/programs/agent/src/lib.rs
+++ b/programs/agent/src/lib.rs
@@ -8,7 +8,6 @@
 //! cells is held across an await.
 
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 mod error;
 mod peer_api;
--- a/programs/controller/src/lib.rs
+++ b/programs/controller/src/lib.rs
@@ -7,7 +7,6 @@
 //! Everything runs on one thread, in tasks of the current local set.
 
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 mod internal_api;
 mod operator_api;
--- a/programs/controller/src/orders.rs
+++ b/programs/controller/src/orders.rs
@@ -1,7 +1,7 @@
 //! The queue of operator orders, with group commit.
 //!
 //! Orders are executed only while this process holds the lease. All changes that are queued share one register and one
-//! round of replication (see `vanewharf_consensus::group`), and each has an outcome of its own.
+//! round of replication (see `vanewharf_consensus::GroupCommit`), and each has an outcome of its own.
 
 mod executor;
 
--- a/programs/gateway/src/lib.rs
+++ b/programs/gateway/src/lib.rs
@@ -8,7 +8,6 @@
 //! [`dialect::HttpDialect`] and [`router::RoutingPolicy`]. All stages run on one thread and share [`shared::Shared`].
 
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 pub mod answer;
 mod backend_connection;
--- a/programs/proxy/src/lib.rs
+++ b/programs/proxy/src/lib.rs
@@ -5,7 +5,6 @@
 //! differs from the gateway: [`request_gate`] authorizes requests by the newest configuration, and [`pools`] makes the
 //! routing decisions. [`data_plane::DataPlane`] connects both to the local agent; the simulator uses it without sockets.
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 mod agent_link;
 pub mod data_plane;
--- a/programs/simulator-adapter/src/main.rs
+++ b/programs/simulator-adapter/src/main.rs
@@ -2,7 +2,6 @@
 //! does no more than read batches, let the decisions handle them and write their actions.
 
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 mod gateway;
 mod session;
