--- a/programs/proxy/src/pools/tests.rs
+++ b/programs/proxy/src/pools/tests.rs
@@ -317,7 +317,7 @@
 }
 
 #[test]
-fn an_unhealthy_backend_gets_less_and_where_most_are_unhealthy_none_is_spared() {
+fn an_unhealthy_backend_gets_less_unless_most_of_its_pool_is_unhealthy() {
     let mut fixture = Fixture::start(backends(), None);
     let with_unhealthy = |unhealthy: &[&str], number| {
         let version = Version { ballot: Ballot(1), number };
