--- a/crates/compatibility/tests/calls.rs
+++ b/crates/compatibility/tests/calls.rs
@@ -134,9 +134,9 @@
     assert_call("vote_release", subnet, &vote("Release"));
 }
 
-/// What one that holds no lease asks: it follows the holder that it is told of.
+/// What one that holds no lease asks: it follows the leaseholder that it learns of.
 #[test]
-fn holder_followed() {
+fn leaseholder_followed() {
     let subnet = Subnet::draw();
     let (own, other) = (subnet.socket(SELF, CONTROL_INSIDE), subnet.socket(OTHER, CONTROL_INSIDE));
     let recorder = Recorder::start(other, |_, _| None);
@@ -198,9 +198,9 @@
     let seeds = [subnet.socket(OTHER, CONTROL_INSIDE)];
     let _lonely = Running::start(Program::Agent, &settings(subnet.ip(3), &seeds));
     let _agent = Running::start(Program::Agent, &settings(subnet.ip(SELF), &seeds));
-    let told = format!(r#"[{{"ip":"{}","region":"east","heard_ms":0}}]"#, subnet.ip(OTHER));
+    let peers = format!(r#"[{{"ip":"{}","region":"east","heard_ms":0}}]"#, subnet.ip(OTHER));
     let shuffled = until("the agent listens", || {
-        raw_call(own, &request("POST", "/shuffle", "Call-Id: 1f-1\r\n", &told))
+        raw_call(own, &request("POST", "/shuffle", "Call-Id: 1f-1\r\n", &peers))
     });
     assert_call("answer_shuffle", subnet, &shuffled);
     let unknown = own_call(own, "POST", "/unknown", "Call-Id: 1f-2\r\n", "");
--- a/crates/compatibility/tests/documents.rs
+++ b/crates/compatibility/tests/documents.rs
@@ -112,12 +112,12 @@
         ("/customers/ana/rate_per_s", json!(-1)),
         ("/customers", json!([])),
     ];
-    let mut told = refusals(CONFIGURATION, faults, read_configuration);
+    let mut refused = refusals(CONFIGURATION, faults, read_configuration);
     for text in ["", "{", "[]", "{} {}"] {
         let error = read_configuration(text.as_bytes()).expect_err(text);
-        told.push_str(&format!("{text}: {error}\n"));
+        refused.push_str(&format!("{text}: {error}\n"));
     }
-    assert_golden("configuration/refused_configurations.txt", told.as_bytes());
+    assert_golden("configuration/refused_configurations.txt", refused.as_bytes());
 }
 
 #[test]
@@ -194,8 +194,8 @@
         ("/data_directory", json!(1)),
         ("/limits_table/grace_period", json!("2")),
     ]);
-    let told = refusals(SETTINGS, faults, read_settings);
-    assert_golden("configuration/refused_settings.txt", told.as_bytes());
+    let refused = refusals(SETTINGS, faults, read_settings);
+    assert_golden("configuration/refused_settings.txt", refused.as_bytes());
 }
 
 /// Left out, these have their defaults.
@@ -255,7 +255,7 @@
 }
 
 #[test]
-fn deployed_door() {
+fn deployed_gateway_operator_file() {
     let table = deployed("door.toml");
     assert_eq!(forms(&table), form_set(&["settings: table", "peers: table"]));
     let part = |name: &str| table[name].as_table().expect("a table");
--- a/crates/compatibility/tests/messages.rs
+++ b/crates/compatibility/tests/messages.rs
@@ -74,19 +74,19 @@
     }
 }
 
-fn list_version() -> Version {
+fn backend_list_version() -> Version {
     Version { ballot: Ballot(9), number: 4 }
 }
 
-fn vector() -> VersionVector {
+fn version_vector() -> VersionVector {
     VersionVector {
         register: Revision(17),
-        backend_list: list_version(),
+        backend_list: backend_list_version(),
         fleet_summary: Version { ballot: Ballot(9), number: u64::MAX },
     }
 }
 
-fn server() -> Backend {
+fn backend() -> Backend {
     Backend {
         id: "i-1".to_owned(),
         service: "reads".to_owned(),
@@ -98,11 +98,11 @@
     }
 }
 
-fn list() -> BackendList {
-    BackendList { version: list_version(), age_ms: 35, backends: vec![server()] }
+fn backend_list() -> BackendList {
+    BackendList { version: backend_list_version(), age_ms: 35, backends: vec![backend()] }
 }
 
-fn door_row() -> ProxyEntry {
+fn proxy_entry() -> ProxyEntry {
     ProxyEntry {
         name: "frontend-0".to_owned(),
         address: "10.0.0.9:8206".parse().expect("an address"),
@@ -112,38 +112,38 @@
     }
 }
 
-fn office_row() -> ControllerEntry {
+fn controller_entry() -> ControllerEntry {
     ControllerEntry { ip: ip_address(1), zone: "east-a".to_owned() }
 }
 
-fn let_through() -> BTreeMap<String, u64> {
+fn admitted() -> BTreeMap<String, u64> {
     [("ana".to_owned(), 12), ("bor".to_owned(), 0)].into()
 }
 
-fn slices() -> BTreeMap<String, f64> {
+fn quota_shares() -> BTreeMap<String, f64> {
     [("ana".to_owned(), 83.25), ("bor".to_owned(), 1.0)].into()
 }
 
-fn empty_ledger() -> FleetSummary {
-    FleetSummary { version: list_version(), ..FleetSummary::default() }
+fn empty_fleet_summary() -> FleetSummary {
+    FleetSummary { version: backend_list_version(), ..FleetSummary::default() }
 }
 
-fn full_ledger() -> FleetSummary {
+fn full_fleet_summary() -> FleetSummary {
     FleetSummary {
-        version: list_version(),
-        proxies: vec![door_row()],
+        version: backend_list_version(),
+        proxies: vec![proxy_entry()],
         quota_divisor: 6,
         tenants: [("ana".to_owned(), TenantUsage { requests_per_s: 412.5, quota_shares: 500.0 })].into(),
         token_lenders: Some(3),
         homed_hosts: text_set(&["shop.example"]),
-        controllers: [office_row()].into(),
+        controllers: [controller_entry()].into(),
         unhealthy: [("i-1".to_owned(), 0.125)].into(),
     }
 }
 
 fn plain_report() -> ProxyReport {
     ProxyReport {
-        proxy: door_row(),
+        proxy: proxy_entry(),
         incarnation: 77,
         age_ms: 0,
         quota_divisor: 0,
@@ -158,21 +158,21 @@
     ProxyReport {
         age_ms: 15,
         quota_divisor: 6,
-        admitted: let_through(),
-        quota_shares: slices(),
+        admitted: admitted(),
+        quota_shares: quota_shares(),
         hosts: [("shop.example".to_owned(), HostCounts { requests: 100, homed: 40 })].into(),
         attempts: [("i-1".to_owned(), AttemptCounts { attempts: 20, failed: 3 })].into(),
         ..plain_report()
     }
 }
 
-fn lent() -> TokenLeaseReport {
-    TokenLeaseReport { ip: ip_address(1), incarnation: 5, admitted: let_through(), quota_shares: slices() }
+fn token_lease_report() -> TokenLeaseReport {
+    TokenLeaseReport { ip: ip_address(1), incarnation: 5, admitted: admitted(), quota_shares: quota_shares() }
 }
 
 fn follower() -> Follower {
     Follower {
-        controller: office_row(),
+        controller: controller_entry(),
         persisted: Some(RegisterRank { ballot: Ballot(9), revision: Revision(17) }),
     }
 }
@@ -204,20 +204,20 @@
 fn list_change() -> BackendListChange {
     BackendListChange {
         from: Version { ballot: Ballot(9), number: 3 },
-        version: list_version(),
+        version: backend_list_version(),
         age_ms: 12,
-        upserted: vec![server()],
+        upserted: vec![backend()],
         removed: vec!["i-0".to_owned()],
     }
 }
 
-fn full_mail() -> PullResponse {
+fn full_pull_response() -> PullResponse {
     PullResponse {
         register: Some(full_register()),
         register_changes: vec![register_change(joint_membership())],
-        backend_list: Some(list()),
+        backend_list: Some(backend_list()),
         backend_list_changes: vec![list_change()],
-        fleet_summary: Some(full_ledger()),
+        fleet_summary: Some(full_fleet_summary()),
         attested_age_ms: Some(180),
         delay_ms: 90,
         leaseholder: Some(socket_address(2)),
@@ -228,8 +228,8 @@
 fn single_values() {
     assert_message("ballot", &Ballot(u64::MAX));
     assert_message("register_no", &Revision(17));
-    assert_message("version", &list_version());
-    assert_message("vector", &vector());
+    assert_message("version", &backend_list_version());
+    assert_message("vector", &version_vector());
     assert_message("vector_empty", &VersionVector::default());
     assert_message("holds_answer", &true);
 }
@@ -249,19 +249,19 @@
 }
 
 #[test]
-fn list_of_backends() {
-    assert_message("server", &server());
-    assert_message("list", &list());
+fn backend_lists() {
+    assert_message("server", &backend());
+    assert_message("list", &backend_list());
     assert_message("list_empty", &BackendList::default());
 }
 
 #[test]
-fn ledger() {
-    assert_message("door_row", &door_row());
-    assert_message("office_row", &office_row());
+fn fleet_summary() {
+    assert_message("door_row", &proxy_entry());
+    assert_message("office_row", &controller_entry());
     assert_message("use", &TenantUsage { requests_per_s: 412.5, quota_shares: 500.0 });
-    assert_message("ledger_empty", &empty_ledger());
-    assert_message("ledger_full", &full_ledger());
+    assert_message("ledger_empty", &empty_fleet_summary());
+    assert_message("ledger_full", &full_fleet_summary());
 }
 
 #[test]
@@ -269,13 +269,13 @@
     assert_message("report_plain", &plain_report());
     assert_message("report_full", &full_report());
     assert_message("tried", &AttemptCounts { attempts: 20, failed: 3 });
-    assert_message("lent", &lent());
+    assert_message("lent", &token_lease_report());
     assert_message("follower_kept", &follower());
     assert_message("follower_amnesic", &Follower { persisted: None, ..follower() });
 }
 
 #[test]
-fn neighbours() {
+fn peers() {
     let row = PeerEntry { ip: ip_address(9), region: "east".to_owned(), last_contact_ms: 400 };
     let over_ipv6 = PeerEntry { ip: "2001:db8::9".parse().expect("an address"), ..row.clone() };
     assert_message("neighbour", &row);
@@ -290,7 +290,7 @@
 }
 
 #[test]
-fn pull() {
+fn pull_request() {
     let by_nobody = PullRequest {
         versions: VersionVector::default(),
         wait_ms: 0,
@@ -298,18 +298,26 @@
         token_leases: None,
         reports: Vec::new(),
     };
-    let by_door =
-        PullRequest { versions: vector(), wait_ms: 300, reports: vec![full_report()], ..by_nobody.clone() };
-    let by_office = PullRequest { follower: Some(follower()), token_leases: Some(lent()), ..by_door.clone() };
+    let by_agent = PullRequest {
+        versions: version_vector(),
+        wait_ms: 300,
+        reports: vec![full_report()],
+        ..by_nobody.clone()
+    };
+    let by_controller = PullRequest {
+        follower: Some(follower()),
+        token_leases: Some(token_lease_report()),
+        ..by_agent.clone()
+    };
     assert_message("pull_empty", &by_nobody);
-    assert_message("pull_door", &by_door);
-    assert_message("pull_office", &by_office);
+    assert_message("pull_door", &by_agent);
+    assert_message("pull_office", &by_controller);
 }
 
 #[test]
-fn mail() {
+fn pull_response() {
     assert_message("mail_empty", &PullResponse::default());
-    assert_message("mail_full", &full_mail());
+    assert_message("mail_full", &full_pull_response());
     let register = PullResponse { register: Some(full_register()), ..PullResponse::default() };
     assert_message("mail_register", &register);
     let changes = vec![register_change(settled_membership())];
@@ -317,14 +325,17 @@
         "mail_register_changes",
         &PullResponse { register_changes: changes, ..PullResponse::default() },
     );
-    assert_message("mail_list", &PullResponse { backend_list: Some(list()), ..PullResponse::default() });
+    assert_message(
+        "mail_list",
+        &PullResponse { backend_list: Some(backend_list()), ..PullResponse::default() },
+    );
     assert_message(
         "mail_list_changes",
         &PullResponse { backend_list_changes: vec![list_change()], ..PullResponse::default() },
     );
     assert_message(
         "mail_ledger",
-        &PullResponse { fleet_summary: Some(full_ledger()), ..PullResponse::default() },
+        &PullResponse { fleet_summary: Some(full_fleet_summary()), ..PullResponse::default() },
     );
     assert_message(
         "mail_sure",
@@ -372,7 +383,7 @@
 }
 
 #[test]
-fn casts() {
+fn vote_responses() {
     let plain = VoteResponse { incarnation: 0, incarnations: BTreeMap::new(), vote: Vote::Accepted };
     let full = VoteResponse {
         incarnation: 2,
