--- /dev/null
+++ b/programs/cli/src/fleet_simulation.rs
@@ -0,0 +1,114 @@
+//! `lab run` and `lab sweep`: experiments with the emulated fleet.
+
+use crate::error::CliError;
+use crate::files::{ExperimentFile, create_directory, read_experiment, write_file, write_plot};
+use crate::trace::read_rows;
+use std::path::Path;
+use vanewharf_simulator::arrivals::traced;
+use vanewharf_simulator::experiment::Experiment;
+use vanewharf_simulator::run::{Outcome, run, run_with};
+use vanewharf_simulator::{plots, report, sweep};
+
+/// How many violations of a run are logged.
+const MAX_LOGGED_VIOLATIONS: usize = 3;
+
+/// What to do where the balancer violates a rule.
+#[derive(Clone, Copy, PartialEq, Eq)]
+pub(crate) enum Rules {
+    /// Fail.
+    Enforced,
+    /// Only report it.
+    Reported,
+}
+
+/// Runs an experiment with each seed, or its own where none is given, and reports to a directory or standard output.
+pub(crate) fn run_experiment(
+    path: &Path,
+    out: Option<&Path>,
+    seeds: &[u64],
+    rules: Rules,
+) -> Result<(), CliError> {
+    let ExperimentFile { mut experiment, .. } = read_experiment(path)?;
+    let trace = experiment.trace.as_ref().map(|trace| path.with_file_name(&trace.file));
+    let rows = trace.map(|trace| read_rows(&experiment, &trace)).transpose()?;
+    if let Some(rows) = &rows {
+        experiment.length_s = rows.last().map_or(1.0, |row| row.time_s.max(1.0));
+    }
+    let mut outcomes: Vec<Outcome> = Vec::new();
+    for seed in seeds_or_default(seeds, &experiment) {
+        let outcome = match &rows {
+            Some(rows) => run_with(&experiment, &traced(&experiment, rows, seed), seed),
+            None => run(&experiment, seed),
+        };
+        log_outcome(seed, &outcome);
+        outcomes.push(outcome);
+    }
+    match out {
+        Some(directory) => write_report(directory, &experiment, &outcomes)?,
+        None => print!("{}", report::summary(&experiment, &outcomes)),
+    }
+    let violating = outcomes.iter().filter(|outcome| !outcome.balancer.violations.is_empty()).count();
+    if rules == Rules::Enforced && violating > 0 {
+        return Err(CliError::ExperimentViolations { violating, runs: outcomes.len() });
+    }
+    Ok(())
+}
+
+fn seeds_or_default(seeds: &[u64], experiment: &Experiment) -> Vec<u64> {
+    if seeds.is_empty() { vec![experiment.seed] } else { seeds.to_vec() }
+}
+
+fn log_outcome(seed: u64, outcome: &Outcome) {
+    tracing::info!(
+        seed,
+        score = outcome.score,
+        g = outcome.balancer.g,
+        floor = outcome.floor,
+        top = outcome.top,
+        "ran"
+    );
+    for violation in outcome.balancer.violations.iter().take(MAX_LOGGED_VIOLATIONS) {
+        tracing::warn!(
+            seed,
+            rule = %violation.rule,
+            at_s = violation.at.seconds(),
+            what = violation.what,
+            "rule broken"
+        );
+    }
+}
+
+fn write_report(directory: &Path, experiment: &Experiment, outcomes: &[Outcome]) -> Result<(), CliError> {
+    create_directory(directory)?;
+    write_file(directory, "summary.md", report::summary(experiment, outcomes))?;
+    for outcome in outcomes {
+        let prefix = format!("seed-{}-", outcome.seed);
+        write_file(directory, &format!("{prefix}seconds.csv"), report::seconds_csv(outcome))?;
+        write_file(directory, &format!("{prefix}quantiles.csv"), report::quantiles_csv(outcome))?;
+        plots::of_run(outcome).iter().try_for_each(|plot| write_plot(directory, &prefix, plot))?;
+    }
+    Ok(())
+}
+
+/// Runs an experiment at each value of its swept keys and reports to a directory or standard output.
+pub(crate) fn sweep_experiment(path: &Path, out: Option<&Path>, seeds: &[u64]) -> Result<(), CliError> {
+    let ExperimentFile { text, experiment } = read_experiment(path)?;
+    let seeds = seeds_or_default(seeds, &experiment);
+    let sweep::SweepResult { keys, points } =
+        sweep::sweep(&text, &seeds, log_point).map_err(|error| CliError::Sweep(error.into()))?;
+    let summary = report::sweep_summary(&experiment, &keys, &points);
+    let Some(directory) = out else {
+        print!("{summary}");
+        return Ok(());
+    };
+    create_directory(directory)?;
+    write_file(directory, "sweep.md", summary)?;
+    write_file(directory, "sweep.csv", report::sweep_csv(&keys, &points))?;
+    write_plot(directory, "", &plots::of_sweep(&keys, &points))
+}
+
+fn log_point(point: &sweep::Point) {
+    let values: Vec<_> = point.values.iter().map(ToString::to_string).collect();
+    let broken = point.outcomes.iter().any(|outcome| !outcome.balancer.violations.is_empty());
+    tracing::info!(values = values.join(", "), score = point.score(), broken, "point");
+}
--- /dev/null
+++ b/programs/cli/src/system_simulation.rs
@@ -0,0 +1,206 @@
+//! `lab system` and `lab system-cost`: simulations of the whole system.
+
+use crate::arguments::SystemRuns;
+use crate::error::CliError;
+use crate::files::{create_directory, write_file, write_plot};
+use std::collections::BTreeSet;
+use std::path::Path;
+use std::time::{Duration, Instant};
+use vanewharf_system_simulator::cost::{ControlPlaneCost, cost_plot, measure_cost};
+use vanewharf_system_simulator::outcome::RunOutcome;
+use vanewharf_system_simulator::parallel::{simulate_hard_seeds, simulate_schedules, simulate_seeds};
+use vanewharf_system_simulator::schedule::Schedule;
+use vanewharf_system_simulator::topology::SimulationParameters;
+
+/// How many violations of a run are printed.
+const MAX_PRINTED_VIOLATIONS: usize = 8;
+/// Seconds, and requests per second, of the runs whose cost is measured.
+const COST_SECONDS: u64 = 12;
+const COST_REQUESTS_PER_SECOND: u64 = 200;
+const COST_CSV_HEADER: &str = "doors,door_bytes_per_s,door_messages_per_s,sorter_ms_per_s,postmaster_bytes_per_s,postmaster_messages_per_s,postmaster_ms_per_s\n";
+
+/// Which of a run's events are printed.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum Verbosity {
+    /// Those of runs that violate a rule.
+    Violations,
+    /// Those of all runs.
+    All,
+}
+
+/// The sums over all runs.
+struct Totals {
+    runs: u64,
+    /// Runs that violate a rule.
+    violating: u64,
+    requests: usize,
+    served: usize,
+    rejected: usize,
+    commands: usize,
+    acknowledged: usize,
+    /// Simulated seconds.
+    seconds: f64,
+    least_final_success_ratio: f64,
+    /// Bytes that a proxy's machine sent, summed over runs.
+    proxy_bytes: u64,
+    /// The same of a controller.
+    controller_bytes: u64,
+}
+
+impl Totals {
+    fn new() -> Totals {
+        Totals {
+            runs: 0,
+            violating: 0,
+            requests: 0,
+            served: 0,
+            rejected: 0,
+            commands: 0,
+            acknowledged: 0,
+            seconds: 0.0,
+            least_final_success_ratio: 1.0,
+            proxy_bytes: 0,
+            controller_bytes: 0,
+        }
+    }
+
+    fn add(&mut self, outcome: &RunOutcome) {
+        self.runs += 1;
+        self.violating += u64::from(!outcome.violations.is_empty());
+        self.requests += outcome.requests;
+        self.served += outcome.served;
+        self.rejected += outcome.rejected;
+        self.commands += outcome.commands;
+        self.acknowledged += outcome.acknowledged;
+        self.seconds += outcome.seconds;
+        self.least_final_success_ratio = self.least_final_success_ratio.min(outcome.final_success_ratio);
+        self.proxy_bytes += outcome.proxy_traffic.bytes;
+        self.controller_bytes += outcome.controller_traffic.bytes;
+    }
+
+    /// Prints them; `size` says how large each system was.
+    fn print(&self, size: &str, elapsed: Duration) {
+        let (seconds, elapsed) = (self.seconds, elapsed.as_secs_f64());
+        println!(
+            "{} days{size}, {seconds:.0} s of theirs in {elapsed:.1} s: {:.0} days a minute",
+            self.runs,
+            self.runs as f64 * 60.0 / elapsed
+        );
+        println!(
+            "requests: {}, served {}, refused {}; least served at a day's quiet end {:.3}",
+            self.requests, self.served, self.rejected, self.least_final_success_ratio
+        );
+        println!("orders: {}, acknowledged {}", self.commands, self.acknowledged);
+        println!(
+            "control traffic: {:.0} bytes a second from each door's machine, {:.0} from each postmaster's",
+            self.proxy_bytes as f64 / seconds,
+            self.controller_bytes as f64 / seconds
+        );
+    }
+}
+
+/// Simulates runs, prints each that violates a rule, and the sums.
+pub(crate) fn simulate(arguments: &SystemRuns) -> Result<(), CliError> {
+    let started = Instant::now();
+    let parameters = parameters(arguments);
+    let verbosity = if arguments.verbose { Verbosity::All } else { Verbosity::Violations };
+    let mut totals = Totals::new();
+    let mut handle_outcome = |name: &str, outcome: RunOutcome| {
+        print_outcome(name, &outcome, verbosity);
+        totals.add(&outcome);
+    };
+    let SystemRuns { from, seeds, jobs, .. } = *arguments;
+    let size = if !arguments.day.is_empty() {
+        let schedules = arguments.day.iter().map(|file| Schedule::read(file));
+        simulate_schedules(schedules.collect::<Result<_, _>>()?, jobs, handle_outcome);
+        String::new()
+    } else {
+        if arguments.worst {
+            simulate_hard_seeds(parameters, from, seeds, jobs, |outcome| handle_outcome("worst", outcome));
+        } else {
+            simulate_seeds(parameters, from, seeds, jobs, |outcome| handle_outcome("short", outcome));
+        }
+        format!(" of {} postmasters and {} doors", parameters.controllers, parameters.proxies)
+    };
+    totals.print(&size, started.elapsed());
+    if totals.violating > 0 {
+        return Err(CliError::SystemViolations { violating: totals.violating, runs: totals.runs });
+    }
+    Ok(())
+}
+
+fn parameters(arguments: &SystemRuns) -> SimulationParameters {
+    SimulationParameters {
+        controllers: arguments.offices as usize,
+        proxies: arguments.doors as usize,
+        seconds: arguments.seconds,
+        requests_per_second: arguments.rate,
+        max_faults: arguments.troubles,
+    }
+}
+
+fn print_outcome(name: &str, outcome: &RunOutcome, verbosity: Verbosity) {
+    if verbosity == Verbosity::All || !outcome.violations.is_empty() {
+        println!("{name} seed {}", outcome.seed);
+        outcome.events.iter().for_each(|event| println!("    {event}"));
+    }
+    // Each once, and no more than fit on a page.
+    let mut printed = BTreeSet::new();
+    let distinct = outcome
+        .violations
+        .iter()
+        .filter(|violation| printed.insert((violation.rule, violation.description.as_str())));
+    for violation in distinct.take(MAX_PRINTED_VIOLATIONS) {
+        println!("  {} broken at {:.2} s: {}", violation.rule, violation.at, violation.description);
+    }
+    if verbosity == Verbosity::All {
+        println!(
+            "  asked {}, served {}, refused {}, late {:.3}",
+            outcome.requests, outcome.served, outcome.rejected, outcome.final_success_ratio
+        );
+    }
+}
+
+/// Measures the cost of the control plane for each number of proxies; prints it, and plots it to a directory.
+pub(crate) fn measure_costs(
+    proxies: &[u64],
+    controllers: usize,
+    seed: u64,
+    out: Option<&Path>,
+) -> Result<(), CliError> {
+    vanewharf_runtime::log::disable();
+    let costs: Vec<ControlPlaneCost> = proxies
+        .iter()
+        .map(|proxies| {
+            let parameters = SimulationParameters {
+                controllers,
+                proxies: *proxies as usize,
+                seconds: COST_SECONDS,
+                requests_per_second: COST_REQUESTS_PER_SECOND,
+                max_faults: 0,
+            };
+            measure_cost(parameters, seed)
+        })
+        .collect();
+    let csv: String = std::iter::once(COST_CSV_HEADER.to_owned()).chain(costs.iter().map(csv_row)).collect();
+    print!("{csv}");
+    let Some(directory) = out else {
+        return Ok(());
+    };
+    create_directory(directory)?;
+    write_file(directory, "cost-per-door.csv", csv)?;
+    write_plot(directory, "", &cost_plot(&costs))
+}
+
+fn csv_row(cost: &ControlPlaneCost) -> String {
+    format!(
+        "{},{:.0},{:.2},{:.3},{:.0},{:.1},{:.3}\n",
+        cost.proxies,
+        cost.proxy_bytes,
+        cost.proxy_messages,
+        cost.agent_cpu_ms,
+        cost.controller_bytes,
+        cost.controller_messages,
+        cost.controller_cpu_ms
+    )
+}
