--- a/programs/cli/tests/command_line.rs
+++ b/programs/cli/tests/command_line.rs
@@ -1,4 +1,4 @@
-//! The program `vanewharf` as a user starts it: what it writes, what it refuses and how it says so.
+//! The program `vanewharf` as a user starts it: its output, its files and its errors.
 
 use std::collections::BTreeMap;
 use std::fs;
@@ -42,26 +42,26 @@
 of_capacity = 0.5
 "#;
 
-/// A folder of this test's own, gone at its end.
-struct Folder(PathBuf);
+/// A directory of one test, deleted at its end.
+struct TestDirectory(PathBuf);
 
-static FOLDERS: AtomicU32 = AtomicU32::new(0);
+static DIRECTORIES: AtomicU32 = AtomicU32::new(0);
 
-impl Folder {
-    fn new() -> Folder {
-        let number = FOLDERS.fetch_add(1, Ordering::SeqCst);
+impl TestDirectory {
+    fn new() -> TestDirectory {
+        let number = DIRECTORIES.fetch_add(1, Ordering::SeqCst);
         let path = std::env::temp_dir().join(format!("vanewharf-cli-{}-{number}", std::process::id()));
-        fs::create_dir_all(&path).expect("a folder of our own");
-        Folder(path)
+        fs::create_dir_all(&path).expect("a new directory");
+        TestDirectory(path)
     }
 
-    fn file(&self, name: &str, text: &str) -> PathBuf {
+    fn write_file(&self, name: &str, text: &str) -> PathBuf {
         let path = self.0.join(name);
-        fs::write(&path, text).expect("a file of our own");
+        fs::write(&path, text).expect("a new file");
         path
     }
 
-    fn all(&self, name: &str) -> BTreeMap<String, Vec<u8>> {
+    fn read_files(&self, name: &str) -> BTreeMap<String, Vec<u8>> {
         let files =
             fs::read_dir(self.0.join(name)).expect("it was written").map(|file| file.expect("listed").path());
         let named = |path: PathBuf| (path.file_name().expect("a name").to_string_lossy().into_owned(), path);
@@ -69,33 +69,42 @@
     }
 }
 
-impl Drop for Folder {
+impl Drop for TestDirectory {
     fn drop(&mut self) {
         let _ = fs::remove_dir_all(&self.0);
     }
 }
 
-fn vanewharf(words: &[&str]) -> Output {
-    Command::new(env!("CARGO_BIN_EXE_vanewharf")).args(words).output().expect("the program runs")
+fn vanewharf(arguments: &[&str]) -> Output {
+    Command::new(env!("CARGO_BIN_EXE_vanewharf")).args(arguments).output().expect("the program runs")
 }
 
-fn path(path: &Path) -> &str {
+fn as_text(path: &Path) -> &str {
     path.to_str().expect("plain names")
 }
 
-fn said(output: &Output) -> String {
+fn error_output(output: &Output) -> String {
     String::from_utf8_lossy(&output.stderr).into_owned()
 }
 
 #[test]
-fn two_runs_of_a_seed_leave_the_same_bytes_and_another_seed_others() {
-    let folder = Folder::new();
-    let file = folder.file("small.toml", SMALL);
+fn two_runs_of_a_seed_write_the_same_bytes_and_another_seed_does_not() {
+    let directory = TestDirectory::new();
+    let file = directory.write_file("small.toml", SMALL);
     for (out, seed) in [("one", "3"), ("other", "3"), ("third", "4")] {
-        let run = vanewharf(&["lab", "run", path(&file), "--seed", seed, "--out", path(&folder.0.join(out))]);
-        assert!(run.status.success(), "{}", said(&run));
+        let run = vanewharf(&[
+            "lab",
+            "run",
+            as_text(&file),
+            "--seed",
+            seed,
+            "--out",
+            as_text(&directory.0.join(out)),
+        ]);
+        assert!(run.status.success(), "{}", error_output(&run));
     }
-    let (one, other, third) = (folder.all("one"), folder.all("other"), folder.all("third"));
+    let (one, other, third) =
+        (directory.read_files("one"), directory.read_files("other"), directory.read_files("third"));
     assert_eq!(one, other);
     let names: Vec<_> = one.keys().map(String::as_str).collect();
     assert_eq!(names.len(), 11, "{names:?}");
@@ -108,16 +117,16 @@
 }
 
 #[test]
-fn a_sweep_goes_on_past_a_point_that_breaks_a_rule() {
-    let folder = Folder::new();
-    // Clients that stay for a hundredth of a millisecond have left before any door can answer.
+fn a_sweep_continues_after_a_point_that_violates_a_rule() {
+    let directory = TestDirectory::new();
+    // Clients that stay for a hundredth of a millisecond have left before any gateway can answer.
     let swept = format!(
         "{SMALL}[rules]\nanswer_slack_ms = 0\n[[sweep]]\nkey = \"clients.stays\"\nvalues = [0.9, 0.000005, 0.8]\n"
     );
-    let file = folder.file("swept.toml", &swept);
-    let run = vanewharf(&["lab", "sweep", path(&file), "--out", path(&folder.0.join("out"))]);
-    assert!(run.status.success(), "{}", said(&run));
-    let files = folder.all("out");
+    let file = directory.write_file("swept.toml", &swept);
+    let run = vanewharf(&["lab", "sweep", as_text(&file), "--out", as_text(&directory.0.join("out"))]);
+    assert!(run.status.success(), "{}", error_output(&run));
+    let files = directory.read_files("out");
     let text = String::from_utf8(files["sweep.csv"].clone()).expect("text");
     let lines: Vec<_> = text.lines().skip(1).collect();
     assert_eq!(lines.len(), 3, "{text}");
@@ -131,16 +140,16 @@
 }
 
 #[test]
-fn strict_runs_fail_where_a_rule_breaks() {
-    let folder = Folder::new();
+fn strict_runs_fail_where_a_rule_is_violated() {
+    let directory = TestDirectory::new();
     let text = format!("{SMALL}[rules]\nanswer_slack_ms = 0\n[clients]\nstays = 0.000005\n");
-    let file = folder.file("strict.toml", &text);
-    let run = vanewharf(&["lab", "run", path(&file), "--strict"]);
-    assert!(!run.status.success() && said(&run).contains("broke a rule"), "{}", said(&run));
-    assert!(vanewharf(&["lab", "run", path(&file)]).status.success());
+    let file = directory.write_file("strict.toml", &text);
+    let run = vanewharf(&["lab", "run", as_text(&file), "--strict"]);
+    assert!(!run.status.success() && error_output(&run).contains("broke a rule"), "{}", error_output(&run));
+    assert!(vanewharf(&["lab", "run", as_text(&file)]).status.success());
 }
 
-const TRACED: &str = r#"
+const TRACE_SECTION: &str = r#"
 [trace]
 file = "day.csv"
 [trace.mapping]
@@ -150,7 +159,7 @@
 columns = {time = "ts", customer = "user", kind = "op", units = "size"}
 "#;
 
-fn day() -> String {
+fn trace_rows() -> String {
     let mut text = "user,ts,op,size\n".to_owned();
     for no in 0..1_000u32 {
         let op = if no % 20 == 7 {
@@ -167,101 +176,120 @@
 }
 
 #[test]
-fn a_trace_is_imported_with_each_row_left_out_told_by_its_kind() {
-    let folder = Folder::new();
-    let experiment = folder.file("traced.toml", &format!("{SMALL}{TRACED}"));
-    let trace = folder.file("day.csv", &day());
-    let out = folder.0.join("own.csv");
-    let run =
-        vanewharf(&["--log-format", "json", "trace", "import", path(&experiment), path(&trace), path(&out)]);
-    assert!(run.status.success(), "{}", said(&run));
-    let log = said(&run);
-    let told: Vec<serde_json::Value> =
+fn a_trace_is_imported_and_rejected_rows_are_counted_by_defect() {
+    let directory = TestDirectory::new();
+    let experiment = directory.write_file("traced.toml", &format!("{SMALL}{TRACE_SECTION}"));
+    let trace = directory.write_file("day.csv", &trace_rows());
+    let out = directory.0.join("own.csv");
+    let run = vanewharf(&[
+        "--log-format",
+        "json",
+        "trace",
+        "import",
+        as_text(&experiment),
+        as_text(&trace),
+        as_text(&out),
+    ]);
+    assert!(run.status.success(), "{}", error_output(&run));
+    let log = error_output(&run);
+    let entries: Vec<serde_json::Value> =
         log.lines().map(|line| serde_json::from_str(line).expect("JSON")).collect();
-    let count = |words: &str| {
-        let line = told
+    let count = |text: &str| {
+        let entry = entries
             .iter()
-            .find(|line| line["fields"]["message"].as_str().is_some_and(|said| said.contains(words)));
-        line.map(|line| line["fields"]["count"].as_u64().expect("a count"))
+            .find(|entry| entry["fields"]["message"].as_str().is_some_and(|message| message.contains(text)));
+        entry.map(|entry| entry["fields"]["count"].as_u64().expect("a count"))
     };
     assert_eq!((count("not mapped"), count("earlier than")), (Some(50), Some(20)));
-    let own = fs::read_to_string(&out).expect("written");
-    assert_eq!(own.lines().count(), 1 + 930);
-    let inspect = vanewharf(&["trace", "inspect", path(&experiment), path(&trace)]);
-    let glance = String::from_utf8_lossy(&inspect.stdout).into_owned();
-    assert!(glance.contains("930 txns of 38 customers"), "{glance}");
+    let imported = fs::read_to_string(&out).expect("written");
+    assert_eq!(imported.lines().count(), 1 + 930);
+    let inspect = vanewharf(&["trace", "inspect", as_text(&experiment), as_text(&trace)]);
+    let summary = String::from_utf8_lossy(&inspect.stdout).into_owned();
+    assert!(summary.contains("930 txns of 38 customers"), "{summary}");
 
-    // Played twice, the same trace leaves the same bytes.
+    // Run twice, the same trace has the same output.
     for out in ["one", "other"] {
-        let run = vanewharf(&["lab", "run", path(&experiment), "--out", path(&folder.0.join(out))]);
-        assert!(run.status.success(), "{}", said(&run));
+        let run = vanewharf(&["lab", "run", as_text(&experiment), "--out", as_text(&directory.0.join(out))]);
+        assert!(run.status.success(), "{}", error_output(&run));
     }
-    assert_eq!(folder.all("one"), folder.all("other"));
-    let summary = String::from_utf8(folder.all("one")["summary.md"].clone()).expect("text");
+    assert_eq!(directory.read_files("one"), directory.read_files("other"));
+    let summary = String::from_utf8(directory.read_files("one")["summary.md"].clone()).expect("text");
     assert!(summary.contains("930 first tries"), "{summary}");
 }
 
 #[test]
-fn a_trace_whose_columns_differ_is_refused_by_the_column() {
-    let folder = Folder::new();
-    let experiment = folder.file("traced.toml", &format!("{SMALL}{TRACED}"));
-    let trace = folder.file("day.csv", &day().replace("user,ts", "user,time"));
-    let run = vanewharf(&["trace", "inspect", path(&experiment), path(&trace)]);
-    assert!(!run.status.success() && said(&run).contains("no column 'ts'"), "{}", said(&run));
-    let none = folder.file("empty.csv", "user,ts,op,size\n");
-    let run = vanewharf(&["trace", "inspect", path(&experiment), path(&none)]);
-    assert!(!run.status.success() && said(&run).contains("no row"), "{}", said(&run));
+fn a_trace_without_a_mapped_column_is_rejected_with_its_name() {
+    let directory = TestDirectory::new();
+    let experiment = directory.write_file("traced.toml", &format!("{SMALL}{TRACE_SECTION}"));
+    let trace = directory.write_file("day.csv", &trace_rows().replace("user,ts", "user,time"));
+    let run = vanewharf(&["trace", "inspect", as_text(&experiment), as_text(&trace)]);
+    assert!(!run.status.success() && error_output(&run).contains("no column 'ts'"), "{}", error_output(&run));
+    let none = directory.write_file("empty.csv", "user,ts,op,size\n");
+    let run = vanewharf(&["trace", "inspect", as_text(&experiment), as_text(&none)]);
+    assert!(!run.status.success() && error_output(&run).contains("no row"), "{}", error_output(&run));
 }
 
 #[test]
-fn a_check_names_line_or_key() {
-    let folder = Folder::new();
-    let good = folder.file("good.toml", SMALL);
-    assert!(vanewharf(&["config", "check", path(&good)]).status.success());
-    let door = r#"{"settings": {"balancers": 2, "classes": [{"name": "look", "aim": 400.0}],
+fn a_check_names_the_line_or_key_that_is_wrong() {
+    let directory = TestDirectory::new();
+    let good = directory.write_file("good.toml", SMALL);
+    assert!(vanewharf(&["config", "check", as_text(&good)]).status.success());
+    let gateway = r#"{"settings": {"balancers": 2, "classes": [{"name": "look", "aim": 400.0}],
         "tiers_of_service": [{"name": "basic", "rate": 2.0}]}}"#;
-    assert!(vanewharf(&["config", "check", path(&folder.file("door.json", door))]).status.success());
+    assert!(
+        vanewharf(&["config", "check", as_text(&directory.write_file("door.json", gateway))])
+            .status
+            .success()
+    );
     let config = r#"{"revision": "r1", "routes": {"a": {"hostname": "h", "path_prefix": "/a/", "route_kind": "read_only",
         "deadline": "1s", "target": "1s", "service": "s", "tries": 1}}, "services": {"s": {"health_path": "/h",
         "connection_limit": 9}}, "limits": {"max_header_bytes": 1, "max_body_bytes": 1, "header_deadline": "1s",
         "idle_timeout": "1s"}}"#;
-    assert!(vanewharf(&["config", "check", path(&folder.file("config.json", config))]).status.success());
+    assert!(
+        vanewharf(&["config", "check", as_text(&directory.write_file("config.json", config))])
+            .status
+            .success()
+    );
     let cases = [
         ("f.json", config.replace("\"tries\": 1", "\"tries\": 0"), "routes.a.tries"),
         ("g.json", r#"{"node_name": "central-1"}"#.to_owned(), "ip_address"),
         ("a.toml", SMALL.replace("doors = 4", "doors = \"few\""), "line 6"),
         ("b.toml", SMALL.replace("doors = 4", "doors = 0"), "fleet.doors"),
         ("c.toml", SMALL.replace("rate = 4", "rate = -4"), "plan.0.rate"),
-        ("d.json", door.replace("400.0", "-400.0"), "classes.0.aim"),
-        ("e.json", door.replace("\"balancers\": 2,", "\"balancers\": 2,,"), "line 1"),
+        ("d.json", gateway.replace("400.0", "-400.0"), "classes.0.aim"),
+        ("e.json", gateway.replace("\"balancers\": 2,", "\"balancers\": 2,,"), "line 1"),
     ];
-    for (name, text, word) in cases {
-        let run = vanewharf(&["config", "check", path(&folder.file(name, &text))]);
-        assert!(!run.status.success() && said(&run).contains(word), "{name}: {}", said(&run));
+    for (name, text, named) in cases {
+        let run = vanewharf(&["config", "check", as_text(&directory.write_file(name, &text))]);
+        assert!(
+            !run.status.success() && error_output(&run).contains(named),
+            "{name}: {}",
+            error_output(&run)
+        );
     }
     let missing = vanewharf(&["config", "check", "/nowhere/at-all.toml"]);
-    assert!(!missing.status.success() && said(&missing).contains("at-all.toml"));
+    assert!(!missing.status.success() && error_output(&missing).contains("at-all.toml"));
 }
 
 #[test]
-fn the_experiments_in_the_repository_are_good() {
-    let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../crates/simulator/experiments");
+fn the_experiments_in_the_repository_are_valid() {
+    let directory = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../crates/simulator/experiments");
     let files: Vec<_> =
-        fs::read_dir(folder).expect("it is there").map(|file| file.expect("listed").path()).collect();
+        fs::read_dir(directory).expect("it is there").map(|file| file.expect("listed").path()).collect();
     assert!(files.len() >= 3);
     for file in files.iter().filter(|file| file.extension().is_some_and(|end| end == "toml")) {
-        let run = vanewharf(&["config", "check", path(file)]);
-        assert!(run.status.success(), "{}: {}", file.display(), said(&run));
+        let run = vanewharf(&["config", "check", as_text(file)]);
+        assert!(run.status.success(), "{}: {}", file.display(), error_output(&run));
     }
 }
 
 #[test]
-fn contract_hours_say_when_a_node_may_be_drained() {
+fn contract_hours_print_when_a_node_may_be_drained() {
     let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy/contract-hours.json");
-    assert!(vanewharf(&["config", "check", path(&file)]).status.success());
+    assert!(vanewharf(&["config", "check", as_text(&file)]).status.success());
     let at = |time: &str, node: &str| {
-        let run = vanewharf(&["hours", path(&file), "--at", time, "--node", node]);
-        assert!(run.status.success(), "{}", said(&run));
+        let run = vanewharf(&["hours", as_text(&file), "--at", time, "--node", node]);
+        assert!(run.status.success(), "{}", error_output(&run));
         String::from_utf8_lossy(&run.stdout).into_owned()
     };
     let open = at("2026-12-07T23:00:00Z", "lj-dvorana-a/objava/i-1");
@@ -270,28 +298,28 @@
     assert!(both.contains("2 contracts") && both.contains("opens 2026-12-07T21:30:05Z"), "{both}");
     let closed = at("2026-12-22T23:00:00Z", "mb-dvorana-b/lastnistvo/i-2");
     assert!(closed.contains("opens 2027-01-04T08:00:05Z"), "{closed}");
-    let wrong = vanewharf(&["hours", path(&file), "--at", "tomorrow"]);
-    assert!(!wrong.status.success() && said(&wrong).contains("--at tomorrow"));
+    let invalid = vanewharf(&["hours", as_text(&file), "--at", "tomorrow"]);
+    assert!(!invalid.status.success() && error_output(&invalid).contains("--at tomorrow"));
 }
 
-/// What is told of each kind of file, byte for byte but for its path.
+/// The output for each kind of file, byte for byte except for its path.
 #[test]
-fn a_check_tells_what_a_file_is() {
-    let folder = Folder::new();
-    let told = |name: &str, text: &str| {
-        let file = folder.file(name, text);
-        let run = vanewharf(&["config", "check", path(&file)]);
-        let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).replace(path(&file), "<file>");
+fn a_check_prints_what_kind_of_file_it_is() {
+    let directory = TestDirectory::new();
+    let check = |name: &str, text: &str| {
+        let file = directory.write_file(name, text);
+        let run = vanewharf(&["config", "check", as_text(&file)]);
+        let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).replace(as_text(&file), "<file>");
         format!("{:?} {}{}", run.status.code(), text(&run.stdout), text(&run.stderr))
     };
-    assert_eq!(told("small.toml", SMALL), "Some(0) small: an experiment of 4 doors and 6 backends\n");
-    let door = r#"{"settings": {"balancers": 2, "classes": [{"name": "look", "aim": 400.0}],
+    assert_eq!(check("small.toml", SMALL), "Some(0) small: an experiment of 4 doors and 6 backends\n");
+    let gateway = r#"{"settings": {"balancers": 2, "classes": [{"name": "look", "aim": 400.0}],
         "tiers_of_service": [{"name": "basic", "rate": 2.0}]}}"#;
-    assert_eq!(told("door.json", door), "Some(0) <file>: a door would start by these settings\n");
+    assert_eq!(check("door.json", gateway), "Some(0) <file>: a door would start by these settings\n");
     let config = r#"{"revision": "r1", "routes": {}, "services": {}, "limits": {"max_header_bytes": 1,
         "max_body_bytes": 1, "header_deadline": "1s", "idle_timeout": "1s"}, "customers": {}}"#;
-    let taken = "Some(0) <file>: r1 with 0 routes to 0 services and 0 tenants would be taken\n";
-    assert_eq!(told("config.json", config), taken);
+    let accepted = "Some(0) <file>: r1 with 0 routes to 0 services and 0 tenants would be taken\n";
+    assert_eq!(check("config.json", config), accepted);
     let settings = r#"{"node_name": "node-0", "ip_address": "10.0.0.1", "zone": "east-a", "region": "east",
         "zones": {"east-a": "east"}, "listen_addresses": {}, "internal_ports": [7600, 7615], "seed_nodes": [],
         "initial_start": true, "limits": {"memory_mb": 200, "file_descriptors": 1024},
@@ -299,9 +327,9 @@
         "rate_allowance": 20, "retry_ratio": 0.2, "retry_window": "10s", "retry_allowance": 50,
         "warmup_overshoot": 1.5, "warmup_allowance": 5}}"#;
     let starts = "Some(0) <file>: node-0 of east-a would start by these settings\n";
-    assert_eq!(told("settings.json", settings), starts);
-    let refused = told("bad.json", &config.replace("r1", "1"));
-    let (time, line) = refused.split_once("Z ").expect("a time first");
-    assert!(time.starts_with("Some(1) 20"), "{refused}");
+    assert_eq!(check("settings.json", settings), starts);
+    let rejected = check("bad.json", &config.replace("r1", "1"));
+    let (time, line) = rejected.split_once("Z ").expect("a time first");
+    assert!(time.starts_with("Some(1) 20"), "{rejected}");
     assert_eq!(line, "ERROR <file>: revision: a version is r and a number\n");
 }
