--- a/crates/system-simulator/src/schedule.rs
+++ b/crates/system-simulator/src/schedule.rs
@@ -1,4 +1,4 @@
-//! A schedule of commands and faults: drawn from a seed ([`hard`]) or read from a file ([`file`]).
+//! A schedule of commands and faults: drawn from a seed ([`hard`]) or read from a file ([`mod@file`]).
 //!
 //! The `Display` texts of its parts are the lines of a run's events.
 
