--- a/crates/policy/src/interface/config.rs
+++ b/crates/policy/src/interface/config.rs
@@ -89,9 +89,9 @@
     pub gateway: GatewayId,
     /// How many gateways there are.
     pub gateway_count: u32,
-    /// The kinds of request, by [`ProductId`].
+    /// The kinds of request, by [`ProductId`](super::ProductId).
     pub products: Vec<Product>,
-    /// The plans, by [`PlanId`].
+    /// The plans, by [`PlanId`](super::PlanId).
     pub plans: Vec<Plan>,
     /// What the deployment lets gateways do.
     pub allowed: AllowedActions,
