--- a/programs/gateway/src/platform_dialect.rs
+++ b/programs/gateway/src/platform_dialect.rs
@@ -10,7 +10,7 @@
 };
 
 const REQUEST_ID: &str = "X-Correlation-Id";
-const REPEAT_MARK: &str = "X-Idempotency";
+const REPEAT_MARK: &str = "X-Repeat";
 const TIME_LEFT: &str = "X-Time-Left-Ms";
 const PRODUCT: &str = "X-Service-Class";
 const PLAN: &str = "X-Plan";
@@ -187,3 +187,6 @@
         ReportedUsage { metered_usage, actual_cost }
     }
 }
+
+#[cfg(test)]
+mod tests;
