--- a/programs/controller/src/internal_api.rs
+++ b/programs/controller/src/internal_api.rs
@@ -1,4 +1,4 @@
-//! The HTTP API for the system's own programs: agents and other controllers.
+//! Internal HTTP API, used by proxies, agents and other controllers.
 
 use crate::state::ControllerState;
 use serde::de::DeserializeOwned;
@@ -8,16 +8,16 @@
 use vanewharf_protocol::messages::{PeerEntry, ProxyEntry, PullRequest, PullResponse, Revision};
 use vanewharf_rpc::RpcResponse;
 
-/// How many proxies are named to one that knows no other.
+/// Maximum number of proxies returned to an agent that knows no peers.
 const MAX_PEERS: usize = 4;
 
 /// Handles one request.
 ///
 /// # Cancel safety
-/// Dropped where the caller closes its connection. A pull has recorded its reports by the time it first waits; a vote
-/// request that was queued is answered by the voter all the same, and the answer is dropped.
+/// The future is dropped if the caller closes its connection. A pull records its reports before its first await point. A
+/// queued vote request is still handled by the voter, and the vote is dropped.
 pub async fn dispatch(state: &ControllerState, request: &Request) -> RpcResponse {
-    handle(state, request).await.unwrap_or_else(|refusal| refusal)
+    handle(state, request).await.unwrap_or_else(|error| error)
 }
 
 async fn handle(state: &ControllerState, request: &Request) -> Result<RpcResponse, RpcResponse> {
@@ -28,7 +28,7 @@
         }
         ("POST", endpoints::LEASE_TOKENS) => match state.lease_tokens(decode_body(request)?) {
             Some(leased) => RpcResponse::json(&leased),
-            // A proxy takes tokens that are missing from an answer for refused.
+            // An empty answer would be wrong, as the proxy treats tenants missing from the answer as refused.
             None => RpcResponse::error(503, "no configuration is known yet"),
         },
         ("POST", endpoints::VOTE) => {
@@ -48,7 +48,8 @@
     serde_json::from_slice(request.body()).map_err(|error| RpcResponse::error(400, &error.to_string()))
 }
 
-/// A pull by an agent or another controller: records its reports, and answers with the versions that it lacks.
+/// Handles a pull by an agent or another controller: records the reports in the request, and answers with the state that is
+/// newer than the caller's.
 async fn handle_pull(state: &ControllerState, request: PullRequest) -> PullResponse {
     record_reports(state, &request);
     let mut response = state.publisher.respond(&request).await;
@@ -77,7 +78,7 @@
     }
 }
 
-/// Some of the proxies that this process has reports of, chosen at random.
+/// Returns randomly chosen proxies from which this process has received reports.
 fn choose_peers(state: &ControllerState) -> Vec<PeerEntry> {
     let aggregator = state.aggregator.borrow();
     let mut proxies: Vec<_> = aggregator.live_proxies(state.publisher.now()).collect();
--- a/programs/controller/src/platform.rs
+++ b/programs/controller/src/platform.rs
@@ -1,4 +1,4 @@
-//! Client of the platform's API that lists backends. Only the leaseholder calls it.
+//! Client of the platform API that lists the backends. Only the leaseholder calls it.
 
 use serde::Deserialize;
 use std::collections::BTreeMap;
@@ -10,17 +10,17 @@
 use vanewharf_runtime::environment::Network;
 
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(900);
-/// More pages than any deployment has: a platform that errs may send `next_token` for ever.
+/// Maximum number of pages read, more than any deployment has. A faulty platform may return `next_token` endlessly.
 const MAX_PAGES: usize = 64;
-/// The lifecycle of a backend that takes requests; in all others it drains.
-const AVAILABLE: &str = "available";
-/// How much longer than before a backend may be said to warm up before that is a change.
+/// Lifecycle state of a backend that accepts requests; in any other state it is draining.
+const LIFECYCLE_AVAILABLE: &str = "available";
+/// An increase of the remaining warm-up time counts as a change only above this threshold.
 const WARMUP_TOLERANCE_MS: u64 = 200;
 
-/// One page of the platform's answer.
+/// One page of the platform's response.
 #[derive(Deserialize)]
 struct InstancePage {
-    /// By zone.
+    /// Instances by zone.
     instances: BTreeMap<String, Vec<Instance>>,
     next_token: Option<String>,
 }
@@ -30,13 +30,13 @@
     identifier: String,
     service: String,
     address: SocketAddr,
-    /// Where it is empty, the zone is the one that the instance is listed under.
+    /// If empty, the instance is in the zone under which it is listed.
     #[serde(default)]
     zone: String,
     #[serde(default)]
     capacity: u32,
     lifecycle: String,
-    /// A duration, as `1500ms` or `2.5s`.
+    /// Remaining warm-up time, such as `1500ms` or `2.5s`.
     #[serde(default)]
     warmup_left: String,
 }
@@ -49,30 +49,30 @@
             address: self.address,
             zone: if self.zone.is_empty() { listed_zone.to_owned() } else { self.zone },
             capacity: self.capacity.max(1),
-            draining: self.lifecycle != AVAILABLE,
+            draining: self.lifecycle != LIFECYCLE_AVAILABLE,
             warmup_left_ms: parse_milliseconds(&self.warmup_left),
         }
     }
 }
 
-/// A client of the platform's API.
+/// Client of the platform API.
 pub struct PlatformClient {
     rpc: RpcClient,
 }
 
 impl PlatformClient {
-    /// A client that connects at its first request.
+    /// Creates a client, which connects at its first request.
     pub fn new(address: SocketAddr, network: &Rc<dyn Network>) -> PlatformClient {
         PlatformClient { rpc: RpcClient::new(address, network) }
     }
 
-    /// All backends, in the order of their identifiers.
+    /// Lists all backends, sorted by identifier.
     ///
     /// # Errors
-    /// Where one of the pages cannot be had or read, or where there are more than [`MAX_PAGES`].
+    /// Returns an error if a page cannot be fetched or decoded, or if there are more than [`MAX_PAGES`] pages.
     ///
     /// # Cancel safety
-    /// A list that is only partly read is dropped; the platform's state does not change.
+    /// The pages read so far are dropped. The requests do not change the platform's state.
     pub async fn list_backends(&mut self) -> Result<Vec<Backend>, RpcError> {
         let mut backends = Vec::new();
         let mut page_token = None;
@@ -104,7 +104,7 @@
     }
 }
 
-/// Milliseconds, rounded up; 0 where the text is no duration.
+/// Parses a duration into milliseconds, rounded up. Returns 0 if the text is not a duration.
 fn parse_milliseconds(text: &str) -> u64 {
     let (digits, milliseconds_per_unit) = match text.strip_suffix("ms") {
         Some(digits) => (digits, 1.0),
@@ -113,8 +113,8 @@
     digits.parse::<f64>().map_or(0, |number| (number * milliseconds_per_unit).ceil().max(0.0) as u64)
 }
 
-/// Whether proxies have to be notified of a new list. They know already that a backend which warms up has less warm-up
-/// left; they have to know of one that has more.
+/// Returns whether a new list must be published to the proxies. A decrease of the remaining warm-up time is no reason to
+/// publish, since the proxies count it down themselves; an increase is.
 pub fn needs_publication(known: &[Backend], listed: &[Backend]) -> bool {
     known.len() != listed.len() || known.iter().zip(listed).any(|(known, listed)| has_changed(known, listed))
 }
--- a/programs/controller/src/platform/tests.rs
+++ b/programs/controller/src/platform/tests.rs
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn a_backend_is_published_when_it_needs_warmup_again_and_not_while_its_warmup_goes_on() {
+fn a_list_is_published_if_a_warmup_restarts_but_not_while_it_progresses() {
     let needs = |known, listed| needs_publication(&[known], &[listed]);
     assert!(!needs(backend(3000, false), backend(2200, false)));
     assert!(needs(backend(0, false), backend(2200, false)));
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn durations_are_read_in_seconds_and_milliseconds_and_anything_else_as_zero() {
+fn durations_are_parsed_in_seconds_or_milliseconds_and_anything_else_as_zero() {
     let milliseconds = ["1500ms", "2.5s", "odd"].map(parse_milliseconds);
     assert_eq!(milliseconds, [1500, 2500, 0]);
 }
--- a/programs/controller/src/public_api.rs
+++ b/programs/controller/src/public_api.rs
@@ -1,4 +1,4 @@
-//! The HTTP API for operators and clients: all paths begin with `/-/`.
+//! HTTP API for operators and clients. All paths begin with `/-/`.
 
 use crate::operator_api;
 use crate::orders::OrderQueue;
@@ -10,7 +10,7 @@
 /// Handles one request.
 ///
 /// # Cancel safety
-/// Dropped where the caller closes its connection: see [`OrderQueue::submit`].
+/// The future is dropped if the caller closes its connection, see [`OrderQueue::submit`].
 pub async fn dispatch(state: &ControllerState, orders: &OrderQueue, request: &Request) -> RpcResponse {
     let (path, query) = request.target().split_once('?').unwrap_or((request.target(), ""));
     let segments: Vec<&str> = path.split('/').skip(1).collect();
--- a/programs/controller/src/registry_api.rs
+++ b/programs/controller/src/registry_api.rs
@@ -1,4 +1,4 @@
-//! The registry: tells clients the addresses of the proxies that serve a host.
+//! Registry API: resolves a host to the addresses of the proxies that serve it.
 
 use crate::state::ControllerState;
 use serde_json::json;
@@ -10,25 +10,25 @@
 use vanewharf_protocol::messages::{ProxyEntry, Revision};
 use vanewharf_rpc::RpcResponse;
 
-/// The most proxies that one answer names.
+/// Maximum number of addresses in one answer.
 const MAX_ADDRESSES: usize = 64;
-/// The leaseholder that made an older fleet summary is gone, and so may be the proxies that it names. Those that are still
-/// there have reported to this process by then.
+/// Proxies in a fleet summary that is older than this are ignored. Its leaseholder has failed, and the proxies may have
+/// failed with it; those that are still running have reported to this process by then.
 const MAX_SUMMARY_AGE: Duration = Duration::from_millis(2200);
-/// For how long clients may use an answer, unless the settings allow less.
+/// How long clients may cache an answer, unless the settings specify a shorter time.
 const ANSWER_LIFETIME: Duration = Duration::from_millis(4000);
 
-/// For each host, the regions in which all of its routes may be served.
+/// Maps each host to the regions in which all of its routes may be served.
 type HomeRegions = BTreeMap<String, BTreeSet<String>>;
 
-/// The home regions by the newest configuration.
+/// Caches the home regions of the newest configuration.
 #[derive(Default)]
 pub struct HomeRegionsCache {
     revision: Revision,
     home_regions: Rc<HomeRegions>,
 }
 
-/// Answers a query of the form `name=<host>&region=<region>`; both may be missing.
+/// Answers a query of the form `name=<host>&region=<region>`. Both parameters are optional.
 pub fn resolve(state: &ControllerState, query: &str) -> RpcResponse {
     let host = query_value(query, "name").to_ascii_lowercase();
     let region = query_value(query, "region");
@@ -40,20 +40,22 @@
     RpcResponse::json(&json!({ "addresses": addresses, "lifetime": format!("{}ms", lifetime.as_millis()) }))
 }
 
-/// The first value of that name, or nothing.
+/// Returns the first value of the parameter `name`, or an empty string.
 fn query_value<'a>(query: &'a str, name: &str) -> &'a str {
     let mut pairs = query.split('&').filter_map(|pair| pair.split_once('='));
     pairs.find(|(known, _)| *known == name).map_or("", |(_, value)| value)
 }
 
-/// Of the proxies that this process has reports of, and those that only the fleet summary names.
+/// Returns the addresses of suitable proxies, chosen from those that report to this process and those that only the fleet
+/// summary contains.
 fn proxy_addresses(state: &ControllerState, host: &str, region: &str) -> Vec<SocketAddr> {
     let now = state.publisher.now();
     let home_regions = home_regions(state);
     let store = state.publisher.store();
-    // Clients are sent to home regions only where most of the host's requests have to go there.
-    let goes_home = store.fleet_summary.as_ref().is_some_and(|summary| summary.homed_hosts.contains(host));
-    let regions = home_regions.get(host).filter(|_| goes_home);
+    // Clients are directed to the home regions only if most of the host's requests must be served there.
+    let prefers_home_regions =
+        store.fleet_summary.as_ref().is_some_and(|summary| summary.homed_hosts.contains(host));
+    let regions = home_regions.get(host).filter(|_| prefers_home_regions);
     let aggregator = state.aggregator.borrow();
     let reported: Vec<&ProxyEntry> = aggregator.live_proxies(now).collect();
     let is_reported = |proxy: &ProxyEntry| reported.iter().any(|known| known.name == proxy.name);
--- a/programs/controller/src/roles.rs
+++ b/programs/controller/src/roles.rs
@@ -1,5 +1,8 @@
-//! The tasks of a controller beside the consensus replica, one module each. All but the follower are singleton roles: they
-//! do something only while this process holds the lease.
+//! The tasks of a controller other than the consensus replica, one per module.
+//!
+//! [`leaseholder_following`] runs while another process holds the lease, and [`token_lending`] has no task: it serves token
+//! leases on every controller. All other roles are leaseholder tasks, which are active only while this process holds the
+//! lease.
 
 pub mod backend_polling;
 pub mod freshness_attestation;
@@ -10,5 +13,5 @@
 
 use std::time::Duration;
 
-/// How often a singleton role looks whether this process holds the lease, while it does not.
+/// Interval at which an inactive leaseholder task checks whether this process holds the lease.
 const LEASE_CHECK_INTERVAL: Duration = Duration::from_millis(30);
--- a/programs/controller/src/roles/backend_polling.rs
+++ b/programs/controller/src/roles/backend_polling.rs
@@ -1,4 +1,4 @@
-//! Polls the platform for its list of backends, and publishes it where it has changed.
+//! Polls the platform for the list of backends, and publishes the list when it changes.
 
 use super::LEASE_CHECK_INTERVAL;
 use crate::platform::{PlatformClient, needs_publication};
@@ -11,14 +11,16 @@
 use vanewharf_rpc::RpcError;
 use vanewharf_runtime::invariants::Invariant;
 
-/// A part of the time within which a draining backend must get no more requests: it may pass before the drain is seen.
+/// Delay between successful polls. It may elapse before a drain is detected, so it must be only a part of the time within
+/// which a draining backend must stop receiving requests.
 const POLL_INTERVAL: Duration = Duration::from_millis(600);
-/// After the platform has refused a request as one too many.
+/// Delay after the platform has rejected a request because of its rate limit.
 const RATE_LIMITED_INTERVAL: Duration = Duration::from_millis(1200);
 const RETRY_INTERVAL: Duration = Duration::from_millis(300);
 const TOO_MANY_REQUESTS: u16 = 429;
 
-/// Polls the platform while this process holds the lease. Returns at once where no platform is set, else never.
+/// Polls the platform while this process holds the lease. Returns immediately if the settings contain no platform address;
+/// otherwise never returns.
 pub async fn poll_platform(state: Rc<ControllerState>) {
     let Some(api) = &state.settings.cloud_api else {
         return;
@@ -38,7 +40,7 @@
             Err(RpcError::Status(TOO_MANY_REQUESTS)) => RATE_LIMITED_INTERVAL,
             Err(error) => {
                 spdlog::debug!(
-                    "list of backends cannot be read from the platform",
+                    "listing backends from the platform failed",
                     kv: { event = "platform_poll_failed", error: }
                 );
                 RETRY_INTERVAL
@@ -48,12 +50,13 @@
     }
 }
 
-/// A list as the platform returned it.
+/// A list returned by the platform.
 struct PolledList {
     backends: Vec<Backend>,
-    /// When it was asked for: it is at most as old as that.
+    /// When the list was requested. The list reflects the platform's state at that time or later.
     requested_at: Timestamp,
-    /// Of the lease under which it was asked for. Another leaseholder may have published a newer list since that ended.
+    /// Ballot of the lease under which the list was requested. After that lease has ended, another leaseholder may have
+    /// published a newer list.
     ballot: Ballot,
 }
 
@@ -68,15 +71,15 @@
         let known = store.backend_list.as_ref().map(|list| list.backends.as_slice());
         (store.versions().backend_list, known.is_none_or(|known| needs_publication(known, &backends)))
     };
-    // A leaseholder before this one may have sent some proxies a list that was never received here: one that is equal to
-    // the list known here may be new to them.
+    // An earlier leaseholder may have sent some proxies a list that this process never received. For these proxies a list
+    // that equals the one known here may be a change, so the first list under a ballot is always published.
     let is_from_another_ballot = last_version.ballot != ballot;
     if !(is_from_another_ballot || has_changed) {
         return;
     }
     let version = state.next_version(last_version);
     spdlog::debug!(
-        "list of backends published",
+        "backend list published",
         kv: { event = "backend_list_published", ballot = version.ballot.0, number = version.number,
             backends = backends.len(), draining = backends.iter().filter(|backend| backend.draining).count() }
     );
--- a/programs/controller/src/roles/freshness_attestation.rs
+++ b/programs/controller/src/roles/freshness_attestation.rs
@@ -1,6 +1,6 @@
-//! Attests that the published register is the newest that was acknowledged.
+//! Attests that the published register is the newest acknowledged one.
 //!
-//! While the lease lasts no other process acknowledges anything, so the leaseholder knows that its register is the newest.
+//! While this process holds the lease no other process acknowledges orders, so its register is the newest.
 
 use super::LEASE_CHECK_INTERVAL;
 use crate::state::ControllerState;
@@ -13,8 +13,8 @@
 /// Attests freshness while this process holds the lease; never returns.
 pub async fn attest_freshness(state: Rc<ControllerState>) {
     loop {
-        // The clock is read before the lease is looked at: a process that is suspended in between must not attest a later
-        // time than that at which it held the lease.
+        // The clock must be read before the lease is checked. In the other order a process that is suspended in between
+        // would attest a time at which it may no longer have held the lease.
         let now = state.publisher.now();
         if state.replica.holds_lease() {
             state.publisher.update(|store| {
--- a/programs/controller/src/roles/leaseholder_following.rs
+++ b/programs/controller/src/roles/leaseholder_following.rs
@@ -1,7 +1,7 @@
-//! Follows the leaseholder: pulls what it publishes, and reports to it what this process has received.
+//! Follows the leaseholder: pulls its published state, and forwards the reports received by this process.
 //!
-//! Where the leaseholder is not known, or does not respond, the peers are tried one after the other: any of them may know
-//! it, and what it has published is worth having.
+//! If the leaseholder is unknown or does not respond, the peers are tried in turn. Any of them may know the leaseholder, and
+//! the state they publish may be newer than the local one.
 
 use crate::state::ControllerState;
 use std::collections::BTreeMap;
@@ -13,14 +13,14 @@
 use vanewharf_protocol::version_store::AppliedUpdates;
 use vanewharf_rpc::{RpcClient, RpcError};
 
-/// How long the source may hold a pull back while it has nothing new.
+/// How long the source may hold a pull while it has no updates.
 const LONG_POLL: Duration = Duration::from_millis(400);
-/// Between two pulls, where the first one led nowhere.
+/// Delay before the next pull after one that failed or whose source is not the leaseholder.
 const RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Follows the leaseholder whenever that is another process; never returns.
+/// Follows the leaseholder whenever this process does not hold the lease; never returns.
 pub async fn follow_leaseholder(state: Rc<ControllerState>) {
-    let mut follower = LeaseholderFollower { state, clients: BTreeMap::new(), next_peer: 0 };
+    let mut follower = LeaseholderFollower { state, clients: BTreeMap::new(), peer_attempts: 0 };
     loop {
         match follower.choose_source() {
             Some(source) => follower.pull_from(source).await,
@@ -31,14 +31,15 @@
 
 struct LeaseholderFollower {
     state: Rc<ControllerState>,
-    /// One connection to each source.
+    /// One client per source.
     clients: BTreeMap<SocketAddr, RpcClient>,
-    /// Counts on whenever a source led nowhere; which peer is next follows from it.
-    next_peer: usize,
+    /// Incremented after a pull that failed or whose source is not the leaseholder; its value modulo the number of peers is
+    /// the index of the next peer to try.
+    peer_attempts: usize,
 }
 
 impl LeaseholderFollower {
-    /// Whom to pull from, or nobody where this process holds the lease or knows no peer.
+    /// Returns the controller to pull from, or `None` if this process holds the lease or knows no peer.
     fn choose_source(&self) -> Option<SocketAddr> {
         let replica = &self.state.replica;
         if replica.holds_lease() {
@@ -47,7 +48,7 @@
         let leaseholder = replica.leaseholder().filter(|leaseholder| *leaseholder != replica.address);
         leaseholder.or_else(|| {
             let peers = replica.peers();
-            peers.get(self.next_peer % peers.len().max(1)).copied()
+            peers.get(self.peer_attempts % peers.len().max(1)).copied()
         })
     }
 
@@ -64,7 +65,7 @@
     async fn handle_updates(&mut self, source: SocketAddr, updates: AppliedUpdates) {
         if updates.needs_snapshot {
             spdlog::info!(
-                "received changes do not apply; a snapshot is requested",
+                "received changes do not apply to the local state; requesting a snapshot",
                 kv: { event = "snapshot_requested", peer: = source }
             );
         }
@@ -93,7 +94,7 @@
     }
 
     async fn try_next_peer(&mut self) {
-        self.next_peer += 1;
+        self.peer_attempts += 1;
         sleep(RETRY_INTERVAL).await;
     }
 }
--- a/programs/controller/src/roles/membership_management.rs
+++ b/programs/controller/src/roles/membership_management.rs
@@ -1,5 +1,5 @@
-//! Manages the set of voters: enlarges it to what the number of losses to be tolerated needs, and replaces lost voters with
-//! controllers that keep up, one change after the other.
+//! Manages the set of voters: extends it to the size needed for the configured number of tolerated losses, and replaces
+//! failed voters with in-sync controllers, one change at a time.
 
 use crate::orders::{Order, OrderOutcome, OrderQueue, Reconfiguration};
 use crate::state::ControllerState;
@@ -11,9 +11,9 @@
 use vanewharf_consensus::{LocalMember, VoterCandidate, plan_next_voters, voter_count_for};
 use vanewharf_protocol::messages::Membership;
 
-/// How often the set of voters is looked at.
+/// Interval at which the set of voters is checked.
 const CHECK_INTERVAL: Duration = Duration::from_millis(250);
-/// Operators' orders wait while a change of the set is tried: one that failed is not tried again before.
+/// Delay before a failed change is retried, since operator orders are blocked while a change is attempted.
 const RETRY_INTERVAL: Duration = Duration::from_secs(3);
 
 /// Manages the membership while this process holds the lease; never returns.
@@ -35,12 +35,12 @@
     }
 }
 
-/// The next change, where one is due.
+/// Returns the next change of the voter set, if one is needed.
 fn choose_reconfiguration(state: &ControllerState) -> Option<Reconfiguration> {
     let (membership, candidates) = membership_and_candidates(state);
     let change_is_in_progress = !membership.outgoing.is_empty();
     let voters: BTreeSet<SocketAddr> = if change_is_in_progress {
-        // A leaseholder before this one began it: it is concluded first.
+        // An earlier leaseholder left a change unfinished, which must be completed first.
         membership.voters.iter().copied().collect()
     } else {
         plan_next_voters(&membership, &candidates, voter_count_for(state.settings.tolerated_machine_losses))?
@@ -58,7 +58,7 @@
     }
 }
 
-/// The membership, and all controllers that may become voters, as the leaseholder knows them.
+/// Returns the membership, and the controllers that are or may become voters, as seen by the leaseholder.
 pub fn membership_and_candidates(state: &ControllerState) -> (Membership, Vec<VoterCandidate>) {
     let membership = state.replica.membership();
     let local_member = LocalMember { address: state.replica.address, zone: &state.settings.zone };
--- a/programs/controller/src/roles/report_aggregation.rs
+++ b/programs/controller/src/roles/report_aggregation.rs
@@ -1,4 +1,4 @@
-//! Aggregates the reports of all proxies into the fleet summary, and publishes it.
+//! Aggregates the reports of all proxies into the fleet summary and publishes it.
 
 use super::LEASE_CHECK_INTERVAL;
 use crate::state::ControllerState;
@@ -7,17 +7,18 @@
 use tokio::time::sleep;
 use vanewharf_runtime::invariants::Invariant;
 
-/// At the first start of all, proxies that start together have reported by then.
-const INITIAL_GATHERING: Duration = Duration::from_millis(1500);
-/// Between two summaries: about the interval over which proxies measure rates.
+/// Delay before the first summary at the initial start of the cluster. Proxies started together with the controllers have
+/// reported by then.
+const INITIAL_REPORT_DELAY: Duration = Duration::from_millis(1500);
+/// Interval between summaries, about the interval over which proxies measure rates.
 const SUMMARY_INTERVAL: Duration = Duration::from_millis(700);
 
 /// Publishes summaries while this process holds the lease; never returns.
 pub async fn aggregate_reports(state: Rc<ControllerState>) {
     let mut held_lease = false;
-    // At the first start of all, buckets are full: quotas must not be divided by fewer proxies than there are.
+    // At the initial start the token buckets are full, so quotas must not be divided by fewer proxies than there are.
     if state.settings.initial_start {
-        sleep(INITIAL_GATHERING).await;
+        sleep(INITIAL_REPORT_DELAY).await;
     }
     loop {
         let holds_lease = state.replica.holds_lease();
@@ -29,12 +30,13 @@
         if publishes {
             publish_summary(&state);
         }
-        // All proxies wait for the first summary of a new leaseholder.
+        // While no summary can be published yet, the short interval is used: all proxies wait for a new leaseholder's first
+        // summary.
         sleep(if publishes { SUMMARY_INTERVAL } else { LEASE_CHECK_INTERVAL }).await;
     }
 }
 
-/// Starts from what the leaseholder before this one published.
+/// Starts the aggregation from the last summary that an earlier leaseholder published.
 fn begin_aggregation(state: &ControllerState) {
     let now = state.publisher.now();
     let mut aggregator = state.aggregator.borrow_mut();
--- a/programs/controller/src/roles/token_lending.rs
+++ b/programs/controller/src/roles/token_lending.rs
@@ -1,7 +1,7 @@
-//! Leases tokens to proxies.
+//! Leases rate-limit tokens to proxies.
 //!
-//! Where proxies are too many for each to hold a part of a tenant's quota, controllers hold the parts, and proxies lease
-//! tokens from them. Every controller does this, whether it holds the lease or not.
+//! If there are too many proxies for each to hold a share of a tenant's quota, the controllers hold the shares, and proxies
+//! lease tokens from them. Every controller leases tokens, whether or not it is the leaseholder.
 
 use std::net::IpAddr;
 use vanewharf_clock::Timestamp;
@@ -9,15 +9,16 @@
 use vanewharf_protocol::messages::{FleetSummary, TokenCounts, TokenLeaseReport};
 use vanewharf_quota::{InitialFill, Quota, TokenBuckets};
 
-/// Holds this controller's part of each tenant's quota.
+/// Holds this controller's share of each tenant's quota.
 pub struct TokenLender {
     buckets: TokenBuckets,
-    /// Identifies this start of the process: counts of leased tokens begin at 0 with it.
+    /// Identifies this run of the process. The counts of leased tokens start at 0 in each run.
     incarnation: u64,
 }
 
 impl TokenLender {
-    /// `allowance` is what the rules allow beyond a quota, in requests; at the first start of all the buckets are full.
+    /// Creates a lender. `allowance` is the number of requests permitted beyond a quota. At the initial start of the cluster
+    /// the token buckets are full.
     pub fn new(allowance: f64, initial_start: bool, incarnation: u64, now: Timestamp) -> TokenLender {
         TokenLender {
             buckets: TokenBuckets::new(allowance, InitialFill::at_start(initial_start), now),
@@ -25,8 +26,9 @@
         }
     }
 
-    /// Leases as many tokens as there are. Tenants that the configuration does not know get none, and no entry. `None` while
-    /// no configuration is known, as after the loss of the disk: nothing is said of any tenant then.
+    /// Leases up to the requested number of tokens per tenant, as far as they are available. Tenants that are not in the
+    /// configuration get no entry in the result. Returns `None` while no configuration is known, for example after the loss
+    /// of the disk, since nothing can then be said about any tenant.
     pub fn lease(
         &mut self,
         requested: TokenCounts,
@@ -44,7 +46,7 @@
         Some(leased)
     }
 
-    /// Divides quotas by the number of lenders that the summary names, if controllers lease tokens at all.
+    /// Divides the quotas by the number of token lenders in the summary, if controllers lease tokens at all.
     pub fn apply_summary(&mut self, summary: &FleetSummary, config: Option<&Config>, now: Timestamp) {
         if let Some(lenders) = summary.token_lenders {
             let known = |tenant: &str| config.and_then(|config| quota_of(config, tenant));
@@ -53,7 +55,7 @@
         }
     }
 
-    /// What was leased since the process started, by tenant, for the leaseholder's aggregation.
+    /// Reports the tokens leased per tenant since the process started, for aggregation by the leaseholder.
     pub fn report(&self, ip: IpAddr) -> TokenLeaseReport {
         let admitted = self.buckets.admitted_counts();
         let quota_shares = self.buckets.quota_shares();
@@ -61,7 +63,7 @@
     }
 }
 
-/// A tenant's quota, where the configuration knows the tenant.
+/// Returns a tenant's quota, or `None` if the tenant is not in the configuration.
 fn quota_of(config: &Config, tenant: &str) -> Option<Quota> {
     let customer = config.customers.as_ref()?.get(tenant)?;
     Some(Quota { rate: customer.rate_per_s, burst: customer.burst_allowance })
--- a/programs/controller/src/roles/token_lending/tests.rs
+++ b/programs/controller/src/roles/token_lending/tests.rs
@@ -21,15 +21,16 @@
 }
 
 #[test]
-fn a_tenant_gets_what_its_quota_allows_and_an_unknown_one_no_entry() {
+fn a_known_tenant_gets_tokens_and_an_unknown_one_no_entry() {
     let mut lender = lender();
     let leased = lender.lease(request("known"), Some(&config()), START);
     assert_eq!(leased, Some(request("known")));
     assert_eq!(lender.lease(request("other"), Some(&config()), START), Some(TokenCounts::new()));
 }
 
-/// As after the loss of its disk: an answer without tokens would refuse requests that are inside their quota.
+/// After losing its disk a controller knows no configuration. An answer without tokens would make the proxies refuse
+/// requests that are within their quota.
 #[test]
-fn a_lender_that_knows_no_configuration_refuses_nothing() {
+fn without_a_configuration_no_tenant_is_refused() {
     assert_eq!(lender().lease(request("known"), None, START), None);
 }
