--- a/programs/controller/src/operator_api.rs
+++ b/programs/controller/src/operator_api.rs
@@ -1,7 +1,7 @@
-//! The operator's API: reads and replaces the configuration, evacuates zones and replaces voters.
+//! Operator API: reads and replaces the configuration, evacuates zones and replaces voters.
 //!
-//! Every controller answers; one that does not hold the lease redirects to the one that does. The texts of the answers are
-//! part of the API: clients and runbooks go by them.
+//! Every controller answers requests; one that does not hold the lease redirects them to the leaseholder. The texts of the
+//! responses are part of the API, since clients and runbooks rely on them.
 
 use crate::orders::{Order, OrderOutcome, OrderQueue, Reconfiguration};
 use crate::roles::membership_management::membership_and_candidates;
@@ -18,9 +18,9 @@
 use vanewharf_protocol::messages::Membership;
 use vanewharf_rpc::RpcResponse;
 
-/// Why a request is not executed.
+/// The reason why a request is not executed.
 #[derive(Debug, Error)]
-enum Refusal {
+enum RequestError {
     #[error("{0}")]
     InvalidConfiguration(#[from] DocumentError),
     #[error("it is no text")]
@@ -38,45 +38,45 @@
     #[error("{0} is a voter already; the set must not shrink")]
     AlreadyAVoter(SocketAddr),
     #[error("no postmaster that keeps up is heard of at {0}")]
-    UnknownController(SocketAddr),
+    JoiningNotInSync(SocketAddr),
     #[error("another change of the voters is under way; send it again")]
     ChangeInProgress,
     #[error("too few of the new voters keep up now; send it again")]
-    TooFewVotersKeepUp,
-    /// The set would tolerate one loss less than before: the one that leaves has what was committed, and one that stays
-    /// may not have it.
+    TooFewVotersInSync,
+    /// A voter that stays is not in sync. Removing one that is in sync would reduce the number of tolerated losses, as the
+    /// removed voter has all committed state and the one that stays may not.
     #[error(
-        "{failed} does not keep up: while it is a voter, no other voter that does is replaced; send it again"
+        "{out_of_sync} does not keep up: while it is a voter, no other voter that does is replaced; send it again"
     )]
-    AnotherVoterFailed { failed: SocketAddr },
+    AnotherVoterOutOfSync { out_of_sync: SocketAddr },
     #[error("there is no such call")]
     UnknownCall,
-    /// Answered with a redirect to the leaseholder, where one is known.
+    /// Answered with a redirect if the leaseholder is known, and with this text otherwise.
     #[error("nobody takes orders now; try again")]
     NotLeaseholder,
 }
 
-impl Refusal {
+impl RequestError {
     fn status(&self) -> u16 {
         match self {
-            Refusal::InvalidConfiguration(_)
-            | Refusal::NotText
-            | Refusal::InvalidJson(_)
-            | Refusal::InvalidAddress(_) => 400,
-            Refusal::UnknownZone(_) | Refusal::UnknownCall => 404,
-            Refusal::NotAVoter { .. }
-            | Refusal::SameVoter(_)
-            | Refusal::AlreadyAVoter(_)
-            | Refusal::UnknownController(_) => 409,
-            Refusal::ChangeInProgress
-            | Refusal::TooFewVotersKeepUp
-            | Refusal::AnotherVoterFailed { .. }
-            | Refusal::NotLeaseholder => 503,
+            RequestError::InvalidConfiguration(_)
+            | RequestError::NotText
+            | RequestError::InvalidJson(_)
+            | RequestError::InvalidAddress(_) => 400,
+            RequestError::UnknownZone(_) | RequestError::UnknownCall => 404,
+            RequestError::NotAVoter { .. }
+            | RequestError::SameVoter(_)
+            | RequestError::AlreadyAVoter(_)
+            | RequestError::JoiningNotInSync(_) => 409,
+            RequestError::ChangeInProgress
+            | RequestError::TooFewVotersInSync
+            | RequestError::AnotherVoterOutOfSync { .. }
+            | RequestError::NotLeaseholder => 503,
         }
     }
 }
 
-/// Handles one request. `call` is the path below `/-/`.
+/// Handles one request. `call` contains the path segments below `/-/`.
 ///
 /// # Cancel safety
 /// See [`OrderQueue::submit`].
@@ -88,10 +88,10 @@
 ) -> RpcResponse {
     let outcome = match execute(state, orders, request, call).await {
         Ok(outcome) => outcome,
-        Err(Refusal::NotLeaseholder) => OrderOutcome::NotLeaseholder,
-        Err(refusal) => return RpcResponse::error(refusal.status(), &refusal.to_string()),
+        Err(RequestError::NotLeaseholder) => OrderOutcome::NotLeaseholder,
+        Err(error) => return RpcResponse::error(error.status(), &error.to_string()),
     };
-    response_to(state, request, outcome)
+    build_response(state, request, outcome)
 }
 
 async fn execute(
@@ -99,10 +99,10 @@
     orders: &OrderQueue,
     request: &Request,
     call: &[&str],
-) -> Result<OrderOutcome, Refusal> {
+) -> Result<OrderOutcome, RequestError> {
     let order = match (request.method(), call) {
         ("GET", ["Configuration.Read"]) => return Ok(orders.read_configuration()),
-        ("POST", ["Configuration.Replace"]) => replace_configuration(request.body())?,
+        ("POST", ["Configuration.Replace"]) => parse_configuration_order(request.body())?,
         ("POST", ["Evacuation.Begin", zone]) => {
             let zone = known_zone(state, zone)?;
             Order::Change(OperatorChange::BeginEvacuation { zone })
@@ -111,37 +111,44 @@
             let zone = known_zone(state, zone)?;
             Order::Change(OperatorChange::EndEvacuation { zone })
         }
-        ("POST", ["Voters.Replace", leaving, joining]) => match replace_voter(state, leaving, joining)? {
-            Some(order) => order,
-            None => return Ok(OrderOutcome::Acknowledged),
-        },
-        _ => return Err(Refusal::UnknownCall),
+        ("POST", ["Voters.Replace", leaving, joining]) => {
+            match parse_voter_replacement(state, leaving, joining)? {
+                Some(order) => order,
+                None => return Ok(OrderOutcome::Acknowledged),
+            }
+        }
+        _ => return Err(RequestError::UnknownCall),
     };
     Ok(orders.submit(order).await)
 }
 
-fn replace_configuration(body: &[u8]) -> Result<Order, Refusal> {
+fn parse_configuration_order(body: &[u8]) -> Result<Order, RequestError> {
     let config = Config::parse(body)?;
-    let text = String::from_utf8(body.to_vec()).map_err(|_| Refusal::NotText)?;
+    let text = String::from_utf8(body.to_vec()).map_err(|_| RequestError::NotText)?;
     let raw = RawValue::from_string(text)?;
     Ok(Order::Change(OperatorChange::ReplaceConfig { revision: config.revision, config: raw }))
 }
 
-fn known_zone(state: &ControllerState, zone: &str) -> Result<String, Refusal> {
+fn known_zone(state: &ControllerState, zone: &str) -> Result<String, RequestError> {
     if !state.settings.zones.contains_key(zone) {
-        return Err(Refusal::UnknownZone(zone.to_owned()));
+        return Err(RequestError::UnknownZone(zone.to_owned()));
     }
     Ok(zone.to_owned())
 }
 
-/// Both voters are given by the IP addresses of their machines. `None` where the replacement is in force already.
+/// Creates the order that replaces a voter. The voters are identified by the IP addresses of their machines. Returns `None`
+/// if the replacement has been made already.
 ///
-/// The leaseholder alone knows which controllers keep up. A change that these could not conclude is not begun.
-fn replace_voter(state: &ControllerState, leaving: &str, joining: &str) -> Result<Option<Order>, Refusal> {
+/// Only the leaseholder knows which controllers are in sync. It refuses a change that the in-sync ones could not complete.
+fn parse_voter_replacement(
+    state: &ControllerState,
+    leaving: &str,
+    joining: &str,
+) -> Result<Option<Order>, RequestError> {
     let leaving = controller_address(state, leaving)?;
     let joining = controller_address(state, joining)?;
     if !state.replica.holds_lease() {
-        return Err(Refusal::NotLeaseholder);
+        return Err(RequestError::NotLeaseholder);
     }
     let (membership, candidates) = membership_and_candidates(state);
     let voters = voters_after_replacement(&membership, &candidates, leaving, joining)?;
@@ -149,8 +156,8 @@
     Ok(reconfiguration.map(Order::Reconfigure))
 }
 
-fn controller_address(state: &ControllerState, text: &str) -> Result<SocketAddr, Refusal> {
-    let ip = text.parse().map_err(|_| Refusal::InvalidAddress(text.to_owned()))?;
+fn controller_address(state: &ControllerState, text: &str) -> Result<SocketAddr, RequestError> {
+    let ip = text.parse().map_err(|_| RequestError::InvalidAddress(text.to_owned()))?;
     Ok(state.settings.controller_address(ip))
 }
 
@@ -159,46 +166,47 @@
     candidates: &[VoterCandidate],
     leaving: SocketAddr,
     joining: SocketAddr,
-) -> Result<Option<BTreeSet<SocketAddr>>, Refusal> {
+) -> Result<Option<BTreeSet<SocketAddr>>, RequestError> {
     if !membership.outgoing.is_empty() {
-        return Err(Refusal::ChangeInProgress);
+        return Err(RequestError::ChangeInProgress);
     }
     let mut voters: BTreeSet<SocketAddr> = membership.voters.iter().copied().collect();
     match (voters.contains(&leaving), voters.contains(&joining)) {
         (false, true) => return Ok(None),
-        (false, false) => return Err(Refusal::NotAVoter { leaving, voters }),
-        (true, true) if leaving == joining => return Err(Refusal::SameVoter(leaving)),
-        (true, true) => return Err(Refusal::AlreadyAVoter(joining)),
+        (false, false) => return Err(RequestError::NotAVoter { leaving, voters }),
+        (true, true) if leaving == joining => return Err(RequestError::SameVoter(leaving)),
+        (true, true) => return Err(RequestError::AlreadyAVoter(joining)),
         (true, false) => {}
     }
-    let keeps_up = |voter: SocketAddr| majority_in_sync(&[voter].into(), candidates);
-    if !keeps_up(joining) {
-        return Err(Refusal::UnknownController(joining));
+    let is_in_sync = |voter: SocketAddr| majority_in_sync(&[voter].into(), candidates);
+    if !is_in_sync(joining) {
+        return Err(RequestError::JoiningNotInSync(joining));
     }
     voters.remove(&leaving);
     voters.insert(joining);
     if !majority_in_sync(&voters, candidates) {
-        return Err(Refusal::TooFewVotersKeepUp);
+        return Err(RequestError::TooFewVotersInSync);
     }
-    let failed = voters.iter().copied().find(|voter| !keeps_up(*voter));
-    if let Some(failed) = failed.filter(|_| keeps_up(leaving)) {
-        return Err(Refusal::AnotherVoterFailed { failed });
+    let out_of_sync = voters.iter().copied().find(|voter| !is_in_sync(*voter));
+    if let Some(out_of_sync) = out_of_sync.filter(|_| is_in_sync(leaving)) {
+        return Err(RequestError::AnotherVoterOutOfSync { out_of_sync });
     }
     Ok(Some(voters))
 }
 
-fn response_to(state: &ControllerState, request: &Request, outcome: OrderOutcome) -> RpcResponse {
+fn build_response(state: &ControllerState, request: &Request, outcome: OrderOutcome) -> RpcResponse {
     match outcome {
         OrderOutcome::Acknowledged => RpcResponse::json(&json!({})),
-        // The lease is looked at once more, as late as possible: a process that was suspended since the read may have lost
-        // it, and the configuration may have been replaced elsewhere.
+        // The lease is checked again as late as possible. If the process was suspended after the read, it may have lost the
+        // lease, and another leaseholder may have replaced the configuration.
         OrderOutcome::Configuration(_) if !state.replica.holds_lease() => redirect(state, request),
         OrderOutcome::Configuration(Some(config)) => {
             RpcResponse { status: 200, headers: Vec::new(), body: config.get().as_bytes().to_vec() }
         }
         OrderOutcome::Configuration(None) => RpcResponse::error(404, "no configuration was sent yet"),
-        OrderOutcome::Conflict { held } => {
-            let text = format!("another configuration was taken under its number; r{held} is held");
+        OrderOutcome::Conflict { newest_revision } => {
+            let text =
+                format!("another configuration was taken under its number; r{newest_revision} is held");
             RpcResponse::error(409, &text)
         }
         OrderOutcome::Uncertain => RpcResponse::error(503, "not certain to hold; send it again"),
@@ -206,13 +214,13 @@
     }
 }
 
-/// To the same call of the leaseholder.
+/// Redirects the request to the operator API of the leaseholder.
 fn redirect(state: &ControllerState, request: &Request) -> RpcResponse {
     let control_plane = state.settings.listen_address("control_plane").ok();
     let leaseholder = state.replica.leaseholder().filter(|leaseholder| *leaseholder != state.replica.address);
     let Some((leaseholder, control_plane)) = leaseholder.zip(control_plane) else {
-        let refusal = Refusal::NotLeaseholder;
-        return RpcResponse::error(refusal.status(), &refusal.to_string());
+        let error = RequestError::NotLeaseholder;
+        return RpcResponse::error(error.status(), &error.to_string());
     };
     let address = SocketAddr::new(leaseholder.ip(), control_plane.port());
     let location = format!("http://{address}{}", request.target());
--- a/programs/controller/src/orders.rs
+++ b/programs/controller/src/orders.rs
@@ -1,7 +1,7 @@
-//! The queue of operator orders, with group commit.
+//! Queue of operator orders, with group commit.
 //!
-//! Orders are executed only while this process holds the lease. All changes that are queued share one register and one
-//! round of replication (see `vanewharf_consensus::GroupCommit`), and each has an outcome of its own.
+//! Orders are executed only while this process holds the lease. All queued changes share one register and one replication
+//! round (see `vanewharf_consensus::GroupCommit`), but each has its own outcome.
 
 mod executor;
 
@@ -17,60 +17,60 @@
 use vanewharf_consensus::{OperatorChange, VoterCandidate, removes_voter_in_sync};
 use vanewharf_protocol::messages::{Membership, RegisterRank};
 
-/// The most orders that are queued at once; further ones are refused.
+/// Maximum number of queued orders; further orders are refused.
 const MAX_QUEUED_ORDERS: usize = 64;
-/// Operators send an order to another controller after a second without an answer. One that is executed later than that
-/// could overwrite what was ordered there since.
+/// Queued orders that are older than this are dropped. Operators send an order to another controller after one second
+/// without an answer, so an order executed later could overwrite one that was executed there in the meantime.
 const QUEUED_ORDER_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What an operator, or the management of the membership, orders.
+/// An order from an operator or from the membership management.
 #[derive(Debug)]
 pub enum Order {
-    /// A change of the set of voters.
+    /// Replaces the set of voters.
     Reconfigure(Reconfiguration),
-    /// A change of the configuration or of the evacuated zones.
+    /// Changes the configuration or the evacuated zones.
     Change(OperatorChange),
 }
 
 /// A new set of voters.
 #[derive(Debug)]
 pub struct Reconfiguration {
-    /// The epoch of the membership that it was worked out on: it is refused where the membership has changed since.
+    /// Epoch of the membership from which the set was derived. The order is refused if the membership has changed since.
     pub epoch: u64,
     pub voters: BTreeSet<SocketAddr>,
-    /// Whether it takes out a voter that keeps up. Then all of the new set have to have accepted the newest register first:
-    /// the one that leaves has it, and who keeps up is known of a moment ago only.
-    pub needs_all_voters: bool,
+    /// Set if the change removes a voter that is in sync. In that case every voter of the new set must first accept the
+    /// newest register: the removed voter has it, and the sync state of the others is slightly out of date.
+    pub requires_all_voters: bool,
 }
 
 impl Reconfiguration {
-    /// The change of a membership to these voters.
+    /// Creates the change of `membership` to `voters`.
     pub fn new(
         membership: &Membership,
         voters: BTreeSet<SocketAddr>,
         candidates: &[VoterCandidate],
     ) -> Reconfiguration {
-        let needs_all_voters = removes_voter_in_sync(membership, &voters, candidates);
-        Reconfiguration { epoch: membership.epoch, voters, needs_all_voters }
+        let requires_all_voters = removes_voter_in_sync(membership, &voters, candidates);
+        Reconfiguration { epoch: membership.epoch, voters, requires_all_voters }
     }
 }
 
-/// The outcome of an order, or of a read.
+/// The outcome of an order or a read.
 #[derive(Debug)]
 pub enum OrderOutcome {
-    /// It is in force, and stays so whatever minority of the voters is lost.
+    /// The order is committed, and survives the loss of any minority of the voters.
     Acknowledged,
-    /// Another configuration was accepted under its revision; `held` is the newest revision that was accepted.
-    Conflict { held: u64 },
-    /// The newest configuration, or `None` where none was ever sent.
+    /// Another configuration was accepted under the same revision. `newest_revision` is the newest accepted revision.
+    Conflict { newest_revision: u64 },
+    /// The newest configuration, or `None` if none was ever accepted.
     Configuration(Option<Box<RawValue>>),
-    /// It may or may not be in force, now or later.
+    /// The order may or may not be committed, now or later.
     Uncertain,
     /// This process does not hold the lease.
     NotLeaseholder,
 }
 
-/// An order and who waits for its outcome.
+/// A queued order and the channel for its outcome.
 struct QueuedOrder {
     order: Order,
     received_at: Instant,
@@ -78,19 +78,19 @@
 }
 
 impl QueuedOrder {
-    /// Whether nobody waits for it any more.
+    /// Returns whether the caller has stopped waiting or the order has timed out.
     fn is_abandoned(&self) -> bool {
         self.reply.is_closed() || self.received_at.elapsed() > QUEUED_ORDER_TIMEOUT
     }
 }
 
-/// What the executor handles.
+/// An input of the executor.
 enum Event {
     OrderReceived(QueuedOrder),
     RoundCompleted { rank: RegisterRank, outcome: ReplicationOutcome },
 }
 
-/// A handle of the task that executes orders. Clones share the task.
+/// Handle to the task that executes orders. Clones refer to the same task.
 #[derive(Clone)]
 pub struct OrderQueue {
     replica: Rc<Replica>,
@@ -98,7 +98,7 @@
 }
 
 impl OrderQueue {
-    /// Starts the task on the current local set.
+    /// Starts the task on the current `LocalSet`.
     pub fn start(replica: Rc<Replica>) -> OrderQueue {
         let (events, received) = mpsc::channel(MAX_QUEUED_ORDERS);
         let executor = OrderExecutor::new(Rc::clone(&replica), events.clone());
@@ -109,7 +109,7 @@
     /// Queues an order and waits for its outcome.
     ///
     /// # Cancel safety
-    /// An order whose caller stops waiting is not begun any more. One that was begun is carried on with.
+    /// If the caller is cancelled, an order that is still queued is dropped; one whose execution has started is completed.
     pub async fn submit(&self, order: Order) -> OrderOutcome {
         let (reply, outcome) = oneshot::channel();
         let queued = QueuedOrder { order, received_at: Instant::now(), reply };
@@ -119,8 +119,8 @@
         outcome.await.unwrap_or(OrderOutcome::Uncertain)
     }
 
-    /// The newest committed configuration. No other process can have acknowledged a newer one while this one holds the
-    /// lease; the caller has to look at the lease once more when it sends the answer.
+    /// Returns the newest committed configuration. While this process holds the lease, no other process can have
+    /// acknowledged a newer one. The caller must check the lease again immediately before it sends the answer.
     pub fn read_configuration(&self) -> OrderOutcome {
         if !self.replica.holds_lease() {
             return OrderOutcome::NotLeaseholder;
--- a/programs/controller/src/orders/executor.rs
+++ b/programs/controller/src/orders/executor.rs
@@ -1,8 +1,9 @@
 //! The task that executes operator orders.
 //!
-//! Registers under one ballot form a chain: each contains the changes of those before it, and a voter accepts a higher
-//! revision only. So a register that is committed commits all before it, and a round of replication that is slow need not
-//! be waited for: after [`SLOW_ROUND`] the next one may start, which takes over the orders of the first should that fail.
+//! Registers under one ballot form a chain: each contains the changes of those before it, and voters accept only increasing
+//! revisions. A committed register therefore commits all registers before it, so a slow replication round need not block the
+//! next one. After [`SLOW_ROUND_THRESHOLD`] the next round may start, and it takes over the pending orders of the slow round
+//! if that one fails.
 
 use super::{Event, MAX_QUEUED_ORDERS, Order, OrderOutcome, QueuedOrder, Reconfiguration};
 use crate::replica::{Replica, ReplicationOutcome};
@@ -15,17 +16,17 @@
 use vanewharf_protocol::messages::{Register, RegisterRank};
 use vanewharf_runtime::invariants::Invariant;
 
-/// A round that takes longer is not waited for by the next one.
-const SLOW_ROUND: Duration = Duration::from_millis(600);
-/// The most rounds under one ballot at a time: each is one more write for a voter whose disk is slow.
+/// The next round may start once the previous one has taken this long.
+const SLOW_ROUND_THRESHOLD: Duration = Duration::from_millis(600);
+/// Maximum number of concurrent rounds under one ballot, since each adds a write to voters whose disk is slow.
 const MAX_CONCURRENT_ROUNDS: usize = 2;
-/// A change of the voters that takes longer is given up, as all orders wait for it. Those that it held up are sent again
-/// within a second, and then acknowledged under the old voters.
+/// A reconfiguration is abandoned after this time, as it blocks all other orders. Operators resend blocked orders within one
+/// second, and these are then committed by the old voters.
 const RECONFIGURATION_TIMEOUT: Duration = Duration::from_secs(2);
-/// How often queued orders are looked at while nothing happens.
+/// Interval at which queued orders are checked while no event arrives.
 const QUEUE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// An outcome and who waits for it.
+/// An outcome and the channel on which it is to be sent.
 struct PendingReply {
     outcome: OrderOutcome,
     reply: oneshot::Sender<OrderOutcome>,
@@ -37,25 +38,25 @@
     }
 }
 
-/// A caller that has gone away needs no outcome.
+/// Sends an outcome. A failure to send is ignored, since it means that the caller has stopped waiting.
 fn send_outcome(reply: oneshot::Sender<OrderOutcome>, outcome: OrderOutcome) {
     let _ = reply.send(outcome);
 }
 
-/// One register that is being replicated, and the outcomes to be sent once it is committed.
+/// The replication of one register, and the outcomes to be sent once it is committed.
 struct Round {
     rank: RegisterRank,
     started_at: Instant,
     pending: Vec<PendingReply>,
 }
 
-/// Owns the queued orders and the rounds.
+/// State of the executor task.
 pub(super) struct OrderExecutor {
     replica: Rc<Replica>,
-    /// For the rounds that this task starts.
+    /// Sends the completion events of replication rounds.
     events: mpsc::Sender<Event>,
     queued: VecDeque<QueuedOrder>,
-    /// In the order in which they were started.
+    /// Rounds in progress, in the order in which they were started.
     rounds: Vec<Round>,
 }
 
@@ -69,7 +70,7 @@
             let event = if self.queued.is_empty() {
                 events.recv().await
             } else {
-                // `recv` is cancel safe: no event is lost where the timeout ends it.
+                // `recv` is cancel safe: no event is lost if the timeout expires.
                 timeout(QUEUE_CHECK_INTERVAL, events.recv()).await.unwrap_or(None)
             };
             if let Some(event) = event {
@@ -95,22 +96,24 @@
         }
     }
 
-    /// A committed register commits all before it under its ballot.
+    /// Completes all rounds under the ballot of a committed register, up to that register, which commits those before it.
     fn complete_committed_rounds(&mut self, committed: RegisterRank) {
         let is_committed =
             |round: &mut Round| round.rank.ballot == committed.ballot && round.rank <= committed;
         let rounds: Vec<Round> = self.rounds.extract_if(.., is_committed).collect();
-        Invariant::AcknowledgedIsCommitted.check(rounds.is_empty() || self.is_in_force(committed));
+        Invariant::AcknowledgedIsCommitted
+            .check(rounds.is_empty() || self.is_published_as_committed(committed));
         rounds.into_iter().flat_map(|round| round.pending).for_each(PendingReply::send);
     }
 
-    /// Whether what this process has published as committed is that register or a newer one.
-    fn is_in_force(&self, rank: RegisterRank) -> bool {
+    /// Returns whether this process has published a register of this rank or a higher one as committed.
+    fn is_published_as_committed(&self, rank: RegisterRank) -> bool {
         let store = self.replica.publisher.store();
         store.register.as_deref().is_some_and(|published| published.rank() >= rank)
     }
 
-    /// The next register of the chain contains the changes of this one, so that its round decides their outcomes.
+    /// Completes a round whose outcome is uncertain. If a later register of the chain is being replicated, it contains the
+    /// same changes, so its round takes over the pending outcomes.
     fn complete_uncertain_round(&mut self, uncertain: RegisterRank) {
         let is_uncertain = |round: &mut Round| round.rank == uncertain;
         let rounds: Vec<Round> = self.rounds.extract_if(.., is_uncertain).collect();
@@ -125,7 +128,7 @@
         }
     }
 
-    /// Starts what may be started now.
+    /// Drops abandoned orders, then starts the next reconfiguration or replication round if one may start now.
     async fn execute_queued_orders(&mut self) {
         self.drop_abandoned_orders();
         if !self.replica.holds_lease() {
@@ -136,11 +139,12 @@
         }
         let ballot = self.replica.ballot();
         let rounds: Vec<&Round> = self.rounds.iter().filter(|round| round.rank.ballot == ballot).collect();
-        let last_is_slow = rounds.last().is_none_or(|round| round.started_at.elapsed() >= SLOW_ROUND);
+        let last_is_slow =
+            rounds.last().is_none_or(|round| round.started_at.elapsed() >= SLOW_ROUND_THRESHOLD);
         if !last_is_slow || rounds.len() >= MAX_CONCURRENT_ROUNDS {
             return;
         }
-        // Who persists a register changes in a reconfiguration: it is executed with no round in flight.
+        // A reconfiguration changes the set of voters that persist a register, so it runs while no round is in flight.
         if rounds.is_empty()
             && let Some((reconfiguration, reply)) = self.take_reconfiguration()
         {
@@ -161,7 +165,7 @@
         }
     }
 
-    /// The order at the front, where it is a reconfiguration.
+    /// Removes and returns the first queued order if it is a reconfiguration.
     fn take_reconfiguration(&mut self) -> Option<(Reconfiguration, oneshot::Sender<OrderOutcome>)> {
         let queued = self.queued.pop_front()?;
         match queued.order {
@@ -173,7 +177,7 @@
         }
     }
 
-    /// All changes at the front, up to the first reconfiguration.
+    /// Removes and returns all changes at the front of the queue, up to the first reconfiguration.
     fn take_changes(&mut self) -> (Vec<OperatorChange>, Vec<oneshot::Sender<OrderOutcome>>) {
         let mut changes = Vec::new();
         let mut replies = Vec::new();
@@ -192,14 +196,15 @@
         (changes, replies)
     }
 
-    /// A change that is given up midway may be in force or not; the next one begins by concluding it.
+    /// Executes a reconfiguration. If it is abandoned midway, it may or may not be committed; the next reconfiguration
+    /// completes it first.
     async fn reconfigure(&self, reconfiguration: Reconfiguration) -> OrderOutcome {
-        let Reconfiguration { epoch, voters, needs_all_voters } = reconfiguration;
+        let Reconfiguration { epoch, voters, requires_all_voters } = reconfiguration;
         if self.replica.membership().epoch != epoch {
             return OrderOutcome::Uncertain;
         }
         let change = async {
-            if needs_all_voters && !self.replica.all_accept_newest(&voters).await {
+            if requires_all_voters && !self.replica.all_accept_newest(&voters).await {
                 return ReplicationOutcome::Uncertain;
             }
             self.replica.reconfigure(voters).await
@@ -210,15 +215,15 @@
         }
     }
 
-    /// Carries out changes together, on the newest register of the chain.
+    /// Applies a batch of changes to the newest register of the chain.
     fn execute_changes(&mut self, changes: &[OperatorChange], replies: Vec<oneshot::Sender<OrderOutcome>>) {
         let newest = self.replica.newest_register();
         let batch = apply_changes(&newest, changes);
-        let held = batch.register.accepted_configs.last().map_or(0, |taken| taken.revision);
-        log_conflicts(&batch.outcomes, held);
+        let newest_revision = batch.register.accepted_configs.last().map_or(0, |accepted| accepted.revision);
+        log_conflicts(&batch.outcomes, newest_revision);
         let to_order_outcome = |outcome| match outcome {
             ChangeOutcome::Acknowledged => OrderOutcome::Acknowledged,
-            ChangeOutcome::Conflict => OrderOutcome::Conflict { held },
+            ChangeOutcome::Conflict => OrderOutcome::Conflict { newest_revision },
         };
         let outcomes = batch.outcomes.into_iter().map(to_order_outcome);
         let pending: Vec<PendingReply> =
@@ -228,7 +233,7 @@
         }
         let is_newest = |round: &&mut Round| round.rank == newest.rank();
         match self.rounds.last_mut().filter(is_newest) {
-            // The register that they depend on is being replicated.
+            // The batch changes nothing, but the register on which its outcomes depend is still being replicated.
             Some(round) if !batch.changed => round.pending.extend(pending),
             _ => self.start_round(batch.register, pending),
         }
@@ -246,18 +251,18 @@
         let events = self.events.clone();
         tokio::task::spawn_local(async move {
             let outcome = replica.commit(register).await;
-            // Sending fails only when the executor has ended, which it does with the program.
+            // Sending fails only if the executor has ended, which happens only when the program exits.
             let _ = events.send(Event::RoundCompleted { rank, outcome }).await;
         });
     }
 }
 
-fn log_conflicts(outcomes: &[ChangeOutcome], held: u64) {
+fn log_conflicts(outcomes: &[ChangeOutcome], newest_revision: u64) {
     let conflicts = outcomes.iter().filter(|outcome| **outcome == ChangeOutcome::Conflict).count();
     if conflicts > 0 {
         spdlog::warn!(
-            "operator orders refused: another configuration was accepted under their revision",
-            kv: { event = "order_conflict", orders = conflicts, held_revision = held }
+            "operator orders refused: another configuration was accepted under the same revision",
+            kv: { event = "order_conflict", orders = conflicts, held_revision = newest_revision }
         );
     }
 }
