--- a/programs/controller/src/replica/record_writer/tests.rs
+++ b/programs/controller/src/replica/record_writer/tests.rs
@@ -16,13 +16,13 @@
     DurableWrite::Register(Box::new(register))
 }
 
-fn nothing_written() -> RequestedWrites {
-    let promised = Progress::Promised { ballot: Ballot(0), peer_incarnations: BTreeMap::new() };
-    let durable = vec![promised, Progress::Accepted(RegisterRank::default())];
-    RequestedWrites { durable, pending: BTreeMap::new(), last_number: 0 }
+fn no_requested_writes() -> RequestedWrites {
+    let promised = WrittenState::Promised { ballot: Ballot(0), peer_incarnations: BTreeMap::new() };
+    let durable = vec![promised, WrittenState::Accepted(RegisterRank::default())];
+    RequestedWrites { durable, pending: BTreeMap::new(), last_request_id: 0 }
 }
 
-/// Each with whether it takes something back of those before it.
+/// Writes in the order of their requests, each with whether it reverts part of an earlier one.
 fn writes() -> [(DurableWrite, bool); 11] {
     [
         (record(5, None), false),
@@ -40,27 +40,30 @@
 }
 
 #[test]
-fn a_write_that_takes_something_back_is_recognized_while_others_are_pending_and_after_them() {
+fn a_write_that_reverts_a_pending_or_durable_one_is_rejected() {
     for completes in [false, true] {
-        let mut requested = nothing_written();
-        for (position, (write, takes_back)) in writes().into_iter().enumerate() {
-            let number = requested.request(&write);
-            assert_eq!(number.is_none(), takes_back, "write {position}: {write:?}");
-            if let Some(number) = number.filter(|_| completes) {
-                requested.complete(number, true);
+        let mut requested = no_requested_writes();
+        for (position, (write, reverts)) in writes().into_iter().enumerate() {
+            let request_id = requested.request(&write);
+            assert_eq!(request_id.is_none(), reverts, "write {position}: {write:?}");
+            if let Some(request_id) = request_id.filter(|_| completes) {
+                requested.complete(request_id, true);
             }
         }
     }
 }
 
 #[test]
-fn a_write_that_failed_binds_nobody() {
-    let mut requested = nothing_written();
+fn a_failed_write_does_not_restrict_later_ones() {
+    let mut requested = no_requested_writes();
     let accepted = requested.request(&register(5, 2)).expect("nothing is newer");
     requested.complete(accepted, true);
     let failed = requested.request(&register(5, 4)).expect("nothing is newer");
-    assert_eq!(requested.request(&register(5, 3)), None, "the newer one is on its way");
+    assert_eq!(requested.request(&register(5, 3)), None, "a newer register is pending");
     requested.complete(failed, false);
-    assert!(requested.request(&register(5, 3)).is_some(), "sent again by its leaseholder");
-    assert_eq!(requested.request(&register(5, 1)), None, "that of before is on disk");
+    assert!(
+        requested.request(&register(5, 3)).is_some(),
+        "the newer register failed, so this one may be sent again"
+    );
+    assert_eq!(requested.request(&register(5, 1)), None, "a newer register is durable");
 }
--- a/programs/controller/src/replica/voter_task.rs
+++ b/programs/controller/src/replica/voter_task.rs
@@ -1,8 +1,9 @@
-//! The task that owns the order in which the voter handles requests.
+//! The task that serializes the requests to the voter.
 //!
-//! Requests are handled one after the other, and a vote is sent only once what it promises is on disk. Two kinds of request
-//! do not wait for a disk that is slow: renewals of the lease that the voter has promised already, which need no write, and
-//! everything while a recovery of another member is written, which is answered when that is done.
+//! Requests are handled sequentially, and a vote is sent only after its promise is on disk. There are two exceptions, so
+//! that a slow disk does not end the lease. While a vote is being written, renewals under a ballot that is already on disk
+//! are answered at once, since they need no write. While the recovery of another member is being written, further requests
+//! are handled; the recovery itself is answered when its write completes.
 
 use super::record_writer::{PendingWrite, RecordWriter};
 use super::{PERSIST_RETRY_INTERVAL, Replica};
@@ -14,23 +15,23 @@
 use vanewharf_consensus::DurableWrite;
 use vanewharf_protocol::messages::{Register, Vote, VoteRequest, VoteResponse};
 
-/// What the task does.
+/// A command for the voter task.
 pub(super) enum VoterCommand {
     HandleRequest {
         request: VoteRequest,
         reply: oneshot::Sender<VoteResponse>,
     },
-    /// Persists by how many proxies quotas are divided.
+    /// Persists the number of proxies by which quotas are divided.
     RecordProxyCount(u32),
-    /// Persists a register that is known to be committed.
+    /// Persists a register that the leaseholder has published as committed.
     PersistRegister(Rc<Register>),
 }
 
-/// Owns the commands that wait for the disk.
+/// State of the voter task.
 pub(super) struct VoterTask {
     replica: Rc<Replica>,
     writer: RecordWriter,
-    /// Commands that were received while a vote was being persisted.
+    /// Commands received while a vote is being persisted, in the order of their arrival.
     deferred: VecDeque<VoterCommand>,
 }
 
@@ -59,11 +60,12 @@
         }
     }
 
-    /// Nothing is voted by records that a loss of power could still take away.
+    /// Syncs the loaded records, and retries until that succeeds. The voter must not vote on the basis of records that a
+    /// power loss could still revert.
     async fn sync_storage(&self) {
-        while let Err(error) = self.writer.sync_found().await {
+        while let Err(error) = self.writer.sync_loaded().await {
             spdlog::warn!(
-                "fsync of the data directory failed; the voter does not start",
+                "fsync of the data directory failed; the voter waits until a retry succeeds",
                 kv: { event = "directory_sync_failed", error: }
             );
             sleep(PERSIST_RETRY_INTERVAL).await;
@@ -97,14 +99,14 @@
             }
             Some(write) => {
                 let pending = self.writer.write(write);
-                let persisted = self.wait_while_renewing(pending, commands).await;
+                let persisted = self.wait_answering_renewals(pending, commands).await;
                 self.replica.send_vote(vote_if_persisted(output.vote, persisted), reply);
             }
         }
     }
 
-    /// What a recovering member makes known counts at once, and is answered when it is on disk. The lease does not wait for
-    /// that.
+    /// Answers a recovery request when its write completes. The recovering member's new incarnation is in effect already,
+    /// and the voter goes on to handle other requests, so that the write does not delay the renewal of the lease.
     fn reply_when_persisted(&self, vote: Vote, write: PendingWrite, reply: oneshot::Sender<VoteResponse>) {
         let replica = Rc::clone(&self.replica);
         tokio::task::spawn_local(async move {
@@ -113,8 +115,8 @@
         });
     }
 
-    /// Waits for a write. Meanwhile renewals are answered, and all other commands are deferred.
-    async fn wait_while_renewing(
+    /// Waits for a write. In the meantime it answers lease renewals and defers all other commands.
+    async fn wait_answering_renewals(
         &mut self,
         write: PendingWrite,
         commands: &mut mpsc::UnboundedReceiver<VoterCommand>,
@@ -122,8 +124,8 @@
         let persisting = write.wait();
         tokio::pin!(persisting);
         loop {
-            // Cancel safety: `persisting` is polled by reference and goes on in the next iteration; `recv` loses no command
-            // where the other branch is taken.
+            // Cancel safety: `persisting` is polled by reference and continues in the next iteration; `recv` loses no
+            // command if the other branch is taken.
             tokio::select! {
                 biased;
                 persisted = &mut persisting => return persisted,
@@ -134,8 +136,8 @@
         }
     }
 
-    /// Persists what no vote depends on.
-    fn persist_in_background(&mut self, write: Option<DurableWrite>, what: &'static str) {
+    /// Requests a write that no vote depends on, without waiting for it. `record_name` is used in the log.
+    fn persist_in_background(&mut self, write: Option<DurableWrite>, record_name: &'static str) {
         let Some(write) = write else {
             return;
         };
@@ -143,21 +145,21 @@
         tokio::task::spawn_local(async move {
             if let Err(error) = pending.wait().await {
                 spdlog::warn!(
-                    "a record cannot be written to disk; it is written with the next vote or update",
-                    kv: { event = "record_persist_failed", record = what, error: }
+                    "writing a record to disk failed; it will be written with the next vote or update",
+                    kv: { event = "record_persist_failed", record = record_name, error: }
                 );
             }
         });
     }
 }
 
-/// A vote that is not on disk must not be sent.
+/// Replaces a vote by [`Vote::StorageFailed`] if it could not be persisted: a vote that is not on disk must not be sent.
 fn vote_if_persisted(vote: Vote, persisted: Result<(), StorageError>) -> Vote {
     match persisted {
         Ok(()) => vote,
         Err(error) => {
             spdlog::warn!(
-                "write or fsync of a vote's record failed; the vote is not sent",
+                "writing or syncing the voter record failed; the vote is not sent",
                 kv: { event = "vote_persist_failed", error: }
             );
             Vote::StorageFailed
@@ -166,43 +168,44 @@
 }
 
 impl Replica {
-    /// This process' vote.
+    /// Passes a request to the voter task and returns the vote.
     ///
     /// # Cancel safety
-    /// A request that was queued is handled also where the caller stops waiting: its promise holds.
+    /// A queued request is handled even if the caller is cancelled; the promise made by its vote is then still binding.
     pub async fn handle_vote_request(&self, request: VoteRequest) -> VoteResponse {
         let (reply, response) = oneshot::channel();
-        // Sending or receiving fails only when the voter task has ended.
+        // Sending or receiving fails only if the voter task has ended.
         let command = VoterCommand::HandleRequest { request, reply };
         if self.voter_commands.send(command).is_err() {
-            return self.unable_response();
+            return self.storage_failed_response();
         }
-        response.await.unwrap_or_else(|_| self.unable_response())
+        response.await.unwrap_or_else(|_| self.storage_failed_response())
     }
 
-    fn unable_response(&self) -> VoteResponse {
+    fn storage_failed_response(&self) -> VoteResponse {
         self.voter.borrow().response(Vote::StorageFailed)
     }
 
-    /// Persists by how many proxies quotas are divided, so that a leaseholder after the loss of all processes knows.
+    /// Persists the number of proxies by which quotas are divided, so that a leaseholder elected after all processes were
+    /// lost can read it.
     pub fn record_proxy_count(&self, proxy_count: u32) {
         if proxy_count != self.voter.borrow().quota_divisor() {
-            // The voter task ends with the program only.
+            // Sending cannot fail: the voter task runs until the program exits.
             let _ = self.voter_commands.send(VoterCommand::RecordProxyCount(proxy_count));
         }
     }
 
-    /// Persists the register that the leaseholder has published, where it is newer than the one on this disk.
+    /// Persists the register published by the leaseholder if it is newer than the one on the local disk.
     pub fn persist_published_register(&self) {
         let register = self.publisher.store().register.clone();
         let is_newer = |register: &Rc<Register>| register.rank() > self.voter.borrow().register().rank();
         if let Some(register) = register.filter(is_newer) {
-            // The voter task ends with the program only.
+            // Sending cannot fail: the voter task runs until the program exits.
             let _ = self.voter_commands.send(VoterCommand::PersistRegister(register));
         }
     }
 
-    /// Answers the renewal of a lease whose ballot is promised on disk, and gives back any other command.
+    /// Answers a renewal under the promised ballot if that ballot is on disk. Returns any other command unhandled.
     fn answer_renewal(&self, command: VoterCommand) -> Option<VoterCommand> {
         let persisted_ballot = self.voter.borrow().persisted_ballot();
         match command {
@@ -217,7 +220,7 @@
         }
     }
 
-    /// Whoever stopped waiting needs no vote.
+    /// Sends a vote. A failure to send is ignored, since it means that the caller has stopped waiting.
     fn send_vote(&self, vote: Vote, reply: oneshot::Sender<VoteResponse>) {
         let _ = reply.send(self.voter.borrow().response(vote));
     }
--- a/programs/controller/src/replica/voter_task/random_schedules_tests.rs
+++ b/programs/controller/src/replica/voter_task/random_schedules_tests.rs
@@ -1,8 +1,8 @@
-//! The voter with its disk under random schedules: requests of leaseholders, learned registers and other writes come close
-//! together, the disk takes another time for each operation, and power is lost at any moment. What a restart finds is never
-//! less than what was answered before.
+//! Tests the voter and its disk under random schedules. Leaseholders' requests, learned registers and other writes arrive in
+//! quick succession, each disk operation takes a different time, and power is lost at a random moment. The records that a
+//! restart loads must cover everything that was answered before.
 //!
-//! Time is simulated, so that a seed has one outcome.
+//! Time is simulated, so each seed is deterministic.
 
 use super::*;
 use crate::storage::{Record, StoredRecords};
@@ -23,10 +23,10 @@
 use vanewharf_simulated_disk::{DiskCondition, SimulatedDisk, UnsyncedData};
 
 const SEEDS: u64 = 400;
-/// How often the process of one seed is started.
+/// Number of process starts per seed.
 const STARTS: u64 = 4;
 const REQUESTS_PER_START: u64 = 14;
-/// Requests come within this time, in milliseconds; power is lost within twice that.
+/// Requests arrive within this time after the start; the process ends within twice this time.
 const REQUEST_SPAN_MS: u64 = 150;
 const SYNC_TIME: Duration = Duration::from_millis(2);
 const BALLOTS: u64 = 4;
@@ -37,10 +37,10 @@
     MEMBERS.iter().map(|member| member.parse().expect("an address")).collect()
 }
 
-/// Nobody can be reached: the voter is alone with what the test sends.
-struct NoNetwork;
+/// A network on which nothing is reachable, so that the voter receives only the test's input.
+struct UnreachableNetwork;
 
-impl Network for NoNetwork {
+impl Network for UnreachableNetwork {
     fn connect(&self, _to: SocketAddr) -> BoxFuture<'static, io::Result<Stream>> {
         Box::pin(async { Err(io::ErrorKind::ConnectionRefused.into()) })
     }
@@ -54,18 +54,18 @@
     }
 }
 
-/// What the voter has answered for, over all its starts.
+/// The promises in all votes that were sent, over all starts of the process.
 #[derive(Debug, Default)]
-struct Promises {
+struct SentPromises {
     ballot: Ballot,
     accepted: RegisterRank,
     incarnations: BTreeMap<SocketAddr, u64>,
-    /// Registers that were accepted although a newer one had been learned: each could be counted for a majority that the
-    /// committed register does not stand for.
-    accepted_too_late: Vec<RegisterRank>,
+    /// Registers that were accepted although a newer one had been learned. Each could count towards a majority for a
+    /// register that was superseded.
+    accepted_after_newer: Vec<RegisterRank>,
 }
 
-impl Promises {
+impl SentPromises {
     fn record(&mut self, request: &VoteRequest, vote: &Vote) {
         match (request, vote) {
             (VoteRequest::Lease { ballot, .. }, Vote::Granted { .. })
@@ -85,8 +85,12 @@
     }
 
     fn assert_kept(&self, stored: &mut StoredRecords, seed: u64) {
-        assert_eq!(self.accepted_too_late, [], "seed {seed}");
-        assert_eq!(stored.lost_records, [], "seed {seed}: what was torn passes for damaged");
+        assert_eq!(self.accepted_after_newer, [], "seed {seed}");
+        assert_eq!(
+            stored.lost_records,
+            [],
+            "seed {seed}: a torn write was taken for the loss of a durable record"
+        );
         let (record, register): (Option<VoterRecord>, Option<Register>) = stored.decode_all();
         let register = register.unwrap_or_else(Register::empty);
         assert!(register.rank() >= self.accepted, "seed {seed}: {:?} on disk, {self:?}", register.rank());
@@ -103,9 +107,9 @@
 /// What the test sends to the voter.
 enum Input {
     Request(VoteRequest),
-    /// The leaseholder has published a register, which this process has pulled.
-    Learn(Register),
-    CountProxies(u32),
+    /// A register published by the leaseholder, which this process has pulled.
+    LearnRegister(Register),
+    RecordProxyCount(u32),
 }
 
 fn draw_register(rng: &mut SmallRng, replica: &Replica) -> Register {
@@ -121,13 +125,13 @@
         0 => VoteRequest::Lease { ballot, candidate: peer },
         1 => VoteRequest::Renew { ballot, leaseholder: peer },
         2 => VoteRequest::Recover { member: peer, incarnation: rng.random_range(1..9) },
-        3 => return Input::CountProxies(rng.random_range(1..9)),
-        4 | 5 => return Input::Learn(draw_register(rng, replica)),
+        3 => return Input::RecordProxyCount(rng.random_range(1..9)),
+        4 | 5 => return Input::LearnRegister(draw_register(rng, replica)),
         _ => VoteRequest::Accept { register: draw_register(rng, replica) },
     })
 }
 
-async fn send(replica: Rc<Replica>, input: Input, promises: Rc<RefCell<Promises>>) {
+async fn send(replica: Rc<Replica>, input: Input, promises: Rc<RefCell<SentPromises>>) {
     match input {
         Input::Request(request) => {
             let learned = replica.publisher.store().register.as_deref().map(Register::rank);
@@ -136,33 +140,33 @@
             if let (VoteRequest::Accept { register }, Vote::Accepted) = (&request, &response.vote)
                 && Some(register.rank()) < learned
             {
-                promises.borrow_mut().accepted_too_late.push(register.rank());
+                promises.borrow_mut().accepted_after_newer.push(register.rank());
             }
         }
-        Input::Learn(register) => {
+        Input::LearnRegister(register) => {
             let published = replica.publisher.store().register.as_deref().map(Register::rank);
             if Some(register.rank()) > published {
                 replica.publisher.update(|store| store.set_register(Rc::new(register)));
                 replica.persist_published_register();
             }
         }
-        Input::CountProxies(count) => replica.record_proxy_count(count),
+        Input::RecordProxyCount(count) => replica.record_proxy_count(count),
     }
 }
 
-/// One run of the process: it starts from its disk, and is gone at any moment after.
-async fn run_process(disk: SimulatedDisk, start: u64, seed: u64, promises: Rc<RefCell<Promises>>) {
+/// Starts the process from its disk and runs it until a random moment.
+async fn run_process(disk: SimulatedDisk, start: u64, seed: u64, promises: Rc<RefCell<SentPromises>>) {
     let mut rng = SmallRng::seed_from_u64(seed << 8 | start);
     let directory: Rc<dyn Directory> = Rc::new(disk.clone());
-    let environment = Environment::new(Rc::new(NoNetwork), Some(Rc::clone(&directory)), seed);
-    let mut stored = StoredRecords::load(&*directory).expect("it can be read");
+    let environment = Environment::new(Rc::new(UnreachableNetwork), Some(Rc::clone(&directory)), seed);
+    let mut stored = StoredRecords::load(&*directory).expect("the records are readable");
     let (record, register): (Option<VoterRecord>, _) = stored.decode_all();
     let storage = Storage::start(directory, &stored);
     let publisher = Publisher::new(environment.clock());
     let kind = if start == 0 { StartKind::Initial } else { StartKind::Restart };
     let voter = Voter::start(record.as_ref(), register, &members(), kind, publisher.now());
     if start == 0 {
-        storage.save(Record::Voter, &voter.record()).await.expect("an empty disk takes it");
+        storage.save(Record::Voter, &voter.record()).await.expect("writing to an empty disk");
     }
     let replica = Replica::start(members()[0], members(), voter, storage, publisher, environment);
     for _ in 0..REQUESTS_PER_START {
@@ -187,30 +191,30 @@
 fn run_seed(seed: u64) {
     let disk = SimulatedDisk::new(SYNC_TIME);
     disk.set_erratic(seed);
-    let promises = Rc::new(RefCell::new(Promises::default()));
+    let promises = Rc::new(RefCell::new(SentPromises::default()));
     let mut rng = SmallRng::seed_from_u64(seed);
     for start in 0..STARTS {
         let runtime = Builder::new_current_thread().enable_time().start_paused(true).build();
         let tasks = LocalSet::new();
         let run = tasks.run_until(run_process(disk.clone(), start, seed, Rc::clone(&promises)));
         runtime.expect("a runtime").block_on(run);
-        // The process is gone with all that it was about to do.
+        // Cancels all tasks, as the end of the process does.
         drop(tasks);
         disk.set_condition(DiskCondition::Healthy);
         match rng.random_range(0..5) {
             0 => disk.lose_power(UnsyncedData::Lost),
             1 => disk.lose_power(UnsyncedData::Kept),
             2 => disk.lose_power(UnsyncedData::Torn(rng.random())),
-            // Killed: its files stay as they are, synced or not.
+            // The process was killed without a power loss, so that unsynced data is kept.
             _ => {}
         }
-        let mut stored = StoredRecords::load(&disk).expect("it can be read");
+        let mut stored = StoredRecords::load(&disk).expect("the records are readable");
         promises.borrow().assert_kept(&mut stored, seed);
     }
 }
 
 #[test]
-fn a_restart_finds_no_less_than_was_answered() {
+fn a_restart_loads_all_promises_that_were_sent() {
     vanewharf_runtime::log::disable();
     (0..SEEDS).for_each(run_seed);
     assert_eq!(Invariant::DiskNeverGoesBack.violations(), 0);
--- a/programs/controller/src/storage.rs
+++ b/programs/controller/src/storage.rs
@@ -1,15 +1,15 @@
 //! Durable storage of a controller's records.
 //!
-//! Each record has two files, and writes alternate between them: a write that is torn by a loss of power, or that fails,
-//! leaves the other copy as it was. One task owns the write counters and carries out one operation at a time, so a file is
-//! never written by two operations at once.
+//! Each record has two files, and writes alternate between them. A write that fails, or is torn by a power loss, leaves the
+//! other copy intact. One task owns the write counters and executes one operation at a time, so a file is never written by
+//! two operations concurrently.
 //!
-//! A copy that cannot be read is one of two things. Either its write was never finished, then nothing was acknowledged by
-//! it and the older copy stands. Or it was durable and is damaged; then the disk has forgotten something, and a voter that
-//! went by the older copy would break its promises. [`synced_marks`] tell which: such a disk counts as lost
-//! ([`StoredRecords::lost_records`]), as a whole.
+//! There are two reasons why a copy may be unreadable. If its write never completed, it was not acknowledged, and the older
+//! copy is valid. If it had been durable and was damaged later, the disk has lost acknowledged data, and a voter that used
+//! the older copy would break its promises. The watermarks of [`synced_marks`] distinguish the two cases. In the second one
+//! all records on the disk are treated as lost ([`StoredRecords::lost_records`]).
 //!
-//! Invariant: a save is acknowledged only once the copy, and the directory entry that names it, have been synced.
+//! Invariant: a save is acknowledged only after the copy and its directory entry have been synced.
 
 mod record_file;
 mod stored_records;
@@ -29,26 +29,26 @@
 use tokio::time::timeout;
 use vanewharf_runtime::environment::{Directory, FileOperation};
 
-/// A kind of record that is stored.
+/// The stored records.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Record {
-    /// What the voter has promised, and the initial members.
+    /// The voter's promises and the initial members.
     Voter,
     /// The newest register that the voter has accepted.
     Register,
 }
 
 const RECORDS: [Record; 2] = [Record::Voter, Record::Register];
-/// How many files each record alternates between.
+/// Number of files among which the writes of a record alternate.
 const COPIES: u64 = 2;
-/// Marks are written when nothing was requested for so long, so that no vote waits for them.
-const MARK_DELAY: Duration = Duration::from_millis(250);
-/// Marks that could not be written are tried again after this.
-const MARK_RETRY_INTERVAL: Duration = Duration::from_secs(5);
+/// The watermarks are written after the storage has been idle for this time, so that no vote waits for them.
+const WATERMARK_IDLE_DELAY: Duration = Duration::from_millis(250);
+/// Delay before a failed write of the watermarks is retried.
+const WATERMARK_RETRY_INTERVAL: Duration = Duration::from_secs(5);
 
 impl Record {
-    /// The name of the file that holds the copy which the write of that number goes to. File names are fixed by what is on
-    /// the disks of installations.
+    /// Returns the name of the file to which the write of this number goes. The names are part of the on-disk format and
+    /// must not change.
     fn file_name(self, write_number: u64) -> String {
         let stem = match self {
             Record::Voter => "promise",
@@ -58,28 +58,28 @@
     }
 }
 
-/// Why a record, or the directory of the records, is not certain to be on disk.
+/// An error that leaves it uncertain whether a record, or its directory entry, is on disk.
 #[derive(Debug, Error)]
 pub enum StorageError {
-    /// The record has no JSON form.
-    #[error("the record cannot be encoded: {0}")]
+    /// The record cannot be encoded as JSON.
+    #[error("cannot encode the record: {0}")]
     Encode(#[from] serde_json::Error),
-    /// Writing a file, or a sync of it or of the directory, failed.
+    /// Writing or syncing a file, or syncing the directory, failed.
     #[error("{0}")]
     Io(#[from] io::Error),
-    /// The record is older than one that was to be written before it, and is not written.
-    #[error("the record is older than one that was to be written before it")]
+    /// The record is older than one whose write was requested before, and is not written.
+    #[error("the record is older than one whose write was requested before")]
     Outdated,
-    /// A record was lost from this disk, and the disk cannot be marked as lost.
-    #[error("the disk cannot be marked as lost: {0}")]
+    /// A durable record was lost from this disk, and the watermarks that record the loss cannot be written.
+    #[error("cannot mark the data directory as lost: {0}")]
     LossNotPersisted(#[source] io::Error),
-    /// The task that writes records has ended, as it does with the program.
+    /// The storage task has ended, which happens only when the program exits.
     #[error("the storage task has ended")]
     Stopped,
 }
 
 enum Operation {
-    SyncFound,
+    SyncLoaded,
     Write { record: Record, body: Vec<u8> },
 }
 
@@ -88,55 +88,55 @@
     reply: oneshot::Sender<Result<(), StorageError>>,
 }
 
-/// A handle of the task that writes records. Clones share the task.
+/// Handle to the storage task, which writes the records. Clones refer to the same task.
 #[derive(Clone)]
 pub struct Storage {
     requests: mpsc::UnboundedSender<Request>,
 }
 
 impl Storage {
-    /// Starts the task on the current local set. Corrupt files are renamed before the first operation.
+    /// Starts the storage task on the current `LocalSet`. Corrupt files are renamed before the first operation.
     pub fn start(directory: Rc<dyn Directory>, stored: &StoredRecords) -> Storage {
         let (requests, received) = mpsc::unbounded_channel();
-        let writer = Writer {
+        let task = StorageTask {
             directory,
             write_numbers: stored.write_numbers,
             synced_names: BTreeSet::new(),
-            unsynced_found: stored.intact_files.clone(),
-            marks: stored.marks,
-            marks_after_loss: stored.marks_after_loss(),
+            unsynced_files: stored.intact_files.clone(),
+            watermarks: stored.watermarks,
+            loss_watermarks: stored.loss_watermarks(),
         };
-        tokio::task::spawn_local(writer.run(stored.corrupt_files.clone(), received));
+        tokio::task::spawn_local(task.run(stored.corrupt_files.clone(), received));
         Storage { requests }
     }
 
     /// Writes a record and waits until it is durable.
     ///
     /// # Errors
-    /// The record may or may not be on disk then; the copy that was durable before still is.
+    /// After an error the record may or may not be on disk; the previously durable copy remains intact.
     ///
     /// # Cancel safety
-    /// A write that was requested is carried out also where the caller stops waiting.
+    /// The write is executed even if the caller is cancelled.
     pub async fn save<T: Serialize>(&self, record: Record, value: &T) -> Result<(), StorageError> {
         self.begin_save(record, value)?.wait().await
     }
 
-    /// Requests a write, which is carried out after all that were requested before.
+    /// Requests a write. Writes are executed in the order of the requests.
     ///
     /// # Errors
-    /// Where the record has no JSON form or the task has ended; nothing was requested then.
+    /// Returns an error, and requests no write, if the record cannot be encoded or the storage task has ended.
     pub fn begin_save<T: Serialize>(&self, record: Record, value: &T) -> Result<PendingSave, StorageError> {
         let body = serde_json::to_vec(value)?;
         self.request(Operation::Write { record, body })
     }
 
-    /// Syncs what was read at the start, and its directory: it may have been written by a process that was killed before
-    /// it synced either, and a loss of power could still take it away.
+    /// Syncs the files that were loaded at the start, and their directory. A process that was killed before syncing may have
+    /// written them, in which case a power loss could still revert them.
     ///
     /// # Errors
-    /// Where a file or the directory cannot be synced.
-    pub async fn sync_found(&self) -> Result<(), StorageError> {
-        self.request(Operation::SyncFound)?.wait().await
+    /// Returns an error if a file or the directory cannot be synced.
+    pub async fn sync_loaded(&self) -> Result<(), StorageError> {
+        self.request(Operation::SyncLoaded)?.wait().await
     }
 
     fn request(&self, operation: Operation) -> Result<PendingSave, StorageError> {
@@ -146,119 +146,124 @@
     }
 }
 
-/// An operation that was requested.
+/// A requested operation.
 pub struct PendingSave {
     result: oneshot::Receiver<Result<(), StorageError>>,
 }
 
 impl PendingSave {
-    /// Waits until the operation was carried out.
+    /// Waits until the operation has been executed.
     ///
     /// # Errors
-    /// Where it failed: the record may or may not be on disk then; the copy that was durable before still is.
+    /// Returns an error if it failed. The record may or may not be on disk then; the previously durable copy remains intact.
     ///
     /// # Cancel safety
-    /// The operation is carried out also where the caller stops waiting.
+    /// The operation is executed even if the caller is cancelled.
     pub async fn wait(self) -> Result<(), StorageError> {
         self.result.await.map_err(|_| StorageError::Stopped)?
     }
 }
 
-/// Owns the write counters and carries out operations in the order in which they are requested.
-struct Writer {
+/// State of the storage task, which executes operations in the order of their requests.
+struct StorageTask {
     directory: Rc<dyn Directory>,
+    /// Number of the last successful write of each record.
     write_numbers: [u64; RECORDS.len()],
     /// Files whose directory entry this process has synced.
     synced_names: BTreeSet<String>,
-    /// Files that were read at the start and may not be durable.
-    unsynced_found: Vec<String>,
-    /// Those on disk, as far as this process knows.
-    marks: SyncedMarks,
-    /// The disk has lost a record: these have to be on disk before anything else is, so that a restart still knows.
-    marks_after_loss: Option<SyncedMarks>,
+    /// Files that were loaded at the start and may not be durable yet.
+    unsynced_files: Vec<String>,
+    /// The watermarks that are known to be on disk.
+    watermarks: SyncedMarks,
+    /// Set if the disk has lost a record. These watermarks must be durable before any other write, so that a restart still
+    /// detects the loss.
+    loss_watermarks: Option<SyncedMarks>,
 }
 
-impl Writer {
+impl StorageTask {
     async fn run(mut self, corrupt_files: Vec<String>, mut requests: mpsc::UnboundedReceiver<Request>) {
         for from in corrupt_files {
             let to = format!("{from}.spoilt");
             let operations = vec![FileOperation::Rename { from, to }, FileOperation::SyncDirectory];
-            // Where this fails, the file is overwritten by a later write.
+            // A failure is ignored: a later write overwrites the file.
             let _ = self.directory.execute(operations).await;
         }
         while let Some(Request { operation, reply }) = self.next_request(&mut requests).await {
             let result = self.execute(operation).await;
-            // A caller that has stopped waiting needs no result.
+            // Sending fails only if the caller has stopped waiting.
             let _ = reply.send(result);
         }
     }
 
-    /// The next request. Marks are written when none comes for a while; `None` once all handles are gone.
+    /// Waits for the next request, and writes the watermarks while the storage is idle. Returns `None` once all handles have
+    /// been dropped.
     async fn next_request(&mut self, requests: &mut mpsc::UnboundedReceiver<Request>) -> Option<Request> {
-        let mut delay = MARK_DELAY;
-        while self.marks_after_loss.is_none() && self.marks != self.current_marks() {
-            // `recv` is cancel safe: no request is lost where the timeout ends it.
+        let mut delay = WATERMARK_IDLE_DELAY;
+        while self.loss_watermarks.is_none() && self.watermarks != self.current_watermarks() {
+            // `recv` is cancel safe: no request is lost if the timeout expires.
             if let Ok(request) = timeout(delay, requests.recv()).await {
                 return request;
             }
-            if self.write_marks(self.current_marks()).await.is_err() {
-                delay = MARK_RETRY_INTERVAL;
+            if self.write_watermarks(self.current_watermarks()).await.is_err() {
+                delay = WATERMARK_RETRY_INTERVAL;
             }
         }
         requests.recv().await
     }
 
-    /// Of all writes that are known to have been durable.
-    fn current_marks(&self) -> SyncedMarks {
-        self.marks.raised_to(SyncedMarks::of_write_numbers(self.write_numbers))
+    /// Returns the watermarks that cover all writes known to be durable.
+    fn current_watermarks(&self) -> SyncedMarks {
+        self.watermarks.max(SyncedMarks::from_write_numbers(self.write_numbers))
     }
 
     async fn execute(&mut self, operation: Operation) -> Result<(), StorageError> {
         match operation {
-            Operation::SyncFound => Ok(self.sync_found().await?),
+            Operation::SyncLoaded => Ok(self.sync_loaded_files().await?),
             Operation::Write { record, body } => {
-                self.sync_found_once().await?;
+                self.ensure_loaded_files_synced().await?;
                 self.persist_loss().await?;
                 Ok(self.write(record, &body).await?)
             }
         }
     }
 
-    async fn sync_found(&mut self) -> io::Result<()> {
-        let files = self.unsynced_found.iter().cloned();
+    async fn sync_loaded_files(&mut self) -> io::Result<()> {
+        let files = self.unsynced_files.iter().cloned();
         let mut operations: Vec<_> = files.map(|file| FileOperation::Sync { file }).collect();
         operations.push(FileOperation::SyncDirectory);
         self.directory.execute(operations).await?;
-        self.unsynced_found.clear();
+        self.unsynced_files.clear();
         Ok(())
     }
 
-    /// Nothing is written, and nothing marked as durable, above a copy that a loss of power could still take away.
-    async fn sync_found_once(&mut self) -> io::Result<()> {
-        if self.unsynced_found.is_empty() { Ok(()) } else { self.sync_found().await }
+    /// Syncs the loaded files unless that has been done. A record must not be written, nor a watermark raised, while a power
+    /// loss could still revert the loaded copy.
+    async fn ensure_loaded_files_synced(&mut self) -> io::Result<()> {
+        if self.unsynced_files.is_empty() { Ok(()) } else { self.sync_loaded_files().await }
     }
 
-    /// Where a record was lost: makes sure that the disk counts as lost until both records have been written anew.
+    /// If a record was lost, writes the watermarks that make the disk count as lost until both records have been rewritten.
     async fn persist_loss(&mut self) -> Result<(), StorageError> {
-        if let Some(marks) = self.marks_after_loss {
-            self.write_marks(marks).await.map_err(StorageError::LossNotPersisted)?;
-            self.marks_after_loss = None;
+        if let Some(watermarks) = self.loss_watermarks {
+            self.write_watermarks(watermarks).await.map_err(StorageError::LossNotPersisted)?;
+            self.loss_watermarks = None;
         }
         Ok(())
     }
 
-    async fn write_marks(&mut self, marks: SyncedMarks) -> io::Result<()> {
-        self.sync_found_once().await?;
+    async fn write_watermarks(&mut self, watermarks: SyncedMarks) -> io::Result<()> {
+        self.ensure_loaded_files_synced().await?;
         let file = synced_marks::FILE_NAME.to_owned();
-        let bytes = marks.encode()?;
+        let bytes = watermarks.encode()?;
         let is_new = !self.synced_names.contains(&file);
         self.directory.execute(write_and_sync(file.clone(), bytes, is_new)).await?;
         self.synced_names.insert(file);
-        self.marks = marks;
+        self.watermarks = watermarks;
         Ok(())
     }
 
-    /// A write that failed is retried over the same copy, so that the durable one is never overwritten.
+    /// Writes a record. The write number advances only on success, so a retry overwrites the copy whose write failed and
+    /// never the durable one.
     async fn write(&mut self, record: Record, body: &[u8]) -> io::Result<()> {
         let write_number = self.write_numbers[record as usize] + 1;
         let file_name = record.file_name(write_number);
@@ -271,7 +276,8 @@
     }
 }
 
-/// Writes and syncs one copy. The directory entry of a new file is durable only once the directory has been synced, too.
+/// Returns the operations that write and sync one copy. The directory entry of a new file becomes durable only when the
+/// directory is synced.
 fn write_operations(
     record: Record,
     write_number: u64,
--- a/programs/controller/src/storage/record_file.rs
+++ b/programs/controller/src/storage/record_file.rs
@@ -1,20 +1,20 @@
-//! The content of a record's file: a header line, `<checksum> <write number> <body length>`, and the body.
+//! Format of a record's file: a header line, `<checksum> <write number> <body length>`, followed by the body.
 //!
-//! The checksum (CRC-32, eight hexadecimal digits) covers the write number as it is written and the body, so that a torn
-//! or corrupt copy is recognized.
+//! The checksum (CRC-32, eight hexadecimal digits) covers the decimal write number and the body, and detects torn and
+//! corrupt copies.
 
-/// No disk lasts for as many writes: a higher number was never written.
+/// Highest valid write number. No disk endures this many writes, so a file with a higher number is corrupt.
 const MAX_WRITE_NUMBER: u64 = u64::MAX / 2;
 
 /// One intact copy of a record.
 pub(super) struct RecordCopy<'a> {
-    /// Of two copies the one with the higher number is the newer one.
+    /// The copy with the higher number is the newer one.
     pub(super) write_number: u64,
     pub(super) body: &'a [u8],
 }
 
-/// Decodes a file, or returns `None` where it is torn or corrupt.
-pub(super) fn read_copy(content: &[u8]) -> Option<RecordCopy<'_>> {
+/// Decodes a file. Returns `None` if it is torn or corrupt.
+pub(super) fn decode_copy(content: &[u8]) -> Option<RecordCopy<'_>> {
     let header_end = content.iter().position(|&byte| byte == b'\n')?;
     let header = std::str::from_utf8(&content[..header_end]).ok()?;
     let body = &content[header_end + 1..];
@@ -22,7 +22,7 @@
     let checksum = u32::from_str_radix(fields.next()?, 16).ok()?;
     let write_number = fields.next()?;
     let body_length = fields.next()?;
-    let is_intact = checksum == checksum_of(write_number, body) && body_length.parse() == Ok(body.len());
+    let is_intact = checksum == compute_checksum(write_number, body) && body_length.parse() == Ok(body.len());
     if !is_intact {
         return None;
     }
@@ -30,15 +30,14 @@
     Some(RecordCopy { write_number, body })
 }
 
-/// Encodes a file.
 pub(super) fn encode_copy(write_number: u64, body: &[u8]) -> Vec<u8> {
     let write_number = write_number.to_string();
-    let checksum = checksum_of(&write_number, body);
+    let checksum = compute_checksum(&write_number, body);
     let header = format!("{checksum:08x} {write_number} {}\n", body.len());
     [header.as_bytes(), body].concat()
 }
 
-fn checksum_of(write_number: &str, body: &[u8]) -> u32 {
+fn compute_checksum(write_number: &str, body: &[u8]) -> u32 {
     let mut checksum = crc32fast::Hasher::new();
     checksum.update(write_number.as_bytes());
     checksum.update(body);
