--- a/programs/controller/src/lib.rs
+++ b/programs/controller/src/lib.rs
@@ -1,10 +1,10 @@
-//! The controller: the program of the control plane.
+//! The controller, the process of the control plane.
 //!
-//! Controllers elect a leaseholder among them, which executes operator orders, replicates the configuration register to a
-//! majority of the voters, aggregates what proxies report and polls the platform for backends. All controllers serve what
-//! the leaseholder publishes to the proxies' agents, and answer the clients' registry queries.
+//! Controllers elect a leaseholder, which executes operator orders, replicates the configuration register to a majority
+//! of the voters, aggregates the proxies' reports and polls the platform for backends. Every controller serves the
+//! state that the leaseholder publishes to the proxies' agents, and answers registry queries from clients.
 //!
-//! Everything runs on one thread, in tasks of the current local set.
+//! All tasks run on one thread, on the current `LocalSet`.
 
 #![forbid(unsafe_code)]
 
@@ -43,35 +43,35 @@
 use vanewharf_runtime::environment::{Environment, Listener};
 use vanewharf_runtime::program::ShutdownSignal;
 
-/// The share of the grace period for which further requests are accepted once the lease is released: callers learn late
-/// that this controller goes.
-const ACCEPT_SHARE: f64 = 0.1;
-/// The share of the grace period after which calls in flight are answered as uncertain.
-const GIVE_UP_SHARE: f64 = 0.7;
+/// Fraction of the grace period during which new requests are still accepted after the lease has been released, because
+/// callers notice the shutdown with a delay.
+const ACCEPT_GRACE_FRACTION: f64 = 0.1;
+/// Fraction of the grace period after which calls that are still in flight are answered with an uncertain outcome.
+const ANSWER_GRACE_FRACTION: f64 = 0.7;
 
-/// Why a controller cannot be started. Its text is printed to whoever starts the program.
+/// A reason why the controller failed to start. The program prints it on exit.
 #[derive(Debug, Error)]
 pub enum StartError {
-    /// The settings lack the address of the operator's API.
+    /// The settings do not contain the listen address of the operator API.
     #[error("{0}")]
     Settings(#[from] DocumentError),
-    /// The settings name no directory for the controller's records.
-    #[error("data_directory is missing: a postmaster needs a disk")]
+    /// The settings do not contain the directory for the controller's records.
+    #[error("data_directory is not set; a controller stores its consensus state there")]
     NoDataDirectory,
-    /// The controller's records cannot be read.
-    #[error("the disk cannot be read: {0}")]
+    /// The stored records cannot be read.
+    #[error("cannot read the records in data_directory: {0}")]
     ReadRecords(#[source] io::Error),
-    /// An address cannot be listened on.
+    /// A listening socket cannot be opened.
     #[error("cannot listen on {address}: {source}")]
     Listen {
-        /// Of the internal API, the operator's or the registry.
+        /// Listen address of the internal API, the operator API or the registry.
         address: SocketAddr,
-        /// The operating system's error.
+        /// Error returned by the operating system.
         source: io::Error,
     },
 }
 
-/// A controller whose tasks run on the current local set.
+/// A started controller, whose tasks run on the current `LocalSet`.
 pub struct RunningController {
     replica: Rc<Replica>,
     drain: ServerDrain,
@@ -79,24 +79,24 @@
 }
 
 impl RunningController {
-    /// Whether it holds the lease, and so executes operator orders, now.
+    /// Returns whether this controller holds the lease, and therefore executes operator orders.
     pub fn holds_lease(&self) -> bool {
         self.replica.holds_lease()
     }
 
-    /// Releases the lease, and answers all requests that are read within the grace period.
+    /// Releases the lease, then answers every request that has been read before the grace period ends.
     pub async fn shut_down(&self) {
-        let give_up_at = Instant::now() + self.grace_period.mul_f64(GIVE_UP_SHARE);
+        let answer_deadline = Instant::now() + self.grace_period.mul_f64(ANSWER_GRACE_FRACTION);
         self.replica.shut_down().await;
-        sleep(self.grace_period.mul_f64(ACCEPT_SHARE)).await;
-        self.drain.shut_down(give_up_at).await;
+        sleep(self.grace_period.mul_f64(ACCEPT_GRACE_FRACTION)).await;
+        self.drain.shut_down(answer_deadline).await;
     }
 }
 
 /// Runs a controller until `shutdown` completes.
 ///
 /// # Errors
-/// Where it cannot be started: see [`start`].
+/// Returns an error if the controller cannot be started, see [`start`].
 pub async fn run(
     settings: Settings,
     environment: Environment,
@@ -108,10 +108,11 @@
     Ok(())
 }
 
-/// Starts a controller on the current local set.
+/// Starts a controller on the current `LocalSet`.
 ///
 /// # Errors
-/// Where the settings lack something, the records cannot be read, or an address cannot be listened on.
+/// Returns an error if a required setting is missing, the stored records cannot be read, or a listening socket cannot
+/// be opened.
 pub async fn start(settings: Settings, environment: Environment) -> Result<RunningController, StartError> {
     let settings = Rc::new(settings);
     let operator_address = settings.listen_address("control_plane")?;
@@ -133,7 +134,7 @@
     Ok(RunningController { replica, drain, grace_period: settings.limits_table.grace_period })
 }
 
-/// Reads the controller's records and starts the replica from them.
+/// Loads the stored records and starts the consensus replica from them.
 async fn start_replica(
     settings: &Settings,
     environment: &Environment,
@@ -144,13 +145,13 @@
     let (voter_record, register): (Option<VoterRecord>, Option<Register>) = stored.decode_all();
     for file in &stored.corrupt_files {
         spdlog::warn!(
-            "a stored record is torn or corrupt; the file is renamed and the other copy is used",
+            "stored record file is torn or corrupt; renaming it and using the other copy",
             kv: { event = "record_corrupt", file = file.as_str() }
         );
     }
     for LostRecord { record, reason } in &stored.lost_records {
         spdlog::error!(
-            "a record that was on this disk is lost; the disk counts as lost, and the voter recovers from other members",
+            "a durable record was lost; setting aside all stored records, the voter recovers from other members",
             kv: { event = "record_lost", record:? = record, reason = reason.to_string().as_str() }
         );
     }
@@ -162,7 +163,7 @@
     let voter = Voter::start(voter_record.as_ref(), register, &seeds, start_kind, publisher.now());
     if is_first_start && let Err(error) = storage.save(Record::Voter, &voter.record()).await {
         spdlog::warn!(
-            "the initial members are not on disk",
+            "cannot write the initial members to disk",
             kv: { event = "initial_members_not_persisted", error: }
         );
     }
@@ -171,7 +172,7 @@
     let replica =
         Replica::start(address, seeds, voter, storage.clone(), publisher.clone(), environment.clone());
     if let Some(voter_record) = voter_record {
-        spawn_local(Rc::clone(&replica).query_earlier_leaseholder(voter_record));
+        spawn_local(Rc::clone(&replica).query_previous_leaseholder(voter_record));
     }
     if is_amnesic {
         spawn_local(Rc::clone(&replica).recover_from_amnesia(storage));
@@ -179,7 +180,7 @@
     Ok(replica)
 }
 
-/// The order in which tasks are spawned is that in which the runtime first polls them.
+/// Spawns the tasks described in [`roles`]. The runtime first polls them in the order in which they are spawned here.
 fn start_roles(state: &Rc<ControllerState>) -> OrderQueue {
     spawn_local(follow_leaseholder(Rc::clone(state)));
     spawn_local(aggregate_reports(Rc::clone(state)));
--- a/programs/controller/src/main.rs
+++ b/programs/controller/src/main.rs
@@ -1,4 +1,4 @@
-//! The controller's program: reads the command line and runs the controller until SIGTERM.
+//! Entry point of `vanewharf-controller`: parses the command line and runs the controller until SIGTERM.
 
 use std::process::ExitCode;
 
--- a/programs/controller/src/replica.rs
+++ b/programs/controller/src/replica.rs
@@ -1,18 +1,18 @@
 //! The consensus replica of a controller.
 //!
-//! [`Replica`] owns this process' share of the consensus: its voter, the lease if it holds one, and the registers that it
-//! proposes. The decisions themselves are made by the state machines of `vanewharf_consensus`, which do no input or output;
-//! the modules below feed them and carry out what they decide:
+//! [`Replica`] holds the consensus state of this process: its voter, the lease if it holds one, and the registers that
+//! it proposes. The protocol logic is in the state machines of `vanewharf_consensus`, which perform no I/O. The modules
+//! below pass them their inputs and execute their decisions:
 //!
-//! - [`voter_task`] handles the requests to the voter, one after the other, and [`record_writer`] persists what it promises,
+//! - [`voter_task`] handles vote requests sequentially, and [`record_writer`] persists the voter's promises,
 //! - [`vote_rpc`] sends vote requests to the other replicas,
 //! - [`election`] campaigns for the lease, and [`renewal`] renews it,
 //! - [`replication`] replicates registers to a majority of the voters,
 //! - [`reconfiguration`] changes the set of voters,
-//! - [`recovery`] brings a replica back after a restart, or after the loss of its disk.
+//! - [`recovery`] recovers a replica after a restart, or after the loss of its disk.
 //!
-//! Everything runs on one thread. No `RefCell` is borrowed across an await, and each of these modules goes by the state as
-//! it is after an await, not as it was before.
+//! All code runs on one thread. No `RefCell` is borrowed across an await point, and state is read again after each one,
+//! since other tasks may have changed it.
 
 mod election;
 mod reconfiguration;
@@ -37,58 +37,60 @@
 use vanewharf_runtime::environment::Environment;
 use voter_task::{VoterCommand, VoterTask};
 
-/// Between two tries to persist something, here or at another voter.
+/// Delay before a failed write is retried, whether on the local disk or at another voter.
 const PERSIST_RETRY_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Whether a register is certain to be in force.
+/// The outcome of replicating a register.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReplicationOutcome {
-    /// A majority of the voters has persisted it.
+    /// A majority of the voters has persisted the register.
     Committed,
-    /// A majority may or may not have persisted it, or may still do so.
+    /// A majority may have persisted the register already, may still do so, or never will.
     Uncertain,
 }
 
-/// The configuration of a register, parsed once.
+/// Caches the parsed configuration of one register.
 #[derive(Default)]
 struct ParsedConfig {
     revision: Revision,
     config: Option<Rc<Config>>,
 }
 
-/// The consensus replica, shared by all tasks of the process.
+/// Consensus replica, shared by all tasks of the process.
 pub struct Replica {
-    /// By which the replicas know each other: the address of the internal API.
+    /// Listen address of the internal API, which identifies the replica to the others.
     pub address: SocketAddr,
-    /// Where the committed register and the leaseholder are published.
+    /// Publishes the committed register and the leaseholder's address.
     pub publisher: Publisher,
     environment: Environment,
     clock: MonotonicClock,
-    /// Changed by the voter task, and by a recovery, which ends before the first vote.
+    /// Mutated by the voter task, and by a recovery, which completes before the first vote.
     voter: RefCell<Voter>,
     voter_commands: mpsc::UnboundedSender<VoterCommand>,
-    /// The controllers that the settings name, to be asked where no membership is known.
+    /// Controllers listed in the settings, contacted while no membership is known.
     seeds: Vec<SocketAddr>,
-    /// By how many proxies quotas were divided, as far as the voters that granted the lease knew.
+    /// Number of proxies by which quotas were divided, as recorded by the voters that granted the lease.
     elected_proxy_count: Cell<u32>,
-    /// The lease, while this process holds it.
+    /// Set while this process holds the lease.
     lease: Cell<Option<HeldLease>>,
-    /// The ballot under which this process campaigned last.
+    /// Ballot of this process's last campaign.
     claim: Cell<BallotClaim>,
-    /// Of other replicas.
+    /// Connections to the other replicas.
     clients: ClientPool,
-    /// No revision is given to two registers under one ballot.
+    /// Revision of the next register that is proposed. Under one ballot each revision is assigned once.
     next_revision: Cell<Revision>,
-    /// The last register that was proposed for operator orders, committed or not.
+    /// Last register proposed for operator orders, whether or not it has been committed.
     proposed: RefCell<Option<Register>>,
     is_shutting_down: Cell<bool>,
-    /// The highest promised ballot by which a voter refused a request. That voter accepts nothing under lower ones.
+    /// Highest promised ballot returned by a voter that refused a request. That voter accepts nothing under a lower
+    /// ballot.
     highest_refused_ballot: Cell<Ballot>,
     parsed_config: RefCell<ParsedConfig>,
 }
 
 impl Replica {
-    /// Starts the replica's tasks on the current local set. The records of `voter` are those of `storage`.
+    /// Starts the replica's tasks on the current `LocalSet`. `storage` must hold the records that `voter` was loaded
+    /// from.
     pub fn start(
         address: SocketAddr,
         seeds: Vec<SocketAddr>,
@@ -128,34 +130,35 @@
         self.clock.now()
     }
 
-    /// Whether this process holds the lease, with all that was committed before: it may execute orders.
+    /// Returns whether this process may execute orders: it holds the lease, and the register that was found in the
+    /// election is committed.
     pub fn holds_lease(&self) -> bool {
         let now = self.now();
         self.lease.get().is_some_and(|lease| lease.may_serve(now))
     }
 
-    /// The ballot of the lease that this process holds, or 0.
+    /// Returns the ballot of the lease that this process holds, or 0 if it holds none.
     pub fn ballot(&self) -> Ballot {
         self.lease.get().map_or(Ballot(0), |lease| lease.ballot)
     }
 
-    /// The leaseholder, as far as this process knows.
+    /// Returns the address of the leaseholder, if this process knows it.
     pub fn leaseholder(&self) -> Option<SocketAddr> {
         if self.holds_lease() {
             return Some(self.address);
         }
-        // A lease of this process that is not valid any more, or not yet, is none.
+        // A lease of this process that has expired, or does not allow serving yet, does not count.
         let is_other = |leaseholder: &SocketAddr| *leaseholder != self.address;
         let granted_here = self.voter.borrow().leaseholder(self.now()).filter(is_other);
         granted_here.or(self.publisher.store().leaseholder.filter(is_other))
     }
 
-    /// The membership by the newest register that this process has, committed or not.
+    /// Returns the membership in the newest register known to this process, whether or not it is committed.
     pub fn membership(&self) -> Membership {
         self.newest_membership().0
     }
 
-    /// The same, and the register's rank.
+    /// Returns the same membership together with the rank of its register.
     fn newest_membership(&self) -> (Membership, RegisterRank) {
         let voter = self.voter.borrow();
         let store = self.publisher.store();
@@ -165,8 +168,8 @@
         (newest.membership.clone(), newest.rank())
     }
 
-    /// All other controllers that may know the leaseholder: the voters, and the seeds, as all voters that this process
-    /// knows of may have been replaced while it was down.
+    /// Returns the other controllers that may know the leaseholder: the voters and the seeds. The seeds are included
+    /// because all voters that this process knows of may have been replaced while it was down.
     pub fn peers(&self) -> Vec<SocketAddr> {
         let mut peers = all_voters(&self.membership());
         peers.extend(&self.seeds);
@@ -174,13 +177,13 @@
         peers.into_iter().collect()
     }
 
-    /// The rank of the register that the voter has persisted, or `None` while the voter is amnesic.
+    /// Returns the rank of the register persisted by the voter, or `None` while the voter has lost its records.
     pub fn persisted_rank(&self) -> Option<RegisterRank> {
         let voter = self.voter.borrow();
         (!voter.is_amnesic()).then(|| voter.register().rank())
     }
 
-    /// The configuration of the published register, or `None` where it has none.
+    /// Returns the configuration in the published register, or `None` if it contains none.
     pub fn config(&self) -> Option<Rc<Config>> {
         let register = self.publisher.store().register.clone();
         let mut parsed = self.parsed_config.borrow_mut();
@@ -192,13 +195,14 @@
         parsed.config.clone()
     }
 
-    /// By how many proxies quotas were divided before this process won its lease, or 0 where no voter knew.
+    /// Returns the number of proxies by which quotas were divided before this process won its lease, or 0 if no voter
+    /// knew.
     pub fn elected_proxy_count(&self) -> u32 {
         self.elected_proxy_count.get()
     }
 
-    /// Answers a voter that promised that ballot to this process and was restarted: whether this process holds the lease
-    /// under it. Where it does not, it never will.
+    /// Answers the query of a restarted voter that had promised `ballot` to this process: whether this process holds
+    /// the lease under it. After answering `false` this process never acquires the lease under that ballot.
     pub fn confirm_lease(&self, ballot: Ballot) -> bool {
         let mut claim = self.claim.get();
         let holds_lease = claim.answer_inquiry(ballot, self.lease.get(), self.now());
@@ -206,7 +210,7 @@
         holds_lease
     }
 
-    /// Campaigns no more, and releases the lease, so that nobody has to wait for its end.
+    /// Stops campaigning and releases the lease, so that the other replicas need not wait for it to expire.
     pub async fn shut_down(self: &Rc<Self>) {
         self.is_shutting_down.set(true);
         if let Some(lease) = self.lease.take() {
--- a/programs/controller/src/replica/election.rs
+++ b/programs/controller/src/replica/election.rs
@@ -1,4 +1,4 @@
-//! The election loop: campaigns for the lease whenever nobody holds it.
+//! Election loop: campaigns for the lease whenever it is vacant.
 
 use super::Replica;
 use super::renewal::LeaseEnd;
@@ -11,28 +11,29 @@
 };
 use vanewharf_protocol::messages::{Ballot, Membership, Register, Vote, VoteRequest, VoteResponse};
 
-/// How often a voter looks whether the lease is vacant.
+/// Interval at which a voter checks whether the lease is vacant.
 const VACANCY_CHECK_INTERVAL: Duration = Duration::from_millis(50);
-/// How often a replica that is no voter looks whether it has become one.
+/// Interval at which a replica that is not a voter checks whether it has become one.
 const MEMBERSHIP_CHECK_INTERVAL: Duration = Duration::from_millis(500);
-/// By how much later each voter campaigns than the one before it in the membership, so that few campaign at once.
+/// Delay between the campaigns of consecutive voters in the membership, so that few of them campaign at the same time.
 const CAMPAIGN_STAGGER: Duration = Duration::from_millis(120);
-/// The most by which a campaign is delayed at random beyond that, in milliseconds.
+/// Upper bound of the random delay added to [`CAMPAIGN_STAGGER`].
 const CAMPAIGN_JITTER_MS: u64 = 60;
-/// After a campaign that failed: at least so long, and at random so much longer.
+/// Minimum delay after a failed campaign.
 const CAMPAIGN_BACKOFF_MS: u64 = 50;
+/// Upper bound of the random delay added to [`CAMPAIGN_BACKOFF_MS`].
 const CAMPAIGN_BACKOFF_JITTER_MS: u64 = 200;
 
-/// When to campaign next.
+/// When the next campaign starts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum NextCampaign {
     WhenVacant,
-    /// This process lost its lease to a ballot that was promised and never won.
-    AtOnce,
+    /// A voter promised a ballot above that of this process's lease, and no replica has won under that ballot.
+    Immediately,
 }
 
 impl Replica {
-    /// Campaigns for the lease, and holds it while that lasts; never returns.
+    /// Campaigns for the lease and holds it until it ends, in a loop that never returns.
     pub(super) async fn run_elections(self: Rc<Self>) {
         let mut next_campaign = NextCampaign::WhenVacant;
         loop {
@@ -52,7 +53,8 @@
         }
     }
 
-    /// Whether the lease is vacant, and is so still after a delay in which voters with a lower position may win it.
+    /// Returns whether the lease is vacant, and is still vacant after a delay in which voters with a lower position may win
+    /// it.
     async fn wait_for_vacancy(&self, delay: Duration) -> bool {
         sleep(VACANCY_CHECK_INTERVAL).await;
         if !self.voter.borrow().may_campaign(self.now()) || self.is_shutting_down.get() {
@@ -62,7 +64,7 @@
         self.voter.borrow().may_campaign(self.now())
     }
 
-    /// One campaign, and the lease that it wins, until that is lost.
+    /// Runs one campaign and, if it wins the lease, holds the lease until it ends.
     async fn campaign(self: &Rc<Self>) -> NextCampaign {
         let (membership, known_rank) = self.newest_membership();
         let Some(highest_promised) = self.run_pre_vote(membership.clone()).await else {
@@ -70,27 +72,27 @@
             return NextCampaign::WhenVacant;
         };
         let ballot = self.ballot_above(highest_promised);
-        // The lease lasts from before the first voter grants it.
+        // The lease duration is counted from before the first voter grants the lease.
         let requested_at = self.now();
         self.claim.set(BallotClaim::new(ballot));
         let mut election = Election::start(self.address, membership, known_rank);
-        let Some(own_vote) = self.vote_for_itself(ballot).await else {
+        let Some(own_vote) = self.vote_for_self(ballot).await else {
             self.back_off().await;
             return NextCampaign::WhenVacant;
         };
-        let found = self.collect_lease_votes(&mut election, ballot, own_vote).await;
-        let Some(found) = found.filter(|_| self.claim.get().is_valid_for(ballot)) else {
+        let inherited = self.collect_lease_votes(&mut election, ballot, own_vote).await;
+        let Some(inherited) = inherited.filter(|_| self.claim.get().is_valid_for(ballot)) else {
             self.release_lease(election.membership(), ballot).await;
             self.back_off().await;
             return NextCampaign::WhenVacant;
         };
         self.elected_proxy_count.set(election.quota_divisor());
         self.lease.set(Some(HeldLease::granted(ballot, requested_at)));
-        let lease_end = self.hold_lease(ballot, found).await;
+        let lease_end = self.hold_lease(ballot, inherited).await;
         self.lease.set(None);
         spdlog::info!("lease ended", kv: { event = "lease_ended", ballot = ballot.0 });
         match lease_end {
-            LeaseEnd::Preempted => NextCampaign::AtOnce,
+            LeaseEnd::Preempted => NextCampaign::Immediately,
             LeaseEnd::Lost => {
                 self.release_lease(&self.membership(), ballot).await;
                 NextCampaign::WhenVacant
@@ -98,8 +100,8 @@
         }
     }
 
-    /// Asks whether a majority would grant the lease, before any ballot is promised. Returns the highest ballot that those
-    /// voters have promised.
+    /// Checks whether a majority would grant the lease, before any voter promises a ballot. Returns the highest ballot that
+    /// the assenting voters have promised.
     async fn run_pre_vote(self: &Rc<Self>, membership: Membership) -> Option<Ballot> {
         let voters = all_voters(&membership);
         let mut round = PreVoteRound::start(membership);
@@ -107,23 +109,24 @@
         self.collect_votes(&voters, request, |voter, response| round.record_response(voter, response)).await
     }
 
-    /// A ballot above all that this process knows of.
+    /// Returns a ballot above every ballot known to this process.
     fn ballot_above(&self, highest_promised: Ballot) -> Ballot {
         let own_promise = self.voter.borrow().promised_ballot();
         let highest = highest_promised.max(self.highest_refused_ballot.get()).max(own_promise);
         next_ballot(highest, self.address)
     }
 
-    /// Asks this process' own voter for the lease, before any other voter hears of the ballot. So it is on disk whenever a
-    /// message under it may be under way, and is not claimed again after a restart: one that arrives late, as the release of
-    /// what the earlier campaign was granted, would count in the later one.
-    async fn vote_for_itself(&self, ballot: Ballot) -> Option<VoteResponse> {
+    /// Requests the lease from this process's own voter before any other voter receives the ballot. The ballot is therefore
+    /// on disk before any message under it is sent, and is not used again after a restart. Otherwise a delayed message, such
+    /// as the release of a lease granted in the earlier campaign, would take effect in the later one.
+    async fn vote_for_self(&self, ballot: Ballot) -> Option<VoteResponse> {
         let request = VoteRequest::Lease { ballot, candidate: self.address };
         let response = self.request_vote(self.address, &request, VOTE_TIMEOUT).await?;
         matches!(response.vote, Vote::Granted { .. }).then_some(response)
     }
 
-    /// Asks the others for the lease. Returns the newest register that a majority had accepted, where it is won.
+    /// Requests the lease from the other voters. If it is won, returns the newest register that a voter of the majority has
+    /// accepted.
     async fn collect_lease_votes(
         self: &Rc<Self>,
         election: &mut Election,
@@ -133,7 +136,7 @@
         let request = VoteRequest::Lease { ballot, candidate: self.address };
         let mut voters = all_voters(election.membership());
         voters.remove(&self.address);
-        // Decides the election where there is no other voter.
+        // If there is no other voter, this response decides the election.
         let mut decided = election.record_response(self.address, own_vote).break_value();
         loop {
             if decided.is_none() {
@@ -142,7 +145,7 @@
             }
             match decided.take() {
                 Some(ElectionOutcome::QueryAlso(other_voters)) => voters = other_voters,
-                Some(ElectionOutcome::Won(found)) => return Some(*found),
+                Some(ElectionOutcome::Won(inherited)) => return Some(*inherited),
                 Some(ElectionOutcome::NotAVoter) | None => return None,
             }
         }
--- a/programs/controller/src/replica/reconfiguration.rs
+++ b/programs/controller/src/replica/reconfiguration.rs
@@ -1,5 +1,5 @@
-//! Changes of the set of voters, by joint consensus: first majorities of both sets are needed, then one of the new set. A
-//! voter leaves only when a majority of the new set has persisted all that was committed.
+//! Voter set changes by joint consensus: the first step needs a majority of the old and of the new set, the final step a
+//! majority of the new set alone. A voter leaves only after a majority of the new set has persisted all committed state.
 
 use super::{Replica, ReplicationOutcome};
 use std::collections::BTreeSet;
@@ -10,15 +10,15 @@
 use vanewharf_protocol::messages::{Membership, Register, Vote, VoteRequest, VoteResponse};
 
 impl Replica {
-    /// Replaces the set of voters. A change that a leaseholder before this one began is concluded first.
+    /// Replaces the set of voters. A change that an earlier leaseholder left unfinished is completed first.
     ///
     /// # Cancel safety
-    /// A change that is cancelled midway stays in progress; the next one concludes it.
+    /// If cancelled midway, the change remains in progress and the next change completes it.
     pub async fn reconfigure(self: &Rc<Self>, voters: BTreeSet<SocketAddr>) -> ReplicationOutcome {
         while let Some(membership) = next_membership(&self.committed_membership(), &voters) {
             let is_final_step = membership.outgoing.is_empty();
-            // Before the final step both sets renew the lease: one that only the old set had granted could be overtaken by
-            // a leaseholder that the new set elects.
+            // Both sets renew the lease before the final step. Otherwise the new set could elect another leaseholder while
+            // a lease granted by the old set alone is still valid.
             if is_final_step && self.renew_lease(self.ballot()).await != RenewalOutcome::Renewed {
                 return ReplicationOutcome::Uncertain;
             }
@@ -29,7 +29,7 @@
             if is_final_step {
                 let Membership { epoch, voters, .. } = self.membership();
                 spdlog::info!(
-                    "membership change is in force",
+                    "membership change is committed",
                     kv: { event = "reconfiguration_end", epoch, voters:? }
                 );
             }
@@ -37,8 +37,8 @@
         ReplicationOutcome::Committed
     }
 
-    /// Whether all of these controllers, voters or not yet, accept the newest register now: they run, are in touch and have
-    /// it on disk.
+    /// Returns whether each of these controllers, including those that are not voters yet, accepts the newest register now.
+    /// This shows that the controller is running and reachable, and that it has the register on disk.
     pub async fn all_accept_newest(self: &Rc<Self>, controllers: &BTreeSet<SocketAddr>) -> bool {
         let mut missing = controllers.clone();
         let request = VoteRequest::Accept { register: self.newest_register() };
@@ -51,7 +51,7 @@
         let all_accepted = self.collect_votes(controllers, request, record_response).await.is_some();
         if !all_accepted {
             spdlog::warn!(
-                "membership change is not begun: a voter that keeps up would leave, and not all others answer",
+                "membership change not started: it removes an in-sync voter, and not all new voters have accepted the register",
                 kv: { event = "reconfiguration_refused", unresponsive:? = missing }
             );
         }
--- a/programs/controller/src/replica/recovery.rs
+++ b/programs/controller/src/replica/recovery.rs
@@ -1,4 +1,5 @@
-//! Recovery after a restart: of the time to wait for an earlier lease, and of a voter that has lost its disk (amnesia).
+//! Recovery after a restart: shortens the wait for a lease granted before the restart, and recovers a voter that has lost
+//! its disk (amnesia).
 
 use super::{PERSIST_RETRY_INTERVAL, Replica};
 use crate::storage::{Record, Storage, StorageError};
@@ -13,14 +14,14 @@
 use vanewharf_protocol::messages::{Register, VoteRequest};
 use vanewharf_rpc::RpcClient;
 
-/// For one answer of the earlier leaseholder.
+/// Timeout of one query to the previous leaseholder.
 const LEASE_QUERY_TIMEOUT: Duration = Duration::from_millis(200);
 const LEASE_QUERY_INTERVAL: Duration = Duration::from_millis(50);
 
 impl Replica {
-    /// Asks the replica that this voter promised a ballot to before its restart whether it still holds the lease. Where it
-    /// does not, its lease need not be waited for.
-    pub async fn query_earlier_leaseholder(self: Rc<Self>, record: VoterRecord) {
+    /// Queries the replica to which this voter promised a ballot before the restart whether it still holds the lease. If it
+    /// does not, the voter need not wait for that lease to expire.
+    pub async fn query_previous_leaseholder(self: Rc<Self>, record: VoterRecord) {
         let Some(leaseholder) = record.promised_to else {
             return;
         };
@@ -43,8 +44,8 @@
         }
     }
 
-    /// Recovers a voter with amnesia: asks the members what they have promised and accepted, and promises that again under
-    /// a new incarnation. Until then the voter takes part in nothing.
+    /// Recovers a voter with amnesia: collects what the members have promised and accepted, and adopts these promises under
+    /// a new incarnation. Until then the voter takes no part in the consensus.
     pub async fn recover_from_amnesia(self: Rc<Self>, storage: Storage) {
         let seeds = self.seeds.clone();
         let mut round = RecoveryRound::start(self.address, seeds, self.environment.random_incarnation());
@@ -58,13 +59,13 @@
                     let revision = register.revision;
                     self.complete_recovery(&storage, &record, *register).await;
                     spdlog::warn!(
-                        "the voter lost its disk and is recovered from other members",
+                        "voter had lost its disk and has recovered from other members",
                         kv: { event = "recovered", revision = revision.0, members = round.respondents().len() }
                     );
                 }
-                RecoveryStep::Query(others) => {
-                    members = others;
-                    // A round that has begun a new incarnation makes it known at once.
+                RecoveryStep::Query(queried) => {
+                    members = queried;
+                    // If the round has started a new incarnation, the members are told without delay.
                     let is_same_incarnation = round.incarnation() == incarnation;
                     if is_same_incarnation {
                         sleep(PERSIST_RETRY_INTERVAL).await;
@@ -74,7 +75,7 @@
         }
     }
 
-    /// Waits until all members have responded or timed out.
+    /// Queries the members once, and returns when each has responded or timed out.
     async fn query_members(self: &Rc<Self>, members: &BTreeSet<SocketAddr>, round: &mut RecoveryRound) {
         let request = VoteRequest::Recover { member: self.address, incarnation: round.incarnation() };
         let record_response = |member, response| {
@@ -84,8 +85,8 @@
         self.collect_votes(members, request, record_response).await;
     }
 
-    /// The register is persisted first: a voter record without its register would be taken for that of a voter that has
-    /// never accepted any.
+    /// Persists the recovered state and completes the recovery. The register is written before the voter record, because
+    /// after a restart a voter record without a register would look like that of a voter that never accepted any.
     async fn complete_recovery(&self, storage: &Storage, record: &VoterRecord, register: Register) {
         while persist_recovered(storage, record, &register).await.is_err() {
             sleep(PERSIST_RETRY_INTERVAL).await;
--- a/programs/controller/src/replica/renewal.rs
+++ b/programs/controller/src/replica/renewal.rs
@@ -1,4 +1,5 @@
-//! Holding the lease: commits the register that was found in the election, and renews the lease while a majority agrees.
+//! Holding the lease: commits the register inherited from earlier leaseholders, and renews the lease while a majority
+//! agrees.
 
 use super::{Replica, ReplicationOutcome};
 use std::rc::Rc;
@@ -6,35 +7,35 @@
 use vanewharf_consensus::{HeldLease, RENEWAL_INTERVAL, RenewalOutcome, RenewalRound, all_voters};
 use vanewharf_protocol::messages::{Ballot, Register, Revision, VoteRequest};
 
-/// How a lease ended.
+/// The way in which a lease ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum LeaseEnd {
-    /// It expired, was won by another replica, or is given up.
+    /// The lease expired, was won by another replica, or was given up.
     Lost,
-    /// A voter has promised a higher ballot, which did not win. That voter accepts nothing under this lease any more, so
-    /// that the lease has to be won again under a higher one.
+    /// A voter has promised a higher ballot, which did not win. That voter no longer accepts anything under this lease, so
+    /// the lease must be won again under a ballot above that one.
     Preempted,
 }
 
 impl Replica {
-    /// Holds a lease that was won, with the register that was found in the election, until it ends.
-    pub(super) async fn hold_lease(self: &Rc<Self>, ballot: Ballot, found: Register) -> LeaseEnd {
+    /// Holds a lease that was won until it ends. `inherited` is the newest register found in the election.
+    pub(super) async fn hold_lease(self: &Rc<Self>, ballot: Ballot, inherited: Register) -> LeaseEnd {
         spdlog::info!(
             "lease acquired",
-            kv: { event = "lease_acquired", ballot = ballot.0, revision = found.revision.0 }
+            kv: { event = "lease_acquired", ballot = ballot.0, revision = inherited.revision.0 }
         );
-        self.next_revision.set(Revision(found.revision.0 + 1));
-        let register = Register { ballot, ..found };
-        let commit_found = tokio::task::spawn_local(Rc::clone(self).commit_found_register(register));
+        self.next_revision.set(Revision(inherited.revision.0 + 1));
+        let register = Register { ballot, ..inherited };
+        let commit_inherited = tokio::task::spawn_local(Rc::clone(self).commit_inherited_register(register));
         let lease_end = self.renew_until_end(ballot).await;
-        // Cancelled at an await: the register is published at one go, or not at all. Voters may still persist it, which the
-        // next election finds.
-        commit_found.abort();
+        // The task is cancelled at an await point, so it publishes the register completely or not at all. Voters may still
+        // persist the register; the next election then finds it.
+        commit_inherited.abort();
         lease_end
     }
 
-    /// Orders may be executed once the register of the leaseholders before is committed under this ballot, too.
-    async fn commit_found_register(self: Rc<Self>, register: Register) {
+    /// Commits the inherited register under this ballot as well; operator orders may be executed after that.
+    async fn commit_inherited_register(self: Rc<Self>, register: Register) {
         let is_initial = register.revision == Revision(0);
         if is_initial || self.replicate(&register).await == ReplicationOutcome::Committed {
             self.begin_serving(register);
@@ -69,7 +70,7 @@
             let refused_ballot = self.highest_refused_ballot.get();
             if refused_ballot > ballot {
                 spdlog::info!(
-                    "a voter has promised a higher ballot; the lease is given up and campaigned for again",
+                    "voter has promised a higher ballot; giving up the lease and campaigning again",
                     kv: { event = "lease_preempted", ballot = ballot.0, promised_ballot = refused_ballot.0 }
                 );
                 return LeaseEnd::Preempted;
@@ -77,14 +78,14 @@
         }
     }
 
-    /// Renews the lease, by a majority of the voters that there are now.
+    /// Renews the lease at a majority of the current voters.
     pub(super) async fn renew_lease(self: &Rc<Self>, ballot: Ballot) -> RenewalOutcome {
         let requested_at = self.now();
         let request = VoteRequest::Renew { ballot, leaseholder: self.address };
         let mut round = RenewalRound::start(ballot, self.membership());
         let voters = all_voters(round.membership());
         self.collect_votes(&voters, request, |voter, response| round.record_response(voter, response)).await;
-        // This process may have answered a restarted voter meanwhile that it does not hold the lease.
+        // In the meantime this process may have told a restarted voter that it does not hold the lease.
         if !self.claim.get().is_valid_for(ballot) {
             return RenewalOutcome::Superseded;
         }
--- a/programs/controller/src/replica/vote_rpc.rs
+++ b/programs/controller/src/replica/vote_rpc.rs
@@ -1,4 +1,4 @@
-//! Vote requests to the voters, this process' own among them.
+//! Sends vote requests to the voters, including the voter of this process.
 
 use super::Replica;
 use std::collections::BTreeSet;
@@ -12,17 +12,17 @@
 use vanewharf_protocol::endpoints;
 use vanewharf_protocol::messages::{Ballot, Membership, Vote, VoteRequest, VoteResponse};
 
-/// For a response to a request that decides who holds the lease, or recovers a member.
+/// Response timeout of vote requests, except those sent by [`Replica::replicate`].
 pub(super) const VOTE_TIMEOUT: Duration = Duration::from_millis(600);
 
 impl Replica {
-    /// Sends a request to all of these voters at once, and hands each response to `record_response`. Returns what that
-    /// breaks with, or `None` once all voters have responded or timed out.
+    /// Sends a request to all `voters` concurrently and passes each response to `record_response`. Returns the value that
+    /// `record_response` breaks with, or `None` once all voters have responded or timed out.
     ///
     /// # Cancel safety
-    /// Each request is sent by a task of its own, which goes on when the outcome is decided or the caller stops waiting:
-    /// voters that are slow receive the request all the same, and a ballot by which one refuses is recorded. Responses
-    /// that come then are dropped. Each task ends by the timeouts of its one request.
+    /// A separate task sends each request. It continues after the outcome is decided or the caller is cancelled, so slow
+    /// voters still receive the request, and the promised ballot in a refusal is still recorded. Later responses are
+    /// dropped. Each task ends within the timeouts of its single request.
     pub(super) async fn collect_votes<T>(
         self: &Rc<Self>,
         voters: &BTreeSet<SocketAddr>,
@@ -36,11 +36,11 @@
             let responses = responses.clone();
             tokio::task::spawn_local(async move {
                 let response = replica.request_vote(voter, &request, VOTE_TIMEOUT).await;
-                // Nobody receives it once the outcome is decided.
+                // The receiver is closed once the outcome is decided.
                 let _ = responses.send((voter, response));
             });
         }
-        // The tasks hold the remaining senders: the channel is closed when the last one ends.
+        // The tasks hold the remaining senders, so the channel closes when the last task ends.
         drop(responses);
         while let Some((voter, response)) = received.recv().await {
             if let Some(response) = response
@@ -52,7 +52,7 @@
         None
     }
 
-    /// Sends a request to one voter. Returns its response, or `None` where there was none in time.
+    /// Sends a request to one voter. Returns the response, or `None` if none arrived in time.
     pub(super) async fn request_vote(
         &self,
         voter: SocketAddr,
@@ -70,11 +70,12 @@
         Some(response)
     }
 
-    /// A connection is used by one request at a time, and is reused only where that was answered. A request that failed, and
-    /// arrives after the next one, has no effect: a lease that nobody waits for blocks no vacancy.
+    /// Calls the voter of another replica. A connection carries one request at a time, and is reused only if that request
+    /// was answered. If a failed request arrives after a later one of the same client, the server discards it by its call
+    /// ID. A delayed lease request, whose candidate no longer waits for it, therefore does not block the lease.
     ///
     /// # Cancel safety
-    /// Closes the connection; the voter may handle the request all the same.
+    /// Closes the connection; the voter may still handle the request.
     async fn call_voter(
         &self,
         voter: SocketAddr,
@@ -84,8 +85,8 @@
         self.clients.client(voter).call(endpoints::VOTE, request, response_timeout).await.ok()
     }
 
-    /// Releases the lease under that ballot at the voters; returns once a quorum of them has answered, or all have
-    /// answered or timed out.
+    /// Releases the lease under `ballot` at the voters. Returns once a quorum has answered, or all voters have answered or
+    /// timed out.
     pub(super) async fn release_lease(self: &Rc<Self>, membership: &Membership, ballot: Ballot) {
         let mut tracker = QuorumTracker::new(membership.clone());
         let request = VoteRequest::Release { ballot };
--- a/programs/controller/src/state.rs
+++ b/programs/controller/src/state.rs
@@ -1,6 +1,6 @@
-//! The state that request handlers and singleton roles of one controller share.
+//! State shared by the request handlers and the leaseholder tasks of one controller.
 //!
-//! All of it belongs to one thread: a `RefCell` is never borrowed across an await.
+//! All users run on one thread; a `RefCell` is never borrowed across an await point.
 
 use crate::registry_api::HomeRegionsCache;
 use crate::replica::Replica;
@@ -14,25 +14,25 @@
 use vanewharf_rpc::Publisher;
 use vanewharf_runtime::environment::Environment;
 
-/// The state of a controller.
+/// Shared state of a controller.
 pub struct ControllerState {
     pub replica: Rc<Replica>,
-    /// What this process publishes to those that pull from it.
+    /// Holds the versioned state that agents and other controllers pull from this process.
     pub publisher: Publisher,
     pub environment: Environment,
     pub settings: Rc<Settings>,
-    /// This controller, as the fleet summary lists it.
+    /// Entry of this controller in the fleet summary.
     pub entry: ControllerEntry,
-    /// The reports that this process has received.
+    /// Aggregates the reports received by this process.
     pub aggregator: RefCell<FleetAggregator>,
     pub token_lender: RefCell<TokenLender>,
-    /// The controllers that pull from this process, and how far they have replicated the register.
+    /// Tracks the controllers that pull from this process, and the newest register each has persisted.
     pub followers: RefCell<FollowerTracker>,
     pub home_regions: RefCell<HomeRegionsCache>,
 }
 
 impl ControllerState {
-    /// The state at the start of the process, with no reports received and no followers.
+    /// Creates the state of a starting process, without reports or followers.
     pub fn new(
         replica: Rc<Replica>,
         publisher: Publisher,
@@ -59,24 +59,25 @@
         }
     }
 
-    /// The version after `last` of what the leaseholder publishes. Versions start from 1 under each ballot.
+    /// Returns the version that follows `last` in what the leaseholder publishes. Numbering restarts at 1 under each
+    /// ballot.
     pub fn next_version(&self, last: Version) -> Version {
         let ballot = self.replica.ballot();
         Version { ballot, number: if last.ballot == ballot { last.number + 1 } else { 1 } }
     }
 
-    /// Leases tokens to a proxy, as far as the tenants' quotas allow; `None` while no configuration is known.
+    /// Leases tokens to a proxy, within the tenants' quotas. Returns `None` while no configuration is known.
     pub fn lease_tokens(&self, requested: TokenCounts) -> Option<TokenCounts> {
         let config = self.replica.config();
         self.token_lender.borrow_mut().lease(requested, config.as_deref(), self.publisher.now())
     }
 
-    /// What this process has leased since it started.
+    /// Reports the tokens that this process has leased since it started.
     pub fn token_lease_report(&self) -> TokenLeaseReport {
         self.token_lender.borrow().report(self.entry.ip)
     }
 
-    /// Goes by the newest fleet summary: by how many proxies, or token lenders, quotas are divided.
+    /// Applies the newest fleet summary: the number of proxies, or of token lenders, by which quotas are divided.
     pub fn apply_fleet_summary(&self) {
         let Some(summary) = self.publisher.store().fleet_summary.clone() else {
             return;
