--- a/programs/controller/src/lib.rs
+++ b/programs/controller/src/lib.rs
@@ -145,7 +145,7 @@
     let (voter_record, register): (Option<VoterRecord>, Option<Register>) = stored.decode_all();
     for file in &stored.corrupt_files {
         spdlog::warn!(
-            "stored record file is torn or corrupt; renaming it and using the other copy",
+            "stored record file is unusable (torn, corrupt, or on a disk that lost a record); renaming it",
             kv: { event = "record_corrupt", file = file.as_str() }
         );
     }
