--- a/crates/quota/src/bucket.rs
+++ b/crates/quota/src/bucket.rs
@@ -3,25 +3,26 @@
 use crate::quota::{Quota, QuotaExceeded};
 use vanewharf_clock::Timestamp;
 
-/// The fraction of a full bucket that admits a request where the bucket never holds a whole token; the rest is debt. By
-/// it the first requests at all proxies together may exceed the burst; afterwards the debts bind.
+/// A bucket too shallow to hold a whole token admits a request when it is filled to this fraction of its depth; the rest
+/// of the token becomes debt. The first requests at all proxies together may therefore exceed the burst; after that the
+/// debt holds them to the quota.
 const ADMITTING_FRACTION: f64 = 0.5;
 
-/// A bucket, with the counters from which its share of the quota is rescaled.
+/// A token bucket, with the counters from which its share of the quota is rescaled.
 #[derive(Clone, Debug)]
 pub(crate) struct Bucket {
-    /// The process's share of the tenant's quota, as a fraction.
+    /// This process's share of the tenant's quota, as a fraction.
     pub(crate) share: f64,
-    /// Tokens in the bucket; negative: debt.
+    /// Tokens in the bucket; a negative number is debt.
     pub(crate) tokens: f64,
     refilled_at: Timestamp,
     /// Requests admitted since the process started.
     pub(crate) admitted: u64,
-    /// `admitted` as of the last rescaling.
-    pub(crate) admitted_before: u64,
-    /// Requests that this process admits per second, averaged.
+    /// The value of `admitted` at the last rescaling.
+    pub(crate) admitted_at_rescaling: u64,
+    /// Requests per second that this process admits, averaged.
     pub(crate) own_rate: f64,
-    /// Requests that all processes admit per second by the summaries, averaged.
+    /// Requests per second that all processes admit according to the fleet summaries, averaged.
     pub(crate) metered_rate: f64,
 }
 
@@ -32,13 +33,13 @@
             tokens,
             refilled_at: now,
             admitted: 0,
-            admitted_before: 0,
+            admitted_at_rescaling: 0,
             own_rate: 0.0,
             metered_rate: 0.0,
         }
     }
 
-    /// The depth `B`, in tokens; `extra_depth` is what it has beyond its share of the burst.
+    /// Returns the depth `B` in tokens: the share of the burst plus `extra_depth`.
     pub(crate) fn depth(&self, quota: Quota, extra_depth: f64) -> f64 {
         quota.burst * self.share + extra_depth
     }
@@ -50,10 +51,10 @@
         self.refilled_at = now;
     }
 
-    /// Takes a token. `even_depth` is the depth that a bucket has at the even share, in tokens.
+    /// Takes a token. `even_depth` is the depth in tokens of a bucket with the even share.
     ///
-    /// A bucket that is less than one token deep would never admit a request. There a part of the depth suffices, and the
-    /// token is taken as debt.
+    /// A bucket less than one token deep would never admit a request. If it is filled to [`ADMITTING_FRACTION`] of its
+    /// depth, it admits one and goes into debt.
     pub(crate) fn take(&mut self, quota: Quota, even_depth: f64) -> Result<(), QuotaExceeded> {
         let needed = (ADMITTING_FRACTION * even_depth).min(1.0);
         if self.tokens < needed {
@@ -64,8 +65,8 @@
         Ok(())
     }
 
-    /// Undoes `take`.
-    pub(crate) fn put_back(&mut self) {
+    /// Returns a token that was taken for a request that was not forwarded.
+    pub(crate) fn refund(&mut self) {
         self.tokens += 1.0;
         self.admitted = self.admitted.saturating_sub(1);
     }
--- a/crates/quota/src/fallback.rs
+++ b/crates/quota/src/fallback.rs
@@ -1,16 +1,16 @@
-//! A proxy's own buckets where controllers hold the shares and lease tokens: they admit requests only while no controller
-//! answers, by a small part of the quota, by whole tokens and never by debt.
+//! Token buckets that a proxy falls back to while no controller answers its requests for leased tokens. They admit a
+//! small fraction of the quota, only by whole tokens, and never go into debt.
 
 use crate::quota::{Quota, QuotaExceeded};
 use std::collections::BTreeMap;
 use vanewharf_clock::Timestamp;
 
-/// The fraction of a quota that all proxies together admit by their own buckets. Small, as it comes on top of what
-/// controllers lease to other proxies at the same time.
-const QUOTA_FRACTION: f64 = 0.1;
+/// The fraction of a quota's rate that the fallback buckets of all proxies admit together. It is small because it comes
+/// on top of the tokens that controllers lease to other proxies at the same time.
+const FALLBACK_RATE_FRACTION: f64 = 0.1;
 
-/// Depth of each bucket, in tokens.
-const DEPTH: f64 = 1.0;
+/// Depth of each bucket.
+const DEPTH_TOKENS: f64 = 1.0;
 
 #[derive(Clone, Debug)]
 struct FallbackBucket {
@@ -18,15 +18,15 @@
     refilled_at: Timestamp,
 }
 
-/// All tenants' buckets of one proxy.
+/// The fallback buckets of all tenants in one proxy.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct FallbackBuckets {
     buckets: BTreeMap<String, FallbackBucket>,
 }
 
 impl FallbackBuckets {
-    /// Takes a token. Buckets start empty at `refilled_from`, when a controller last answered: filled before, a token in
-    /// each of many proxies would come on top of all that was leased just before. `proxies` is the number of proxies.
+    /// Takes a token. A bucket is empty at `refilled_from`, when a controller last answered: if buckets refilled earlier,
+    /// one token in each of many proxies would add to the tokens leased just before. `proxies` is the number of proxies.
     pub(crate) fn take(
         &mut self,
         tenant: &str,
@@ -40,9 +40,9 @@
         if bucket.refilled_at < refilled_from {
             *bucket = empty;
         }
-        let rate = quota.rate * QUOTA_FRACTION / proxies;
+        let rate = quota.rate * FALLBACK_RATE_FRACTION / proxies;
         let elapsed = now.since(bucket.refilled_at).as_secs_f64();
-        bucket.tokens = (bucket.tokens + rate * elapsed).min(DEPTH);
+        bucket.tokens = (bucket.tokens + rate * elapsed).min(DEPTH_TOKENS);
         bucket.refilled_at = now;
         if bucket.tokens < 1.0 {
             return Err(QuotaExceeded::until_refilled(1.0 - bucket.tokens, rate));
@@ -51,8 +51,8 @@
         Ok(())
     }
 
-    /// Undoes `take`.
-    pub(crate) fn put_back(&mut self, tenant: &str) {
+    /// Returns a token that was taken for a request that was not forwarded.
+    pub(crate) fn refund(&mut self, tenant: &str) {
         if let Some(bucket) = self.buckets.get_mut(tenant) {
             bucket.tokens += 1.0;
         }
--- a/crates/quota/src/share.rs
+++ b/crates/quota/src/share.rs
@@ -1,95 +1,99 @@
 //! Rescaling of a process's share of a tenant's quota.
 //!
-//! The target is the process's own part of the admitted requests, where the fleet summary gives the rate (requests per
-//! second) and the sum of the shares over all processes:
+//! The target is the fraction of all admitted requests that this process admits. The fleet summary gives the admitted
+//! rate (requests per second) and the sum of the shares of all processes:
 //!
 //! ```text
 //! target = (own rate + p × even share) / (metered rate + p)      p = 10 requests / 3 s
-//! target = share + weight × (even share − share)                 where nothing is metered
+//! target = share + weight × (even share − share)                 if no usage is metered
 //! target = min(max(target, even share / 4), 2 × share, 1)
 //! share  = min(target, share + target × max(0, 1 − sum) / 2) / max(1, sum)
-//! weight = 1 − exp(−elapsed / 3 s), by which both rates are averaged
+//! weight = 1 − exp(−elapsed / 3 s), the weight of the newest value in both averages
 //! ```
 //!
-//! Readings come late and are not aligned between processes, so that when traffic moves the targets of all sum past the
-//! whole quota. Hence a share grows only into what the sum of all shares leaves, and where the sum is past the whole, each
-//! process gives its part of the excess back.
+//! Meter readings are late and not aligned between processes. When traffic moves, the targets of all processes can
+//! therefore sum to more than 1. So a share grows only into the part of the quota that no process holds, and if the sum
+//! of the shares exceeds 1, each process divides its share by the sum.
 
 use crate::bucket::Bucket;
 use vanewharf_protocol::messages::TenantUsage;
 
-/// Seconds over which own and metered rate are averaged, exponentially: about four meter periods, so that one late
-/// reading does not halve a share.
-const AVERAGING_SPAN: f64 = 3.0;
+/// Time constant of the exponential averages of both rates: about four meter periods, so that one late reading does not
+/// halve a share.
+const AVERAGING_SECONDS: f64 = 3.0;
 
-/// Requests, at the even share, that are counted in besides the real ones: a ratio of fewer requests is mostly chance.
+/// Requests, distributed by the even shares, that are added to the admitted ones: the ratio of fewer requests is mostly
+/// noise.
 const PRIOR_REQUESTS: f64 = 10.0;
 
-/// The least share, as a fraction of the even share: with none at all, a process could not learn that traffic has come
-/// back to it.
-pub(crate) const MIN_OF_EVEN: f64 = 0.25;
+/// The smallest share, as a fraction of the even share: a process without a share could not notice that traffic has
+/// returned to it.
+pub(crate) const MIN_FRACTION_OF_EVEN_SHARE: f64 = 0.25;
 
-/// How many times its value a share may grow to at one rescaling: one odd reading must not hand over a whole quota.
-const MAX_GROWTH: f64 = 2.0;
+/// The largest factor by which one rescaling may increase a share, so that one wrong reading does not give a process the
+/// whole quota.
+const MAX_GROWTH_FACTOR: f64 = 2.0;
 
-/// The fraction of what the sum of shares leaves of the quota into which a process may grow at once, times its target:
-/// the others grow into the same before they see that it has.
-const CLAIMED_FRACTION: f64 = 0.5;
+/// A rescaling may add to a share this fraction of the quota that no process holds, times the target: other processes
+/// grow into the same part before they see that this one has.
+const UNHELD_QUOTA_FRACTION: f64 = 0.5;
 
-/// The shortest time between two rescalings, in seconds, that rates are computed with: two at the same instant must not
+/// The shortest interval between two rescalings that rates are computed with, so that two at the same instant do not
 /// divide by zero.
-const MIN_ELAPSED: f64 = 1e-3;
+const MIN_ELAPSED_SECONDS: f64 = 1e-3;
 
-/// What is common to all buckets of a process at one rescaling.
+/// The parameters of one rescaling that all buckets of a process have in common.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Rescaling {
     /// Seconds since the last rescaling.
     elapsed: f64,
-    /// Weight of the newest reading in an average.
+    /// Weight of the newest value in the averages.
     weight: f64,
-    /// The even share, as a fraction: one over the number of processes with shares.
+    /// One over the number of processes that hold shares.
     even_share: f64,
 }
 
 impl Rescaling {
     pub(crate) fn new(elapsed: f64, even_share: f64) -> Rescaling {
-        let elapsed = elapsed.max(MIN_ELAPSED);
-        Rescaling { elapsed, weight: 1.0 - (-elapsed / AVERAGING_SPAN).exp(), even_share }
+        let elapsed = elapsed.max(MIN_ELAPSED_SECONDS);
+        Rescaling { elapsed, weight: 1.0 - (-elapsed / AVERAGING_SECONDS).exp(), even_share }
     }
 
-    /// Rescales the share of one bucket by what all processes admitted; none: the summary does not know the tenant yet.
+    /// Rescales the share of one bucket by the usage at all processes. `usage` is `None` if the summary does not have the
+    /// tenant yet.
     pub(crate) fn apply(self, bucket: &mut Bucket, usage: Option<TenantUsage>) {
         self.measure_own_rate(bucket);
         match usage {
             Some(usage) => self.rescale(bucket, usage),
-            // Nothing is known of what the others hold.
+            // The shares of the other processes are unknown, so this one keeps no more than the even share.
             None => bucket.share = bucket.share.min(self.even_share),
         }
     }
 
     fn measure_own_rate(self, bucket: &mut Bucket) {
-        let admitted = bucket.admitted.saturating_sub(bucket.admitted_before);
+        let admitted = bucket.admitted.saturating_sub(bucket.admitted_at_rescaling);
         let rate = admitted as f64 / self.elapsed;
-        bucket.admitted_before = bucket.admitted;
+        bucket.admitted_at_rescaling = bucket.admitted;
         bucket.own_rate += self.weight * (rate - bucket.own_rate);
     }
 
     fn rescale(self, bucket: &mut Bucket, usage: TenantUsage) {
         bucket.metered_rate += self.weight * (usage.requests_per_s - bucket.metered_rate);
         let target = self.target(bucket, usage);
-        let unclaimed = (1.0 - usage.quota_shares).max(0.0) * CLAIMED_FRACTION * target;
-        let grown = target.min(bucket.share + unclaimed);
+        let max_growth = (1.0 - usage.quota_shares).max(0.0) * UNHELD_QUOTA_FRACTION * target;
+        let grown = target.min(bucket.share + max_growth);
         bucket.share = grown / usage.quota_shares.max(1.0);
     }
 
-    /// The share by the rates alone, within its bounds.
+    /// Returns the share that the rates alone call for, within its bounds.
     fn target(self, bucket: &Bucket, usage: TenantUsage) -> f64 {
         let target = if usage.requests_per_s > 0.0 && bucket.metered_rate > 0.0 {
-            let prior_rate = PRIOR_REQUESTS / AVERAGING_SPAN;
+            let prior_rate = PRIOR_REQUESTS / AVERAGING_SECONDS;
             (bucket.own_rate + prior_rate * self.even_share) / (bucket.metered_rate + prior_rate)
         } else {
             bucket.share + self.weight * (self.even_share - bucket.share)
         };
-        target.max(MIN_OF_EVEN * self.even_share).min(MAX_GROWTH * bucket.share).min(1.0)
+        let min = MIN_FRACTION_OF_EVEN_SHARE * self.even_share;
+        target.max(min).min(MAX_GROWTH_FACTOR * bucket.share).min(1.0)
     }
 }
--- a/crates/quota/src/token_buckets.rs
+++ b/crates/quota/src/token_buckets.rs
@@ -1,47 +1,47 @@
-//! All tenants' buckets in one process, a proxy or a controller that leases tokens.
+//! The token buckets of all tenants in one process: a proxy, or a controller that leases tokens.
 //!
-//! Invariants: nothing is admitted before the process knows by how many quotas are divided; a bucket that is created
-//! after the very first start of the system holds only what has refilled since, so that a restart gives no burst twice.
+//! Invariants: no request is admitted before the process knows the divisor of the quotas. Except at the first start of the
+//! whole system, a new bucket holds only the tokens refilled since the process started, so that a restart does not grant
+//! a burst twice.
 
 use crate::bucket::Bucket;
 use crate::fallback::FallbackBuckets;
 use crate::quota::{Quota, QuotaExceeded};
-use crate::share::{MIN_OF_EVEN, Rescaling};
+use crate::share::{MIN_FRACTION_OF_EVEN_SHARE, Rescaling};
 use std::collections::BTreeMap;
 use std::time::Duration;
 use vanewharf_clock::Timestamp;
 use vanewharf_protocol::messages::{FleetSummary, TenantUsage};
 
-/// Of the requests beyond the quotas that the whole system may admit, the fraction by which the buckets of all processes
-/// together are deeper than their shares of the burst. The rest is for shares that sum past the quota while readings are
-/// late.
-const DEPTH_OF_ALLOWANCE: f64 = 0.6;
+/// The fraction of the allowance (requests beyond the quotas that the whole system may admit) by which the buckets of all
+/// processes together are deeper than their shares of the burst. The rest covers the time in which the shares sum to more
+/// than the quota because readings are late.
+const EXTRA_DEPTH_FRACTION: f64 = 0.6;
 
-/// When to retry at a process that does not know yet by how many quotas are divided: it receives a summary soon after it
-/// starts.
+/// The retry time given before the divisor of the quotas is known: a process receives a fleet summary soon after it starts.
 const RETRY_BEFORE_FIRST_SUMMARY: Duration = Duration::from_millis(200);
 
-/// A process that has received no summary for this long counts itself as cut off. Less than the 60 s after which its
-/// shares are not counted any more and the others take them over.
-const CUT_OFF_AFTER: Duration = Duration::from_secs(50);
+/// A process that has received no fleet summary for this long shrinks its shares. This is less than the 60 s after which
+/// the other processes stop counting its shares and take them over.
+const ISOLATED_AFTER: Duration = Duration::from_secs(50);
 
-/// A bucket may be dropped when it is as good as new: when it admits less than this per second, is at least this full, and
-/// its share is this close to the even share.
-const IDLE_RATE: f64 = 0.01;
-const IDLE_FILL: f64 = 0.99;
+/// A bucket is dropped only if it admits fewer requests per second than this, is at least filled to this fraction of its
+/// depth, and its share deviates from the even share by less than this fraction: a new bucket would be the same.
+const IDLE_REQUESTS_PER_S: f64 = 0.01;
+const IDLE_FILL_FRACTION: f64 = 0.99;
 const IDLE_SHARE_DEVIATION: f64 = 0.05;
 
-/// What the bucket of a tenant not seen before holds.
+/// How full the bucket of a tenant not seen before is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InitialFill {
-    /// The whole depth: at the first start of the whole system only.
+    /// Full; used only at the first start of the whole system.
     Full,
-    /// What has refilled since the process started.
+    /// Empty at the start of the process, and refilled since then.
     Empty,
 }
 
 impl InitialFill {
-    /// By whether this is the first start of the whole system.
+    /// Returns `Full` at the first start of the whole system, otherwise `Empty`.
     pub fn at_start(is_first_of_system: bool) -> InitialFill {
         if is_first_of_system { InitialFill::Full } else { InitialFill::Empty }
     }
@@ -50,31 +50,31 @@
 /// Who holds the shares of the quotas.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ShareOwner {
-    /// Each proxy holds a share, and admits by it.
+    /// Each proxy holds a share and admits requests from it.
     Proxies,
-    /// Proxies are too many: controllers hold the shares and lease tokens to proxies.
+    /// The controllers hold the shares and lease tokens to proxies, because there are too many proxies.
     Controllers,
 }
 
 impl ShareOwner {
-    /// As a fleet summary has it.
+    /// Returns the owner of the shares according to a fleet summary.
     pub fn of(summary: &FleetSummary) -> ShareOwner {
         if summary.token_lenders.is_some() { ShareOwner::Controllers } else { ShareOwner::Proxies }
     }
 }
 
-/// All tenants' buckets in one process.
+/// The token buckets of all tenants in one process.
 #[derive(Clone, Debug)]
 pub struct TokenBuckets {
     share_owner: ShareOwner,
     buckets: BTreeMap<String, Bucket>,
-    /// In use where the shares are the controllers' and this process is a proxy.
+    /// Used by a proxy if the controllers hold the shares.
     fallback: FallbackBuckets,
     /// When a controller last answered a request for tokens.
     lender_answered_at: Timestamp,
-    /// By how many processes quotas are divided.
+    /// The number of processes among which quotas are divided.
     divisor: f64,
-    /// Whether `divisor` is known; until then nothing is admitted.
+    /// Whether `divisor` is known; until then no request is admitted.
     is_divisor_known: bool,
     /// Requests beyond the quotas that the whole system may admit.
     allowance: f64,
@@ -84,7 +84,8 @@
 }
 
 impl TokenBuckets {
-    /// Empty tables. `allowance` is the number of requests beyond the quotas that the whole system may admit.
+    /// Creates an object without buckets. `allowance` is the number of requests beyond the quotas that the whole system
+    /// may admit.
     pub fn new(allowance: f64, initial_fill: InitialFill, now: Timestamp) -> TokenBuckets {
         TokenBuckets {
             share_owner: ShareOwner::Proxies,
@@ -100,19 +101,19 @@
         }
     }
 
-    /// Tokens by which each bucket is deeper than its share of the burst.
+    /// Returns the tokens by which each bucket is deeper than its share of the burst.
     fn extra_depth(&self) -> f64 {
-        DEPTH_OF_ALLOWANCE * self.allowance / self.divisor
+        EXTRA_DEPTH_FRACTION * self.allowance / self.divisor
     }
 
-    /// The tenant's bucket, created where there is none, and refilled.
+    /// Returns the tenant's refilled bucket, after creating it if it is missing.
     fn refilled(&mut self, tenant: &str, quota: Quota, now: Timestamp) -> &mut Bucket {
         if !self.buckets.contains_key(tenant) {
             let bucket = self.new_bucket(quota, now);
             self.buckets.insert(tenant.to_owned(), bucket);
         }
         let extra_depth = self.extra_depth();
-        let bucket = self.buckets.get_mut(tenant).expect("inserted above where it was missing");
+        let bucket = self.buckets.get_mut(tenant).expect("inserted above if it was missing");
         bucket.refill(quota, extra_depth, now);
         bucket
     }
@@ -128,7 +129,8 @@
         Bucket::new(even_share, tokens, now)
     }
 
-    /// Says who holds the shares. With a change all buckets start anew, empty: tokens of both kinds would add up.
+    /// Sets who holds the shares. A change clears all buckets, and new ones start empty: otherwise the tokens of both
+    /// modes would add up.
     pub fn set_share_owner(&mut self, share_owner: ShareOwner) {
         if share_owner == self.share_owner {
             return;
@@ -140,20 +142,20 @@
         self.started_at = self.rescaled_at;
     }
 
-    /// Records that a controller answered a request for tokens, whether it leased any or not.
+    /// Records that a controller answered a request for tokens, with or without a lease.
     pub fn record_lender_answer(&mut self, now: Timestamp) {
         self.lender_answered_at = now;
     }
 
-    /// Leases tokens to another process: as many of `wanted` as there are.
+    /// Leases up to `wanted` tokens to another process and returns their number.
     pub fn lease_tokens(&mut self, tenant: &str, wanted: u32, quota: Quota, now: Timestamp) -> u32 {
         (0..wanted).take_while(|_| self.try_admit(tenant, quota, now).is_ok()).count() as u32
     }
 
-    /// Admits one request by the tenant's bucket in this process.
+    /// Takes a token from the tenant's bucket in this process to admit one request.
     ///
     /// # Errors
-    /// There is no token; the error says when to retry.
+    /// Returns an error with the retry time if there is no token, or if the divisor of the quotas is not known yet.
     pub fn try_admit(&mut self, tenant: &str, quota: Quota, now: Timestamp) -> Result<(), QuotaExceeded> {
         if quota.is_unlimited() {
             return Ok(());
@@ -176,13 +178,13 @@
     /// Returns the token of a request that was admitted and never forwarded.
     pub fn refund(&mut self, tenant: &str) {
         match self.share_owner {
-            ShareOwner::Proxies => self.buckets.get_mut(tenant).into_iter().for_each(Bucket::put_back),
-            ShareOwner::Controllers => self.fallback.put_back(tenant),
+            ShareOwner::Proxies => self.buckets.get_mut(tenant).into_iter().for_each(Bucket::refund),
+            ShareOwner::Controllers => self.fallback.refund(tenant),
         }
     }
 
-    /// Rescales all shares by a new fleet summary: by how many processes quotas are divided, and each tenant's usage over
-    /// all of them. `quota` gives a tenant's quota.
+    /// Applies a new fleet summary: sets the divisor of the quotas, and rescales all shares by each tenant's usage at all
+    /// processes. `quota` returns a tenant's quota.
     pub fn apply_usage(
         &mut self,
         divisor: u32,
@@ -190,7 +192,7 @@
         quota: impl Fn(&str) -> Quota,
         now: Timestamp,
     ) {
-        // Whoever sent this has had no report of any process yet.
+        // The sender of this summary has not received any report yet.
         if divisor == 0 {
             return;
         }
@@ -204,7 +206,7 @@
         self.drop_idle(&quota);
     }
 
-    /// Refills each bucket by its old share and divisor, then sets the new share.
+    /// Refills each bucket with its old share and divisor, then sets the new share.
     fn rescale(
         &mut self,
         even_share: f64,
@@ -220,7 +222,7 @@
         }
     }
 
-    /// Drops buckets that a new one could replace without a difference. That is so only where new buckets start full.
+    /// Drops idle buckets that are equal to a new one, which is possible only if new buckets start full.
     fn drop_idle(&mut self, quota: impl Fn(&str) -> Quota) {
         if self.initial_fill == InitialFill::Empty {
             return;
@@ -228,30 +230,32 @@
         let (extra_depth, even_share) = (self.extra_depth(), 1.0 / self.divisor);
         self.buckets.retain(|tenant, bucket| {
             let depth = bucket.depth(quota(tenant), extra_depth);
-            let is_idle = bucket.own_rate < IDLE_RATE && bucket.tokens >= IDLE_FILL * depth;
+            let is_idle =
+                bucket.own_rate < IDLE_REQUESTS_PER_S && bucket.tokens >= IDLE_FILL_FRACTION * depth;
             let is_even = (bucket.share / even_share - 1.0).abs() < IDLE_SHARE_DEVIATION;
             !(is_idle && is_even && bucket.admitted == 0)
         });
     }
 
-    /// Reduces all shares to the floor where this process has received no summary for long: by then the others take over
-    /// the rest. To be called often.
+    /// Reduces all shares to the minimum if this process has received no fleet summary for [`ISOLATED_AFTER`], because the
+    /// other processes are about to take over the rest. The caller calls this often.
     pub fn shrink_when_cut_off(&mut self, now: Timestamp) {
-        if now.since(self.rescaled_at) < CUT_OFF_AFTER {
+        if now.since(self.rescaled_at) < ISOLATED_AFTER {
             return;
         }
-        let floor = MIN_OF_EVEN / self.divisor;
+        let min_share = MIN_FRACTION_OF_EVEN_SHARE / self.divisor;
         for bucket in self.buckets.values_mut() {
-            bucket.share = bucket.share.min(floor);
+            bucket.share = bucket.share.min(min_share);
         }
     }
 
-    /// Requests admitted since the process started, by tenant; leased tokens are counted by who leased them.
+    /// Returns the requests admitted since the process started, by tenant. A leased token counts as admitted by the
+    /// process that leased it to another.
     pub fn admitted_counts(&self) -> BTreeMap<String, u64> {
         self.buckets.iter().map(|(tenant, bucket)| (tenant.clone(), bucket.admitted)).collect()
     }
 
-    /// This process's share of each tenant's quota, as a fraction; rounded, as it is sent with each report.
+    /// Returns this process's share of each tenant's quota, as a fraction. It is rounded to keep the reports small.
     pub fn quota_shares(&self) -> BTreeMap<String, f64> {
         let rounded = |share: f64| (share * 1e4).round() / 1e4;
         self.buckets.iter().map(|(tenant, bucket)| (tenant.clone(), rounded(bucket.share))).collect()
--- a/crates/quota/src/token_buckets/tests.rs
+++ b/crates/quota/src/token_buckets/tests.rs
@@ -8,30 +8,31 @@
 }
 
 /// Steps per simulated second.
-const STEPS: u64 = 100;
+const STEPS_PER_S: u64 = 100;
 
-/// One admitted request: when, in seconds, and by which proxy.
+/// One admitted request: the time in seconds since the start, and the proxy that admitted it.
 struct Admission {
     seconds: f64,
     proxy: usize,
 }
 
-/// Proxies that receive requests at given rates. Summaries come each second, late by one.
+/// Proxies that receive requests at given rates. A fleet summary is published every second and is one second late.
 struct Fleet {
     proxies: Vec<TokenBuckets>,
-    /// Requests per second that each proxy receives, and the part of the next one that has come.
+    /// Requests per second that each proxy receives.
     rates: Vec<f64>,
+    /// The fraction of the next request at each proxy that is due.
     pending: Vec<f64>,
-    /// Proxies that receive no summary, and whose reports nobody receives, after the first three seconds.
-    cut_off: Vec<usize>,
-    /// What each proxy had admitted by its last report.
+    /// Proxies that neither receive summaries nor send reports after the first three seconds.
+    isolated: Vec<usize>,
+    /// The admitted requests in each proxy's last report.
     reported_counts: Vec<u64>,
     usage: TenantUsage,
     admissions: Vec<Admission>,
 }
 
 impl Fleet {
-    fn new(rates: &[f64], cut_off: &[usize]) -> Fleet {
+    fn new(rates: &[f64], isolated: &[usize]) -> Fleet {
         let mut proxies = vec![TokenBuckets::new(20.0, InitialFill::Full, START); rates.len()];
         for proxy in &mut proxies {
             proxy.apply_usage(rates.len() as u32, &BTreeMap::new(), |_| QUOTA, START);
@@ -40,7 +41,7 @@
             proxies,
             rates: rates.to_vec(),
             pending: vec![0.0; rates.len()],
-            cut_off: cut_off.to_vec(),
+            isolated: isolated.to_vec(),
             reported_counts: vec![0; rates.len()],
             usage: TenantUsage::default(),
             admissions: Vec::new(),
@@ -48,9 +49,9 @@
     }
 
     fn run(mut self, seconds: u64) -> Vec<Admission> {
-        for step in 0..seconds * STEPS {
-            self.receive_requests(step as f64 / STEPS as f64);
-            if step % STEPS == STEPS - 1 {
+        for step in 0..seconds * STEPS_PER_S {
+            self.receive_requests(step as f64 / STEPS_PER_S as f64);
+            if step % STEPS_PER_S == STEPS_PER_S - 1 {
                 self.publish_summary(step);
             }
         }
@@ -60,7 +61,7 @@
     fn receive_requests(&mut self, seconds: f64) {
         let now = at(seconds);
         for (no, proxy) in self.proxies.iter_mut().enumerate() {
-            self.pending[no] += self.rates[no] / STEPS as f64;
+            self.pending[no] += self.rates[no] / STEPS_PER_S as f64;
             while self.pending[no] >= 1.0 {
                 self.pending[no] -= 1.0;
                 if proxy.try_admit("t", QUOTA, now).is_ok() {
@@ -71,14 +72,14 @@
         }
     }
 
-    /// Each proxy gets the last summary, and reports for the next one.
+    /// Delivers the previous summary to each proxy, and collects their reports for the next one.
     fn publish_summary(&mut self, step: u64) {
-        let now = at(step as f64 / STEPS as f64);
+        let now = at(step as f64 / STEPS_PER_S as f64);
         let usage = BTreeMap::from([("t".to_owned(), self.usage)]);
         let divisor = self.proxies.len() as u32;
         let mut next = TenantUsage::default();
         for (no, proxy) in self.proxies.iter_mut().enumerate() {
-            if self.cut_off.contains(&no) && step > 3 * STEPS {
+            if self.isolated.contains(&no) && step > 3 * STEPS_PER_S {
                 continue;
             }
             let count = proxy.admitted_counts().get("t").copied().unwrap_or(0);
@@ -91,7 +92,7 @@
     }
 }
 
-/// The most requests admitted in any five seconds.
+/// Returns the most requests admitted in any five seconds.
 fn max_in_five_seconds(admissions: &[Admission]) -> usize {
     let within = |from: f64| {
         admissions.iter().filter(|admission| (from..from + 5.0).contains(&admission.seconds)).count()
@@ -99,54 +100,54 @@
     admissions.iter().map(|admission| within(admission.seconds)).max().unwrap_or(0)
 }
 
-/// What the rule allows in five seconds: a tenth beyond the quota, and the allowance of 20 requests.
+/// Returns the most requests allowed in five seconds: a tenth more than the quota, plus the allowance of 20 requests.
 fn bound_in_five_seconds(quota: Quota) -> usize {
     ((quota.rate * 5.0 + quota.burst) * 1.1 + 20.0) as usize
 }
 
 #[test]
-fn all_proxies_together_keep_the_quota_however_the_requests_come() {
+fn proxies_keep_the_quota_together() {
     let bound = bound_in_five_seconds(QUOTA);
     for rates in
         [[40.0; 8], [300.0, 0.5, 0.5, 0.5, 0.5, 0.5, 0.5, 0.5], [80.0, 1.0, 40.0, 1.0, 9.0, 9.0, 0.0, 0.0]]
     {
         let most = max_in_five_seconds(&Fleet::new(&rates, &[]).run(40));
-        assert!(most <= bound, "{most} of {bound} for {rates:?}");
+        assert!(most <= bound, "{most} requests in five seconds, bound {bound}, rates {rates:?}");
     }
 }
 
 #[test]
-fn a_proxy_that_is_cut_off_does_not_break_the_quota() {
+fn an_isolated_proxy_does_not_break_the_quota() {
     let bound = bound_in_five_seconds(QUOTA);
     let most = max_in_five_seconds(&Fleet::new(&[40.0; 8], &[2]).run(30));
-    assert!(most <= bound, "{most} of {bound}");
+    assert!(most <= bound, "{most} requests in five seconds, bound {bound}");
 }
 
 #[test]
-fn shares_follow_where_requests_come_in() {
+fn shares_follow_the_traffic() {
     let admissions = Fleet::new(&[32.0, 0.2, 0.2, 0.2, 0.2, 0.2, 0.2, 0.2], &[]).run(40);
     let is_late = |admission: &&Admission| admission.seconds >= 30.0 && admission.proxy == 0;
     let late = admissions.iter().filter(is_late).count();
-    assert!(late >= 290, "{late} of 320 once the share has grown");
+    assert!(late >= 290, "{late} of 320 requests admitted after the share has grown");
 }
 
 #[test]
-fn a_restarted_proxy_has_only_what_has_refilled_since() {
+fn a_restarted_proxy_has_only_tokens_refilled_since_its_start() {
     let mut proxy = TokenBuckets::new(20.0, InitialFill::Empty, START);
     proxy.apply_usage(8, &BTreeMap::new(), |_| QUOTA, START);
-    let wait = proxy.try_admit("t", QUOTA, START).expect_err("nothing has refilled").retry_after;
+    let wait = proxy.try_admit("t", QUOTA, START).expect_err("no token has been refilled").retry_after;
     assert!(wait > Duration::ZERO && wait <= Duration::from_millis(200));
     assert!(proxy.try_admit("t", QUOTA, START.after(wait + Duration::from_millis(1))).is_ok());
-    assert!(proxy.try_admit("free", Quota::UNLIMITED, START).is_ok(), "no limit");
+    assert!(proxy.try_admit("free", Quota::UNLIMITED, START).is_ok(), "a tenant without a limit");
 }
 
-/// A tenant with much traffic, ninety proxies, a lender that dies: what it leased in the five seconds before and what the
-/// proxies admit by themselves afterwards stay within the rule together.
+/// 90 proxies serve a tenant with much traffic, and the controller that leases the tokens fails. The tokens that it leased
+/// in the last five seconds and the requests that the proxies admit by fallback afterwards stay within the bound together.
 #[test]
-fn fallback_buckets_add_little_to_what_a_dead_lender_had_leased() {
+fn fallback_buckets_stay_within_the_bound_after_the_controller_fails() {
     let quota = Quota { rate: 60.0, burst: 60.0 };
-    let mut lender = TokenBuckets::new(20.0, InitialFill::Full, START);
-    lender.apply_usage(1, &BTreeMap::new(), |_| quota, START);
+    let mut controller = TokenBuckets::new(20.0, InitialFill::Full, START);
+    controller.apply_usage(1, &BTreeMap::new(), |_| quota, START);
     let mut proxies = vec![TokenBuckets::new(20.0, InitialFill::Empty, START); 90];
     for proxy in &mut proxies {
         proxy.set_share_owner(ShareOwner::Controllers);
@@ -154,14 +155,14 @@
     }
     let mut admissions = Vec::new();
     for step in 0..6000usize {
-        let seconds = step as f64 / STEPS as f64;
+        let seconds = step as f64 / STEPS_PER_S as f64;
         let now = at(seconds);
         let proxy = step * 7 % 90;
-        // Little traffic for long, then much for five seconds; the lender is dead from the fiftieth on.
+        // Traffic is low for 45 s and high afterwards; the controller fails at 50 s.
         if step % 10 == 0 || seconds >= 45.0 {
             let leased = if seconds < 50.0 {
                 proxies[proxy].record_lender_answer(now);
-                lender.lease_tokens("t", 2, quota, now)
+                controller.lease_tokens("t", 2, quota, now)
             } else {
                 u32::from(proxies[proxy].try_admit("t", quota, now).is_ok())
             };
@@ -169,13 +170,16 @@
         }
     }
     let (most, bound) = (max_in_five_seconds(&admissions), bound_in_five_seconds(quota));
-    assert!(most <= bound, "{most} of {bound}");
+    assert!(most <= bound, "{most} requests in five seconds, bound {bound}");
     let by_fallback = admissions.iter().filter(|admission| admission.seconds >= 50.0).count();
-    assert!(by_fallback <= 70, "{by_fallback} in ten seconds alone, a tenth of the quota");
+    assert!(
+        by_fallback <= 70,
+        "{by_fallback} admitted by fallback in ten seconds, which is more than a tenth of the quota"
+    );
 }
 
 #[test]
-fn a_request_that_was_never_forwarded_costs_nothing() {
+fn a_refunded_request_costs_nothing() {
     let mut proxy = TokenBuckets::new(0.0, InitialFill::Full, START);
     let small = Quota { rate: 2.0, burst: 16.0 };
     proxy.apply_usage(8, &BTreeMap::new(), |_| small, START);
--- a/crates/quota/src/token_reserve.rs
+++ b/crates/quota/src/token_reserve.rs
@@ -1,36 +1,37 @@
-//! Tokens that a controller has leased to a proxy and that wait for their requests.
+//! Tokens that a controller has leased to a proxy in advance.
 //!
-//! Where controllers are in another region, a proxy whose tenant sends steadily requests a small batch of tokens ahead, so
-//! that most requests do not wait for a token's round trip.
+//! If the controllers are in another region, a proxy requests a small batch of tokens in advance for each tenant that
+//! sends steadily, so that most requests do not wait for the round trip to a controller.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use std::time::Duration;
 use vanewharf_clock::Timestamp;
 
-/// How long a token may wait: it may be used so much later than it was leased, which the allowance beyond quotas covers.
+/// How long a leased token may be used. The allowance for requests beyond the quotas covers this delay.
 const TOKEN_LIFETIME: Duration = Duration::from_secs(1);
 
-/// A batch is what is used in so many seconds: half a token's lifetime, so that few tokens expire unused.
-const BATCH_SPAN: f64 = 0.5;
+/// A batch covers the requests of this time: half a token's lifetime, so that few tokens expire unused.
+const BATCH_SECONDS: f64 = 0.5;
 
-/// Tokens in a batch at most: what one proxy holds unused is missing at the others.
-const MAX_BATCH: u32 = 8;
+/// The most tokens in a batch: tokens that one proxy holds unused are not available to the others.
+const MAX_BATCH_TOKENS: u32 = 8;
 
-/// Seconds over which a tenant's request rate is averaged, exponentially.
-const RATE_SPAN: f64 = 2.0;
+/// Time constant of the exponential average of a tenant's request rate.
+const RATE_AVERAGING_SECONDS: f64 = 2.0;
 
 /// A tenant with fewer requests per second than this is dropped.
-const IDLE_RATE: f64 = 0.02;
+const IDLE_REQUESTS_PER_S: f64 = 0.02;
 
+/// The tokens and the request rate of one tenant.
 #[derive(Clone, Debug)]
 struct TenantReserve {
     tokens: u32,
     tokens_expire_at: Timestamp,
-    /// Requests per second, as of the last request.
+    /// Average requests per second at the time of the last request.
     request_rate: f64,
     last_request_at: Timestamp,
-    /// Whether a batch was requested and has not arrived.
+    /// Whether a batch was requested and not yet answered.
     is_batch_pending: bool,
 }
 
@@ -49,13 +50,13 @@
         self.tokens > 0 && self.tokens_expire_at > now
     }
 
-    /// The average rate as of now, in requests per second.
+    /// Returns the average rate now, in requests per second.
     fn decayed_rate(&self, now: Timestamp) -> f64 {
-        self.request_rate * (-now.since(self.last_request_at).as_secs_f64() / RATE_SPAN).exp()
+        self.request_rate * (-now.since(self.last_request_at).as_secs_f64() / RATE_AVERAGING_SECONDS).exp()
     }
 }
 
-/// One proxy's leased tokens, by tenant.
+/// The leased tokens of one proxy, by tenant.
 #[derive(Clone, Debug, Default)]
 pub struct TokenReserve {
     tenants: BTreeMap<Rc<str>, TenantReserve>,
@@ -66,14 +67,14 @@
         self.tenants.entry(Rc::clone(tenant)).or_insert_with(|| TenantReserve::new(now))
     }
 
-    /// Records a request of the tenant, for its rate.
+    /// Adds a request to the tenant's average rate.
     pub fn record_request(&mut self, tenant: &Rc<str>, now: Timestamp) {
         let reserve = self.tenant(tenant, now);
-        reserve.request_rate = reserve.decayed_rate(now) + 1.0 / RATE_SPAN;
+        reserve.request_rate = reserve.decayed_rate(now) + 1.0 / RATE_AVERAGING_SECONDS;
         reserve.last_request_at = now;
     }
 
-    /// Takes a token that has not expired; false where there is none.
+    /// Takes a token that has not expired. Returns false if there is none.
     pub fn take_token(&mut self, tenant: &Rc<str>, now: Timestamp) -> bool {
         let reserve = self.tenant(tenant, now);
         if !reserve.has_valid_tokens(now) {
@@ -84,7 +85,7 @@
         true
     }
 
-    /// Adds leased tokens; all of the tenant's tokens then expire together, a lifetime from now.
+    /// Adds leased tokens. All of the tenant's tokens then expire together, one token lifetime from now.
     pub fn add_tokens(&mut self, tenant: &Rc<str>, tokens: u32, now: Timestamp) {
         let reserve = self.tenant(tenant, now);
         reserve.tokens += tokens;
@@ -93,10 +94,10 @@
         }
     }
 
-    /// How many tokens to request ahead; none while a batch is pending or more than half of one is left.
+    /// Returns how many tokens to request in advance: 0 while a batch is pending or more than half of one is left.
     pub fn tokens_to_request(&mut self, tenant: &Rc<str>, now: Timestamp) -> u32 {
         let reserve = self.tenant(tenant, now);
-        let batch = ((reserve.request_rate * BATCH_SPAN) as u32).min(MAX_BATCH);
+        let batch = ((reserve.request_rate * BATCH_SECONDS) as u32).min(MAX_BATCH_TOKENS);
         let tokens = if reserve.has_valid_tokens(now) { reserve.tokens } else { 0 };
         if reserve.is_batch_pending || batch == 0 || tokens * 2 > batch {
             return 0;
@@ -105,16 +106,18 @@
         batch - tokens
     }
 
-    /// Records the answer to a request for a batch, with the tokens that were leased; 0: none were, or nobody answered.
+    /// Records the answer to a request for a batch. `tokens` is 0 if none were leased or no controller answered.
     pub fn record_lease(&mut self, tenant: &Rc<str>, tokens: u32, now: Timestamp) {
         self.add_tokens(tenant, tokens, now);
         self.tenant(tenant, now).is_batch_pending = false;
     }
 
-    /// Drops tenants that have not sent requests for long.
+    /// Drops tenants that have sent no requests for a long time and have neither valid tokens nor a pending batch.
     pub fn drop_idle_tenants(&mut self, now: Timestamp) {
         self.tenants.retain(|_, reserve| {
-            reserve.is_batch_pending || reserve.decayed_rate(now) > IDLE_RATE || reserve.has_valid_tokens(now)
+            reserve.is_batch_pending
+                || reserve.decayed_rate(now) > IDLE_REQUESTS_PER_S
+                || reserve.has_valid_tokens(now)
         });
     }
 }
--- a/crates/quota/src/token_reserve/tests.rs
+++ b/crates/quota/src/token_reserve/tests.rs
@@ -7,7 +7,7 @@
 }
 
 #[test]
-fn a_steady_tenant_waits_seldom_and_an_occasional_one_is_never_leased_ahead() {
+fn only_a_steady_tenant_is_leased_tokens_in_advance() {
     let (steady, occasional): (Rc<str>, Rc<str>) = (Rc::from("steady"), Rc::from("occasional"));
     let (mut reserve, mut pending_batch) = (TokenReserve::default(), None);
     let (mut waited, mut leased, mut requests) = (0, 0, 0);
@@ -24,7 +24,7 @@
                     && reserve.tokens_to_request(&occasional, at(ms)) == 0
             );
         }
-        // Eight requests per second.
+        // About eight requests per second.
         if ms % 120 == 0 {
             requests += 1;
             reserve.record_request(&steady, at(ms));
@@ -37,8 +37,8 @@
             }
         }
     }
-    assert!(waited <= 8, "{waited} of {requests} waited");
-    assert!(leased <= requests + 8, "{leased} leased for {requests}");
+    assert!(waited <= 8, "{waited} of {requests} requests waited for a token");
+    assert!(leased <= requests + 8, "{leased} tokens leased for {requests} requests");
     reserve.drop_idle_tenants(at(40_000));
     assert!(reserve.tenants.is_empty());
 }
@@ -48,5 +48,5 @@
     let (mut reserve, tenant): (_, Rc<str>) = (TokenReserve::default(), Rc::from("t"));
     reserve.add_tokens(&tenant, 2, START);
     assert!(reserve.take_token(&tenant, at(900)));
-    assert!(!reserve.take_token(&tenant, at(1_000)), "the other one has expired");
+    assert!(!reserve.take_token(&tenant, at(1_000)), "the second token has expired");
 }
