--- a/crates/policy/src/codec.rs
+++ b/crates/policy/src/codec.rs
@@ -1,23 +1,23 @@
-//! How a message between gateways is written: one form for the users' simulator's wire and for sockets. After one byte
-//! that names the form comes the postcard form of [`PeerMessage`], which is positional: fields and variants have no names
-//! in it, so their order is part of the form.
+//! The encoding of messages between gateways, used on sockets and on the wire of the users' simulator. A byte with the
+//! format version is followed by the [`PeerMessage`] in postcard encoding. That encoding is positional: it has no names of
+//! fields and variants, so their order is part of the format.
 
 use crate::interface::PeerMessage;
 
-/// What the wire takes at most; no message comes near it.
+/// The most bytes that the wire accepts; every message is far smaller.
 pub const MAX_BYTES: usize = 256;
 
-/// The first byte tells the form, so that gateways of different builds drop what they cannot read.
-const FORM: u8 = 1;
+/// The first byte of a message. Gateways of different builds drop messages with another version, which they cannot decode.
+const FORMAT_VERSION: u8 = 1;
 
-/// Writes a message.
+/// Encodes a message.
 pub fn encode(message: &PeerMessage) -> Vec<u8> {
-    postcard::to_extend(message, vec![FORM]).expect("a message is plain data, which always serializes")
+    postcard::to_extend(message, vec![FORMAT_VERSION]).expect("plain data always serializes")
 }
 
-/// Reads a message; none where the bytes are not one in this form, to the last byte.
+/// Decodes a message. Returns `None` unless all bytes together are one message of this format version.
 pub fn decode(bytes: &[u8]) -> Option<PeerMessage> {
-    let (&FORM, message) = bytes.split_first()? else {
+    let (&FORMAT_VERSION, message) = bytes.split_first()? else {
         return None;
     };
     match postcard::take_from_bytes(message) {
--- a/crates/policy/src/interface.rs
+++ b/crates/policy/src/interface.rs
@@ -1,8 +1,8 @@
-//! What passes between the decisions of one gateway and the program that carries them out: identifiers, times, the
-//! configuration of a [`Balancer`](crate::decide::Balancer), the events that go in and the actions that come out.
+//! The interface between the policy of one gateway and the program that runs it: identifiers, times, the configuration of
+//! a [`Balancer`](crate::decide::Balancer), its input events and its output actions.
 //!
 //! The types hold no state and do no input or output. [`PeerMessage`] and the types inside it are sent between gateways
-//! in a positional form (see [`crate::codec`]): the order of their fields and variants must not change.
+//! in a positional encoding (see [`crate::codec`]): the order of their fields and variants must not change.
 
 mod config;
 
@@ -10,7 +10,7 @@
 use serde::{Deserialize, Serialize};
 use std::ops::{Add, Sub};
 
-/// An instant or a span, in ticks of 0.1 ms. An instant counts from an origin that the program chooses.
+/// An instant or a duration, in ticks of 0.1 ms. An instant counts from an origin that the program chooses.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Ticks(pub i64);
 
@@ -18,12 +18,12 @@
     /// One second.
     pub const SECOND: Ticks = Ticks(10_000);
 
-    /// This span in seconds.
+    /// Returns this duration in seconds.
     pub fn seconds(self) -> f64 {
         self.0 as f64 / Self::SECOND.0 as f64
     }
 
-    /// This span scaled by `factor`, rounded towards zero.
+    /// Returns this duration multiplied by `factor`, rounded towards zero.
     pub fn times(self, factor: f64) -> Ticks {
         Ticks((self.0 as f64 * factor) as i64)
     }
@@ -52,89 +52,90 @@
 }
 
 identifiers!(
-    /// A client's request, unique at one gateway.
+    /// Identifies a client's request; unique at one gateway.
     TxnId(u64),
-    /// A backend, as this gateway numbers them.
+    /// Identifies a backend; each gateway numbers the backends itself.
     BackendId(u32),
-    /// A customer; the same at all gateways.
+    /// Identifies a customer; the same at all gateways.
     CustomerId(u64),
-    /// A plan's position in [`BalancerConfig::plans`].
+    /// The index of a plan in [`BalancerConfig::plans`].
     PlanId(usize),
-    /// A product's position in [`BalancerConfig::products`].
+    /// The index of a product in [`BalancerConfig::products`].
     ProductId(usize),
-    /// An attempt's position among those of its request: 0 is the first.
+    /// The index of an attempt among those of its request; the first is 0.
     AttemptNumber(u32),
-    /// A timer set by [`Action::SetTimer`].
+    /// Identifies a timer set by [`Action::SetTimer`].
     TimerId(u64),
     /// A key of the shared quota counter.
     CounterKey(u64),
-    /// A gateway's position among all gateways.
+    /// The index of a gateway among all gateways.
     GatewayId(u32),
-    /// A quota request to a peer, unique at the gateway that sent it.
+    /// Identifies a quota request to a peer; unique at the gateway that sent it.
     QuotaRequestId(u32),
 );
 
-/// What a request takes of its customer's quota. The customer comes through a subset of the gateways: `subset_size` of
-/// them from `subset_start` on, counted round.
+/// The quota that a request needs. The customer's requests arrive at a subset of the gateways: `subset_size` gateways from
+/// `subset_start` on, modulo the number of gateways.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct QuotaClaim {
-    /// Whose quota.
+    /// The customer whose quota is charged.
     pub customer: CustomerId,
     /// The customer's plan.
     pub plan: PlanId,
-    /// The first gateway of the customer's subset.
+    /// The first gateway in the customer's subset.
     pub subset_start: u32,
-    /// How many gateways the subset has; zero in an [`Arrival`] stands for all.
+    /// The number of gateways in the subset. In an [`Arrival`], zero means all gateways.
     pub subset_size: u32,
-    /// Units, or an estimate of them.
+    /// The cost of the request in units, possibly an estimate.
     pub cost: f64,
-    /// Marked by its client as a retry of a request that did not succeed.
+    /// Whether the client marked the request as a retry of one that did not succeed.
     pub retry: bool,
 }
 
-/// Why a claim has to wait.
+/// The rejection of a claim that exceeds the quota.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct QuotaRejection {
-    /// When the claim would fit, from now, if that is known.
+    /// The time until the quota would admit the claim, if known.
     pub retry_after: Option<Ticks>,
 }
 
-/// Whether a claim is inside the quota.
+/// Whether the quota admits a claim.
 pub type QuotaDecision = Result<(), QuotaRejection>;
 
-/// What one gateway sends another about a customer's quota, a part of which the other owns. Any message may be lost.
+/// A message between gateways about a customer's quota. Each customer has owners: gateways that each manage a part of the
+/// quota and decide claims for the others. Any message may be lost.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub enum PeerMessage {
-    /// Asks an owner whether a claim is inside its part of the quota.
+    /// Asks an owner whether its part of the quota admits a claim.
     QuotaRequest {
-        /// Repeated in the response.
+        /// The identifier that the response repeats.
         request: QuotaRequestId,
-        /// What is asked for.
+        /// The claim to decide.
         claim: QuotaClaim,
     },
-    /// The owner's answer.
+    /// The owner's response to a `QuotaRequest`.
     QuotaResponse {
-        /// The request that is answered.
+        /// The identifier of the request.
         request: QuotaRequestId,
-        /// What was asked for.
+        /// The claim that was decided.
         claim: QuotaClaim,
-        /// The answer; the owner has charged the claim if it is positive.
+        /// The decision. If it is positive, the owner has charged the claim.
         decision: QuotaDecision,
     },
-    /// The customer asks far more than its quota.
+    /// Notifies a gateway that a customer demands far more than its quota.
     QuotaExhausted {
-        /// Whose quota.
+        /// The customer.
         customer: CustomerId,
     },
-    /// Returns a claim that was charged and came too late to be used.
+    /// Refunds a claim that the owner charged but whose response arrived too late.
     QuotaRefund {
-        /// What is returned.
+        /// The claim to refund.
         claim: QuotaClaim,
     },
 }
 
 impl PeerMessage {
-    /// The claim that it is about, if any.
+    /// Returns the claim in the message, if it has one.
     pub fn claim(&self) -> Option<&QuotaClaim> {
         match self {
             PeerMessage::QuotaRequest { claim, .. }
@@ -145,168 +146,168 @@
     }
 }
 
-/// What became of one call to the shared quota counter (the wire's `COUNTER_REPLY`).
+/// The result of one call to the shared quota counter (`COUNTER_REPLY` on the simulator's wire).
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum CounterReply {
-    /// The key's total after this call, in units.
+    /// The total of the key after this call, in units.
     Total(f64),
-    /// Rejected, or no connection: nothing was added.
+    /// The counter rejected the call or could not be reached; nothing was added.
     NotAdded,
-    /// No answer in time: the amount may have been added, or may yet be.
+    /// The call timed out; the amount may have been added, or may still be.
     Unknown,
 }
 
-/// What a backend takes, as discovery reports it.
+/// The status of a backend as reported by discovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BackendStatus {
-    /// Takes requests.
+    /// Accepts requests.
     Ready,
-    /// Finishes its requests and takes no new ones.
+    /// Finishes its requests and accepts no new ones.
     Draining,
-    /// No longer there.
+    /// Has been removed.
     Gone,
 }
 
-/// One backend, as discovery reports it.
+/// One backend as reported by discovery.
 #[derive(Clone, Debug, PartialEq)]
 pub struct BackendInfo {
-    /// Which backend.
+    /// The backend.
     pub backend: BackendId,
-    /// What it takes.
+    /// Whether it accepts requests.
     pub status: BackendStatus,
     /// Its capacity relative to other backends.
     pub capacity: f64,
-    /// Whether it stands in this gateway's own zone.
+    /// Whether it is in this gateway's zone.
     pub local: bool,
-    /// When it started, where that is known.
+    /// When it started, if known.
     pub started_at: Option<Ticks>,
 }
 
-/// A request that a client has sent.
+/// A request that has arrived from a client.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Arrival {
-    /// Its number at this gateway.
+    /// The request.
     pub txn: TxnId,
-    /// What it asks for.
+    /// The product that it is for.
     pub product: ProductId,
-    /// What it takes of its customer's quota.
+    /// The quota that it needs.
     pub claim: QuotaClaim,
-    /// When its client stops waiting.
+    /// The time at which its client stops waiting.
     pub deadline: Ticks,
 }
 
-/// How an attempt ended.
+/// The outcome of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Outcome {
-    /// A good response.
+    /// The backend returned a successful response.
     Succeeded,
-    /// The backend answered with an error; the request may have run.
+    /// The backend returned an error; the request may have run.
     Error,
-    /// The backend refused the request without running it.
+    /// The backend rejected the request without running it.
     Rejected,
-    /// No response in time; the request may have run.
+    /// No response arrived in time; the request may have run.
     TimedOut,
     /// No connection could be opened; nothing was sent.
     ConnectFailed,
-    /// The connection was lost after the request was sent; it may have run.
+    /// The connection was lost after the request was sent; the request may have run.
     ConnectionLost,
-    /// This gateway cancelled it; the request may have run.
+    /// This gateway cancelled the attempt; the request may have run.
     Cancelled,
-    /// It was not sent at all, as its request was over by then.
+    /// The attempt was not sent because its request had already ended.
     NotSent,
 }
 
 impl Outcome {
-    /// Whether it proves that the backend did not run the request.
+    /// Returns whether the outcome proves that the backend did not run the request.
     pub fn never_ran(self) -> bool {
         matches!(self, Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent)
     }
 }
 
-/// The end of an attempt.
+/// The result of an attempt that has ended.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AttemptReport {
     /// The request.
     pub txn: TxnId,
-    /// Which of its attempts.
+    /// The attempt.
     pub attempt: AttemptNumber,
-    /// How it ended.
+    /// How the attempt ended.
     pub outcome: Outcome,
-    /// The time from its start to its end.
+    /// The time from the start of the attempt to its end.
     pub latency: Ticks,
-    /// Whether the client has its final answer.
+    /// Whether the client has received its final answer.
     pub complete: bool,
-    /// The customer's usage over all gateways, as a part of its quota.
+    /// The customer's metered usage at all gateways, as a fraction of its quota.
     pub metered_usage: Option<f64>,
-    /// What the request cost indeed, in units.
+    /// The actual cost of the request, in units.
     pub actual_cost: Option<f64>,
 }
 
-/// What the decisions are notified of.
+/// An input of the policy.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// The complete list of backends: those that it does not name are gone.
+    /// Discovery reported the complete list of backends; any backend not in it has been removed.
     BackendList(Vec<BackendInfo>),
-    /// Backends that have changed or are new.
+    /// Discovery reported changed or new backends.
     BackendChanges(Vec<BackendInfo>),
-    /// A request has come.
+    /// A request has arrived.
     RequestArrived(Arrival),
     /// An attempt has ended.
     AttemptEnded(AttemptReport),
-    /// A request's client has left; no answer is needed.
+    /// The client of a request has disconnected; the request needs no answer.
     ClientDisconnected(TxnId),
-    /// A timer set by [`Action::SetTimer`] has run out.
+    /// A timer set by [`Action::SetTimer`] has expired.
     TimerFired(TimerId),
-    /// The reply to an [`Action::IncrementCounter`]; replies for one key come in the order of the calls.
+    /// The shared counter replied to an [`Action::IncrementCounter`]. Replies for one key are in the order of the calls.
     CounterReplied {
         /// The key of the call.
         key: CounterKey,
-        /// What became of it.
+        /// The result of the call.
         reply: CounterReply,
     },
-    /// Another gateway's message.
+    /// A message from another gateway has arrived.
     PeerMessageReceived {
-        /// Its sender.
+        /// The sender.
         from: GatewayId,
-        /// What it sent.
+        /// The message.
         message: PeerMessage,
     },
 }
 
-/// What the decisions want done.
+/// An output of the policy, which the program carries out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send a request to a backend.
     SendAttempt {
         /// The request.
         txn: TxnId,
-        /// Where to.
+        /// The backend.
         backend: BackendId,
-        /// How long to wait for the response; without it, until the client gives up.
+        /// How long to wait for the response; `None` means until the client stops waiting.
         timeout: Option<Ticks>,
     },
     /// Cancel an attempt that is in flight.
     CancelAttempt {
         /// The request.
         txn: TxnId,
-        /// Which of its attempts.
+        /// The attempt.
         attempt: AttemptNumber,
     },
-    /// Answer a request finally: it was not run, and another try is harmless.
+    /// Send the client the final answer that the request was not served and may safely be retried.
     Reject {
         /// The request.
         txn: TxnId,
-        /// What to tell the client about coming back.
+        /// How long the client is told to wait before a retry.
         retry_after: Option<Ticks>,
     },
-    /// Answer a request finally: it may have run, and must not be sent again.
+    /// Send the client the final answer that the request may have run and must not be retried.
     Fail {
         /// The request.
         txn: TxnId,
     },
-    /// Send [`Event::TimerFired`] after a span.
+    /// Deliver [`Event::TimerFired`] after a delay.
     SetTimer {
-        /// The span.
+        /// The delay.
         after: Ticks,
         /// The timer.
         timer: TimerId,
@@ -317,14 +318,14 @@
         key: CounterKey,
         /// Units to add.
         amount: f64,
-        /// How long the counter keeps a key that is new.
+        /// How long the counter keeps the key if this call creates it.
         expire_after: Ticks,
     },
-    /// Send another gateway a message, which may be lost.
+    /// Send a message to another gateway; it may be lost.
     SendPeerMessage {
-        /// The other gateway.
+        /// The receiver.
         to: GatewayId,
-        /// What to send.
+        /// The message.
         message: PeerMessage,
     },
 }
--- a/crates/policy/src/interface/config.rs
+++ b/crates/policy/src/interface/config.rs
@@ -1,110 +1,110 @@
-//! What a gateway's decisions are configured with. Rates are in units of quota a second.
+//! The configuration of a gateway's policy. Rates are in units of quota per second.
 
 use super::{GatewayId, Ticks};
 
-/// How far requests for a product may be sent to backends more than once.
+/// Whether a request for a product may be sent to backends more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// Any number of times.
+    /// A request may be sent any number of times.
     Idempotent,
-    /// Backends drop a duplicate that reaches any of them within `window` of the first.
+    /// The backends together drop a duplicate that arrives within `window` of the first attempt.
     Deduplicated {
         /// How long the backends remember a request.
         window: Ticks,
     },
-    /// Never again once an attempt may have run.
+    /// A request must not be sent again once an attempt may have run.
     NonIdempotent,
 }
 
-/// A kind of request.
+/// A type of request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Product {
-    /// An answer later than this earns less or nothing.
+    /// The response time of the SLA: a later answer earns less or nothing.
     pub sla_time: Ticks,
-    /// What one answer in time earns.
+    /// The earnings of one answer within the SLA time.
     pub value: f64,
     /// Whether its requests may be retried.
     pub idempotency: Idempotency,
 }
 
-/// One plan's quota; each of its customers has it over all gateways together. Zero means that there is no such limit.
+/// The quota of one plan. Each customer of the plan has this quota at all gateways together. A rate of zero means no limit.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Plan {
-    /// Units a second that the quota refills.
+    /// Refill rate of the quota, in units per second.
     pub rate: f64,
-    /// Units that the quota holds at most.
+    /// The most units that the quota holds.
     pub burst: f64,
-    /// By what a product's value is multiplied.
+    /// The factor by which the values of products are multiplied for this plan.
     pub value_factor: f64,
-    /// The part of its value that a request beyond the quota still earns.
+    /// The fraction of its value that a request beyond the quota earns.
     pub excess_value: f64,
-    /// The part of its value that a request beyond the quota costs.
+    /// The fraction of its value that a request beyond the quota costs.
     pub excess_cost: f64,
-    /// Units a second that the hard limit refills.
+    /// Refill rate of the hard limit, in units per second.
     pub hard_limit_rate: f64,
-    /// Units that the hard limit holds at most.
+    /// The most units that the hard limit holds.
     pub hard_limit_burst: f64,
 }
 
-/// How much a backend can carry after it started.
+/// How the capacity of a backend rises after its start.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct WarmUp {
-    /// The part of its capacity that it has at once.
+    /// The fraction of its capacity that a backend has when it starts.
     pub initial_capacity: f64,
-    /// How long the capacity takes to rise, evenly, to all of it.
+    /// The time in which the capacity rises linearly to its full value.
     pub ramp_time: Ticks,
 }
 
 impl WarmUp {
-    /// The part of its capacity that a backend has so many seconds after its start.
+    /// Returns the fraction of its capacity that a backend has `age` seconds after its start.
     pub fn capacity_after(self, age: f64) -> f64 {
         let WarmUp { initial_capacity, ramp_time } = self;
         (initial_capacity + (1.0 - initial_capacity) * age / ramp_time.seconds().max(1e-4)).min(1.0)
     }
 }
 
-/// What a deployment lets gateways do.
+/// The actions that a deployment allows its gateways.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AllowedActions {
-    /// Cancel attempts whose answer nobody waits for.
+    /// Whether a gateway may cancel an attempt whose request has ended.
     pub cancel: bool,
-    /// Send a further attempt while one is still in flight.
+    /// Whether a gateway may send another attempt while one is in flight.
     pub hedging: bool,
-    /// Tell rejected clients when to come back.
+    /// Whether a gateway may tell rejected clients when to retry.
     pub retry_after: bool,
-    /// The longest time that a rejected client may be told.
+    /// The longest retry time that a rejected client may be told.
     pub max_retry_after: Ticks,
-    /// Attempts for one request at most.
+    /// The most attempts for one request.
     pub max_attempts: usize,
 }
 
-/// What a gateway's decisions start from; it does not change while they run.
+/// The configuration of a gateway's policy; it does not change while the gateway runs.
 #[derive(Clone, Debug, PartialEq)]
 pub struct BalancerConfig {
-    /// The seed of all random draws.
+    /// The seed of the random number generator.
     pub seed: u64,
-    /// The start's time; no event may be earlier.
+    /// The time at which the gateway started; no event may be earlier.
     pub started_at: Ticks,
-    /// This gateway among all.
+    /// This gateway.
     pub gateway: GatewayId,
-    /// How many gateways there are.
+    /// The number of gateways.
     pub gateway_count: u32,
-    /// The kinds of request, by [`ProductId`](super::ProductId).
+    /// The products, indexed by [`ProductId`](super::ProductId).
     pub products: Vec<Product>,
-    /// The plans, by [`PlanId`](super::PlanId).
+    /// The plans, indexed by [`PlanId`](super::PlanId).
     pub plans: Vec<Plan>,
-    /// What the deployment lets gateways do.
+    /// The actions that the deployment allows.
     pub allowed: AllowedActions,
     /// How backends warm up.
     pub warm_up: WarmUp,
     /// How long this gateway keeps an idle connection to a backend.
     pub idle_timeout: Ticks,
-    /// The time between readings of a customer's metered usage; zero where responses carry none.
+    /// The time between readings of a customer's metered usage; zero if responses carry no readings.
     pub meter_period: Ticks,
-    /// How long a call to the shared quota counter may go unanswered; none where there is no counter.
+    /// The timeout of a call to the shared quota counter; `None` if there is no counter.
     pub counter_timeout: Option<Ticks>,
     /// Whether gateways may send each other messages.
     pub peer_messages: bool,
-    /// What one request costs at most, in units.
+    /// The highest cost of one request, in units.
     pub max_cost: f64,
 }
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,9 +1,9 @@
-//! The decisions of one gateway: admission, choice of a backend, quotas and retries.
+//! The load-balancing policy of one gateway: admission control, choice of a backend, quota enforcement and retries.
 //!
-//! [`decide`] holds the decisions, which are pure: a [`decide::Balancer`] is given events and times and gives actions back,
-//! and does no input or output. [`interface`] is what goes in and out, [`messages`] what its parts send each other,
-//! [`state`] the data that they keep, [`measure`] the averages and draws that they use, and [`codec`] the form of messages
-//! between gateways. `policy` in deploy/balancer.toml names the files that decide.
+//! [`decide`] contains the policy itself. It is pure: a [`decide::Balancer`] takes events and the time, returns actions,
+//! and does no input or output. [`interface`] defines the events and actions, [`messages`] the messages between the
+//! components, [`state`] the data that they keep, [`measure`] averages and random choice, and [`codec`] the encoding of
+//! messages between gateways. The key `policy` in deploy/balancer.toml lists the files with decision logic.
 
 #![forbid(unsafe_code)]
 
