--- a/crates/policy/src/backends.rs
+++ b/crates/policy/src/backends.rs
@@ -1,32 +1,35 @@
-//! The backends that this gateway tracks, with the delivery of their messages. What a message does to a backend is
-//! decided in [`crate::decide`]; here is only kept which backends have messages, and which are shown to admission control.
+//! The table of backends that this gateway tracks, and the delivery of their messages. [`crate::decide`] decides what a
+//! message does to a backend; this module tracks which backends have messages, and updates the snapshots that admission
+//! control reads.
 //!
-//! Invariants: each backend with a message in its inbox is in `notified`; a backend is forgotten once discovery does not
-//! name it as ready and none of its attempts is in flight.
+//! Invariants: each backend with a message in its inbox is in `notified`. A backend is removed when discovery does not
+//! report it as ready and none of its attempts is in flight.
 
 use crate::interface::*;
 use crate::messages::BackendMessage;
 use crate::state::*;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// All backends that discovery names or that have attempts in flight.
+/// All backends that discovery reports or that have attempts in flight.
 #[derive(Default)]
 pub(crate) struct BackendTable {
     backends: BTreeMap<BackendId, Backend>,
+    /// Backends with messages in their inboxes.
     notified: VecDeque<BackendId>,
+    /// Backends whose state may change with time alone.
     active: BTreeSet<BackendId>,
 }
 
 impl BackendTable {
-    /// Takes over discovery's complete list: backends that it does not name are unlisted.
+    /// Applies discovery's complete list; backends that it does not contain are unlisted.
     pub(crate) fn replace(&mut self, entries: Vec<BackendInfo>, now: Ticks) {
-        let named: BTreeSet<_> = entries.iter().map(|entry| entry.backend).collect();
-        let missing: Vec<_> = self.backends.keys().copied().filter(|id| !named.contains(id)).collect();
+        let listed: BTreeSet<_> = entries.iter().map(|entry| entry.backend).collect();
+        let missing: Vec<_> = self.backends.keys().copied().filter(|id| !listed.contains(id)).collect();
         self.update(entries, now);
         missing.into_iter().for_each(|id| self.notify(id, BackendMessage::Unlisted));
     }
 
-    /// Takes over backends that have changed or are new.
+    /// Applies changed and new backends from discovery.
     pub(crate) fn update(&mut self, entries: Vec<BackendInfo>, now: Ticks) {
         for entry in entries {
             self.backends.entry(entry.backend).or_insert_with(|| Backend::new(now));
@@ -34,7 +37,7 @@
         }
     }
 
-    /// Puts a message into a backend's inbox; it is dropped where the backend is not known.
+    /// Puts a message into a backend's inbox, or drops it if the backend is unknown.
     pub(crate) fn notify(&mut self, id: BackendId, message: BackendMessage) {
         if let Some(backend) = self.backends.get_mut(&id) {
             backend.inbox.push_back(message);
@@ -42,14 +45,14 @@
         }
     }
 
-    /// Puts a message into the inboxes of all backends that time alone may change.
+    /// Puts a message into the inboxes of all backends whose state may change with time alone.
     pub(crate) fn notify_active(&mut self, message: BackendMessage) {
         for id in std::mem::take(&mut self.active) {
             self.notify(id, message.clone());
         }
     }
 
-    /// Lets all backends handle their messages, and updates the snapshots of those that did.
+    /// Lets backends handle the messages in their inboxes, and updates the snapshots of these backends.
     pub(crate) fn deliver(&mut self, snapshots: &mut Snapshots, ctx: Context) {
         while let Some(id) = self.notified.pop_front() {
             let Some(backend) = self.backends.get_mut(&id).filter(|backend| !backend.inbox.is_empty()) else {
--- a/crates/policy/src/decide.rs
+++ b/crates/policy/src/decide.rs
@@ -1,5 +1,5 @@
-//! All decisions of one gateway. Backends, quotas and admission control each own their state and an inbox and know each
-//! other by messages only; `deliver` empties the inboxes in a fixed order.
+//! The policy of one gateway. Backend trackers, quota enforcement and admission control each own their state and an inbox,
+//! and communicate only by messages; `deliver` empties the inboxes in a fixed order.
 
 mod account;
 mod admission;
@@ -13,19 +13,20 @@
 use crate::state::*;
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 
-// Figures without a site of their own; docs/results.md and the journal have what else was tried.
-/// Seconds between a gateway's heartbeats to itself, and what each leaves of the longest stall that they showed.
-const HEARTBEAT_PERIOD: f64 = 0.25;
-const STALL_DECAY: f64 = 0.99;
-/// Seconds over which the rates of attempts and of successes are averaged.
-const RATE_SPAN: f64 = 2.0;
-/// Long against a response, short against a failure.
-const EJECTION: Ticks = Ticks(80_000);
-/// Retries for each first attempt, and the most saved up: enough for one unresponsive backend's requests.
+/// The period of a gateway's heartbeats to itself.
+const HEARTBEAT_SECONDS: f64 = 0.25;
+/// The factor by which each heartbeat reduces the longest stall seen so far.
+const STALL_DECAY_FACTOR: f64 = 0.99;
+/// Time constant of the average rates of attempts and of successes.
+const RATE_EMA_SECONDS: f64 = 2.0;
+/// The shortest ejection, 8 s: long compared with a response, short compared with a failure.
+const MIN_EJECTION_TIME: Ticks = Ticks(80_000);
+/// The retries that each first attempt adds to the budget.
 const RETRY_RATIO: f64 = 0.1;
+/// The largest retry budget: enough to retry all requests at one unresponsive backend.
 const MAX_RETRY_BUDGET: f64 = 12.0;
 
-/// The decisions of one gateway: pure, and the same for the same configuration and events.
+/// The policy of one gateway. It is pure: the same configuration and events always give the same actions.
 pub struct Balancer {
     config: BalancerConfig,
     now: Ticks,
@@ -37,69 +38,69 @@
 }
 
 impl Balancer {
-    /// A gateway that has just started.
+    /// Returns the policy of a gateway that has just started.
     pub fn new(config: BalancerConfig) -> Balancer {
-        let guess = |product: &Product| LatencyEstimate::guess(product.sla_time.seconds() / 4.0);
-        let latencies = config.products.iter().map(guess).collect();
+        let initial = |product: &Product| LatencyEstimate::initial(product.sla_time.seconds() / 4.0);
+        let latencies = config.products.iter().map(initial).collect();
         let (now, retry_budget) = (config.started_at, MAX_RETRY_BUDGET);
         let success_rate = DecayingRate::new(now);
         let admission = AdmissionControl { latencies, success_rate, retry_budget, ..Default::default() };
-        let (call_rate, counter_reach, counted_rate) = (1.0, 1.0, 1.0);
-        let fit_rates = vec![0.5; config.plans.len()];
-        let quota = QuotaEnforcer { call_rate, counter_reach, counted_rate, fit_rates, ..Default::default() };
+        let (call_ratio, coverage, counted_ratio) = (1.0, 1.0, 1.0);
+        let grant_ratios = vec![0.5; config.plans.len()];
+        let quota = QuotaEnforcer { call_ratio, coverage, counted_ratio, grant_ratios, ..Default::default() };
         let (rng, backends) = (SmallRng::seed_from_u64(config.seed), BackendTable::default());
         let mut balancer = Balancer { config, now, rng, admission, quota, backends, actions: Vec::new() };
         balancer.heartbeat();
         balancer
     }
 
-    /// Handles a batch of events at a time and gives the actions to carry out, in order.
+    /// Handles a batch of events that occur at `now`, and returns the actions to carry out, in order.
     pub fn decide(&mut self, now: Ticks, events: Vec<Event>) -> Vec<Action> {
         let last_batch_at = self.now;
         self.now = self.now.max(now);
-        // Against holding requests that no stall leaves time for: the next one may come at any moment.
+        // A request is held for other gateways only if its client could wait through another stall as long.
         self.quota.longest_stall = self.quota.longest_stall.max(self.now - last_batch_at);
         events.into_iter().for_each(|event| self.dispatch(event));
         self.deliver();
-        // Judged after the events: a gateway held up itself must not take its own backlog for a backend's silence.
+        // Backends are ticked after the events: responses in this gateway's own backlog must not count as missing.
         self.tick();
         self.deliver();
         std::mem::take(&mut self.actions)
     }
 
     fn dispatch(&mut self, event: Event) {
-        match Notification::from(event) {
-            Notification::BackendList(entries) => self.backends.replace(entries, self.now),
-            Notification::BackendChanges(entries) => self.backends.update(entries, self.now),
-            Notification::Admission(message) => self.admission.inbox.push_back(message),
-            Notification::Quota(message) => self.quota.inbox.push_back(message),
-            Notification::Heartbeat => self.heartbeat(),
+        match RoutedEvent::from(event) {
+            RoutedEvent::BackendList(entries) => self.backends.replace(entries, self.now),
+            RoutedEvent::BackendChanges(entries) => self.backends.update(entries, self.now),
+            RoutedEvent::Admission(message) => self.admission.inbox.push_back(message),
+            RoutedEvent::Quota(message) => self.quota.inbox.push_back(message),
+            RoutedEvent::Heartbeat => self.heartbeat(),
         }
     }
 
-    /// Where requests are held for other gateways' messages, a gateway must know when it stood still itself.
+    /// Sets the timer of the next heartbeat. Heartbeats let a gateway that holds requests detect its own stalls.
     fn heartbeat(&mut self) {
         if self.config.peer_messages {
-            self.quota.longest_stall = self.quota.longest_stall.times(STALL_DECAY);
-            let after = Ticks::SECOND.times(HEARTBEAT_PERIOD);
+            self.quota.longest_stall = self.quota.longest_stall.times(STALL_DECAY_FACTOR);
+            let after = Ticks::SECOND.times(HEARTBEAT_SECONDS);
             self.actions.push(Action::SetTimer { after, timer: HEARTBEAT_TIMER });
         }
     }
 
-    /// Only backends with attempts in flight, ejected or warming up are ticked: in a wide fleet few of all.
+    /// Ticks only backends that are ejected, failing, warming up or have attempts in flight: few in a large fleet.
     fn tick(&mut self) {
         let ctx = Context { now: self.now, config: &self.config };
         let ready = self.admission.backends.values().filter(|backend| backend.is_ready());
         let (rate, capacity) = ready.fold((0.0, 1e-6), |(rate, capacity), backend| {
-            (rate + backend.sent_rate.value(RATE_SPAN, ctx), capacity + backend.capacity)
+            (rate + backend.sent_rate.value(RATE_EMA_SECONDS, ctx), capacity + backend.capacity)
         });
-        let (ready_rate, patience) = (rate / capacity, self.admission.patience());
-        // The random part keeps gateways that ejected a backend together from returning to it together.
-        let ejection = EJECTION.times(1.0 + 0.5 * self.rng.random::<f64>());
-        self.backends.notify_active(BackendMessage::Tick { patience, ready_rate, ejection });
+        let (ready_rate, overdue_after) = (rate / capacity, self.admission.overdue_after());
+        // Random times keep gateways that ejected a backend together from returning to it together.
+        let ejection_time = MIN_EJECTION_TIME.times(1.0 + 0.5 * self.rng.random::<f64>());
+        self.backends.notify_active(BackendMessage::Tick { overdue_after, ready_rate, ejection_time });
     }
 
-    /// Backends first, then quotas, so that admission control never acts on snapshots that are behind.
+    /// Empties the inboxes: backends first, then quotas, so that admission control never uses outdated snapshots.
     fn deliver(&mut self) {
         loop {
             let ctx = Context { now: self.now, config: &self.config };
--- a/crates/policy/src/messages.rs
+++ b/crates/policy/src/messages.rs
@@ -1,144 +1,145 @@
-//! The messages between the parts of the decisions: backends, admission control and quotas. They hold no state, and each
-//! is handled by the part in whose name it is.
+//! The messages between the components of the policy: backend trackers, admission control and quota enforcement. Each
+//! message type is named after the component that handles it.
 
 use crate::interface::*;
 use crate::state::QuotaCheck;
 
-/// The timer of a gateway's heartbeats to itself, above the timers of all quota requests.
+/// The timer of a gateway's heartbeats to itself. It does not collide with the timers of quota requests, whose ids have
+/// 32 bits.
 pub const HEARTBEAT_TIMER: TimerId = TimerId(1 << 32);
 
-/// An event, as a message to the part that it is for.
+/// An event, converted into a message to the component that handles it.
 #[derive(Clone, Debug)]
-pub enum Notification {
-    /// Discovery's complete list of backends.
+pub enum RoutedEvent {
+    /// Discovery reported the complete list of backends.
     BackendList(Vec<BackendInfo>),
-    /// Backends that have changed or are new.
+    /// Discovery reported changed or new backends.
     BackendChanges(Vec<BackendInfo>),
-    /// For admission control.
+    /// A message to admission control.
     Admission(AdmissionMessage),
-    /// For the quotas' enforcement.
+    /// A message to quota enforcement.
     Quota(QuotaMessage),
-    /// The gateway's heartbeat to itself.
+    /// The timer of the gateway's heartbeats has expired.
     Heartbeat,
 }
 
-impl From<Event> for Notification {
-    fn from(event: Event) -> Notification {
+impl From<Event> for RoutedEvent {
+    fn from(event: Event) -> RoutedEvent {
         match event {
-            Event::BackendList(entries) => Notification::BackendList(entries),
-            Event::BackendChanges(entries) => Notification::BackendChanges(entries),
+            Event::BackendList(entries) => RoutedEvent::BackendList(entries),
+            Event::BackendChanges(entries) => RoutedEvent::BackendChanges(entries),
             Event::RequestArrived(arrival) => {
-                Notification::Admission(AdmissionMessage::RequestArrived(arrival))
+                RoutedEvent::Admission(AdmissionMessage::RequestArrived(arrival))
             }
-            Event::AttemptEnded(report) => Notification::Admission(AdmissionMessage::AttemptEnded(report)),
+            Event::AttemptEnded(report) => RoutedEvent::Admission(AdmissionMessage::AttemptEnded(report)),
             Event::ClientDisconnected(txn) => {
-                Notification::Admission(AdmissionMessage::ClientDisconnected(txn))
+                RoutedEvent::Admission(AdmissionMessage::ClientDisconnected(txn))
             }
-            Event::TimerFired(HEARTBEAT_TIMER) => Notification::Heartbeat,
+            Event::TimerFired(HEARTBEAT_TIMER) => RoutedEvent::Heartbeat,
             Event::TimerFired(TimerId(timer)) => {
-                Notification::Quota(QuotaMessage::RequestTimedOut(QuotaRequestId(timer as u32)))
+                RoutedEvent::Quota(QuotaMessage::RequestTimedOut(QuotaRequestId(timer as u32)))
             }
             Event::PeerMessageReceived { from, message } => {
-                Notification::Quota(QuotaMessage::Peer(from, message))
+                RoutedEvent::Quota(QuotaMessage::Peer(from, message))
             }
             Event::CounterReplied { key, reply } => {
-                Notification::Quota(QuotaMessage::CounterReplied(key, reply))
+                RoutedEvent::Quota(QuotaMessage::CounterReplied(key, reply))
             }
         }
     }
 }
 
-/// What a backend's tracker is notified of.
+/// A message to the tracker of one backend.
 #[derive(Clone, Debug)]
 pub enum BackendMessage {
-    /// Discovery has named it.
+    /// Discovery reported the backend.
     Listed(BackendInfo),
-    /// Discovery's complete list does not name it.
+    /// Discovery's complete list does not contain the backend.
     Unlisted,
-    /// Time has passed.
+    /// Updates the state that depends on the time.
     Tick {
-        /// How long a response may take before the backend counts as unresponsive.
-        patience: Ticks,
-        /// Seconds of work a second that this gateway sends warmed-up backends, for each unit of their capacity.
+        /// The age after which an attempt in flight is overdue, a sign of an unresponsive backend.
+        overdue_after: Ticks,
+        /// Work (seconds per second) that this gateway sends to ready backends, per unit of their capacity.
         ready_rate: f64,
         /// How long an ejection that starts now lasts.
-        ejection: Ticks,
+        ejection_time: Ticks,
     },
-    /// An attempt was sent to it.
+    /// An attempt was sent to the backend.
     AttemptSent {
         /// The request.
         txn: TxnId,
-        /// Which of its attempts.
+        /// The attempt.
         attempt: AttemptNumber,
-        /// Seconds that it is expected to take.
+        /// The expected duration of the attempt, in seconds.
         work: f64,
     },
-    /// An attempt to it has ended.
+    /// An attempt at the backend has ended.
     AttemptEnded {
         /// The request.
         txn: TxnId,
-        /// Which of its attempts.
+        /// The attempt.
         attempt: AttemptNumber,
-        /// How it ended.
+        /// How the attempt ended.
         outcome: Outcome,
-        /// Its latency, as a multiple of the product's mean.
+        /// The latency of the attempt, as a multiple of the product's mean latency.
         relative_latency: f64,
     },
 }
 
-/// What admission control is notified of.
+/// A message to admission control.
 #[derive(Clone, Debug)]
 pub enum AdmissionMessage {
-    /// A request has come.
+    /// A request has arrived.
     RequestArrived(Arrival),
     /// The quota admits a request.
     QuotaGranted(TxnId),
-    /// The quota refuses a request, which may come back after a span.
-    QuotaRefused(TxnId, Option<Ticks>),
+    /// The quota does not admit a request; the client may retry after the time given, if any.
+    QuotaRejected(TxnId, Option<Ticks>),
     /// An attempt has ended.
     AttemptEnded(AttemptReport),
-    /// A request's client has left.
+    /// The client of a request has disconnected.
     ClientDisconnected(TxnId),
 }
 
 impl AdmissionMessage {
-    /// The quota's answer for a request.
+    /// Returns the message that tells admission control the quota decision on a request.
     pub fn from_decision(txn: TxnId, decision: QuotaDecision) -> AdmissionMessage {
         match decision {
             Ok(()) => AdmissionMessage::QuotaGranted(txn),
-            Err(rejection) => AdmissionMessage::QuotaRefused(txn, rejection.retry_after),
+            Err(rejection) => AdmissionMessage::QuotaRejected(txn, rejection.retry_after),
         }
     }
 }
 
-/// What the quotas' enforcement is notified of.
+/// A message to quota enforcement.
 #[derive(Clone, Debug)]
 pub enum QuotaMessage {
-    /// Asks whether a request may be admitted.
+    /// Asks whether the quota admits a request.
     Check(QuotaCheck),
-    /// Another gateway's message.
+    /// A message from another gateway.
     Peer(GatewayId, PeerMessage),
-    /// No owner's response came in time.
+    /// A quota request to an owner timed out.
     RequestTimedOut(QuotaRequestId),
-    /// An admitted request's attempt has ended.
+    /// An attempt of an admitted request has ended.
     AttemptEnded {
-        /// What was claimed for it.
+        /// The claim of the request.
         claim: QuotaClaim,
-        /// The customer's usage over all gateways, as a part of its quota.
+        /// The customer's metered usage at all gateways, as a fraction of its quota.
         metered_usage: Option<f64>,
-        /// What it cost beyond the claim, in units; negative where it cost less.
-        owed: f64,
+        /// The actual cost minus the cost in the claim, in units.
+        extra_cost: f64,
     },
-    /// The shared counter's reply to a call.
+    /// The shared counter replied to a call.
     CounterReplied(CounterKey, CounterReply),
 }
 
 impl QuotaMessage {
-    /// Returns the claim of a request that was granted and could not be sent.
+    /// Returns the message that refunds the claim of an admitted request that could not be sent.
     pub fn refund(claim: QuotaClaim) -> QuotaMessage {
-        QuotaMessage::AttemptEnded { claim, metered_usage: None, owed: -claim.cost }
+        QuotaMessage::AttemptEnded { claim, metered_usage: None, extra_cost: -claim.cost }
     }
 }
 
-/// The answer to a check, where it is known by now.
+/// The answer to a check, or `None` if it is not known yet.
 pub type CheckAnswer = Option<AdmissionMessage>;
--- a/crates/policy/src/state.rs
+++ b/crates/policy/src/state.rs
@@ -1,43 +1,44 @@
-//! The data that the decisions keep, grouped by how long it lives. Nothing is decided here: constructors fill in the
-//! time, and methods note and read what has happened.
+//! The state of the policy, grouped by lifetime. This module makes no decisions: constructors set initial values, and
+//! methods record and return what has happened.
 
 use crate::interface::*;
-use crate::measure::{DecayingRate, LatencyEstimate, PendingCounts};
+use crate::measure::{DecayingRate, LatencyEstimate, PendingCounterCalls};
 use crate::messages::*;
 use std::collections::{BTreeMap, VecDeque};
 
-/// What every part of the decisions goes by: the batch's time and the configuration.
+/// The inputs that all components need: the time of the current batch of events, and the configuration.
 #[derive(Clone, Copy, Debug)]
 pub struct Context<'a> {
-    /// The time of the batch.
+    /// The time of the current batch of events.
     pub now: Ticks,
-    /// What the gateway was started with.
+    /// The configuration of the gateway.
     pub config: &'a BalancerConfig,
 }
 
 impl<'a> Context<'a> {
-    /// Seconds from `earlier` to now.
+    /// Returns the seconds from `earlier` to now.
     pub fn since(self, earlier: Ticks) -> f64 {
         (self.now - earlier).seconds()
     }
 
-    /// What an exponential average over `span` seconds leaves by now of a value from `earlier`.
+    /// Returns the weight that a value from `earlier` still has in an exponential average with a time constant of `span`
+    /// seconds.
     pub fn decay(self, earlier: Ticks, span: f64) -> f64 {
         (-self.since(earlier) / span).exp()
     }
 
-    /// The figures of a plan.
+    /// Returns the configuration of a plan.
     pub fn plan(self, plan: PlanId) -> &'a Plan {
         &self.config.plans[plan.0]
     }
 
-    /// The gateway at a position in the subset through which the claim's customer comes.
+    /// Returns the gateway at `position` in the subset of the claim's customer.
     pub fn subset_member(self, claim: &QuotaClaim, position: u64) -> GatewayId {
         let gateway = (u64::from(claim.subset_start) + position) % u64::from(self.config.gateway_count);
         GatewayId(gateway as u32)
     }
 
-    /// Whether a claim that another gateway sent names a plan, a subset and a cost that there can be.
+    /// Returns whether plan, subset size and cost of a claim from another gateway are within their ranges.
     pub fn is_valid(self, claim: &QuotaClaim) -> bool {
         claim.plan.0 < self.config.plans.len()
             && (1..=self.config.gateway_count).contains(&claim.subset_size)
@@ -45,95 +46,95 @@
     }
 }
 
-// For one check of a quota.
+// State with the lifetime of one quota check.
 
-/// Whether one request may be admitted, and how far the question has got.
+/// The check whether the quota admits one request, with its progress.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct QuotaCheck {
     /// The request.
     pub txn: TxnId,
-    /// What it takes of its customer's quota.
+    /// The quota that the request needs.
     pub claim: QuotaClaim,
-    /// Drawn evenly from 0 to 1, once for the request.
+    /// A random number from 0 to 1, generated once for the request.
     pub random: f64,
-    /// How long its client stays.
+    /// How long the client stays after the request arrives.
     pub stay: Ticks,
-    /// How long one owner's response may take.
-    pub owner_timeout: Ticks,
-    /// Whether there is room for it beyond its quota, by what it is worth there.
-    pub has_room: bool,
-    /// How many owners were asked.
-    pub owners_asked: u32,
-    /// Whether an owner has refused it.
-    pub refused: bool,
+    /// The timeout of a query to one owner.
+    pub timeout: Ticks,
+    /// Whether the load is too high for the request at the value that it has beyond its quota.
+    pub sheds_excess: bool,
+    /// The number of owners queried so far.
+    pub owners_queried: u32,
+    /// Whether an owner has rejected the claim.
+    pub rejected: bool,
 }
 
-/// A request held for the shared counter's total, in the order of the calls for its key.
+/// A request that waits for the reply to a call to the shared counter.
 #[derive(Clone, Copy, Debug)]
-pub struct PendingCount {
-    /// The request.
+pub struct PendingCounterCall {
+    /// The check of the request.
     pub check: QuotaCheck,
-    /// The number of the customer's counter window.
+    /// The number of the counter window that the call was for.
     pub window: i64,
     /// When the counter was called.
     pub called_at: Ticks,
 }
 
-impl PendingCount {
-    /// When its window ends, if windows are `span` long.
+impl PendingCounterCall {
+    /// Returns the end of the window, if windows are `span` long.
     pub fn window_end(&self, span: Ticks) -> Ticks {
         Ticks((self.window + 1) * span.0)
     }
 }
 
-/// A request held for an owner's response.
+/// A request that waits for an owner's response.
 #[derive(Clone, Copy, Debug)]
-pub struct PendingRequest {
-    /// The gateway that was asked.
+pub struct PendingOwnerRequest {
+    /// The gateway that was queried.
     pub owner: GatewayId,
-    /// The request.
+    /// The check of the request.
     pub check: QuotaCheck,
 }
 
-// For one attempt.
+// State with the lifetime of one attempt.
 
-/// A request as sent to one backend.
+/// One attempt to serve a request at a backend.
 #[derive(Clone, Debug)]
 pub struct Attempt {
-    /// Where it was sent.
+    /// The backend that it was sent to.
     pub backend: BackendId,
     /// When it was sent.
     pub sent_at: Ticks,
-    /// Whether its end is not known yet.
+    /// Whether it has not ended yet.
     pub in_flight: bool,
-    /// Whether the backend may have run it.
+    /// Whether the backend may have run the request.
     pub may_have_run: bool,
 }
 
-// For one request.
+// State with the lifetime of one request.
 
-/// A request under way.
+/// A request that has not ended.
 #[derive(Clone, Debug, Default)]
 pub struct Request {
-    /// What was asked for.
+    /// The request as it arrived.
     pub arrival: Arrival,
-    /// When it came.
+    /// When it arrived.
     pub arrived_at: Ticks,
-    /// Whether it has its final answer, or needs none.
+    /// Whether the client has received the final answer or needs none.
     pub answered: bool,
-    /// The attempts so far, by [`AttemptNumber`].
+    /// The attempts so far, indexed by [`AttemptNumber`].
     pub attempts: Vec<Attempt>,
 }
 
 impl Request {
-    /// Notes that a further attempt is sent, and gives its number.
+    /// Records a new attempt and returns its number.
     pub fn begin_attempt(&mut self, backend: BackendId, now: Ticks) -> AttemptNumber {
-        // Until its outcome says otherwise an attempt may run at any moment.
+        // Until the outcome shows otherwise, the backend may run the request at any moment.
         self.attempts.push(Attempt { backend, sent_at: now, in_flight: true, may_have_run: true });
         AttemptNumber(self.attempts.len() as u32 - 1)
     }
 
-    /// Notes the end of an attempt, and gives its backend; none where it is not in flight.
+    /// Records the end of an attempt and returns its backend, or `None` if the attempt is not in flight.
     pub fn end_attempt(&mut self, number: AttemptNumber, outcome: Outcome) -> Option<BackendId> {
         let attempt = self.attempts.get_mut(number.0 as usize).filter(|attempt| attempt.in_flight)?;
         attempt.in_flight = false;
@@ -141,53 +142,53 @@
         Some(attempt.backend)
     }
 
-    /// The first of its attempts that may have run.
+    /// Returns the first attempt that a backend may have run.
     pub fn first_that_may_have_run(&self) -> Option<&Attempt> {
         self.attempts.iter().find(|attempt| attempt.may_have_run)
     }
 }
 
-// For one backend.
+// State with the lifetime of one backend.
 
-/// What this gateway keeps of one backend.
+/// The tracker of one backend.
 #[derive(Clone, Debug, Default)]
 pub struct Backend {
     /// Messages not handled yet.
     pub inbox: VecDeque<BackendMessage>,
     /// Its capacity relative to other backends.
     pub capacity: f64,
-    /// Whether it stands in this gateway's own zone.
+    /// Whether it is in this gateway's zone.
     pub local: bool,
-    /// When it started, where that is known.
+    /// When it started, if known.
     pub started_at: Option<Ticks>,
-    /// Whether discovery says that it takes requests.
+    /// Whether discovery reports that it accepts requests.
     pub ready: bool,
-    /// When each attempt in flight was sent.
+    /// The attempts in flight, with the time when each was sent.
     pub in_flight: BTreeMap<(TxnId, AttemptNumber), Ticks>,
-    /// How many of these are in flight for so long that they stand in nobody's way.
+    /// How many attempts in flight are so old that they no longer delay new requests.
     pub stuck: f64,
-    /// When it last succeeded.
+    /// When an attempt last succeeded.
     pub last_success: Ticks,
-    /// Until when an idle connection to it stays open.
+    /// When the last idle connection to it closes.
     pub connected_until: Ticks,
-    /// Attempts sent earlier tell nothing of it.
+    /// Health checks ignore attempts sent before this time.
     pub observed_since: Ticks,
-    /// The average of its latencies, as a multiple of their products' means.
+    /// The average latency, as a multiple of the mean latency of the product.
     pub relative_latency: f64,
-    /// Failures, halved by each success.
+    /// The number of failures, halved by each success.
     pub failures: f64,
-    /// Until when it is ejected.
+    /// When its ejection ends.
     pub ejected_until: Option<Ticks>,
-    /// Seconds of work a second that were sent to it.
+    /// Work sent to it, in seconds per second.
     pub sent_rate: DecayingRate,
     /// The time of the last tick.
     pub ticked_at: Ticks,
-    /// Seconds of work that it may be sent while it warms up.
+    /// Work that may be sent to it while it warms up, in seconds.
     pub warm_up_credit: f64,
 }
 
 impl Backend {
-    /// A backend first heard of at `now`.
+    /// Returns the tracker of a backend that discovery first reports at `now`.
     pub fn new(now: Ticks) -> Backend {
         Backend {
             capacity: 1.0,
@@ -200,7 +201,8 @@
         }
     }
 
-    /// Takes over what discovery says; a backend that has started anew is tracked anew.
+    /// Applies a report from discovery. After a restart of the backend, all state except its messages and its attempts in
+    /// flight is reset.
     pub fn update(&mut self, entry: BackendInfo, now: Ticks) {
         if entry.started_at != self.started_at && entry.started_at.is_some() {
             let (inbox, in_flight) = (std::mem::take(&mut self.inbox), std::mem::take(&mut self.in_flight));
@@ -212,147 +214,148 @@
     }
 }
 
-/// What a backend's tracker last showed admission control.
+/// The state of a backend that its tracker publishes to admission control.
 #[derive(Clone, Copy, Debug)]
 pub struct BackendSnapshot {
-    /// Whether it stands in this gateway's own zone.
+    /// Whether it is in this gateway's zone.
     pub local: bool,
     /// Its capacity relative to other backends.
     pub capacity: f64,
-    /// Its capacity as far as it has warmed up, by its latency.
-    pub strength: f64,
-    /// Attempts in flight.
+    /// Its capacity scaled by warm-up progress and divided by its relative latency.
+    pub effective_capacity: f64,
+    /// The number of attempts in flight.
     pub in_flight: f64,
-    /// How many of these are stuck.
+    /// How many attempts in flight are so old that they no longer delay new requests.
     pub stuck: f64,
     /// Whether it is warming up.
     pub warming_up: bool,
     /// Whether it is ejected.
     pub ejected: bool,
-    /// Whether it is warming up and may be sent nothing more for now.
-    pub exhausted: bool,
-    /// Seconds of work a second that were sent to it.
+    /// Whether it is warming up and has no credit for more work at the moment.
+    pub out_of_credit: bool,
+    /// Work sent to it, in seconds per second.
     pub sent_rate: DecayingRate,
-    /// Until when an idle connection to it stays open.
+    /// When the last idle connection to it closes.
     pub connected_until: Ticks,
 }
 
 impl BackendSnapshot {
-    /// Whether it has warmed up and is not ejected.
+    /// Returns whether the backend has warmed up and is not ejected.
     pub fn is_ready(&self) -> bool {
         !self.warming_up && !self.ejected
     }
 }
 
-/// The backends that take requests.
+/// The snapshots of all backends that accept requests.
 pub type Snapshots = BTreeMap<BackendId, BackendSnapshot>;
 
-// For the instance.
+// State with the lifetime of the gateway.
 
-/// One customer's quota at this gateway.
+/// The account of one customer's quota at this gateway.
 #[derive(Clone, Debug, Default)]
 pub struct Account {
     /// The customer's plan.
     pub plan: PlanId,
-    /// How many gateways the customer comes through.
+    /// The number of gateways at which the customer's requests arrive.
     pub subset_size: f64,
-    /// This gateway's part of the quota.
+    /// This gateway's share of the quota, as a fraction.
     pub share: f64,
-    /// Units left in the share.
+    /// Units left in the share; a negative number is debt.
     pub tokens: f64,
-    /// Units of the complete quota that no gateway seems to claim.
-    pub unclaimed: f64,
-    /// Units a second asked for lately.
-    pub demand: f64,
-    /// The part refused of what this gateway was asked as an owner.
-    pub refused: f64,
+    /// Estimated units of the whole quota that no gateway uses; requests may borrow from them.
+    pub unused_quota: f64,
+    /// Units per second requested recently, averaged.
+    pub demand_rate: f64,
+    /// The fraction of claims that this gateway rejects as an owner, averaged.
+    pub reject_ratio: f64,
     /// When the customer's gateways were last notified that the quota is exhausted.
     pub exhausted_sent_at: Ticks,
     /// Units left in this gateway's part of the hard limit.
-    pub limit_tokens: f64,
+    pub hard_limit_tokens: f64,
     /// The time up to which all tokens are refilled.
     pub refilled_at: Ticks,
     /// The mean cost of an admitted request, in units.
     pub mean_cost: f64,
-    /// Units admitted since the last review.
+    /// Units admitted since the last update of the share.
     pub admitted: f64,
-    /// Units a second admitted here, averaged.
+    /// Units per second admitted at this gateway, averaged.
     pub admitted_rate: f64,
-    /// The same, as late as the meter's readings are.
+    /// `admitted_rate`, delayed as much as the meter readings are.
     pub lagged_rate: f64,
-    /// The averaged usage over all gateways, as a part of the quota.
+    /// The metered usage at all gateways as a fraction of the quota, averaged.
     pub metered_usage: f64,
-    /// The meter's last reading.
-    pub reading: f64,
-    /// When it came.
-    pub read_at: Option<Ticks>,
-    /// The time of the last review of the share.
-    pub reviewed_at: Ticks,
-    /// The counter window last reported.
+    /// The last meter reading, as a fraction of the quota.
+    pub meter_reading: f64,
+    /// When the last meter reading arrived.
+    pub meter_read_at: Option<Ticks>,
+    /// The time of the last update of the share.
+    pub share_updated_at: Ticks,
+    /// The number of the counter window last reported.
     pub window: i64,
-    /// Its total, in units.
+    /// The total in that window, in units.
     pub window_total: f64,
 }
 
-/// Admission control: the requests under way and what tells how loaded the backends are.
+/// The state of admission control: the requests that have not ended, and estimates of the load of the backends.
 #[derive(Clone, Debug, Default)]
 pub struct AdmissionControl {
     /// Messages not handled yet.
     pub inbox: VecDeque<AdmissionMessage>,
-    /// The requests under way.
+    /// The requests that have not ended.
     pub requests: BTreeMap<TxnId, Request>,
-    /// The backends that take requests.
+    /// The backends that accept requests.
     pub backends: Snapshots,
-    /// Latencies by [`ProductId`].
+    /// Latencies, indexed by [`ProductId`].
     pub latencies: Vec<LatencyEstimate>,
-    /// Successes a second.
+    /// Successful attempts per second.
     pub success_rate: DecayingRate,
-    /// The average number of attempts in flight, as of `in_flight_at`.
+    /// The average number of attempts in flight, at the time `in_flight_at`.
     pub mean_in_flight: f64,
     /// The time of `mean_in_flight`.
     pub in_flight_at: Ticks,
-    /// The mean value of a second of work.
+    /// The mean value per second of work.
     pub mean_value: f64,
-    /// The time a newcomer would take, as a part of the SLA time of the product tightest on time.
+    /// The expected latency of a new request as a fraction of the SLA time, for the product where it is largest.
     pub load: f64,
-    /// Retries that may be sent.
+    /// The number of retries that may be sent.
     pub retry_budget: f64,
 }
 
-/// The enforcement of quotas.
+/// The state of quota enforcement.
 #[derive(Clone, Debug, Default)]
 pub struct QuotaEnforcer {
     /// Messages not handled yet.
     pub inbox: VecDeque<QuotaMessage>,
     /// The customers' accounts at this gateway.
     pub accounts: BTreeMap<CustomerId, Account>,
-    /// When accounts were last swept.
-    pub swept_at: Ticks,
+    /// When idle accounts were last evicted.
+    pub evicted_at: Ticks,
     /// Requests that wait for the shared counter.
-    pub pending_counts: PendingCounts,
-    /// Actions not carried out yet.
+    pub pending_counter_calls: PendingCounterCalls,
+    /// Actions not returned to the program yet.
     pub actions: Vec<Action>,
-    /// The parts of customers' quotas that this gateway owns.
+    /// Accounts of the parts of customers' quotas that this gateway owns.
     pub owned_accounts: BTreeMap<CustomerId, Account>,
     /// Requests that wait for owners.
-    pub pending_requests: BTreeMap<QuotaRequestId, PendingRequest>,
-    /// How many quota requests were sent.
+    pub pending_owner_requests: BTreeMap<QuotaRequestId, PendingOwnerRequest>,
+    /// The number of quota requests sent; the id of the next one.
     pub requests_sent: u32,
-    /// Customers that ask far more than their quotas, and when this gateway was notified of it.
-    pub exhausted: BTreeMap<CustomerId, Ticks>,
-    /// The longest that this gateway lately stood still.
+    /// Customers that demand far more than their quotas, with the time of the last notification.
+    pub exhausted_customers: BTreeMap<CustomerId, Ticks>,
+    /// The longest recent interval between two batches of events; each heartbeat reduces it a little.
     pub longest_stall: Ticks,
-    /// The part of the checks that call the counter: halved by each call that fails or waits in a queue, back to all
-    /// of them with time, as of `call_rate_at`.
-    pub call_rate: f64,
-    /// The time of `call_rate` and `counter_reach`.
-    pub call_rate_at: Ticks,
-    /// What a check usually costs: calls go first to what costs more.
+    /// The fraction of the checks that call the counter, at the time `call_ratio_at`. Each call that fails or waits in
+    /// a queue halves it; it recovers to 1 over seconds.
+    pub call_ratio: f64,
+    /// The time of `call_ratio` and `coverage`.
+    pub call_ratio_at: Ticks,
+    /// The mean cost of a check, in units. If not all checks call the counter, those with a higher cost are preferred.
     pub mean_cost: f64,
-    /// How large a share may be whose customer is counted, from 0 to 1: as the calls, but back over minutes.
-    pub counter_reach: f64,
-    /// The part of the checks that the counter answered lately.
-    pub counted_rate: f64,
-    /// For each plan, the part of these that fit.
-    pub fit_rates: Vec<f64>,
+    /// From 0 to 1: the larger it is, the larger the shares whose customers are checked by the counter. It is reduced with
+    /// `call_ratio`, but recovers over minutes.
+    pub coverage: f64,
+    /// The fraction of the checks that the counter answered, averaged.
+    pub counted_ratio: f64,
+    /// For each plan, the fraction of the answered checks that were granted, averaged.
+    pub grant_ratios: Vec<f64>,
 }
