--- a/crates/policy/tests/scenarios.rs
+++ b/crates/policy/tests/scenarios.rs
@@ -1,4 +1,4 @@
-//! Plays every file of `tests/scenarios/` against one gateway; `tests/scenarios/README.md` has the notation.
+//! Runs every file in `tests/scenarios/` against one gateway. `tests/scenarios/README.md` describes the notation.
 
 use std::collections::HashMap;
 use std::path::Path;
@@ -8,39 +8,43 @@
 struct ScenarioRunner {
     gateway: Option<Balancer>,
     config: BalancerConfig,
+    /// The names of the products, in the order of their ids.
     products: Vec<String>,
+    /// The names of the plans, in the order of their ids.
     plans: Vec<String>,
+    /// The names of backends and customers, in the order of their ids.
     names: Vec<String>,
-    /// The txn, number and backend of each attempt that has no outcome yet.
+    /// The request, attempt number and backend of each attempt in flight.
     in_flight: Vec<(u64, u32, u32)>,
+    /// The number of attempts by request.
     attempts: HashMap<u64, u32>,
-    next_txn: u64,
+    last_series_request: u64,
 }
 
-fn ms(text: &str) -> Ticks {
-    Ticks((number(text) * 10.0) as i64)
+fn parse_ms(text: &str) -> Ticks {
+    Ticks((parse_number(text) * 10.0) as i64)
 }
 
-fn number(text: &str) -> f64 {
-    text.parse().unwrap_or_else(|_| panic!("'{text}' is no number"))
+fn parse_number(text: &str) -> f64 {
+    text.parse().unwrap_or_else(|_| panic!("'{text}' is not a number"))
 }
 
 fn position(names: &[String], name: &str) -> usize {
-    names.iter().position(|known| known == name).unwrap_or_else(|| panic!("'{name}' is not known"))
+    names.iter().position(|known| known == name).unwrap_or_else(|| panic!("unknown name '{name}'"))
 }
 
-/// The value of `key=value` among the words.
+/// Returns the value of the word `key=value`.
 fn value_of<'a>(words: &[&'a str], key: &str) -> Option<&'a str> {
     words.iter().find_map(|word| word.strip_prefix(key)?.strip_prefix('='))
 }
 
-fn figure(words: &[&str], key: &str, absent: f64) -> f64 {
-    value_of(words, key).map_or(absent, number)
+fn number_of(words: &[&str], key: &str, default: f64) -> f64 {
+    value_of(words, key).map_or(default, parse_number)
 }
 
 impl ScenarioRunner {
     fn new() -> ScenarioRunner {
-        let allowances = AllowedActions {
+        let allowed = AllowedActions {
             cancel: true,
             hedging: true,
             retry_after: true,
@@ -53,7 +57,7 @@
             gateway_count: 2,
             products: Vec::new(),
             plans: Vec::new(),
-            allowed: allowances,
+            allowed,
             warm_up: WarmUp { initial_capacity: 0.25, ramp_time: Ticks(100_000) },
             idle_timeout: Ticks(0),
             meter_period: Ticks(5_000),
@@ -64,7 +68,17 @@
         };
         let (products, plans, names) = (Vec::new(), Vec::new(), Vec::new());
         let (in_flight, attempts) = (Vec::new(), HashMap::new());
-        ScenarioRunner { gateway: None, config, products, plans, names, in_flight, attempts, next_txn: 1000 }
+        let last_series_request = 1000;
+        ScenarioRunner {
+            gateway: None,
+            config,
+            products,
+            plans,
+            names,
+            in_flight,
+            attempts,
+            last_series_request,
+        }
     }
 
     fn id(&mut self, name: &str) -> u32 {
@@ -76,107 +90,105 @@
 
     fn configure(&mut self, words: &[&str]) {
         match words[0] {
-            "told" => {
-                let flag = |key, known| value_of(words, key).map_or(known, |value| value == "yes");
-                let allowances = &mut self.config.allowed;
-                allowances.cancel = flag("cancel", allowances.cancel);
-                allowances.hedging = flag("copies", allowances.hedging);
-                allowances.retry_after = flag("advice", allowances.retry_after);
+            "config" => {
+                let flag = |key, default| value_of(words, key).map_or(default, |value| value == "yes");
+                let allowed = &mut self.config.allowed;
+                allowed.cancel = flag("cancel", allowed.cancel);
+                allowed.hedging = flag("hedging", allowed.hedging);
+                allowed.retry_after = flag("retry_after", allowed.retry_after);
                 self.config.gateway_count =
-                    figure(words, "doors", f64::from(self.config.gateway_count)) as u32;
+                    number_of(words, "gateways", f64::from(self.config.gateway_count)) as u32;
             }
             "product" => {
-                let repeat = match *words.last().expect("a kind of repeat") {
-                    "inquiry-like" => Idempotency::Idempotent,
-                    "once-only" => Idempotency::NonIdempotent,
+                let idempotency = match *words.last().expect("a kind of idempotency") {
+                    "idempotent" => Idempotency::Idempotent,
+                    "non-idempotent" => Idempotency::NonIdempotent,
                     kind => {
                         let mut parts = kind.split(':').skip(1);
-                        Idempotency::Deduplicated { window: ms(parts.next().expect("a window")) }
+                        Idempotency::Deduplicated { window: parse_ms(parts.next().expect("a window")) }
                     }
                 };
-                let sla_time = ms(value_of(words, "sla").expect("an SLA time"));
+                let sla_time = parse_ms(value_of(words, "sla").expect("an SLA time"));
                 self.config.products.push(Product {
                     sla_time,
-                    value: figure(words, "value", 1.0),
-                    idempotency: repeat,
+                    value: number_of(words, "value", 1.0),
+                    idempotency,
                 });
                 self.products.push(words[1].to_owned());
             }
             _ => {
                 self.config.plans.push(Plan {
-                    rate: figure(words, "rate", 0.0),
-                    burst: figure(words, "burst", 0.0),
+                    rate: number_of(words, "rate", 0.0),
+                    burst: number_of(words, "burst", 0.0),
                     value_factor: 1.0,
-                    excess_value: figure(words, "earns", 0.0),
-                    excess_cost: figure(words, "beyond", 1.0),
-                    hard_limit_rate: figure(words, "ceiling_rate", 0.0),
-                    hard_limit_burst: figure(words, "ceiling_depth", 0.0),
+                    excess_value: number_of(words, "excess_value", 0.0),
+                    excess_cost: number_of(words, "excess_cost", 1.0),
+                    hard_limit_rate: number_of(words, "hard_limit_rate", 0.0),
+                    hard_limit_burst: number_of(words, "hard_limit_burst", 0.0),
                 });
                 self.plans.push(words[1].to_owned());
             }
         }
     }
 
-    /// `name[!drain|!gone][@booted][~]`
-    fn listed(&mut self, word: &str) -> BackendInfo {
-        let (word, near) = word.strip_suffix('~').map_or((word, true), |word| (word, false));
-        let (word, booted) = word.split_once('@').map_or((word, None), |(name, at)| (name, Some(ms(at))));
-        let (name, standing) = match word.split_once('!') {
+    /// Parses `name[!drain|!gone][@started][~]`.
+    fn parse_backend(&mut self, word: &str) -> BackendInfo {
+        let (word, local) = word.strip_suffix('~').map_or((word, true), |word| (word, false));
+        let (word, started_at) =
+            word.split_once('@').map_or((word, None), |(name, at)| (name, Some(parse_ms(at))));
+        let (name, status) = match word.split_once('!') {
             Some((name, "drain")) => (name, BackendStatus::Draining),
             Some((name, _)) => (name, BackendStatus::Gone),
             None => (word, BackendStatus::Ready),
         };
-        BackendInfo {
-            backend: BackendId(self.id(name)),
-            status: standing,
-            capacity: 1.0,
-            local: near,
-            started_at: booted,
-        }
+        BackendInfo { backend: BackendId(self.id(name)), status, capacity: 1.0, local, started_at }
     }
 
     fn event(&mut self, now: Ticks, words: &[&str]) -> Event {
-        let txn = || TxnId(words[1].parse().expect("a txn"));
+        let txn = || TxnId(words[1].parse().expect("the number of a request"));
         match words[0] {
-            "list" => Event::BackendList(words[1..].iter().map(|word| self.listed(word)).collect()),
-            "change" => Event::BackendChanges(words[1..].iter().map(|word| self.listed(word)).collect()),
-            "txn" => Event::RequestArrived(Arrival {
+            "list" => Event::BackendList(words[1..].iter().map(|word| self.parse_backend(word)).collect()),
+            "change" => {
+                Event::BackendChanges(words[1..].iter().map(|word| self.parse_backend(word)).collect())
+            }
+            "request" => Event::RequestArrived(Arrival {
                 txn: txn(),
                 product: ProductId(position(&self.products, words[2])),
                 claim: QuotaClaim {
                     plan: PlanId(position(&self.plans, words[3])),
                     customer: CustomerId(self.id(words[4]).into()),
                     subset_start: 0,
-                    subset_size: figure(words, "width", 1.0) as u32,
-                    cost: figure(words, "cost", 1.0),
-                    retry: words.contains(&"again"),
+                    subset_size: number_of(words, "subset", 1.0) as u32,
+                    cost: number_of(words, "cost", 1.0),
+                    retry: words.contains(&"retry"),
                 },
-                deadline: now + ms(value_of(words, "expiry").unwrap_or("4000")),
+                deadline: now + parse_ms(value_of(words, "timeout").unwrap_or("4000")),
             }),
-            "left" => Event::ClientDisconnected(txn()),
-            "due" => Event::TimerFired(TimerId(words[1].parse().expect("a timer"))),
+            "disconnect" => Event::ClientDisconnected(txn()),
+            "timer" => Event::TimerFired(TimerId(words[1].parse().expect("the number of a timer"))),
             _ => {
-                let (txn, no) = words[1].split_once('.').expect("txn.number");
-                let (txn, no) = (txn.parse().expect("a txn"), no.parse().expect("a number"));
-                self.in_flight.retain(|&(id, number, _)| (id, number) != (txn, no));
+                let (txn, attempt) = words[1].split_once('.').expect("request.attempt");
+                let txn = txn.parse().expect("the number of a request");
+                let attempt = attempt.parse().expect("the number of an attempt");
+                self.in_flight.retain(|&(id, number, _)| (id, number) != (txn, attempt));
                 let outcome = match words[2] {
-                    "settled" => Outcome::Succeeded,
+                    "succeeded" => Outcome::Succeeded,
                     "error" => Outcome::Error,
-                    "turned-away" => Outcome::Rejected,
+                    "rejected" => Outcome::Rejected,
                     "timed-out" => Outcome::TimedOut,
-                    "no-connection" => Outcome::ConnectFailed,
-                    "broken" => Outcome::ConnectionLost,
+                    "connect-failed" => Outcome::ConnectFailed,
+                    "connection-lost" => Outcome::ConnectionLost,
                     "cancelled" => Outcome::Cancelled,
-                    other => panic!("'{other}' is no outcome"),
+                    other => panic!("unknown outcome '{other}'"),
                 };
                 Event::AttemptEnded(AttemptReport {
                     txn: TxnId(txn),
-                    attempt: AttemptNumber(no),
+                    attempt: AttemptNumber(attempt),
                     outcome,
-                    latency: ms(value_of(words, "took").unwrap_or("20")),
+                    latency: parse_ms(value_of(words, "latency").unwrap_or("20")),
                     complete: outcome == Outcome::Succeeded,
-                    metered_usage: value_of(words, "use").map(number),
-                    actual_cost: value_of(words, "true").map(number),
+                    metered_usage: value_of(words, "usage").map(parse_number),
+                    actual_cost: value_of(words, "actual_cost").map(parse_number),
                 })
             }
         }
@@ -190,44 +202,46 @@
         let actions = gateway.decide(now, events);
         for action in &actions {
             if let Action::SendAttempt { txn, backend, .. } = action {
-                let no = self.attempts.entry(txn.0).or_default();
-                self.in_flight.push((txn.0, *no, backend.0));
-                *no += 1;
+                let attempt = self.attempts.entry(txn.0).or_default();
+                self.in_flight.push((txn.0, *attempt, backend.0));
+                *attempt += 1;
             }
         }
         actions
     }
 
-    /// A run of equal txns; with `settling`, each is settled before the next one comes.
-    fn run(&mut self, span: &str, words: &[&str], expected: &str) {
+    /// Runs a series of equal requests. With `completing`, all attempts in flight succeed before the next request.
+    fn run_series(&mut self, span: &str, words: &[&str], expected: &str) {
         let (from, rest) = span.split_once("..").expect("from..to/step");
         let (to, step) = rest.split_once('/').expect("from..to/step");
-        let (mut now, to, step) = (ms(from), ms(to), ms(step));
+        let (mut now, to, step) = (parse_ms(from), parse_ms(to), parse_ms(step));
         let mut actions = Vec::new();
         while now < to {
-            if words.contains(&"settling") {
-                let mute = value_of(words, "mute").map(|name| self.id(name));
-                let out = self.in_flight.clone();
-                for (txn, no, _) in out.into_iter().filter(|(_, _, at)| Some(*at) != mute) {
-                    let id = format!("{txn}.{no}");
-                    let used =
-                        words.iter().filter(|word| word.starts_with("use=") || word.starts_with("took="));
-                    let mut end = vec!["end", &id, "settled"];
-                    end.extend(used);
+            if words.contains(&"completing") {
+                let unresponsive = value_of(words, "unresponsive").map(|name| self.id(name));
+                let in_flight = self.in_flight.clone();
+                for (txn, attempt, _) in in_flight.into_iter().filter(|(_, _, at)| Some(*at) != unresponsive)
+                {
+                    let id = format!("{txn}.{attempt}");
+                    let report = words
+                        .iter()
+                        .filter(|word| word.starts_with("usage=") || word.starts_with("latency="));
+                    let mut end = vec!["end", &id, "succeeded"];
+                    end.extend(report);
                     let event = self.event(now, &end);
                     actions.extend(self.batch(now, vec![event]));
                 }
             }
-            self.next_txn += 1;
-            let id = self.next_txn.to_string();
-            let mut one = vec!["txn", &id];
-            one.extend(&words[1..]);
-            let event = self.event(now, &one);
+            self.last_series_request += 1;
+            let id = self.last_series_request.to_string();
+            let mut request = vec!["request", &id];
+            request.extend(&words[1..]);
+            let event = self.event(now, &request);
             actions.extend(self.batch(now, vec![event]));
             now = now + step;
         }
         if let Some((wanted, range)) = expected.rsplit_once(' ') {
-            let to = wanted.strip_prefix("submits to ");
+            let to = wanted.strip_prefix("sends to ");
             let count = actions.iter().filter(|action| match action {
                 Action::SendAttempt { backend, .. } => {
                     to.is_none_or(|to| to == self.names[backend.0 as usize])
@@ -235,58 +249,59 @@
                 _ => false,
             });
             let count = count.count() as f64;
-            let (least, most) = range.split_once("..").expect("a range");
-            assert!(number(least) <= count && count <= number(most), "{count} submits, not {range}");
+            let (min, max) = range.split_once("..").expect("a range");
+            let is_expected = parse_number(min) <= count && count <= parse_number(max);
+            assert!(is_expected, "{count} attempts sent, expected {range}");
         }
     }
 
     fn step(&mut self, line: &str) {
-        let (does, expected) = line.split_once("=>").unwrap_or((line, ""));
-        let words: Vec<_> = does.split_whitespace().collect();
+        let (step, expected) = line.split_once("=>").unwrap_or((line, ""));
+        let words: Vec<_> = step.split_whitespace().collect();
         let expected = expected.trim();
-        if ["told", "product", "plan"].contains(&words[0]) {
+        if ["config", "product", "plan"].contains(&words[0]) {
             return self.configure(&words);
         }
-        if words[0] == "usual" {
-            let (figures, listed): (Vec<_>, Vec<_>) = words[1..].iter().partition(|word| word.contains('='));
-            let figures = [&figures[..], &["sla=400", "rate=1000", "burst=1000"]].concat();
-            self.configure(&[&["product", "look"], &figures[..], &["inquiry-like"]].concat());
-            self.configure(&[&["plan", "basic"], &figures[..]].concat());
-            return self.step(&format!("0 list {}", listed.join(" ")));
+        if words[0] == "default" {
+            let (values, backends): (Vec<_>, Vec<_>) = words[1..].iter().partition(|word| word.contains('='));
+            let values = [&values[..], &["sla=400", "rate=1000", "burst=1000"]].concat();
+            self.configure(&[&["product", "look"], &values[..], &["idempotent"]].concat());
+            self.configure(&[&["plan", "basic"], &values[..]].concat());
+            return self.step(&format!("0 list {}", backends.join(" ")));
         }
         if words[0].contains("..") {
-            return self.run(words[0], &words[1..], expected);
+            return self.run_series(words[0], &words[1..], expected);
         }
-        let now = ms(words[0]);
+        let now = parse_ms(words[0]);
         if words[1] == "restart" {
             (self.gateway, self.in_flight) = (None, Vec::new());
             return;
         }
         let events = if words[1] == "tick" { Vec::new() } else { vec![self.event(now, &words[1..])] };
         let actions = self.batch(now, events);
-        let said: Vec<_> = actions.iter().map(|action| self.describe(action)).collect();
-        let agrees = |(said, wanted): (&String, &str)| {
-            said == wanted || said.strip_prefix(wanted).is_some_and(|rest| rest.starts_with(' '))
+        let actual: Vec<_> = actions.iter().map(|action| self.describe(action)).collect();
+        let matches = |(actual, wanted): (&String, &str)| {
+            actual == wanted || actual.strip_prefix(wanted).is_some_and(|rest| rest.starts_with(' '))
         };
         let wanted: Vec<_> = expected.split(", ").filter(|word| !["", "nothing"].contains(word)).collect();
-        let same = said.len() == wanted.len() && said.iter().zip(wanted).all(agrees);
-        assert!(expected.is_empty() || same, "{said:?}, not '{expected}'");
+        let same = actual.len() == wanted.len() && actual.iter().zip(wanted).all(matches);
+        assert!(expected.is_empty() || same, "actions {actual:?}, expected '{expected}'");
     }
 
     fn describe(&self, action: &Action) -> String {
         match action {
             Action::SendAttempt { txn, backend, .. } => {
-                format!("submit {} {}", txn.0, self.names[backend.0 as usize])
+                format!("send {} {}", txn.0, self.names[backend.0 as usize])
             }
             Action::CancelAttempt { txn, attempt } => format!("cancel {}.{}", txn.0, attempt.0),
-            Action::Reject { txn, retry_after: None } => format!("decline {} unadvised", txn.0),
+            Action::Reject { txn, retry_after: None } => format!("reject {} no-retry-after", txn.0),
             Action::Reject { txn, retry_after: Some(span) } => {
-                format!("decline {} after {}", txn.0, span.0 / 10)
+                format!("reject {} after {}", txn.0, span.0 / 10)
             }
-            Action::Fail { txn } => format!("void {}", txn.0),
-            Action::SetTimer { after, timer } => format!("wake {} after {}", timer.0, after.0 / 10),
-            Action::IncrementCounter { key, amount, .. } => format!("count {} {amount}", key.0),
-            Action::SendPeerMessage { to, message } => format!("tell {} {message:?}", to.0),
+            Action::Fail { txn } => format!("fail {}", txn.0),
+            Action::SetTimer { after, timer } => format!("timer {} after {}", timer.0, after.0 / 10),
+            Action::IncrementCounter { key, amount, .. } => format!("increment {} {amount}", key.0),
+            Action::SendPeerMessage { to, message } => format!("message {} {message:?}", to.0),
         }
     }
 }
@@ -294,17 +309,18 @@
 #[test]
 fn scenarios() {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/scenarios");
-    let files = std::fs::read_dir(folder).expect("the folder of scenarios").map(|file| file.unwrap().path());
+    let files =
+        std::fs::read_dir(folder).expect("the directory of scenarios").map(|file| file.unwrap().path());
     let mut files: Vec<_> = files.filter(|path| path.extension().is_some_and(|end| end == "txt")).collect();
     files.sort();
     assert!(!files.is_empty());
     let mut failed = Vec::new();
     for path in &files {
-        let text = std::fs::read_to_string(path).expect("a scenario");
+        let text = std::fs::read_to_string(path).expect("a readable scenario");
         let mut runner = ScenarioRunner::new();
         for (number, line) in text.lines().enumerate() {
             let line = line.split("# ").next().unwrap_or_default().trim();
-            if line == "anew" {
+            if line == "reset" {
                 runner = ScenarioRunner::new();
             } else if !line.is_empty() {
                 let step = std::panic::AssertUnwindSafe(|| runner.step(line));
@@ -315,30 +331,30 @@
             }
         }
     }
-    assert!(failed.is_empty(), "failed:\n{}", failed.join("\n"));
+    assert!(failed.is_empty(), "failed steps:\n{}", failed.join("\n"));
 }
 
-/// "The Bucket Has a Clock": for one-unit requests a token bucket and GCRA decide alike.
+/// For requests of one unit, the token bucket and GCRA (generic cell rate algorithm) give the same decisions.
 #[test]
 fn unit_costs_agree_with_gcra() {
     let mut runner = ScenarioRunner::new();
-    for line in ["product look sla=400 inquiry-like", "plan basic rate=4 burst=5 beyond=1", "0 list a"] {
+    for line in ["product look sla=400 idempotent", "plan basic rate=4 burst=5 excess_cost=1", "0 list a"] {
         runner.step(line);
     }
     let (interval, tolerance) = (2_500, 10_000);
-    let (mut now, mut next, mut draw) = (0, 0, 1u64);
+    let (mut now, mut next, mut random) = (0, 0, 1u64);
     for txn in 0..2_000 {
-        draw = draw.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
-        now += (draw >> 33) as i64 % 3_000;
-        let line = format!("0 txn {txn} look basic acme");
+        random = random.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
+        now += (random >> 33) as i64 % 3_000;
+        let line = format!("0 request {txn} look basic acme");
         let words: Vec<_> = line.split(' ').skip(1).collect();
         let event = runner.event(Ticks(now), &words);
         let actions = runner.batch(Ticks(now), vec![event]);
         let admitted = matches!(actions[..], [Action::SendAttempt { .. }]);
-        assert_eq!(admitted, now >= next - tolerance, "txn {txn} at {now}");
+        assert_eq!(admitted, now >= next - tolerance, "request {txn} at {now}");
         if admitted {
             next = now.max(next) + interval;
-            let event = runner.event(Ticks(now), &["end", &format!("{txn}.0"), "settled"]);
+            let event = runner.event(Ticks(now), &["end", &format!("{txn}.0"), "succeeded"]);
             runner.batch(Ticks(now), vec![event]);
         }
     }
