--- a/crates/policy/tests/quota_owners.rs
+++ b/crates/policy/tests/quota_owners.rs
@@ -1,6 +1,6 @@
-//! Many gateways in one process that keep customers' stores between them and may tell each other messages: what
-//! they let in together is held against the plan's bucket, with all messages delivered, some lost and some
-//! late. Beside it, what one gateway does with messages that it cannot use.
+//! Tests of quota owners. Many gateways in one process own customers' quotas and send each other messages. What they
+//! admit together is compared with the plan's token bucket, while messages are delivered, lost or late. Other tests send
+//! one gateway messages that it cannot use.
 
 use std::collections::{BTreeMap, VecDeque};
 use vanewharf_policy::codec;
@@ -11,14 +11,17 @@
 const RATE: f64 = 2.0;
 const BURST: f64 = 12.0;
 
+/// The units that the plan admits in a run of 60 s.
+const QUOTA: f64 = BURST + RATE * 60.0;
+
 fn config(gateway: u32) -> BalancerConfig {
-    let product = |sla| Product { sla_time: Ticks(sla), value: 1.0, idempotency: Idempotency::Idempotent };
+    let product = Product { sla_time: Ticks(10_000), value: 1.0, idempotency: Idempotency::Idempotent };
     BalancerConfig {
         seed: 0x5eed + u64::from(gateway),
         started_at: Ticks(0),
         gateway: GatewayId(gateway),
         gateway_count: GATEWAYS,
-        products: vec![product(10_000)],
+        products: vec![product],
         plans: vec![Plan {
             rate: RATE,
             burst: BURST,
@@ -44,7 +47,7 @@
     }
 }
 
-fn listing() -> Event {
+fn backend_list() -> Event {
     let backend = |id| BackendInfo {
         backend: BackendId(id),
         status: BackendStatus::Ready,
@@ -55,7 +58,7 @@
     Event::BackendList((0..4).map(backend).collect())
 }
 
-fn arrival(txn: u64, customer: u64, at: Ticks, stays: Ticks) -> Event {
+fn arrival(txn: u64, customer: u64, at: Ticks, stay: Ticks) -> Event {
     Event::RequestArrived(Arrival {
         txn: TxnId(txn),
         product: ProductId(0),
@@ -67,7 +70,7 @@
             cost: 1.0,
             retry: false,
         },
-        deadline: at + stays,
+        deadline: at + stay,
     })
 }
 
@@ -79,44 +82,54 @@
     messages.collect()
 }
 
-fn answers(actions: &[Action]) -> usize {
+/// Returns how many requests the actions send to a backend or reject.
+fn answer_count(actions: &[Action]) -> usize {
     let answer = |action: &&Action| matches!(action, Action::SendAttempt { .. } | Action::Reject { .. });
     actions.iter().filter(answer).count()
 }
 
-/// The gateways, and the events that each will get, in order of time.
+/// The gateways, with the events that they will receive in order of time.
 struct Fleet {
     gateways: Vec<Balancer>,
-    due: BTreeMap<Ticks, VecDeque<(u32, Event)>>,
+    scheduled: BTreeMap<Ticks, VecDeque<(u32, Event)>>,
     messages: u64,
-    /// Each `n`th message is lost.
-    loses: u64,
+    /// Every `lost_every`th message is lost; 0 loses none.
+    lost_every: u64,
     /// How long a message takes.
     delay_ms: i64,
     admitted: u64,
     rejected: u64,
-    slowest: Ticks,
-    /// When each request without an answer came.
-    open: BTreeMap<TxnId, Ticks>,
+    longest_wait: Ticks,
+    /// The arrival times of the requests without an answer.
+    unanswered: BTreeMap<TxnId, Ticks>,
 }
 
 impl Fleet {
-    fn new(loses: u64, delay_ms: i64) -> Fleet {
+    fn new(lost_every: u64, delay_ms: i64) -> Fleet {
         let mut gateways: Vec<Balancer> =
             (0..GATEWAYS).map(|gateway| Balancer::new(config(gateway))).collect();
-        let (due, open, slowest) = (BTreeMap::new(), BTreeMap::new(), Ticks(0));
-        let begun: Vec<_> =
-            gateways.iter_mut().map(|gateway| gateway.decide(Ticks(0), vec![listing()])).collect();
-        let mut fleet =
-            Fleet { gateways, due, messages: 0, loses, delay_ms, admitted: 0, rejected: 0, slowest, open };
-        for (gateway, actions) in (0..).zip(begun) {
+        let (scheduled, unanswered, longest_wait) = (BTreeMap::new(), BTreeMap::new(), Ticks(0));
+        let first_actions: Vec<_> =
+            gateways.iter_mut().map(|gateway| gateway.decide(Ticks(0), vec![backend_list()])).collect();
+        let mut fleet = Fleet {
+            gateways,
+            scheduled,
+            messages: 0,
+            lost_every,
+            delay_ms,
+            admitted: 0,
+            rejected: 0,
+            longest_wait,
+            unanswered,
+        };
+        for (gateway, actions) in (0..).zip(first_actions) {
             fleet.carry_out(gateway, Ticks(0), actions);
         }
         fleet
     }
 
     fn schedule(&mut self, at: Ticks, gateway: u32, event: Event) {
-        self.due.entry(at).or_default().push_back((gateway, event));
+        self.scheduled.entry(at).or_default().push_back((gateway, event));
     }
 
     fn carry_out(&mut self, gateway: u32, now: Ticks, actions: Vec<Action>) {
@@ -148,8 +161,8 @@
                     let bytes = codec::encode(&message);
                     assert!(bytes.len() <= codec::MAX_BYTES / 4, "{} bytes", bytes.len());
                     self.messages += 1;
-                    if self.loses == 0 || !self.messages.is_multiple_of(self.loses) {
-                        let message = codec::decode(&bytes).expect("what was written is read");
+                    if self.lost_every == 0 || !self.messages.is_multiple_of(self.lost_every) {
+                        let message = codec::decode(&bytes).expect("an encoded message can be decoded");
                         let received = Event::PeerMessageReceived { from: GatewayId(gateway), message };
                         self.schedule(now + Ticks(10 * self.delay_ms), to.0, received);
                     }
@@ -160,95 +173,100 @@
     }
 
     fn record_answer(&mut self, txn: TxnId, now: Ticks) {
-        let at = self.open.remove(&txn).expect("answered once");
-        self.slowest = self.slowest.max(now - at);
+        let at = self.unanswered.remove(&txn).expect("a request without an answer");
+        self.longest_wait = self.longest_wait.max(now - at);
     }
 
-    /// One customer asks `rate` units a second for a minute, through all its gateways in turn.
+    /// One customer requests `rate` units per second for a minute, at each of its gateways in turn.
     fn run(&mut self, rate: i64) {
-        for no in 0..60 * rate {
-            let now = Ticks(1_000 + no * 10_000 / rate);
-            let gateway = (no as u32 * 7) % GATEWAYS;
-            self.schedule(now, gateway, arrival(no as u64, 5, now, Ticks(40_000)));
+        for txn in 0..60 * rate {
+            let now = Ticks(1_000 + txn * 10_000 / rate);
+            let gateway = (txn as u32 * 7) % GATEWAYS;
+            self.schedule(now, gateway, arrival(txn as u64, 5, now, Ticks(40_000)));
         }
-        while let Some((now, events)) = self.due.pop_first() {
+        while let Some((now, events)) = self.scheduled.pop_first() {
             for (gateway, event) in events {
                 if let Event::RequestArrived(arrival) = &event {
-                    self.open.insert(arrival.txn, now);
+                    self.unanswered.insert(arrival.txn, now);
                 }
                 let actions = self.gateways[gateway as usize].decide(now, vec![event]);
                 self.carry_out(gateway, now, actions);
             }
         }
-        assert!(self.open.is_empty(), "each has its answer");
+        assert!(self.unanswered.is_empty(), "every request has an answer");
     }
 }
 
-const QUOTA: f64 = BURST + RATE * 60.0;
-
 #[test]
-fn together_the_gateways_admit_the_quota_where_messages_arrive() {
+fn the_gateways_together_admit_the_quota_if_messages_arrive() {
     let mut fleet = Fleet::new(0, 20);
     fleet.run(8);
     let admitted = fleet.admitted as f64 / QUOTA;
     assert!((0.9..=1.02).contains(&admitted), "{admitted} of the quota");
-    assert!(fleet.slowest <= Ticks(800), "two answers' way there and back: {:?}", fleet.slowest);
-    // A refusal is asked of both owners, and its gateways are notified now and then that its quota is exhausted.
+    assert!(fleet.longest_wait <= Ticks(800), "two round trips to owners: {:?}", fleet.longest_wait);
+    // A rejection takes queries to both owners, and owners sometimes notify the gateways of the exhausted quota.
     let messages = fleet.messages as f64 / (fleet.admitted + fleet.rejected) as f64;
-    assert!(messages <= 6.0, "{messages} messages a txn");
+    assert!(messages <= 6.0, "{messages} messages per request");
 }
 
 #[test]
-fn a_customer_inside_its_quota_is_rejected_nothing() {
+fn a_customer_within_its_quota_is_not_rejected() {
     let mut fleet = Fleet::new(0, 20);
     fleet.run(1);
     assert!(fleet.rejected <= 1, "{} rejected", fleet.rejected);
 }
 
 #[test]
-fn with_messages_lost_each_request_still_has_one_answer_and_the_quota_is_passed_by_little() {
-    for loses in [13, 5] {
-        let mut fleet = Fleet::new(loses, 20);
+fn lost_messages_lose_no_answers_and_exceed_the_quota_by_little() {
+    for lost_every in [13, 5] {
+        let mut fleet = Fleet::new(lost_every, 20);
         fleet.run(8);
         let admitted = fleet.admitted as f64 / QUOTA;
-        assert!((0.8..=1.25).contains(&admitted), "{admitted} of the quota, each {loses}th message lost");
-        assert!(fleet.slowest <= Ticks(3 * 1_000 + 400), "{:?}", fleet.slowest);
+        assert!(
+            (0.8..=1.25).contains(&admitted),
+            "{admitted} of the quota, every {lost_every}th message lost"
+        );
+        assert!(fleet.longest_wait <= Ticks(3 * 1_000 + 400), "{:?}", fleet.longest_wait);
     }
 }
 
 #[test]
-fn responses_that_come_too_late_are_refunded_and_delay_nobody() {
+fn late_responses_are_refunded_and_delay_no_request() {
     let mut fleet = Fleet::new(0, 300);
     fleet.run(8);
-    assert!(fleet.slowest <= Ticks(3 * 1_000), "{:?}", fleet.slowest);
+    assert!(fleet.longest_wait <= Ticks(3 * 1_000), "{:?}", fleet.longest_wait);
     let admitted = fleet.admitted as f64 / QUOTA;
-    assert!(admitted <= 1.25, "what nobody vouches for is weighed: {admitted} of the quota");
+    assert!(
+        admitted <= 1.25,
+        "requests without an answer from an owner are limited too: {admitted} of the quota"
+    );
 }
 
 #[test]
-fn a_gateway_that_stalled_holds_only_clients_that_stay_longer() {
+fn after_a_stall_a_gateway_holds_only_requests_of_clients_that_stay_longer() {
     let mut gateway = Balancer::new(config(0));
-    gateway.decide(Ticks(0), vec![listing()]);
-    let held = |gateway: &mut Balancer, txn, now: Ticks, stays| {
-        let actions = gateway.decide(now, vec![arrival(txn, 100 + txn, now, stays)]);
-        assert_eq!(answers(&actions) + usize::from(!sent_messages(&actions).is_empty()), 1, "{actions:?}");
-        answers(&actions) == 0
+    gateway.decide(Ticks(0), vec![backend_list()]);
+    let is_held = |gateway: &mut Balancer, txn, now: Ticks, stay| {
+        let actions = gateway.decide(now, vec![arrival(txn, 100 + txn, now, stay)]);
+        let sends_messages = !sent_messages(&actions).is_empty();
+        assert_eq!(answer_count(&actions) + usize::from(sends_messages), 1, "{actions:?}");
+        answer_count(&actions) == 0
     };
-    // Heartbeats come as they should; most customers have their owners at other gateways.
-    let holds = |gateway: &mut Balancer, from: i64, stays| {
-        (0..20).filter(|no| held(gateway, (from + no) as u64, Ticks(from * 10 + no), stays)).count()
+    // Heartbeats are on time, and most customers have their owners at other gateways.
+    let held_count = |gateway: &mut Balancer, from: i64, stay| {
+        (0..20).filter(|no| is_held(gateway, (from + no) as u64, Ticks(from * 10 + no), stay)).count()
     };
-    assert!(holds(&mut gateway, 100, Ticks(30_000)) >= 15);
-    assert_eq!(holds(&mut gateway, 130, Ticks(20_000)), 0, "a client that stays two SLA times is not held");
-    // Nothing came for 3 s, not even this gateway's own heartbeat.
-    assert_eq!(holds(&mut gateway, 4_000, Ticks(30_000)), 0, "it may stall as long again");
-    assert!(holds(&mut gateway, 4_100, Ticks(60_000)) >= 15);
+    assert!(held_count(&mut gateway, 100, Ticks(30_000)) >= 15);
+    assert_eq!(held_count(&mut gateway, 130, Ticks(20_000)), 0, "clients that stay only two SLA times");
+    // No event arrives for almost 4 s, not even the gateway's own heartbeat.
+    assert_eq!(held_count(&mut gateway, 4_000, Ticks(30_000)), 0, "the gateway may stall as long again");
+    assert!(held_count(&mut gateway, 4_100, Ticks(60_000)) >= 15);
 }
 
 #[test]
-fn messages_out_of_range_or_from_a_gateway_not_asked_change_nothing() {
+fn invalid_or_unexpected_messages_change_nothing() {
     let mut gateway = Balancer::new(config(0));
-    gateway.decide(Ticks(0), vec![listing()]);
+    gateway.decide(Ticks(0), vec![backend_list()]);
     let claim = QuotaClaim {
         customer: CustomerId(5),
         plan: PlanId(0),
@@ -259,7 +277,7 @@
     };
     let received = |message| Event::PeerMessageReceived { from: GatewayId(3), message };
     let request = QuotaRequestId(3);
-    let odd = [
+    let invalid = [
         QuotaClaim { plan: PlanId(9), ..claim },
         QuotaClaim { subset_size: 0, ..claim },
         QuotaClaim { subset_size: GATEWAYS + 1, ..claim },
@@ -267,7 +285,7 @@
         QuotaClaim { cost: 7.0, ..claim },
         QuotaClaim { cost: f64::NAN, ..claim },
     ];
-    for claim in odd {
+    for claim in invalid {
         for message in [
             PeerMessage::QuotaRequest { request, claim },
             PeerMessage::QuotaResponse { request, claim, decision: Ok(()) },
@@ -280,29 +298,29 @@
             );
         }
     }
-    // Another gateway's response to a request that is pending at the owner leaves it pending.
-    let mut asked = Vec::new();
+    // A response from a gateway other than the queried owner leaves the request pending.
+    let mut sent = Vec::new();
     let mut customer = 5;
-    while asked.is_empty() {
+    while sent.is_empty() {
         customer += 1;
         let now = Ticks(20);
-        asked = sent_messages(&gateway.decide(now, vec![arrival(customer, customer, now, Ticks(40_000))]));
+        sent = sent_messages(&gateway.decide(now, vec![arrival(customer, customer, now, Ticks(40_000))]));
     }
-    let (owner, PeerMessage::QuotaRequest { request, claim }) = asked[0] else { panic!("{asked:?}") };
-    let stranger = GatewayId((owner.0 + 1) % GATEWAYS);
+    let (owner, PeerMessage::QuotaRequest { request, claim }) = sent[0] else { panic!("{sent:?}") };
+    let other = GatewayId((owner.0 + 1) % GATEWAYS);
     let message = PeerMessage::QuotaResponse { request, claim, decision: Ok(()) };
-    let actions = gateway.decide(Ticks(30), vec![Event::PeerMessageReceived { from: stranger, message }]);
-    assert_eq!(answers(&actions), 0, "{actions:?}");
+    let actions = gateway.decide(Ticks(30), vec![Event::PeerMessageReceived { from: other, message }]);
+    assert_eq!(answer_count(&actions), 0, "{actions:?}");
     let actions = gateway.decide(Ticks(40), vec![Event::PeerMessageReceived { from: owner, message }]);
-    assert_eq!(answers(&actions), 1, "{actions:?}");
-    // A response that comes when its request is over is refunded to the owner.
+    assert_eq!(answer_count(&actions), 1, "{actions:?}");
+    // A response to a request that has ended is refunded to the owner.
     let late = PeerMessage::QuotaResponse { request, claim, decision: Ok(()) };
     let actions = gateway.decide(Ticks(50), vec![Event::PeerMessageReceived { from: owner, message: late }]);
     assert_eq!(sent_messages(&actions), vec![(owner, PeerMessage::QuotaRefund { claim })]);
 }
 
 #[test]
-fn what_is_refunded_is_there_for_the_next() {
+fn refunded_units_can_be_spent_again() {
     let mut gateway = Balancer::new(config(0));
     let claim = QuotaClaim {
         customer: CustomerId(5),
@@ -329,12 +347,12 @@
     assert_eq!(
         (admitted(10), admitted(20)),
         (3, 3),
-        "an owner's part of the burst is six units, given back in between"
+        "an owner's part of the burst is six units, refunded in between"
     );
 }
 
 #[test]
-fn bytes_that_are_no_message_are_not_decoded() {
+fn invalid_bytes_are_not_decoded() {
     let claim = QuotaClaim {
         customer: CustomerId(1 << 32),
         plan: PlanId(1),
@@ -352,33 +370,33 @@
     assert_eq!(codec::decode(&bytes), Some(message));
     assert_eq!(codec::decode(&[]), None);
     for end in 0..bytes.len() {
-        assert_eq!(codec::decode(&bytes[..end]), None, "cut off after {end}");
+        assert_eq!(codec::decode(&bytes[..end]), None, "truncated to {end} bytes");
     }
-    assert_eq!(codec::decode(&[&bytes[..], &[0]].concat()), None, "more than a message");
-    assert_eq!(codec::decode(&[&[2], &bytes[1..]].concat()), None, "another form");
+    assert_eq!(codec::decode(&[&bytes[..], &[0]].concat()), None, "a message with an extra byte");
+    assert_eq!(codec::decode(&[&[2], &bytes[1..]].concat()), None, "another format version");
     assert_eq!(codec::decode(&[0xff; 4096]), None);
 }
 
-/// A gateway to which owners have often said yes, so that what is in doubt is admitted.
-struct Trusting {
+/// A gateway that owners have granted many claims, so that it admits requests that no owner answers.
+struct TrustingGateway {
     gateway: Balancer,
     txn: u64,
     now: Ticks,
 }
 
-impl Trusting {
-    fn new() -> Trusting {
+impl TrustingGateway {
+    fn new() -> TrustingGateway {
         let mut gateway = Balancer::new(config(0));
-        gateway.decide(Ticks(0), vec![listing()]);
-        let mut trusting = Trusting { gateway, txn: 1_000, now: Ticks(10) };
+        gateway.decide(Ticks(0), vec![backend_list()]);
+        let mut trusting = TrustingGateway { gateway, txn: 1_000, now: Ticks(10) };
         for customer in 1_000..1_040 {
-            let asked = trusting.request(customer);
-            trusting.receive_decision(&asked, Ok(()));
+            let query = trusting.request(customer);
+            trusting.receive_decision(&query, Ok(()));
         }
         trusting
     }
 
-    /// Time passes in small steps, so that no stall is seen.
+    /// Advances the time in a step too small to count as a stall.
     fn advance(&mut self) {
         self.now = self.now + Ticks(10);
     }
@@ -389,9 +407,9 @@
         self.gateway.decide(self.now, vec![arrival(self.txn, customer, self.now, Ticks(40_000))])
     }
 
-    fn receive_decision(&mut self, asked: &[Action], decision: QuotaDecision) -> Vec<Action> {
+    fn receive_decision(&mut self, query: &[Action], decision: QuotaDecision) -> Vec<Action> {
         self.advance();
-        let Some(&(owner, PeerMessage::QuotaRequest { request, claim })) = sent_messages(asked).first()
+        let Some(&(owner, PeerMessage::QuotaRequest { request, claim })) = sent_messages(query).first()
         else {
             return Vec::new();
         };
@@ -399,14 +417,14 @@
         self.gateway.decide(self.now, vec![Event::PeerMessageReceived { from: owner, message }])
     }
 
-    /// The owner last asked does not respond in time.
-    fn time_out(&mut self, asked: &[Action]) -> Vec<Action> {
+    /// Lets the query to an owner time out.
+    fn time_out(&mut self, query: &[Action]) -> Vec<Action> {
         self.advance();
-        let timer = asked.iter().find_map(|action| match action {
+        let timer = query.iter().find_map(|action| match action {
             Action::SetTimer { timer, .. } => Some(*timer),
             _ => None,
         });
-        self.gateway.decide(self.now, vec![Event::TimerFired(timer.expect("a request has a timer"))])
+        self.gateway.decide(self.now, vec![Event::TimerFired(timer.expect("a query with a timer"))])
     }
 }
 
@@ -415,42 +433,42 @@
 }
 
 #[test]
-fn a_refusal_holds_where_the_other_owner_is_unresponsive() {
-    let mut gateway = Trusting::new();
-    let asked = gateway.request(5);
-    let second = gateway.time_out(&asked);
-    assert!(sends_attempt(&gateway.time_out(&second)), "nobody said no: in doubt it is admitted");
-    let asked = gateway.request(6);
-    let second = gateway.receive_decision(&asked, Err(QuotaRejection { retry_after: None }));
-    assert_eq!(sent_messages(&second).len(), 1, "the other owner is asked");
+fn a_rejection_stands_if_the_other_owner_is_unresponsive() {
+    let mut gateway = TrustingGateway::new();
+    let first = gateway.request(5);
+    let second = gateway.time_out(&first);
+    assert!(sends_attempt(&gateway.time_out(&second)), "no owner rejected the claim, so it is admitted");
+    let first = gateway.request(6);
+    let second = gateway.receive_decision(&first, Err(QuotaRejection { retry_after: None }));
+    assert_eq!(sent_messages(&second).len(), 1, "the other owner is queried");
     let last = gateway.time_out(&second);
-    assert!(!sends_attempt(&last) && answers(&last) == 1, "{last:?}");
+    assert!(!sends_attempt(&last) && answer_count(&last) == 1, "{last:?}");
 }
 
 #[test]
-fn an_exhausted_customer_is_rejected_in_doubt_and_for_a_while_only() {
-    let mut gateway = Trusting::new();
+fn an_exhausted_customer_is_rejected_for_a_while_if_no_owner_answers() {
+    let mut gateway = TrustingGateway::new();
     let customer = CustomerId(7);
-    let full =
+    let exhausted =
         Event::PeerMessageReceived { from: GatewayId(3), message: PeerMessage::QuotaExhausted { customer } };
-    gateway.gateway.decide(gateway.now, vec![full]);
-    let asked = gateway.request(7);
-    let second = gateway.time_out(&asked);
-    assert!(!sends_attempt(&gateway.time_out(&second)), "in doubt");
-    let asked = gateway.request(7);
-    assert!(sends_attempt(&gateway.receive_decision(&asked, Ok(()))), "an owner's decision stands above it");
-    // Heartbeats go on meanwhile.
+    gateway.gateway.decide(gateway.now, vec![exhausted]);
+    let first = gateway.request(7);
+    let second = gateway.time_out(&first);
+    assert!(!sends_attempt(&gateway.time_out(&second)), "no owner answered");
+    let first = gateway.request(7);
+    assert!(sends_attempt(&gateway.receive_decision(&first, Ok(()))), "an owner's decision takes precedence");
+    // Batches without events keep the gateway from seeing a stall.
     for _ in 0..45 {
         gateway.now = gateway.now + Ticks(2_500);
         gateway.gateway.decide(gateway.now, Vec::new());
     }
-    let asked = gateway.request(7);
-    let second = gateway.time_out(&asked);
-    assert!(sends_attempt(&gateway.time_out(&second)), "forgotten after ten seconds");
+    let first = gateway.request(7);
+    let second = gateway.time_out(&first);
+    assert!(sends_attempt(&gateway.time_out(&second)), "the notification expires after ten seconds");
 }
 
 #[test]
-fn an_owner_notifies_a_customers_gateways_when_it_asks_far_more_than_its_quota() {
+fn an_owner_notifies_the_gateways_of_a_customer_with_an_exhausted_quota() {
     let mut gateway = Balancer::new(config(0));
     let claim = QuotaClaim {
         customer: CustomerId(5),
@@ -460,17 +478,17 @@
         cost: 1.0,
         retry: false,
     };
-    let mut full = Vec::new();
-    for no in 0..40 {
-        let message = PeerMessage::QuotaRequest { request: QuotaRequestId(no), claim };
+    let mut notifications = Vec::new();
+    for request in 0..40 {
+        let message = PeerMessage::QuotaRequest { request: QuotaRequestId(request), claim };
         let actions =
             gateway.decide(Ticks(100_000), vec![Event::PeerMessageReceived { from: GatewayId(8), message }]);
-        full.extend(
+        notifications.extend(
             sent_messages(&actions)
                 .into_iter()
                 .filter(|(_, message)| matches!(message, PeerMessage::QuotaExhausted { .. })),
         );
     }
-    let gateways: Vec<_> = full.iter().map(|(to, _)| to.0).collect();
-    assert_eq!(gateways, [7, 8, 9, 10, 11], "once, each of its gateways");
+    let gateways: Vec<_> = notifications.iter().map(|(to, _)| to.0).collect();
+    assert_eq!(gateways, [7, 8, 9, 10, 11], "each gateway of the customer is notified once");
 }
