--- a/crates/policy/tests/shared_counter.rs
+++ b/crates/policy/tests/shared_counter.rs
@@ -1,8 +1,7 @@
-//! Many gateways in one process around a stand-in for the shared quota counter: one customer asks three times
-//! its quota, spread evenly over all its gateways, and what all gateways admit together is compared with what a
-//! bucket of the plan's burst and rate admits. Without the counter each gateway's share is below one request, and
-//! the gateways together admit far more: the cause the counter is called for. Beside it, what one gateway does as
-//! its calls fail, and which backends it chooses.
+//! Tests of the shared quota counter, with many gateways in one process and a fake counter. One customer requests three
+//! times its quota, evenly at all its gateways, and the admitted total is compared with a token bucket of the plan's burst
+//! and rate. Without the counter the gateways together admit far more, because each gateway's share is below one request.
+//! Other tests cover one gateway whose calls fail, and its choice of backends.
 
 use std::collections::{BTreeMap, HashMap};
 use vanewharf_policy::decide::Balancer;
@@ -11,14 +10,16 @@
 const GATEWAYS: u32 = 40;
 const RATE: f64 = 1.0;
 const BURST: f64 = 16.0;
-const SECONDS: i64 = 120;
+const RUN_SECONDS: i64 = 120;
 
-/// How the stand-in answers each call.
+/// How the fake counter replies to calls.
 #[derive(Clone, Copy, PartialEq)]
 enum Counter {
+    /// There is no counter.
     Absent,
-    Answers,
-    /// Rejects every call but each `n`th.
+    /// Replies to every call.
+    Responsive,
+    /// Replies only to every `n`th call and rejects the others.
     Overloaded(u64),
 }
 
@@ -54,7 +55,7 @@
     }
 }
 
-fn listing(backends: u32) -> Event {
+fn backend_list(backends: u32) -> Event {
     let backend = |id| BackendInfo {
         backend: BackendId(id),
         status: BackendStatus::Ready,
@@ -65,7 +66,7 @@
     Event::BackendList((0..backends).map(backend).collect())
 }
 
-/// A first try of `customer` through all its gateways, with 2 s to wait.
+/// A request of a customer that uses all gateways; its client waits 2 s.
 fn arrival(txn: u64, customer: u64, cost: f64, at: Ticks) -> Arrival {
     Arrival {
         txn: TxnId(txn),
@@ -82,7 +83,7 @@
     }
 }
 
-fn as_retry(arrival: Arrival, retry: bool) -> Arrival {
+fn with_retry(arrival: Arrival, retry: bool) -> Arrival {
     Arrival { claim: QuotaClaim { retry, ..arrival.claim }, ..arrival }
 }
 
@@ -90,8 +91,8 @@
     Arrival { claim: QuotaClaim { subset_size: 1, ..arrival.claim }, ..arrival }
 }
 
-/// Its first attempt has succeeded, in 50 ms.
-fn succeeded_now(txn: TxnId) -> Event {
+/// Reports that the first attempt of a request has succeeded with a latency of 50 ms.
+fn attempt_succeeded(txn: TxnId) -> Event {
     Event::AttemptEnded(AttemptReport {
         txn,
         attempt: AttemptNumber(0),
@@ -108,11 +109,14 @@
     counter: Counter,
     totals: HashMap<CounterKey, f64>,
     calls: u64,
-    /// The events that each gateway will get: replies of the counter, ends of attempts.
+    /// Replies of the counter and ends of attempts that each gateway receives in its next batch.
     pending: Vec<Vec<Event>>,
+    /// Units admitted by all gateways.
     admitted: f64,
+    /// Requests rejected by all gateways.
     rejected: u64,
-    answered: BTreeMap<TxnId, u32>,
+    /// The number of final answers by request.
+    answers: BTreeMap<TxnId, u32>,
     costs: HashMap<TxnId, f64>,
 }
 
@@ -121,12 +125,12 @@
         let mut gateways: Vec<Balancer> =
             (0..GATEWAYS).map(|gateway| Balancer::new(config(gateway, counter))).collect();
         for gateway in &mut gateways {
-            gateway.decide(Ticks(0), vec![listing(4)]);
+            gateway.decide(Ticks(0), vec![backend_list(4)]);
         }
         let pending = vec![Vec::new(); GATEWAYS as usize];
-        let (totals, answered) = (HashMap::new(), BTreeMap::new());
+        let (totals, answers) = (HashMap::new(), BTreeMap::new());
         let costs = HashMap::new();
-        Fleet { gateways, counter, totals, calls: 0, pending, admitted: 0.0, rejected: 0, answered, costs }
+        Fleet { gateways, counter, totals, calls: 0, pending, admitted: 0.0, rejected: 0, answers, costs }
     }
 
     fn batch(&mut self, gateway: usize, now: Ticks, mut events: Vec<Event>) {
@@ -147,12 +151,12 @@
                     self.pending[gateway].push(Event::CounterReplied { key, reply });
                 }
                 Action::SendAttempt { txn, .. } => {
-                    *self.answered.entry(txn).or_default() += 1;
+                    *self.answers.entry(txn).or_default() += 1;
                     self.admitted += self.costs[&txn];
-                    self.pending[gateway].push(succeeded_now(txn));
+                    self.pending[gateway].push(attempt_succeeded(txn));
                 }
                 Action::Reject { txn, .. } | Action::Fail { txn } => {
-                    *self.answered.entry(txn).or_default() += 1;
+                    *self.answers.entry(txn).or_default() += 1;
                     self.rejected += 1;
                 }
                 _ => {}
@@ -160,48 +164,49 @@
         }
     }
 
-    /// Three times the quota in units, txns of 1 to 8 units, going round the gateways.
+    /// One customer requests three times its quota in units, in requests of 1 to 8 units, at each gateway in turn.
     fn run(&mut self) {
-        let every = Ticks((10_000.0 * 4.5 / (3.0 * RATE)) as i64);
+        let interval = Ticks((10_000.0 * 4.5 / (3.0 * RATE)) as i64);
         let mut now = Ticks(0);
         let mut txn = 0;
-        while now < Ticks(SECONDS * 10_000) {
+        while now < Ticks(RUN_SECONDS * 10_000) {
             txn += 1;
             let gateway = (txn % u64::from(GATEWAYS)) as usize;
             let arrival = arrival(txn, 77, (1 + txn * 5 % 8) as f64, now);
             self.costs.insert(arrival.txn, arrival.claim.cost);
             self.batch(gateway, now, vec![Event::RequestArrived(arrival)]);
-            // The counter's answer comes a little later, in the gateway's next batch.
+            // The counter's reply arrives 2 ms later, in the gateway's next batch.
             self.batch(gateway, now + Ticks(20), Vec::new());
-            now = now + every;
+            now = now + interval;
         }
-        assert!(self.answered.values().all(|&answers| answers == 1), "one final answer for each txn");
-        assert_eq!(self.answered.len() as u64, txn, "no txn left without an answer");
+        assert!(self.answers.values().all(|&count| count == 1), "one final answer for each request");
+        assert_eq!(self.answers.len() as u64, txn, "no request without an answer");
     }
 }
 
-/// What a bucket of the plan admits over the run, and a tenth more for the seams of the counter's windows.
-/// The windows give the rate over each span of burst over rate, but not the burst a full bucket has at the
-/// start: over a run of many spans that is one burst.
-fn bound() -> f64 {
-    (BURST + RATE * SECONDS as f64) * 1.1
-}
+/// The units that a token bucket of the plan admits in a run.
+const QUOTA: f64 = BURST + RATE * RUN_SECONDS as f64;
+
+/// The most units that the gateways may admit in a run: a tenth more than the quota, for requests at the borders of the
+/// counter's windows. Windows of length burst / rate limit the rate, but do not grant the burst that a full bucket has at
+/// the start, which is one burst in a run of many windows.
+const MAX_ADMITTED: f64 = QUOTA * 1.1;
 
 #[test]
-fn without_the_counter_the_gateways_together_admit_far_more_than_the_quota() {
+fn without_the_counter_the_gateways_exceed_the_quota() {
     let mut fleet = Fleet::new(Counter::Absent);
     fleet.run();
     assert_eq!(fleet.calls, 0);
-    assert!(fleet.admitted > bound(), "admitted {} of a bound {}", fleet.admitted, bound());
+    assert!(fleet.admitted > MAX_ADMITTED, "admitted only {}, bound {MAX_ADMITTED}", fleet.admitted);
 }
 
 #[test]
-fn with_the_counter_the_gateways_together_keep_to_the_quota() {
-    let mut fleet = Fleet::new(Counter::Answers);
+fn with_the_counter_the_gateways_keep_the_quota() {
+    let mut fleet = Fleet::new(Counter::Responsive);
     fleet.run();
-    assert!(fleet.admitted <= bound(), "admitted {} of a bound {}", fleet.admitted, bound());
-    // Rejecting all would keep to it too: what the quota holds is admitted.
-    assert!(fleet.admitted >= 0.65 * (BURST + RATE * SECONDS as f64), "admitted only {}", fleet.admitted);
+    assert!(fleet.admitted <= MAX_ADMITTED, "admitted {}, bound {MAX_ADMITTED}", fleet.admitted);
+    // Rejecting all requests would keep the quota too, so most of the quota must be admitted.
+    assert!(fleet.admitted >= 0.65 * QUOTA, "admitted only {}", fleet.admitted);
     assert!(fleet.rejected > 0);
 }
 
@@ -209,15 +214,15 @@
 fn an_overloaded_counter_leaves_the_gateways_near_the_quota() {
     let mut fleet = Fleet::new(Counter::Overloaded(2));
     fleet.run();
-    assert!(fleet.admitted <= 1.2 * bound(), "admitted {} of a bound {}", fleet.admitted, bound());
-    assert!(fleet.admitted >= 0.5 * (BURST + RATE * SECONDS as f64), "admitted only {}", fleet.admitted);
+    assert!(fleet.admitted <= 1.2 * MAX_ADMITTED, "admitted {}, bound {MAX_ADMITTED}", fleet.admitted);
+    assert!(fleet.admitted >= 0.5 * QUOTA, "admitted only {}", fleet.admitted);
 }
 
-/// The calls answered in each second, where all gateways together ask for twice what the counter takes. Calls
-/// wait in one queue, those that wait in it longer than the wait get no reply, and it works on them
-/// all the same: what many gateways do at once, each harmless alone.
-fn answered_by_second(capacity: usize) -> Vec<u64> {
-    let mut fleet = Fleet::new(Counter::Answers);
+/// Returns the number of calls answered in each second, while all gateways together have twice as many checks as the
+/// counter can handle calls. Calls wait in one queue. A call that waits longer than the timeout gets no reply, but still
+/// takes up capacity. The load of one gateway alone would do no harm.
+fn answered_calls_by_second(calls_per_step: usize) -> Vec<u64> {
+    let mut fleet = Fleet::new(Counter::Responsive);
     let (mut txn, mut queued, mut answered) = (0, 0, vec![0; 20]);
     for step in 0..200 {
         let now = Ticks(step * 1_000 + 10);
@@ -226,32 +231,33 @@
             txn += 1;
             let arrived = Event::RequestArrived(arrival(txn, txn, 1.0, now));
             let actions = fleet.gateways[gateway].decide(now, vec![arrived]);
-            let delay = Ticks((1_000 * queued / capacity) as i64);
+            let delay = Ticks((1_000 * queued / calls_per_step) as i64);
             let reply = if delay < Ticks(800) { CounterReply::Total(1.0) } else { CounterReply::Unknown };
-            let Some(event) = replied(&actions, reply) else {
+            let Some(event) = reply_event(&actions, reply) else {
                 continue;
             };
             queued += 1;
             answered[step as usize / 10] += u64::from(reply != CounterReply::Unknown);
             fleet.gateways[gateway].decide(now + delay.min(Ticks(800)), vec![event]);
         }
-        queued = queued.saturating_sub(capacity);
+        queued = queued.saturating_sub(calls_per_step);
     }
     answered
 }
 
 #[test]
-fn gateways_that_lose_the_counter_together_do_not_return_to_it_together() {
-    let answered = answered_by_second(20);
-    // Left alone by all for a while and then asked by all at once, it would answer nothing for whole seconds.
-    assert!(answered[1..].iter().all(|&calls| calls >= 80), "of 200 a second: {answered:?}");
+fn gateways_do_not_return_to_an_overloaded_counter_all_at_once() {
+    let answered = answered_calls_by_second(20);
+    // If all gateways stopped calling it for a while and then resumed at once, it would answer no call for seconds.
+    assert!(answered[1..].iter().all(|&calls| calls >= 80), "of 200 calls per second: {answered:?}");
 }
 
-fn calls(actions: &[Action]) -> usize {
+fn call_count(actions: &[Action]) -> usize {
     actions.iter().filter(|action| matches!(action, Action::IncrementCounter { .. })).count()
 }
 
-fn replied(actions: &[Action], reply: CounterReply) -> Option<Event> {
+/// Returns the counter's reply to the call among the actions, if there is one.
+fn reply_event(actions: &[Action], reply: CounterReply) -> Option<Event> {
     actions.iter().find_map(|action| match action {
         Action::IncrementCounter { key, .. } => Some(Event::CounterReplied { key: *key, reply }),
         _ => None,
@@ -259,176 +265,173 @@
 }
 
 #[test]
-fn an_unresponsive_counter_is_called_less_and_less_and_fully_again_once_it_answers() {
-    let mut gateway = Balancer::new(config(0, Counter::Answers));
-    gateway.decide(Ticks(0), vec![listing(4)]);
-    let mut asked = |from: i64, counter: CounterReply, took: Ticks| {
-        let mut made = 0;
+fn an_unresponsive_counter_is_called_less_until_it_answers_again() {
+    let mut gateway = Balancer::new(config(0, Counter::Responsive));
+    gateway.decide(Ticks(0), vec![backend_list(4)]);
+    let mut calls_made = |from: i64, counter: CounterReply, latency: Ticks| {
+        let mut calls = 0;
         for txn in 0..20 {
             let now = Ticks(from + txn * 1_000);
             let id = (from + txn) as u64;
             let actions = gateway.decide(now, vec![Event::RequestArrived(arrival(id, id, 1.0, now))]);
-            made += calls(&actions);
-            // In doubt or not, the answer follows the counter's at once.
-            let decided = replied(&actions, counter).map(|event| gateway.decide(now + took, vec![event]));
-            let decided = decided.unwrap_or(actions);
-            assert!(
-                decided.iter().any(|one| matches!(one, Action::SendAttempt { .. } | Action::Reject { .. }))
-            );
+            calls += call_count(&actions);
+            // Whatever the reply is, the request is answered as soon as it arrives.
+            let event = reply_event(&actions, counter);
+            let actions = event.map_or(actions, |event| gateway.decide(now + latency, vec![event]));
+            let is_answer = |action| matches!(action, Action::SendAttempt { .. } | Action::Reject { .. });
+            assert!(actions.into_iter().any(is_answer));
         }
-        made
+        calls
     };
-    let silent = asked(10, CounterReply::Unknown, Ticks(800));
-    assert!((1..=10).contains(&silent), "{silent} of 20 calls cost their txns the wait");
-    assert!(asked(400_000, CounterReply::Total(1.0), Ticks(20)) >= 18);
+    let timed_out = calls_made(10, CounterReply::Unknown, Ticks(800));
+    assert!((1..=10).contains(&timed_out), "{timed_out} of 20 requests waited for the timeout");
+    assert!(calls_made(400_000, CounterReply::Total(1.0), Ticks(20)) >= 18);
 }
 
 #[test]
 fn retries_and_customers_whose_window_is_full_are_rejected_without_a_call() {
-    let mut gateway = Balancer::new(config(0, Counter::Answers));
-    gateway.decide(Ticks(0), vec![listing(4)]);
-    let at = |txn, again, now| Event::RequestArrived(as_retry(arrival(txn, 5, 2.0, now), again));
-    let repeat = gateway.decide(Ticks(10), vec![at(1, true, Ticks(10))]);
-    assert_eq!(calls(&repeat), 0, "{repeat:?}");
-    assert!(repeat.iter().any(|action| matches!(action, Action::Reject { .. })));
-    let first = gateway.decide(Ticks(20), vec![at(2, false, Ticks(20))]);
-    assert_eq!(calls(&first), 1);
-    let full = replied(&first, CounterReply::Total(BURST + 8.0)).expect("it called");
+    let mut gateway = Balancer::new(config(0, Counter::Responsive));
+    gateway.decide(Ticks(0), vec![backend_list(4)]);
+    let request = |txn, retry, now| Event::RequestArrived(with_retry(arrival(txn, 5, 2.0, now), retry));
+    let retry = gateway.decide(Ticks(10), vec![request(1, true, Ticks(10))]);
+    assert_eq!(call_count(&retry), 0, "{retry:?}");
+    assert!(retry.iter().any(|action| matches!(action, Action::Reject { .. })));
+    let first = gateway.decide(Ticks(20), vec![request(2, false, Ticks(20))]);
+    assert_eq!(call_count(&first), 1);
+    let full = reply_event(&first, CounterReply::Total(BURST + 8.0)).expect("a call to the counter");
     gateway.decide(Ticks(40), vec![full]);
-    let next = gateway.decide(Ticks(50), vec![at(3, false, Ticks(50))]);
-    assert_eq!(calls(&next), 0, "{next:?}");
+    let next = gateway.decide(Ticks(50), vec![request(3, false, Ticks(50))]);
+    assert_eq!(call_count(&next), 0, "{next:?}");
     assert!(next.iter().any(|action| matches!(action, Action::Reject { .. })));
-    // The next window tells anew.
-    let later = gateway.decide(Ticks(170_000), vec![at(4, false, Ticks(170_000))]);
-    assert_eq!(calls(&later), 1, "{later:?}");
+    // The total does not count in the next window.
+    let later = gateway.decide(Ticks(170_000), vec![request(4, false, Ticks(170_000))]);
+    assert_eq!(call_count(&later), 1, "{later:?}");
 }
 
 #[test]
-fn without_a_reply_a_first_try_is_admitted_where_counted_ones_fit_and_never_beside_a_reading() {
-    let mut gateway = Balancer::new(config(0, Counter::Answers));
-    gateway.decide(Ticks(0), vec![listing(4)]);
+fn without_a_total_a_request_is_admitted_if_counted_ones_were_and_there_is_no_current_reading() {
+    let mut gateway = Balancer::new(config(0, Counter::Responsive));
+    gateway.decide(Ticks(0), vec![backend_list(4)]);
     let mut txn = 0;
-    // Ten customers' tries are counted with this total; the next one's call is turned away.
-    let mut in_doubt = |total: f64| {
+    // The requests of ten customers are counted with this total; the call for the eleventh customer is rejected.
+    let mut is_admitted_after = |total: f64| {
         let mut last = Vec::new();
         for reply in (0..10).map(|_| CounterReply::Total(total)).chain([CounterReply::NotAdded]) {
             txn += 1;
             let now = Ticks(txn * 100_000);
-            let asked =
+            let actions =
                 gateway.decide(now, vec![Event::RequestArrived(arrival(txn as u64, txn as u64, 1.0, now))]);
-            let event = replied(&asked, reply).expect("rested, so it calls");
+            let event = reply_event(&actions, reply).expect("a call, as the last one was 10 s ago");
             last = gateway.decide(now + Ticks(20), vec![event]);
         }
-        // Its answer tells of the customer's use: from now on a reading is current.
+        // The response reports the customer's usage, so that there is a current meter reading.
         let id = TxnId(txn as u64);
         let sent = last.iter().any(|action| matches!(action, Action::SendAttempt { txn, .. } if *txn == id));
-        if let (true, Event::AttemptEnded(ending)) = (sent, succeeded_now(id)) {
+        if let (true, Event::AttemptEnded(report)) = (sent, attempt_succeeded(id)) {
             let now = Ticks(txn * 100_000 + 500);
             gateway
-                .decide(now, vec![Event::AttemptEnded(AttemptReport { metered_usage: Some(0.2), ..ending })]);
-            let again = Event::RequestArrived(arrival(1_000_000 + id.0, id.0, 1.0, now));
-            let asked = gateway.decide(now + Ticks(10), vec![again]);
-            // The reading may be old: the counter is asked all the same; what it leaves in doubt is rejected.
-            let event = replied(&asked, CounterReply::NotAdded).unwrap_or(Event::TimerFired(TimerId(9)));
-            let actions = [asked, gateway.decide(now + Ticks(20), vec![event])].concat();
+                .decide(now, vec![Event::AttemptEnded(AttemptReport { metered_usage: Some(0.2), ..report })]);
+            let next = Event::RequestArrived(arrival(1_000_000 + id.0, id.0, 1.0, now));
+            let actions = gateway.decide(now + Ticks(10), vec![next]);
+            // The counter is called in spite of the reading, which may be old; without a total the request is rejected.
+            let event =
+                reply_event(&actions, CounterReply::NotAdded).unwrap_or(Event::TimerFired(TimerId(9)));
+            let actions = [actions, gateway.decide(now + Ticks(20), vec![event])].concat();
             assert!(actions.iter().any(|action| matches!(action, Action::Reject { .. })), "{actions:?}");
         }
         sent
     };
-    assert!(in_doubt(1.0), "all counted ones fit");
-    assert!(!in_doubt(BURST + 8.0), "none of the counted ones fit");
+    assert!(is_admitted_after(1.0), "all counted requests were within the quota");
+    assert!(!is_admitted_after(BURST + 8.0), "no counted request was within the quota");
 }
 
 #[test]
-fn two_pending_calls_of_one_customer_do_not_pass_its_hard_limit() {
-    let mut settings = config(0, Counter::Answers);
-    (settings.plans[0].hard_limit_rate, settings.plans[0].hard_limit_burst) = (4.0, 160.0);
-    let mut gateway = Balancer::new(settings);
-    gateway.decide(Ticks(0), vec![listing(4)]);
-    // This gateway's part of the ceiling is four units; each txn alone is within it.
+fn two_pending_calls_of_one_customer_do_not_exceed_its_hard_limit() {
+    let mut config = config(0, Counter::Responsive);
+    (config.plans[0].hard_limit_rate, config.plans[0].hard_limit_burst) = (4.0, 160.0);
+    let mut gateway = Balancer::new(config);
+    gateway.decide(Ticks(0), vec![backend_list(4)]);
+    // This gateway's part of the hard limit is four units; each request alone is within it.
     let now = Ticks(1_000_000);
     let both = [1, 2].map(|txn| Event::RequestArrived(arrival(txn, 5, 3.0, now)));
-    let asked = gateway.decide(now, both.to_vec());
-    assert_eq!(calls(&asked), 2, "{asked:?}");
-    let reply = replied(&asked, CounterReply::Total(6.0)).expect("it called");
+    let actions = gateway.decide(now, both.to_vec());
+    assert_eq!(call_count(&actions), 2, "{actions:?}");
+    let reply = reply_event(&actions, CounterReply::Total(6.0)).expect("a call to the counter");
     let answers = gateway.decide(now + Ticks(20), vec![reply.clone(), reply]);
     let sent = |action: &&Action| matches!(action, Action::SendAttempt { .. });
     assert_eq!(answers.iter().filter(sent).count(), 1, "{answers:?}");
     assert!(answers.iter().any(|action| matches!(action, Action::Reject { .. })), "{answers:?}");
 }
 
-/// The part of one gateway's requests, five a second over 40 backends, that go where an answer came less than 4 s
-/// ago.
-fn part_sent_to_connected(idle_timeout: Ticks) -> f64 {
+/// Returns the fraction of one gateway's requests, five per second for 40 backends, that it sends to a backend which it
+/// sent the previous request less than 4 s before.
+fn fraction_sent_to_recent_backends(idle_timeout: Ticks) -> f64 {
     let mut gateway = Balancer::new(BalancerConfig { idle_timeout, ..config(0, Counter::Absent) });
-    gateway.decide(Ticks(0), vec![listing(40)]);
-    let (mut succeeded, mut connected): (HashMap<BackendId, Ticks>, u32) = (HashMap::new(), 0);
+    gateway.decide(Ticks(0), vec![backend_list(40)]);
+    let (mut last_sent, mut recent): (HashMap<BackendId, Ticks>, u32) = (HashMap::new(), 0);
     for txn in 0..400 {
         let now = Ticks(txn * 2_000 + 10);
-        // A customer each, so that no quota is in the way.
+        // Each request is of another customer, so that no quota rejects it.
         let arrived = Event::RequestArrived(through_one_gateway(arrival(txn as u64, txn as u64, 1.0, now)));
         let actions = gateway.decide(now, vec![arrived]);
         let [Action::SendAttempt { txn, backend, .. }] = actions[..] else {
-            panic!("sent at once, and nothing else: {actions:?}");
+            panic!("expected one attempt and nothing else: {actions:?}");
         };
-        connected += u32::from(succeeded.insert(backend, now).is_some_and(|at| now - at < Ticks(40_000)));
-        gateway.decide(now + Ticks(500), vec![succeeded_now(txn)]);
+        recent += u32::from(last_sent.insert(backend, now).is_some_and(|at| now - at < Ticks(40_000)));
+        gateway.decide(now + Ticks(500), vec![attempt_succeeded(txn)]);
     }
-    f64::from(connected) / 400.0
+    f64::from(recent) / 400.0
 }
 
 #[test]
-fn a_backend_with_an_open_connection_is_chosen_more_often_and_not_alone() {
-    let (without, with) = (part_sent_to_connected(Ticks(0)), part_sent_to_connected(Ticks(40_000)));
-    assert!(without < 0.5, "at random {without}");
-    assert!((0.65..0.98).contains(&with), "connected {with}");
+fn a_backend_with_an_open_connection_is_chosen_more_often_but_not_always() {
+    let without = fraction_sent_to_recent_backends(Ticks(0));
+    let with = fraction_sent_to_recent_backends(Ticks(40_000));
+    assert!(without < 0.5, "without open connections: {without}");
+    assert!((0.65..0.98).contains(&with), "with open connections: {with}");
 }
 
 #[test]
-fn customers_of_larger_shares_are_counted_only_while_the_counter_answers_all() {
-    let mut gateway = Balancer::new(config(0, Counter::Answers));
-    gateway.decide(Ticks(0), vec![listing(4)]);
-    // Through eight gateways a share holds a quarter of the largest request; through all forty a twentieth.
-    let arrived = |txn: u64, width, now| {
+fn customers_with_larger_shares_are_counted_only_while_the_counter_answers_all_calls() {
+    let mut gateway = Balancer::new(config(0, Counter::Responsive));
+    gateway.decide(Ticks(0), vec![backend_list(4)]);
+    // A share among 8 gateways holds a quarter of the highest request cost; a share among all 40 holds a twentieth.
+    let arrived = |txn: u64, subset_size, now| {
         let arrival = arrival(txn, txn, 1.0, now);
-        Event::RequestArrived(Arrival {
-            claim: QuotaClaim { subset_size: width, ..arrival.claim },
-            ..arrival
-        })
+        Event::RequestArrived(Arrival { claim: QuotaClaim { subset_size, ..arrival.claim }, ..arrival })
     };
-    let mut called = |txn: u64, width, counter| {
+    let mut calls = |txn: u64, subset_size, counter| {
         let now = Ticks(txn as i64 * 1_000);
-        let asked = gateway.decide(now, vec![arrived(txn, width, now)]);
-        let made = calls(&asked);
-        replied(&asked, counter).map(|event| gateway.decide(now + Ticks(20), vec![event]));
-        made
+        let actions = gateway.decide(now, vec![arrived(txn, subset_size, now)]);
+        reply_event(&actions, counter).map(|event| gateway.decide(now + Ticks(20), vec![event]));
+        call_count(&actions)
     };
-    assert_eq!(called(1, 8, CounterReply::Total(1.0)), 1);
-    let failed: usize = (2..60).map(|txn| called(txn, GATEWAYS, CounterReply::NotAdded)).sum();
-    assert!(failed >= 4, "{failed} calls failed");
-    let wide: usize = (60..80).map(|txn| called(txn, 8, CounterReply::Total(1.0))).sum();
-    assert_eq!(wide, 0, "rejected again and again, the counter is left to those whom no share serves");
-    let slim: usize = (300..320).map(|txn| called(txn, GATEWAYS, CounterReply::Total(1.0))).sum();
-    assert!(slim >= 10, "{slim} of 20 called");
+    assert_eq!(calls(1, 8, CounterReply::Total(1.0)), 1);
+    let rejected: usize = (2..60).map(|txn| calls(txn, GATEWAYS, CounterReply::NotAdded)).sum();
+    assert!(rejected >= 4, "{rejected} calls rejected");
+    let large_shares: usize = (60..80).map(|txn| calls(txn, 8, CounterReply::Total(1.0))).sum();
+    assert_eq!(large_shares, 0, "after rejections the counter is reserved for customers with small shares");
+    let small_shares: usize = (300..320).map(|txn| calls(txn, GATEWAYS, CounterReply::Total(1.0))).sum();
+    assert!(small_shares >= 10, "{small_shares} calls for 20 requests");
 }
 
 #[test]
-fn an_overloaded_counter_is_called_first_for_what_costs_most_and_an_idle_one_for_all() {
-    let mut gateway = Balancer::new(config(0, Counter::Answers));
-    gateway.decide(Ticks(0), vec![listing(4)]);
-    let mut called = |txn: u64, cost: f64, counter| -> usize {
+fn an_overloaded_counter_is_called_mostly_for_expensive_requests() {
+    let mut gateway = Balancer::new(config(0, Counter::Responsive));
+    gateway.decide(Ticks(0), vec![backend_list(4)]);
+    let mut calls = |txn: u64, cost: f64, counter| -> usize {
         let now = Ticks(txn as i64 * 500);
-        let asked = gateway.decide(now, vec![Event::RequestArrived(arrival(txn, txn, cost, now))]);
-        replied(&asked, counter).map(|event| gateway.decide(now + Ticks(20), vec![event]));
-        calls(&asked)
+        let actions = gateway.decide(now, vec![Event::RequestArrived(arrival(txn, txn, cost, now))]);
+        reply_event(&actions, counter).map(|event| gateway.decide(now + Ticks(20), vec![event]));
+        call_count(&actions)
     };
     let mut alternating = |from: u64, counter| {
-        let both =
-            (from..from + 400).map(|txn| (called(2 * txn, 8.0, counter), called(2 * txn + 1, 1.0, counter)));
-        both.fold((0, 0), |(dear, cheap), one| (dear + one.0, cheap + one.1))
+        let pairs =
+            (from..from + 400).map(|txn| (calls(2 * txn, 8.0, counter), calls(2 * txn + 1, 1.0, counter)));
+        pairs.fold((0, 0), |(expensive, cheap), pair| (expensive + pair.0, cheap + pair.1))
     };
-    assert_eq!(alternating(100, CounterReply::Total(1.0)), (400, 400), "a free one is asked for all");
-    let (dear, cheap) = alternating(500, CounterReply::NotAdded);
-    assert!(dear >= 3 * cheap, "{dear} calls for eight units, {cheap} for one");
-    assert!(cheap >= 5, "the cheap are not forgotten: {cheap}");
+    assert_eq!(alternating(100, CounterReply::Total(1.0)), (400, 400), "an idle counter is always called");
+    let (expensive, cheap) = alternating(500, CounterReply::NotAdded);
+    assert!(expensive >= 3 * cheap, "{expensive} calls for eight units, {cheap} for one unit");
+    assert!(cheap >= 5, "{cheap} calls for one unit");
 }
