--- a/crates/policy/src/decide/admission.rs
+++ b/crates/policy/src/decide/admission.rs
@@ -6,7 +6,7 @@
 const OWNER_TIMEOUT_RATIO: f64 = 0.1;
 /// The load above which requests of the lowest value are shed; the limit is up to 0.5 higher for more valuable ones.
 const MIN_LOAD_LIMIT: f64 = 0.1;
-/// A client that leaves within this many mean latencies is seldom served, and its retry is charged again.
+/// A client that leaves within this many mean latencies is seldom served, and its retry counts as a new request.
 const MIN_STAY_LATENCIES: f64 = 3.0;
 /// Averages over fewer responses than this are not used.
 const MIN_SAMPLES: f64 = 8.0;
@@ -125,7 +125,7 @@
         }
     }
 
-    /// Takes a retry from the budget, unless it could run twice, feed an overload or come too late.
+    /// Takes a retry from the budget, unless the request could run twice or the retry would feed an overload or be late.
     fn try_spend_retry(&mut self, id: TxnId) -> bool {
         let Some(request) = self.admission.requests.get(&id) else {
             return false;
--- a/crates/policy/src/decide/quota.rs
+++ b/crates/policy/src/decide/quota.rs
@@ -225,8 +225,8 @@
         self.actions.push(Action::SendPeerMessage { to, message });
     }
 
-    /// Decides a claim on which nobody answered: it is admitted if nothing current is known of the customer, and the
-    /// plan's claims are granted so often that its expected value exceeds the expected cost of use beyond the quota.
+    /// Decides a claim without an answer from an owner or the counter. It is admitted if the customer's usage is unknown
+    /// and the plan's claims are granted often enough for its value to outweigh the risk of use beyond the quota.
     fn admits_without_answer(&mut self, claim: &QuotaClaim, ctx: Context) -> bool {
         let QuotaClaim { customer, plan, .. } = *claim;
         let limits = ctx.plan(plan);
--- a/crates/quota/src/token_buckets.rs
+++ b/crates/quota/src/token_buckets.rs
@@ -21,14 +21,17 @@
 /// The retry time given before the divisor of the quotas is known: a process receives a fleet summary soon after it starts.
 const RETRY_BEFORE_FIRST_SUMMARY: Duration = Duration::from_millis(200);
 
-/// A process that has received no fleet summary for this long shrinks its shares. This is less than the 60 s after which
-/// the other processes stop counting its shares and take them over.
-const ISOLATED_AFTER: Duration = Duration::from_secs(50);
+/// A process that has received no fleet summary for this long counts as cut off and shrinks its shares. This is less than
+/// the 60 s after which the other processes stop counting its shares and take them over.
+const CUT_OFF_AFTER: Duration = Duration::from_secs(50);
 
-/// A bucket is dropped only if it admits fewer requests per second than this, is at least filled to this fraction of its
-/// depth, and its share deviates from the even share by less than this fraction: a new bucket would be the same.
+/// A bucket that admits at least this many requests per second is not idle.
 const IDLE_REQUESTS_PER_S: f64 = 0.01;
+
+/// A bucket filled to less than this fraction of its depth is not idle.
 const IDLE_FILL_FRACTION: f64 = 0.99;
+
+/// A bucket whose share deviates from the even share by at least this fraction is not idle.
 const IDLE_SHARE_DEVIATION: f64 = 0.05;
 
 /// How full the bucket of a tenant not seen before is.
@@ -237,10 +240,10 @@
         });
     }
 
-    /// Reduces all shares to the minimum if this process has received no fleet summary for [`ISOLATED_AFTER`], because the
+    /// Reduces all shares to the minimum if this process has received no fleet summary for [`CUT_OFF_AFTER`], because the
     /// other processes are about to take over the rest. The caller calls this often.
     pub fn shrink_when_cut_off(&mut self, now: Timestamp) {
-        if now.since(self.rescaled_at) < ISOLATED_AFTER {
+        if now.since(self.rescaled_at) < CUT_OFF_AFTER {
             return;
         }
         let min_share = MIN_FRACTION_OF_EVEN_SHARE / self.divisor;
--- a/crates/quota/src/token_buckets/tests.rs
+++ b/crates/quota/src/token_buckets/tests.rs
@@ -24,7 +24,7 @@
     /// The fraction of the next request at each proxy that is due.
     pending: Vec<f64>,
     /// Proxies that neither receive summaries nor send reports after the first three seconds.
-    isolated: Vec<usize>,
+    cut_off: Vec<usize>,
     /// The admitted requests in each proxy's last report.
     reported_counts: Vec<u64>,
     usage: TenantUsage,
@@ -32,7 +32,7 @@
 }
 
 impl Fleet {
-    fn new(rates: &[f64], isolated: &[usize]) -> Fleet {
+    fn new(rates: &[f64], cut_off: &[usize]) -> Fleet {
         let mut proxies = vec![TokenBuckets::new(20.0, InitialFill::Full, START); rates.len()];
         for proxy in &mut proxies {
             proxy.apply_usage(rates.len() as u32, &BTreeMap::new(), |_| QUOTA, START);
@@ -41,7 +41,7 @@
             proxies,
             rates: rates.to_vec(),
             pending: vec![0.0; rates.len()],
-            isolated: isolated.to_vec(),
+            cut_off: cut_off.to_vec(),
             reported_counts: vec![0; rates.len()],
             usage: TenantUsage::default(),
             admissions: Vec::new(),
@@ -79,7 +79,7 @@
         let divisor = self.proxies.len() as u32;
         let mut next = TenantUsage::default();
         for (no, proxy) in self.proxies.iter_mut().enumerate() {
-            if self.isolated.contains(&no) && step > 3 * STEPS_PER_S {
+            if self.cut_off.contains(&no) && step > 3 * STEPS_PER_S {
                 continue;
             }
             let count = proxy.admitted_counts().get("t").copied().unwrap_or(0);
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn an_isolated_proxy_does_not_break_the_quota() {
+fn a_proxy_that_is_cut_off_does_not_break_the_quota() {
     let bound = bound_in_five_seconds(QUOTA);
     let most = max_in_five_seconds(&Fleet::new(&[40.0; 8], &[2]).run(30));
     assert!(most <= bound, "{most} requests in five seconds, bound {bound}");
