--- a/crates/consensus/src/accept.rs
+++ b/crates/consensus/src/accept.rs
@@ -1,7 +1,7 @@
-//! The accept round: whether a majority has a proposed register on disk.
+//! The accept round, which determines whether a majority has a proposed register on disk.
 //!
 //! A register that a majority of its own membership has accepted is committed: every later candidate finds it (see
-//! `election`). A round that is given up or rejected decides nothing: voters may have accepted the register without their
+//! `election`). A round that is abandoned or rejected decides nothing: voters may have accepted the register without their
 //! responses arriving, and a later candidate may find it and commit it.
 
 use crate::quorum::QuorumTracker;
@@ -9,7 +9,7 @@
 use std::ops::ControlFlow;
 use vanewharf_protocol::messages::{Register, VoteResponse};
 
-/// A round in which the voters that a register names are to accept it.
+/// A round in which the voters that a register names are asked to accept it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct AcceptRound {
     tally: QuorumTracker,
@@ -20,12 +20,12 @@
 pub enum AcceptOutcome {
     /// A majority has the register on disk.
     Committed,
-    /// So many voters refused that the rest is no majority.
+    /// So many voters refused that the others cannot be a majority.
     Rejected,
 }
 
 impl AcceptRound {
-    /// Begins with the membership that the register itself names.
+    /// Starts a round among the voters that the register itself names.
     pub fn start(register: &Register) -> AcceptRound {
         AcceptRound { tally: QuorumTracker::new(register.membership.clone()) }
     }
@@ -39,7 +39,7 @@
         self.tally.record(voter, response);
         if self.tally.has_quorum() {
             ControlFlow::Break(AcceptOutcome::Committed)
-        } else if self.tally.is_lost() {
+        } else if self.tally.quorum_is_impossible() {
             ControlFlow::Break(AcceptOutcome::Rejected)
         } else {
             ControlFlow::Continue(())
--- a/crates/consensus/src/accept/tests.rs
+++ b/crates/consensus/src/accept/tests.rs
@@ -6,7 +6,7 @@
 }
 
 #[test]
-fn a_register_is_committed_by_a_majority_or_rejected_by_one() {
+fn majority_commits_or_rejects_register() {
     let mut round = start();
     assert!(round.record_response(address(1), accepted()).is_continue());
     assert!(round.record_response(address(2), refused(2)).is_continue());
--- a/crates/consensus/src/ballot.rs
+++ b/crates/consensus/src/ballot.rs
@@ -1,16 +1,16 @@
-//! Ballots: how a candidate chooses one that nobody else uses, and when it may no longer win by it.
+//! Ballots: how a candidate chooses one that no other machine uses, and when it must no longer win with it.
 
 use crate::lease::HeldLease;
 use std::net::{IpAddr, SocketAddr};
 use vanewharf_clock::Timestamp;
 use vanewharf_protocol::messages::Ballot;
 
-/// The low bits of a ballot hold the proposer's address, the high bits a counter.
+/// The number of low bits of a ballot that hold the proposer's IPv4 address. The high bits hold a counter.
 const ADDRESS_BITS: u32 = 32;
 const ADDRESS_MASK: u64 = (1 << ADDRESS_BITS) - 1;
 
-/// A ballot above `highest_seen` that no other machine chooses: its low bits are the proposer's IPv4 address. Controllers
-/// have IPv4 addresses alone; of an IPv6 address the last 32 bits would be used.
+/// Returns a ballot above `highest_seen` that no other machine can choose: its low bits are the proposer's IPv4 address.
+/// Controllers have only IPv4 addresses; of an IPv6 address the last 32 bits would be used.
 pub fn next_ballot(highest_seen: Ballot, proposer: SocketAddr) -> Ballot {
     let address = match proposer.ip() {
         IpAddr::V4(ip) => u64::from(ip.to_bits()),
@@ -24,7 +24,8 @@
 ///
 /// A restarted voter may ask the controller to which it had promised its ballot whether the lease is still held, so that it
 /// need not suspend grants for a whole lease duration. A controller that answers "no" renounces that ballot for good. Votes
-/// for it may still be in flight, and if it won by them after that answer, there could be two leaseholders at once.
+/// for the ballot may still be in flight, and if the controller won by them after that answer, there could be two
+/// leaseholders at once.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct BallotClaim {
     ballot: Ballot,
@@ -32,20 +33,20 @@
 }
 
 impl BallotClaim {
-    /// A claim on a ballot that was just chosen.
+    /// Creates a claim on a ballot that was just chosen.
     pub fn new(ballot: Ballot) -> BallotClaim {
         BallotClaim { ballot, renounced: false }
     }
 
-    /// Answers a restarted voter's question whether the lease under `ballot` is still held. If not, the claim on that ballot
-    /// is renounced.
+    /// Answers a restarted voter that asks whether the lease under `ballot` is still held. If it is not, the claim on that
+    /// ballot is renounced.
     pub fn answer_inquiry(&mut self, ballot: Ballot, lease: Option<HeldLease>, now: Timestamp) -> bool {
         let held = lease.is_some_and(|lease| lease.ballot == ballot && lease.is_valid(now));
         self.renounced |= !held && self.ballot == ballot;
         held
     }
 
-    /// Whether the controller may still win or renew a lease under `ballot`.
+    /// Returns whether the controller may still win or renew a lease under `ballot`.
     pub fn is_valid_for(&self, ballot: Ballot) -> bool {
         self.ballot == ballot && !self.renounced
     }
--- a/crates/consensus/src/ballot/tests.rs
+++ b/crates/consensus/src/ballot/tests.rs
@@ -3,7 +3,7 @@
 use crate::test_support::START;
 
 #[test]
-fn ballots_of_two_machines_differ_wherever_they_are() {
+fn ballots_of_two_machines_differ() {
     let at = |ip: [u8; 4]| SocketAddr::from((ip, 7600));
     assert_ne!(next_ballot(Ballot(0), at([10, 1, 2, 3])), next_ballot(Ballot(0), at([11, 1, 2, 3])));
     let mine = next_ballot(Ballot(0), at([10, 1, 2, 3]));
@@ -11,12 +11,15 @@
 }
 
 #[test]
-fn a_candidate_that_renounced_its_ballot_never_wins_by_votes_in_flight() {
+fn renounced_ballot_is_never_valid_again() {
     let mut claim = BallotClaim::new(Ballot(7));
     let lease = Some(HeldLease::granted(Ballot(7), START));
     assert!(claim.answer_inquiry(Ballot(7), lease, START) && claim.is_valid_for(Ballot(7)));
     let held = claim.answer_inquiry(Ballot(3), lease, START);
-    assert!(!held && claim.is_valid_for(Ballot(7)), "that is an older one");
+    assert!(
+        !held && claim.is_valid_for(Ballot(7)),
+        "a query for an older ballot must not renounce the current one"
+    );
     assert!(!claim.answer_inquiry(Ballot(7), None, START) && !claim.is_valid_for(Ballot(7)));
     let mut expired = BallotClaim::new(Ballot(7));
     let held = expired.answer_inquiry(Ballot(7), lease, START.after(LEASE_DURATION));
--- a/crates/consensus/src/election.rs
+++ b/crates/consensus/src/election.rs
@@ -1,12 +1,12 @@
-//! The election: one attempt to win the lease, under one ballot.
+//! The election: one attempt of a candidate to win the lease under one ballot.
 //!
 //! A voter that grants the lease promises to accept nothing under a lower ballot, and reports the newest register that it
 //! has accepted. A committed register was accepted by a majority, which shares a voter with the majority that grants this
-//! lease. So the newest reported register is at least as new as any committed one. The winner has it accepted again under its
+//! lease. So the newest reported register is at least as new as any committed one. The winner proposes it again under its
 //! own ballot before it proposes anything else.
 //!
-//! The register that is found may name another set of voters than the candidate knew of. Then a majority of that set has to
-//! grant the lease, too: a majority of the set that the candidate knew may be unaware of what the newer set has decided.
+//! The newest reported register may name another set of voters than the candidate knew of. Then a majority of that set has
+//! to grant the lease, too: a majority of the set that the candidate knew may be unaware of what the newer set has decided.
 
 use crate::membership::all_voters;
 use crate::quorum::QuorumTracker;
@@ -24,29 +24,31 @@
     tally: QuorumTracker,
 }
 
-/// What the responses so far decide. An election is lost if all have responded and nothing was decided.
+/// The result that the responses so far determine. An election is lost if all voters have responded without one.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ElectionOutcome {
-    /// The register that was found names other voters: these have to be asked for the lease, too.
+    /// The newest reported register names other voters: these have to be asked for the lease, too.
     QueryAlso(BTreeSet<SocketAddr>),
-    /// The lease is granted. The register has to be accepted under the new ballot before anything else is proposed.
+    /// The lease is granted. This register, the newest reported one, has to be accepted under the new ballot before anything
+    /// else is proposed.
     Won(Box<Register>),
-    /// The candidate is not a voter of the newest set, and must not become its leaseholder.
+    /// The candidate is not a voter of the newest set, and must not become leaseholder.
     NotAVoter,
 }
 
 impl Election {
-    /// Begins with the newest membership that the candidate knows, and the rank of the register that names it.
+    /// Starts an election among the newest membership that the candidate knows; `membership_rank` is the rank of the register
+    /// that names it.
     pub fn start(candidate: SocketAddr, membership: Membership, membership_rank: RegisterRank) -> Election {
         Election { candidate, membership_rank, tally: QuorumTracker::new(membership) }
     }
 
-    /// The membership whose majority is needed.
+    /// Returns the membership of which a majority is needed.
     pub fn membership(&self) -> &Membership {
         self.tally.membership()
     }
 
-    /// Records one response. Breaks once the outcome is decided, or more voters have to be asked.
+    /// Records one response. Breaks once the election is decided, or once more voters have to be asked.
     pub fn record_response(
         &mut self,
         voter: SocketAddr,
@@ -57,8 +59,8 @@
             return ControlFlow::Continue(());
         }
         let found = self.newest_granted_register();
-        // A leaseholder that finds no register publishes the initial one without having it accepted, under a ballot that may
-        // be above that of a change which was begun before.
+        // The epoch is compared as well as the rank. A leaseholder that finds no register publishes the initial one without
+        // an accept round, under a ballot that may be above that of a membership change which was begun before.
         let names_later_set = found.membership.epoch > self.membership().epoch;
         if found.rank() > self.membership_rank || names_later_set {
             self.tally.set_membership(found.membership.clone());
@@ -74,18 +76,19 @@
         }
     }
 
-    /// The highest ballot that a refusing voter has promised; the next attempt has to use a higher one. 0 if none refused.
+    /// Returns the highest ballot that a refusing voter has promised, or 0 if none refused. The next attempt has to use a
+    /// higher one.
     pub fn highest_refused_ballot(&self) -> Ballot {
         self.tally.highest_refused_ballot()
     }
 
-    /// The highest quota divisor known to the voters that granted the lease; 0 if none knows one.
+    /// Returns the highest quota divisor known to the voters that granted the lease, or 0 if none knows one.
     pub fn quota_divisor(&self) -> u32 {
-        let counts = self.tally.votes().filter_map(|vote| match vote {
+        let divisors = self.tally.votes().filter_map(|vote| match vote {
             Vote::Granted { quota_divisor, .. } => Some(*quota_divisor),
             _ => None,
         });
-        counts.max().unwrap_or(0)
+        divisors.max().unwrap_or(0)
     }
 
     fn newest_granted_register(&self) -> Register {
--- a/crates/consensus/src/election/tests.rs
+++ b/crates/consensus/src/election/tests.rs
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn an_election_is_won_with_the_newest_register_of_a_majority() {
+fn election_is_won_with_newest_register_of_majority() {
     let mut election = Election::start(address(1), voters(&[1, 2, 3]), rank(1, 1));
     assert!(election.record_response(address(1), granted(register(1, 1, voters(&[1, 2, 3])))).is_continue());
     assert!(election.record_response(address(2), refused(9)).is_continue());
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn voters_of_a_newer_membership_are_asked_too_and_their_majority_is_needed() {
+fn newer_membership_has_to_grant_lease_too() {
     let mut election = Election::start(address(1), voters(&[1, 2, 3]), rank(1, 1));
     assert!(election.record_response(address(1), granted(register(1, 1, voters(&[1, 2, 3])))).is_continue());
     let change = begin_change(&voters(&[1, 2, 3]), &[address(1), address(4), address(5)].into());
@@ -39,10 +39,10 @@
     assert_eq!(outcome, ControlFlow::Break(ElectionOutcome::Won(Box::new(newer))));
 }
 
-/// The candidate has published the initial register under ballot 2, without having it accepted, and finds a change that was
-/// begun under ballot 1.
+/// Guards against comparing memberships by the ranks of their registers alone: the candidate has published the initial
+/// register under ballot 2 without an accept round, and finds a membership change that was begun under ballot 1.
 #[test]
-fn a_later_set_counts_also_where_it_was_named_under_a_lower_ballot() {
+fn later_epoch_is_used_despite_lower_ballot() {
     let mut election = Election::start(address(1), voters(&[1, 2, 3]), rank(2, 0));
     assert!(election.record_response(address(1), granted(register(0, 0, voters(&[1, 2, 3])))).is_continue());
     let change = begin_change(&voters(&[1, 2, 3]), &[address(1), address(2), address(4)].into());
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn a_candidate_that_is_no_voter_of_the_newest_membership_does_not_lead() {
+fn candidate_outside_newest_membership_is_not_elected() {
     let mut election = Election::start(address(1), voters(&[1, 2, 3]), rank(1, 1));
     assert!(election.record_response(address(1), granted(register(1, 1, voters(&[1, 2, 3])))).is_continue());
     assert!(matches!(
--- a/crates/consensus/src/membership.rs
+++ b/crates/consensus/src/membership.rs
@@ -1,4 +1,4 @@
-//! The set of voters: which voters make a quorum, and how one set follows another by joint consensus.
+//! The set of voters: which voters are a quorum, and how one set replaces another by joint consensus.
 //!
 //! # Why a change needs both majorities
 //!
@@ -12,36 +12,36 @@
 use std::net::SocketAddr;
 use vanewharf_protocol::messages::Membership;
 
-/// The most losses at once that a set of voters is enlarged for.
+/// The highest number of simultaneous losses for which the set of voters is enlarged.
 const MAX_TOLERATED_LOSSES: u64 = 4;
-/// The epoch of the first set of voters; 0 stands for a set that is not known.
+/// The epoch of the first set of voters. Epoch 0 stands for an unknown set.
 const INITIAL_EPOCH: u64 = 1;
 
-/// How many of `voter_count` voters are a majority.
+/// Returns how many of `voter_count` voters are a majority.
 pub(crate) fn majority(voter_count: usize) -> usize {
     voter_count / 2 + 1
 }
 
-/// How many voters are needed so that `losses` of them may fail at once and the rest is still a majority. At least one loss
-/// and at most four are provided for.
+/// Returns how many voters are needed so that `losses` of them may fail at once and the rest is still a majority. At least
+/// one loss and at most four are provided for.
 pub fn voter_count_for(losses: u64) -> usize {
     2 * losses.clamp(1, MAX_TOLERATED_LOSSES) as usize + 1
 }
 
-/// The membership of a cluster that starts for the first time.
+/// Returns the membership of a cluster that starts for the first time.
 pub(crate) fn initial_membership(mut voters: Vec<SocketAddr>) -> Membership {
     voters.sort_unstable();
     voters.dedup();
     Membership { epoch: INITIAL_EPOCH, voters, outgoing: Vec::new() }
 }
 
-/// All that have a vote: those of the set and, during a change, the outgoing ones.
+/// Returns all members that have a vote: the voters of the set and, during a change, the outgoing ones.
 pub fn all_voters(membership: &Membership) -> BTreeSet<SocketAddr> {
     membership.voters.iter().chain(&membership.outgoing).copied().collect()
 }
 
-/// Whether those who assent are a quorum: a majority of the voters, and during a change also one of the outgoing voters. A
-/// membership that is not known (without voters) has no quorum.
+/// Returns whether the assenting voters are a quorum: a majority of the voters, and during a change also a majority of the
+/// outgoing voters. An unknown membership, which has no voters, has no quorum.
 pub fn has_quorum(membership: &Membership, assenting: &BTreeSet<SocketAddr>) -> bool {
     let has_majority = |voters: &[SocketAddr]| {
         let assents = voters.iter().filter(|voter| assenting.contains(voter)).count();
@@ -50,13 +50,13 @@
     has_majority(&membership.voters) && (membership.outgoing.is_empty() || has_majority(&membership.outgoing))
 }
 
-/// Whether no quorum is possible any more, as too many voters oppose.
+/// Returns whether so many voters oppose that the remaining ones cannot be a quorum.
 pub(crate) fn quorum_is_impossible(membership: &Membership, opposing: &BTreeSet<SocketAddr>) -> bool {
     let remaining = all_voters(membership).difference(opposing).copied().collect();
     !has_quorum(membership, &remaining)
 }
 
-/// The joint membership that begins a change to `voters`.
+/// Returns the joint membership that begins a change to `voters`.
 pub(crate) fn begin_change(membership: &Membership, voters: &BTreeSet<SocketAddr>) -> Membership {
     Membership {
         epoch: membership.epoch + 1,
@@ -65,15 +65,15 @@
     }
 }
 
-/// The membership that finishes a change, once both sets have accepted the joint one.
+/// Returns the membership that finishes a change, once majorities of both sets have accepted the joint one.
 pub(crate) fn finish_change(membership: &Membership) -> Membership {
     Membership { epoch: membership.epoch + 1, voters: membership.voters.clone(), outgoing: Vec::new() }
 }
 
-/// The next step towards a set of voters, or nothing if it is reached.
+/// Returns the membership to propose next on the way to a set of voters, or `None` if that set is reached.
 ///
-/// `committed` has to be the membership of the register in force, not of a newer one on the leaseholder's own disk. A joint
-/// membership that is not committed may be on the leaseholder's disk alone. It is proposed again, never finished: otherwise
+/// `committed` has to be the membership of the committed register, not of a newer one on the leaseholder's own disk. A joint
+/// membership that is not committed may be on the leaseholder's disk only. It is proposed again, never finished: otherwise
 /// the new set would decide alone while no majority of the old set knows of it.
 pub fn next_membership(committed: &Membership, voters: &BTreeSet<SocketAddr>) -> Option<Membership> {
     if !committed.outgoing.is_empty() {
--- a/crates/consensus/src/quorum.rs
+++ b/crates/consensus/src/quorum.rs
@@ -1,4 +1,4 @@
-//! The tally of one round of voting: which voters responded, and whether those who assent are a quorum.
+//! Counts the votes of one round: which voters responded, and whether those who assent are a quorum.
 
 use crate::incarnation::latest_incarnations;
 use crate::membership::{has_quorum, quorum_is_impossible};
@@ -6,12 +6,12 @@
 use std::net::SocketAddr;
 use vanewharf_protocol::messages::{Ballot, Membership, Vote, VoteResponse};
 
-/// Collects the responses of one round and tells whether a quorum of its membership assents. Responses may come in any
+/// Collects the responses of one round and tells whether a quorum of its membership assents. Responses may arrive in any
 /// order, and more than once from the same voter.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct QuorumTracker {
     membership: Membership,
-    /// In the order in which they came.
+    /// All responses, in the order in which they arrived.
     responses: Vec<RecordedResponse>,
 }
 
@@ -32,48 +32,49 @@
 }
 
 impl QuorumTracker {
-    /// A round to which nobody has responded yet.
+    /// Starts a round to which no voter has responded yet.
     pub fn new(membership: Membership) -> QuorumTracker {
         QuorumTracker { membership, responses: Vec::new() }
     }
 
-    /// Whose quorum the round needs.
+    /// Returns the membership of which the round needs a quorum.
     pub fn membership(&self) -> &Membership {
         &self.membership
     }
 
-    /// Continues with another membership; the responses so far count for it, too.
+    /// Replaces the membership of which a quorum is needed. The responses recorded so far still count.
     pub(crate) fn set_membership(&mut self, membership: Membership) {
         self.membership = membership;
     }
 
-    /// Records the response of one voter.
+    /// Records the response of one voter. If a voter responds more than once, any assent of its latest incarnation counts.
     pub fn record(&mut self, voter: SocketAddr, response: VoteResponse) {
         self.responses.push(RecordedResponse { voter, response });
     }
 
-    /// Whether those who assent so far are a quorum.
+    /// Returns whether the voters that have assented so far are a quorum.
     pub fn has_quorum(&self) -> bool {
         has_quorum(&self.membership, &self.assenting_voters())
     }
 
-    /// Whether so many voters refused that the others are no quorum.
-    pub(crate) fn is_lost(&self) -> bool {
-        let opposing = self.responses.iter().filter(|one| one.refuses()).map(|one| one.voter).collect();
+    /// Returns whether so many voters have refused that the remaining ones cannot be a quorum.
+    pub(crate) fn quorum_is_impossible(&self) -> bool {
+        let opposing = self.responses.iter().filter(|recorded| recorded.refuses());
+        let opposing = opposing.map(|recorded| recorded.voter).collect();
         quorum_is_impossible(&self.membership, &opposing)
     }
 
-    /// All voters that responded, whatever they voted.
+    /// Returns all voters that have responded, whatever they voted.
     pub(crate) fn respondents(&self) -> BTreeSet<SocketAddr> {
-        self.responses.iter().map(|one| one.voter).collect()
+        self.responses.iter().map(|recorded| recorded.voter).collect()
     }
 
-    /// The votes, in the order in which they came.
+    /// Returns the votes in the order in which they arrived.
     pub(crate) fn votes(&self) -> impl Iterator<Item = &Vote> {
-        self.responses.iter().map(|one| &one.response.vote)
+        self.responses.iter().map(|recorded| &recorded.response.vote)
     }
 
-    /// The highest ballot that a refusing voter has promised; 0 if none refused.
+    /// Returns the highest ballot that a refusing voter has promised, or 0 if none refused.
     pub(crate) fn highest_refused_ballot(&self) -> Ballot {
         let refused = self.votes().filter_map(|vote| match vote {
             Vote::Refused { promised, .. } => Some(*promised),
@@ -82,14 +83,15 @@
         refused.max().unwrap_or_default()
     }
 
-    /// The voters that assent. Votes of an incarnation for which any response names a later one are left out: they were cast
-    /// before the voter lost its disk (see `incarnation`).
+    /// Returns the voters that have assented. A vote is left out if any response names a later incarnation of its voter: it
+    /// was cast before the voter lost its disk (see `incarnation`).
     pub(crate) fn assenting_voters(&self) -> BTreeSet<SocketAddr> {
-        let responses = self.responses.iter().map(|one| (one.voter, &one.response));
+        let responses = self.responses.iter().map(|recorded| (recorded.voter, &recorded.response));
         let latest = latest_incarnations(responses);
-        let is_current = |one: &RecordedResponse| latest.get(&one.voter) == Some(&one.response.incarnation);
-        let counted = self.responses.iter().filter(|one| one.assents() && is_current(one));
-        counted.map(|one| one.voter).collect()
+        let is_current =
+            |recorded: &RecordedResponse| latest.get(&recorded.voter) == Some(&recorded.response.incarnation);
+        let counted = self.responses.iter().filter(|recorded| recorded.assents() && is_current(recorded));
+        counted.map(|recorded| recorded.voter).collect()
     }
 }
 
--- a/crates/consensus/src/quorum/tests.rs
+++ b/crates/consensus/src/quorum/tests.rs
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn a_vote_from_before_a_disk_was_lost_does_not_count_beside_one_that_knows_of_the_loss() {
+fn vote_of_superseded_incarnation_is_not_counted() {
     let old = (address(1), accepted());
     let unaware = (address(2), accepted());
     let aware = (address(2), VoteResponse { incarnations: [(address(1), 1)].into(), ..accepted() });
@@ -21,6 +21,6 @@
     assert_eq!(
         assenting(&[again, unaware]),
         address_set(&[1, 2]),
-        "a voter that was not asked knows nothing of the loss"
+        "a response without incarnations of others excludes no vote"
     );
 }
--- a/crates/consensus/src/renewal.rs
+++ b/crates/consensus/src/renewal.rs
@@ -1,26 +1,26 @@
-//! The renewal round: whether a majority extends the lease.
+//! The renewal round, in which a majority extends the lease.
 //!
 //! During a change of the set of voters the round needs a majority of both sets (see `membership`). One such round has to
-//! succeed after the joint membership is committed and before the change is finished. Otherwise the lease would rest on the
-//! old set alone while the new set, which has not granted it, could elect another leaseholder.
+//! succeed after the joint membership is committed and before the change is finished. Otherwise only voters of the old set
+//! would have granted the lease, while the new set, which has not, could elect another leaseholder.
 
 use crate::quorum::QuorumTracker;
 use std::net::SocketAddr;
 use std::ops::ControlFlow;
 use vanewharf_protocol::messages::{Ballot, Membership, VoteResponse};
 
-/// What came of a renewal round.
+/// The result of a renewal round.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RenewalOutcome {
     /// A majority renewed the lease.
     Renewed,
-    /// Too few voters responded or assented; the lease is valid for as long as before.
+    /// Too few voters responded or assented; the lease still ends when it would have ended without this round.
     Incomplete,
     /// No majority renewed the lease, and a voter has promised a higher ballot.
     Superseded,
 }
 
-/// A round in which the lease is to be renewed.
+/// A round in which voters are asked to extend the lease.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct RenewalRound {
     ballot: Ballot,
@@ -28,12 +28,12 @@
 }
 
 impl RenewalRound {
-    /// Begins for the lease under `ballot`, among the voters of this membership.
+    /// Starts a round for the lease under `ballot`, among the voters of this membership.
     pub fn start(ballot: Ballot, membership: Membership) -> RenewalRound {
         RenewalRound { ballot, tally: QuorumTracker::new(membership) }
     }
 
-    /// The membership whose majority is needed.
+    /// Returns the membership of which a majority is needed.
     pub fn membership(&self) -> &Membership {
         self.tally.membership()
     }
@@ -47,7 +47,7 @@
         }
     }
 
-    /// By the responses so far.
+    /// Returns the result by the responses recorded so far.
     pub fn outcome(&self) -> RenewalOutcome {
         if self.tally.has_quorum() {
             RenewalOutcome::Renewed
--- a/crates/consensus/src/renewal/tests.rs
+++ b/crates/consensus/src/renewal/tests.rs
@@ -6,11 +6,15 @@
 }
 
 #[test]
-fn a_renewal_is_incomplete_without_a_majority_and_superseded_by_a_higher_ballot() {
+fn renewal_needs_majority_and_is_superseded_by_higher_ballot() {
     let mut round = start();
     assert!(round.record_response(address(1), accepted()).is_continue());
     assert!(round.record_response(address(2), refused(3)).is_continue());
-    assert_eq!(round.outcome(), RenewalOutcome::Incomplete, "it has promised nothing higher");
+    assert_eq!(
+        round.outcome(),
+        RenewalOutcome::Incomplete,
+        "the refusing voter has promised no higher ballot"
+    );
     assert!(round.record_response(address(3), refused(5)).is_continue());
     assert_eq!(round.outcome(), RenewalOutcome::Superseded);
     let mut round = start();
