--- a/crates/consensus/src/follower_tracker.rs
+++ b/crates/consensus/src/follower_tracker.rs
@@ -1,7 +1,7 @@
 //! Tracks which controllers follow the leaseholder, and which of them have the committed register on disk.
 //!
-//! State: for each follower, since when it has been in sync and which revision it has to have. It starts empty whenever the
-//! lease is acquired, except after a short loss of the lease.
+//! For each follower, the tracker records since when it has been in sync and which revision it has to have on disk. It starts
+//! empty whenever the lease is acquired, except after a short loss of the lease.
 
 use crate::planner::VoterCandidate;
 use std::collections::BTreeMap;
@@ -10,19 +10,19 @@
 use vanewharf_clock::Timestamp;
 use vanewharf_protocol::messages::{Follower, Revision};
 
-/// A follower that was last seen in sync so long ago is out of sync. Followers pull more often than this.
+/// How long after it was last seen in sync a follower counts as out of sync. Followers pull more often than this.
 pub(crate) const SYNC_TIMEOUT: Duration = Duration::from_millis(1200);
-/// A follower that was last seen in sync so long ago is forgotten.
+/// How long after it was last seen in sync a follower is removed from the tracker.
 const FOLLOWER_RETENTION: Duration = Duration::from_secs(60);
-/// A leaseholder that regains the lease within this time continues with what it knew.
+/// How soon a controller has to regain the lease to continue with the tracked progress of its followers.
 const RESUME_WINDOW: Duration = Duration::from_secs(10);
 
-/// What the leaseholder knows of those that follow it.
+/// The progress of the followers, as the leaseholder knows it.
 #[derive(Debug, Default)]
 pub struct FollowerTracker {
-    /// When the lease was acquired, plus the time for which it was lost for a moment.
+    /// When the lease was acquired, plus the durations of short losses of the lease since then.
     tracking_since: Timestamp,
-    /// When the lease was lost, while it is.
+    /// When the lease was lost; `None` while it is held.
     lease_lost_at: Option<Timestamp>,
     followers: BTreeMap<IpAddr, FollowerProgress>,
 }
@@ -30,27 +30,27 @@
 #[derive(Debug)]
 struct FollowerProgress {
     zone: String,
-    /// When it was last seen in sync.
+    /// When the follower was last seen in sync; `None` if it never was.
     last_in_sync: Option<Timestamp>,
-    /// Since when it has been in sync without a break.
+    /// Since when the follower has been in sync without interruption.
     in_sync_since: Timestamp,
-    /// The revision that it has to have on disk, and since when.
+    /// The revision that the follower has to have on disk, required since `required_since`.
     required_revision: Revision,
     required_since: Timestamp,
 }
 
-/// The controller that holds the lease, among the candidates.
+/// The controller that holds the lease; it is one of the candidates.
 #[derive(Clone, Copy, Debug)]
 pub struct LocalMember<'a> {
-    /// Where it is reached.
+    /// The address at which other controllers reach it.
     pub address: SocketAddr,
     /// Its zone.
     pub zone: &'a str,
 }
 
 impl FollowerTracker {
-    /// The lease is acquired. If it was lost for a moment only, tracking continues as if that time, in which nobody followed,
-    /// had not passed: a voter that had failed before is not waited for once more.
+    /// Starts tracking when the lease is acquired. If the lease was lost only shortly, tracking continues as if that time, in
+    /// which no controller followed, had not passed: the failure time-out of a failed voter does not start anew.
     pub fn lease_acquired(&mut self, now: Timestamp) {
         let gap = self.lease_lost_at.take().map(|lost_at| now.since(lost_at));
         match gap.filter(|gap| *gap < RESUME_WINDOW) {
@@ -71,12 +71,13 @@
         }
     }
 
-    /// The lease is lost.
+    /// Records that the lease is lost.
     pub fn lease_lost(&mut self, now: Timestamp) {
         self.lease_lost_at = Some(now);
     }
 
-    /// A follower pulls, and reports what it has on disk; `committed` is the revision that it should have soon.
+    /// Records a pull by which a follower reports what it has on disk. `committed` is the committed revision, which the
+    /// follower should have on disk soon.
     pub fn record_pull(&mut self, follower: &Follower, committed: Revision, now: Timestamp) {
         let entry = self.followers.entry(follower.controller.ip);
         let progress = entry.or_insert_with(|| FollowerProgress {
@@ -90,9 +91,9 @@
         self.followers.retain(|_, progress| now.since(progress.last_progress()) < FOLLOWER_RETENTION);
     }
 
-    /// All that may be voters: the current ones, whether they follow or not, the leaseholder itself, and its followers. Nobody
-    /// counts as out of sync for longer than the lease has been held. `address` is where the controller of a machine is
-    /// reached.
+    /// Returns all machines that may be voters: the current voters, whether they follow or not, the leaseholder itself, and its
+    /// followers. No machine that was ever in sync counts as out of sync for longer than the lease has been held. `address`
+    /// returns the address of the controller on the machine with that IP address.
     pub fn candidates(
         &self,
         voters: &[SocketAddr],
@@ -101,7 +102,7 @@
         now: Timestamp,
     ) -> Vec<VoterCandidate> {
         let tracked_for = now.since(self.tracking_since);
-        // One that was never in sync is out of sync, however short the lease has been held.
+        // A machine that was never in sync counts as out of sync, however short the lease has been held.
         let never_in_sync = tracked_for.max(SYNC_TIMEOUT);
         let followers = self.followers.iter().map(|(ip, progress)| {
             let out_of_sync_for = match progress.last_in_sync {
@@ -110,7 +111,8 @@
             };
             progress.candidate(address(*ip), out_of_sync_for, now)
         });
-        let mut candidates: Vec<_> = followers.filter(|one| one.address != local.address).collect();
+        let mut candidates: Vec<_> =
+            followers.filter(|candidate| candidate.address != local.address).collect();
         candidates.push(VoterCandidate {
             address: local.address,
             zone: local.zone.to_owned(),
@@ -118,7 +120,7 @@
             in_sync_for: tracked_for,
         });
         for &voter in voters {
-            if !candidates.iter().any(|one| one.address == voter) {
+            if !candidates.iter().any(|candidate| candidate.address == voter) {
                 candidates.push(VoterCandidate {
                     address: voter,
                     zone: String::new(),
@@ -132,10 +134,10 @@
 }
 
 impl FollowerProgress {
-    /// Records what the follower has on disk; nothing if it has amnesia.
+    /// Updates the progress by the revision that the follower has on disk, which is `None` if it has amnesia.
     fn update(&mut self, on_disk: Option<Revision>, committed: Revision, now: Timestamp) {
         let has_required = on_disk.is_some_and(|revision| revision >= self.required_revision);
-        // A follower that had everything before may not have received yet what was committed a moment ago.
+        // A follower that was in sync before may not have received a register yet that was committed a moment ago.
         let is_catching_up =
             self.last_in_sync.is_some() && on_disk.is_some() && now.since(self.required_since) < SYNC_TIMEOUT;
         if has_required {
@@ -155,7 +157,7 @@
         VoterCandidate { address, zone: self.zone.clone(), out_of_sync_for, in_sync_for }
     }
 
-    /// When it was last in sync, or since when it has been awaited.
+    /// Returns when the follower was last in sync, or, if it never was, since when its required revision has been due.
     fn last_progress(&self) -> Timestamp {
         self.last_in_sync.unwrap_or(self.required_since)
     }
--- a/crates/consensus/src/follower_tracker/tests.rs
+++ b/crates/consensus/src/follower_tracker/tests.rs
@@ -18,14 +18,16 @@
 }
 
 fn candidate(candidates: &[VoterCandidate], number: u8) -> &VoterCandidate {
-    candidates.iter().find(|one| one.address == address(number)).expect("it is known")
+    let mut candidates = candidates.iter();
+    candidates.find(|candidate| candidate.address == address(number)).expect("the machine is a candidate")
 }
 
 #[test]
-fn a_follower_in_sync_may_vote_and_one_that_lags_or_has_amnesia_is_out_of_sync() {
+fn lagging_and_amnesic_followers_are_out_of_sync() {
     let mut tracker = FollowerTracker::default();
     tracker.lease_acquired(START);
-    // Changes come faster than they are written: 2 is one behind each time, 3 stays where it was, 4 has amnesia.
+    // Changes are committed faster than followers write them: follower 2 is always one revision behind, 3 stays at revision
+    // 2, and 4 has amnesia. Voter 5 never pulls.
     let mut now = START;
     for revision in 1..40u64 {
         now = now.after(Duration::from_millis(100));
@@ -38,20 +40,20 @@
     assert!(of(2).out_of_sync_for.is_zero() && of(2).in_sync_for > PROMOTION_DELAY, "{:?}", of(2));
     assert!(of(3).out_of_sync_for > Duration::from_secs(2) && of(3).in_sync_for.is_zero(), "{:?}", of(3));
     let have_failed = of(4).out_of_sync_for > FAILURE_TIMEOUT && of(5).out_of_sync_for > FAILURE_TIMEOUT;
-    assert!(have_failed, "for as long as the lease is held");
+    assert!(have_failed, "the lease has been held for longer than the failure time-out");
     assert!(of(1).out_of_sync_for.is_zero());
     let in_sync = |numbers: &[u8]| majority_in_sync(&address_set(numbers), &all);
     assert!(in_sync(&[1, 2, 3]) && !in_sync(&[1, 3, 4]) && !in_sync(&[1, 5]));
     tracker.lease_acquired(now);
     let all = candidates(&tracker, &[1, 2], now);
     let in_sync = majority_in_sync(&address_set(&[1, 2]), &all);
-    assert!(!in_sync, "one that was not heard from is not taken to be in sync");
-    let nobody_failed = all.iter().all(|one| one.out_of_sync_for < FAILURE_TIMEOUT);
-    assert!(nobody_failed, "a new leaseholder takes nobody to have failed yet");
+    assert!(!in_sync, "a voter that has not pulled since the lease was acquired must not count as in sync");
+    let nobody_failed = all.iter().all(|candidate| candidate.out_of_sync_for < FAILURE_TIMEOUT);
+    assert!(nobody_failed, "no voter may count as failed right after the lease was acquired");
 }
 
 #[test]
-fn a_lease_regained_soon_continues_with_what_was_known_of_followers() {
+fn tracking_resumes_if_lease_is_regained_soon() {
     let mut tracker = FollowerTracker::default();
     let after = |milliseconds: u64| START.after(Duration::from_millis(milliseconds));
     let pull = |tracker: &mut FollowerTracker, now| {
@@ -64,18 +66,21 @@
     pull(&mut tracker, after(7_100));
     let out_of_sync_and_in_sync = |tracker: &FollowerTracker, number: u8, now| {
         let all = candidates(tracker, &[1, 2, 3], now);
-        let one = candidate(&all, number);
-        (one.out_of_sync_for, one.in_sync_for)
+        let candidate = candidate(&all, number);
+        (candidate.out_of_sync_for, candidate.in_sync_for)
     };
     let (out_of_sync_for, _) = out_of_sync_and_in_sync(&tracker, 3, after(8_100));
-    assert!(out_of_sync_for >= FAILURE_TIMEOUT, "2 s before and 1.1 s now");
+    assert!(
+        out_of_sync_for >= FAILURE_TIMEOUT,
+        "out of sync for 2 s before the lease was lost and for 1.1 s after"
+    );
     let (out_of_sync_for, in_sync_for) = out_of_sync_and_in_sync(&tracker, 2, after(8_100));
     assert!(
         out_of_sync_for < FAILURE_TIMEOUT && in_sync_for > PROMOTION_DELAY,
-        "it was there all along: {out_of_sync_for:?} {in_sync_for:?}"
+        "the follower was in sync both times: {out_of_sync_for:?} {in_sync_for:?}"
     );
     tracker.lease_lost(after(8_200));
     tracker.lease_acquired(after(8_200 + 11_000));
     let (out_of_sync_for, _) = out_of_sync_and_in_sync(&tracker, 3, after(8_200 + 11_100));
-    assert!(out_of_sync_for < FAILURE_TIMEOUT, "too long ago");
+    assert!(out_of_sync_for < FAILURE_TIMEOUT, "a lease regained after 11 s must start tracking anew");
 }
--- a/crates/consensus/src/group_commit.rs
+++ b/crates/consensus/src/group_commit.rs
@@ -1,34 +1,35 @@
-//! Group commit: pending operators' changes are applied together and committed as one register, in one accept round. They
-//! are applied to the newest proposed register one after the other, and each has an outcome of its own.
+//! Group commit: pending changes of operators are committed as one register, in one accept round. They are applied to the
+//! newest proposed register one after the other, and each change has its own outcome.
 //!
 //! All changes of a group are concurrent, so any order among them is valid. Configurations are applied in the order of their
-//! revisions, so that none is superseded by another one of its own group; evacuations in the order in which they came.
+//! revisions, so that none is superseded by another one of its own group. Evacuations are applied in the order of arrival.
 
 use serde_json::value::RawValue;
 use vanewharf_config::configuration::ConfigRevision;
 use vanewharf_protocol::messages::{AcceptedConfig, Register};
 
-/// How many accepted configurations a register remembers: at most 7 KB, and more than were ever observed within a day.
+/// How many accepted configurations a register lists. They take at most 7 KB. More were never observed
+/// within a day.
 const RETAINED_REVISIONS: usize = 256;
 
-/// A change that an operator wants made.
+/// A change requested by an operator.
 #[derive(Clone, Debug)]
 pub enum OperatorChange {
-    /// Replaces the configuration, unless one of a higher revision is in force.
+    /// Replaces the configuration, unless the current one has the same or a higher revision.
     ReplaceConfig {
         /// The revision that the configuration itself names.
         revision: ConfigRevision,
-        /// Its text as it was sent.
+        /// The text of the configuration as the operator sent it.
         config: Box<RawValue>,
     },
     /// Takes a zone out of service.
     BeginEvacuation {
-        /// The zone's name.
+        /// The name of the zone.
         zone: String,
     },
     /// Takes a zone back into service.
     EndEvacuation {
-        /// The zone's name.
+        /// The name of the zone.
         zone: String,
     },
 }
@@ -42,32 +43,32 @@
     }
 }
 
-/// The outcome of a change once the register with it is committed.
+/// The outcome of a change, valid once the register that includes it is committed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ChangeOutcome {
-    /// It is in force, or was, or is superseded by a higher revision.
+    /// The change is in force, was in force before, or is superseded by a higher revision.
     Acknowledged,
-    /// Another configuration was accepted under its revision.
+    /// Another configuration was accepted under the same revision.
     Conflict,
 }
 
 /// The result of a group of changes.
 #[derive(Clone, Debug)]
 pub struct GroupCommit {
-    /// The register with all changes, still under the ballot and the revision of the base register.
+    /// The register with all changes applied, still under the ballot and the revision of the base register.
     pub register: Register,
-    /// Whether it differs from the base register.
+    /// Whether the register differs from the base register.
     pub changed: bool,
-    /// One outcome for each change, in the order in which the changes were given.
+    /// One outcome for each change, in the order in which the changes were passed in.
     pub outcomes: Vec<ChangeOutcome>,
 }
 
-/// Applies all changes to the base register.
+/// Applies a group of changes to the base register.
 pub fn apply_changes(base: &Register, changes: &[OperatorChange]) -> GroupCommit {
     let mut register = base.clone();
-    remember_config_in_force(&mut register);
+    add_current_config(&mut register);
     let mut order: Vec<usize> = (0..changes.len()).collect();
-    // The sort is stable: of two configurations under one revision the one that came first is applied.
+    // The sort is stable: of two configurations with the same revision, the one that arrived first is applied.
     order.sort_by_key(|index| changes[*index].revision());
     let mut group =
         GroupCommit { register, changed: false, outcomes: vec![ChangeOutcome::Acknowledged; changes.len()] };
@@ -104,23 +105,24 @@
 
 fn replace_config(register: &mut Register, revision: ConfigRevision, config: &RawValue) -> AppliedChange {
     let proposed = AcceptedConfig { revision: revision.0, digest: digest(config) };
-    if register.accepted_configs.last().is_none_or(|in_force| in_force.revision < proposed.revision) {
+    if register.accepted_configs.last().is_none_or(|current| current.revision < proposed.revision) {
         register.config = Some(config.to_owned());
         register.accepted_configs.push(proposed);
         let excess = register.accepted_configs.len().saturating_sub(RETAINED_REVISIONS);
         register.accepted_configs.drain(..excess);
         return AppliedChange::acknowledged(true);
     }
-    // One that is not above the revision in force changes nothing. It is a repetition, and acknowledged, unless another
-    // configuration is known to have been accepted under its revision.
+    // A revision that is not above the current one changes nothing. It is taken for a repeated request and acknowledged,
+    // unless another configuration is known to have been accepted under the same revision.
     let accepted = register.accepted_configs.iter().find(|accepted| accepted.revision == proposed.revision);
     let conflicts = accepted.is_some_and(|accepted| *accepted != proposed);
     let outcome = if conflicts { ChangeOutcome::Conflict } else { ChangeOutcome::Acknowledged };
     AppliedChange { outcome, changed: false }
 }
 
-/// Registers that were written before accepted configurations were remembered name at least the one in force.
-fn remember_config_in_force(register: &mut Register) {
+/// Adds the current configuration to the accepted ones if the register lists none. Registers written by versions that did not
+/// list accepted configurations need this.
+fn add_current_config(register: &mut Register) {
     if !register.accepted_configs.is_empty() {
         return;
     }
@@ -132,24 +134,24 @@
     }
 }
 
-/// The revision that an accepted configuration names.
+/// Returns the revision that an accepted configuration names, or `None` if it names none.
 fn config_revision(config: &RawValue) -> Option<ConfigRevision> {
     #[derive(serde::Deserialize)]
-    struct Head {
+    struct ConfigHeader {
         revision: String,
     }
-    let head: Head = serde_json::from_str(config.get()).ok()?;
-    Some(ConfigRevision(head.revision.strip_prefix('r')?.parse().ok()?))
+    let header: ConfigHeader = serde_json::from_str(config.get()).ok()?;
+    Some(ConfigRevision(header.revision.strip_prefix('r')?.parse().ok()?))
 }
 
 const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
 const FNV_PRIME: u64 = 0x0100_0000_01b3;
 
-/// FNV-1a of the text, byte for byte: a configuration that is sent again is sent just as it was. Stored in registers on
-/// disk, so that it must stay the same function.
+/// Returns the FNV-1a hash of the configuration's text. Every byte counts, as a client that repeats a request sends the same
+/// text. Digests are stored in registers on disk, so the function must not change.
 fn digest(config: &RawValue) -> u64 {
-    let mix = |sum: u64, byte: u8| (sum ^ u64::from(byte)).wrapping_mul(FNV_PRIME);
-    config.get().bytes().fold(FNV_OFFSET_BASIS, mix)
+    let add_byte = |hash: u64, byte: u8| (hash ^ u64::from(byte)).wrapping_mul(FNV_PRIME);
+    config.get().bytes().fold(FNV_OFFSET_BASIS, add_byte)
 }
 
 #[cfg(test)]
--- a/crates/consensus/src/group_commit/tests.rs
+++ b/crates/consensus/src/group_commit/tests.rs
@@ -25,20 +25,20 @@
 use ChangeOutcome::{Acknowledged, Conflict};
 
 #[test]
-fn a_group_applies_all_changes_and_each_has_its_own_outcome() {
+fn group_applies_all_changes_with_one_outcome_each() {
     let group = apply_changes(
         &Register::empty(),
         &[replace(3, "a"), begin_evacuation("x"), replace(3, "b"), replace(2, "c"), begin_evacuation("y")],
     );
     assert_eq!(group.outcomes, [Acknowledged, Acknowledged, Conflict, Acknowledged, Acknowledged]);
     assert_eq!(content(&group), (body(3, "a").get(), vec!["x", "y"]));
-    // The lower revision was applied before the higher one of its group, and both are remembered.
+    // The lower revision was applied before the higher one of its group, and the register lists both.
     let again = apply_changes(&group.register, &[replace(2, "c"), replace(3, "a"), replace(2, "d")]);
     assert_eq!((again.changed, again.outcomes), (false, vec![Acknowledged, Acknowledged, Conflict]));
 }
 
 #[test]
-fn evacuations_of_one_zone_are_applied_in_the_order_in_which_they_came() {
+fn evacuations_are_applied_in_order_of_arrival() {
     let group =
         apply_changes(&Register::empty(), &[begin_evacuation("x"), end_evacuation("x"), end_evacuation("y")]);
     assert_eq!(content(&group), ("", vec![]));
@@ -48,30 +48,30 @@
 }
 
 #[test]
-fn changes_split_over_two_groups_come_to_the_same_register_as_in_one() {
+fn splitting_a_group_yields_the_same_register() {
     let changes =
         [replace(2, "a"), begin_evacuation("x"), replace(4, "b"), end_evacuation("x"), replace(9, "c")];
     let undivided = apply_changes(&Register::empty(), &changes);
-    for cut in 0..=changes.len() {
-        let first = apply_changes(&Register::empty(), &changes[..cut]);
-        let second = apply_changes(&first.register, &changes[cut..]);
-        assert_eq!(content(&second), content(&undivided), "cut at {cut}");
+    for split in 0..=changes.len() {
+        let first = apply_changes(&Register::empty(), &changes[..split]);
+        let second = apply_changes(&first.register, &changes[split..]);
+        assert_eq!(content(&second), content(&undivided), "groups split at change {split}");
         assert_eq!(second.register.accepted_configs, undivided.register.accepted_configs);
     }
 }
 
 #[test]
-fn a_conflicting_configuration_is_still_refused_after_newer_ones() {
+fn conflict_is_detected_after_newer_revisions() {
     let mut register = apply_changes(&Register::empty(), &[replace(5, "won")]).register;
     for revision in 6..200 {
         register = apply_changes(&register, &[replace(revision, "next")]).register;
         let outcomes = apply_changes(&register, &[replace(5, "lost"), replace(5, "won")]).outcomes;
-        assert_eq!(outcomes, [Conflict, Acknowledged], "after r{revision}");
+        assert_eq!(outcomes, [Conflict, Acknowledged], "after revision r{revision}");
     }
 }
 
 #[test]
-fn an_older_revision_that_is_unknown_or_forgotten_is_acknowledged_and_changes_nothing() {
+fn unlisted_older_revision_is_acknowledged_without_effect() {
     let mut register = apply_changes(&Register::empty(), &[replace(1, "first")]).register;
     for revision in 2..2 + RETAINED_REVISIONS as u64 {
         register = apply_changes(&register, &[replace(revision * 2, "next")]).register;
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn a_register_without_remembered_configurations_names_the_one_in_force() {
+fn register_without_accepted_configs_lists_its_current_one() {
     let old = Register {
         ballot: Ballot(3),
         revision: Revision(8),
--- a/crates/consensus/src/test_support.rs
+++ b/crates/consensus/src/test_support.rs
@@ -1,54 +1,54 @@
-//! What the unit tests of this crate share.
+//! Helpers for the unit tests of this crate.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use vanewharf_clock::Timestamp;
 use vanewharf_protocol::messages::{Ballot, Membership, Register, Revision, Vote, VoteResponse};
 
-/// When each test begins.
+/// The time at which each test begins.
 pub const START: Timestamp = Timestamp(1_000_000_000);
 
-/// The address of the controller with that number.
+/// Returns the address of the controller with that number.
 pub fn address(number: u8) -> SocketAddr {
     SocketAddr::from(([10, 0, 0, number], 7600))
 }
 
-/// The addresses of the controllers with these numbers.
+/// Returns the addresses of the controllers with these numbers.
 pub fn addresses(numbers: &[u8]) -> Vec<SocketAddr> {
     numbers.iter().copied().map(address).collect()
 }
 
-/// The addresses of the controllers with these numbers, as a set.
+/// Returns the addresses of the controllers with these numbers, as a set.
 pub fn address_set(numbers: &[u8]) -> BTreeSet<SocketAddr> {
     numbers.iter().copied().map(address).collect()
 }
 
-/// A membership by the numbers of its voters.
+/// Returns a membership; voters are given by their numbers.
 pub fn membership(epoch: u64, voters: &[u8], outgoing: &[u8]) -> Membership {
     Membership { epoch, voters: addresses(voters), outgoing: addresses(outgoing) }
 }
 
-/// An otherwise empty register.
+/// Returns a register that is empty except for these fields.
 pub fn register(ballot: u64, revision: u64, membership: Membership) -> Register {
     Register { ballot: Ballot(ballot), revision: Revision(revision), membership, ..Register::empty() }
 }
 
-/// A vote of a voter that never lost its disk and knows of no other that did.
+/// Returns the response of a voter that never lost its disk and knows of no other that did.
 pub fn response(vote: Vote) -> VoteResponse {
     VoteResponse { incarnation: 0, incarnations: BTreeMap::new(), vote }
 }
 
-/// A granted lease, with the voter's register.
+/// Returns the response that grants a lease and reports the voter's register.
 pub fn granted(register: Register) -> VoteResponse {
     response(Vote::Granted { register, quota_divisor: 8 })
 }
 
-/// A refusal by a voter that has promised that ballot.
+/// Returns the refusal of a voter that has promised that ballot.
 pub fn refused(promised: u64) -> VoteResponse {
     response(Vote::Refused { promised: Ballot(promised), leaseholder: None })
 }
 
-/// The assent to a register or a renewal.
+/// Returns the response that accepts a register or a renewal.
 pub fn accepted() -> VoteResponse {
     response(Vote::Accepted)
 }
