--- a/crates/consensus/src/voter/record.rs
+++ b/crates/consensus/src/voter/record.rs
@@ -1,59 +1,62 @@
-//! What a voter has on disk besides the register, and the writes that it requests.
+//! The record that a voter has on disk besides the register, and the writes that a voter requests.
 
-// Field names in JSON are those of records that are on disk already (`promise-0.json`, `promise-1.json`): Rust fields with
-// newer names keep them by `serde(rename)`.
+// The JSON field names must stay as they are in existing records (`promise-0.json`, `promise-1.json`). Rust fields with other
+// names keep them by `serde(rename)`.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use vanewharf_protocol::messages::{Ballot, Register, Vote};
 
-/// What a voter has promised, as it is on disk.
+/// The durable state of a voter except for its register: its promises, and what it knows of quotas and incarnations.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct VoterRecord {
-    /// The highest ballot that was promised: nothing is accepted under a lower one.
+    /// The highest ballot that the voter has promised. It accepts nothing under a lower one.
     pub ballot: Ballot,
-    /// The candidate to which it was promised.
+    /// The candidate to which that ballot was promised.
     #[serde(rename = "holder")]
     pub promised_to: Option<SocketAddr>,
-    /// The voters of the cluster's first start, until a register names others.
+    /// The voters at the first start of the cluster. They are used until a register names others.
     #[serde(rename = "founders")]
     pub initial_members: Vec<SocketAddr>,
-    /// The last quota divisor (the number of proxies between which quotas are divided) that this voter knew; 0: none. After
-    /// the loss of all processes nobody else can tell, and the proxies that report first are not all.
+    /// The last quota divisor (the number of proxies between which quotas are divided) that this voter knew, or 0 if it knows
+    /// none. If all processes of the cluster are lost, only this record has the number: counting the proxies that report
+    /// first would give too low a divisor.
     #[serde(rename = "doors", default)]
     pub quota_divisor: u32,
-    /// This voter's own incarnation. It rises whenever the voter comes back without its disk.
+    /// The voter's own incarnation, which increases whenever the voter recovers from the loss of its disk.
     #[serde(default)]
     pub incarnation: u64,
-    /// The latest incarnations of other members: votes of their earlier ones are not counted together with this voter's.
+    /// The latest known incarnations of other members. Votes of their earlier incarnations are not counted together with votes
+    /// of this voter.
     #[serde(rename = "incarnations", default)]
     pub peer_incarnations: BTreeMap<SocketAddr, u64>,
 }
 
-/// What has to be on disk before a vote is sent.
+/// A write that has to be on disk before a vote is sent.
 #[derive(Clone, Debug)]
 pub enum DurableWrite {
-    /// In place of the record on disk.
+    /// Replaces the record on disk.
     VoterRecord(VoterRecord),
-    /// In place of the register on disk.
+    /// Replaces the register on disk.
     Register(Box<Register>),
 }
 
-/// What a voter answers to a request.
+/// The answer of a voter to a request.
 ///
-/// The vote must not be sent before `write` is on disk and [`super::Voter::mark_persisted`] was called: a voter that crashed
-/// in between would not remember what it had promised. If the write fails, [`Vote::StorageFailed`] is sent instead.
+/// The vote must not be sent before `write` is on disk and [`super::Voter::mark_persisted`] was called: a voter that sent it
+/// and crashed before the write would not remember what it had promised. If the write fails, [`Vote::StorageFailed`] is sent
+/// instead.
 #[derive(Clone, Debug)]
 pub struct VoterOutput {
-    /// The vote.
+    /// The vote to send.
     pub vote: Vote,
-    /// What has to be on disk first.
+    /// The write that has to be on disk before the vote is sent, if any.
     pub write: Option<DurableWrite>,
 }
 
 impl VoterOutput {
-    /// A vote that depends on nothing that is not on disk already.
+    /// Creates the answer for a vote that depends only on what is on disk already.
     pub(super) fn without_write(vote: Vote) -> VoterOutput {
         VoterOutput { vote, write: None }
     }
