--- a/crates/consensus/tests/model/checker.rs
+++ b/crates/consensus/tests/model/checker.rs
@@ -1,7 +1,10 @@
-//! The cluster as a model for stateright: its initial state, its steps and its properties.
+//! The cluster as a stateright model: its initial state, its transitions and its properties.
 
 use crate::cluster::{Action, Budget, ClusterModel, ClusterState, Message};
-use crate::invariants::{FOUND, FRESH_READ, LIVE, OLD_SET_KNOWS, ONE_LEASEHOLDER, ONE_VALUE, RETAINED};
+use crate::invariants::{
+    FRESH_READS, LEASEHOLDER_ELECTED, OLD_SET_KNOWS_CHANGE, ONE_LEASEHOLDER, ONE_REGISTER_PER_REVISION,
+    VALUES_FOUND, VALUES_RETAINED,
+};
 use crate::member::Member;
 use stateright::{Model, Property};
 use std::collections::BTreeMap;
@@ -48,17 +51,19 @@
     fn properties(&self) -> Vec<Property<ClusterModel>> {
         vec![
             Property::always(ONE_LEASEHOLDER, |model: &ClusterModel, state| model.has_one_leaseholder(state)),
-            Property::always(RETAINED, |model: &ClusterModel, state| {
+            Property::always(VALUES_RETAINED, |model: &ClusterModel, state| {
                 model.retains_acknowledged_values(state)
             }),
-            Property::always(FOUND, |_, state: &ClusterState| state.violation != Some(FOUND)),
-            Property::always(ONE_VALUE, |_, state: &ClusterState| state.violation != Some(ONE_VALUE)),
-            Property::always(OLD_SET_KNOWS, |model: &ClusterModel, state| {
+            Property::always(VALUES_FOUND, |_, state: &ClusterState| state.violation != Some(VALUES_FOUND)),
+            Property::always(ONE_REGISTER_PER_REVISION, |_, state: &ClusterState| {
+                state.violation != Some(ONE_REGISTER_PER_REVISION)
+            }),
+            Property::always(OLD_SET_KNOWS_CHANGE, |model: &ClusterModel, state| {
                 model.old_set_knows_of_change(state)
             }),
-            Property::always(FRESH_READ, |model: &ClusterModel, state| model.reads_are_fresh(state)),
-            Property::always(LIVE, |model: &ClusterModel, state| {
-                !model.check_liveness || model.comes_to_a_leaseholder(state)
+            Property::always(FRESH_READS, |model: &ClusterModel, state| model.reads_are_fresh(state)),
+            Property::always(LEASEHOLDER_ELECTED, |model: &ClusterModel, state| {
+                !model.check_liveness || model.elects_leaseholder(state)
             }),
         ]
     }
@@ -69,33 +74,34 @@
         let start = ClusterModel::start_time();
         let initial_voters = self.initial_voter_addresses();
         let record = Voter::start(None, None, &initial_voters, StartKind::Initial, start).record();
-        // Machines that came later have followed the others, and have long recovered.
+        // Members that are not initial voters have joined later and have recovered before the start.
         let kind = if index < self.initial_voters { StartKind::Initial } else { StartKind::Restart };
         let mut voter = Voter::start(Some(&record), None, &self.seeds(), kind, start);
         voter.end_quiet_period(Ballot(0), start);
         Member::new(voter, record)
     }
 
-    /// Member 0 wins the lease by a bare majority: itself and the initial voters with the highest indices.
+    /// Has member 0 win the lease by a bare majority: itself and the initial voters with the highest indices.
     fn elect_first_member(&self, state: ClusterState) -> ClusterState {
-        let mut state = self.step(&state, Action::Campaign(0)).expect("nobody holds the lease");
+        let mut state = self.step(&state, Action::Campaign(0)).expect("no member holds the lease");
         let requests = state.messages.clone();
         let grants = |request: &&Message| request.voter == 0 || request.voter > (self.initial_voters - 1) / 2;
         for request in requests.iter().filter(grants) {
-            state = self.step(&state, Action::Deliver(request.clone())).expect("it grants the lease");
+            state = self.step(&state, Action::Deliver(request.clone())).expect("the voter grants the lease");
         }
         state = self.deliver_responses(state);
         state.messages.clear();
         state
     }
 
-    /// Member 0 begins the change to the target set, until a bare majority of both sets has accepted it.
+    /// Has member 0 begin the change to the target set. Bare majorities of both sets accept it.
     fn begin_initial_change(&self, mut state: ClusterState) -> ClusterState {
         state.remaining = Budget { changes_started: 1, ..Budget::none() };
-        state = self.step(&state, Action::BeginChange(0)).expect("it holds the lease");
+        state = self.step(&state, Action::BeginChange(0)).expect("member 0 holds the lease");
         while state.members[0].committed_membership().outgoing.is_empty() {
             let first = state.messages[0].clone();
-            state = self.step(&state, Action::Deliver(first)).expect("it is accepted");
+            state =
+                self.step(&state, Action::Deliver(first)).expect("the voter accepts the joint membership");
             state = self.deliver_responses(state);
         }
         state.messages.clear();
@@ -104,7 +110,7 @@
 
     fn deliver_responses(&self, mut state: ClusterState) -> ClusterState {
         while let Some(response) = state.messages.iter().find(|message| message.response.is_some()).cloned() {
-            state = self.step(&state, Action::Deliver(response)).expect("it counts");
+            state = self.step(&state, Action::Deliver(response)).expect("the response is counted");
         }
         state
     }
--- a/crates/consensus/tests/model/describe.rs
+++ b/crates/consensus/tests/model/describe.rs
@@ -1,13 +1,13 @@
-//! Describes the steps of a path to a violation.
+//! Text descriptions of the actions on a path to a violation.
 
 use crate::cluster::{Action, ClusterModel, ClusterState, Message, index_of};
 use vanewharf_protocol::messages::{Ballot, VoteRequest};
 
 impl ClusterModel {
     pub fn describe(&self, state: &ClusterState, action: &Action) -> String {
-        let step = match action {
+        let text = match action {
             Action::Deliver(message) => describe_delivery(message),
-            Action::DeliverTwice(message) => format!("{} (and will again)", describe_delivery(message)),
+            Action::DeliverTwice(message) => format!("{}, and stays in flight", describe_delivery(message)),
             Action::DeliverWithoutResponse(message) => {
                 format!("{}, and its vote is lost", describe_delivery(message))
             }
@@ -16,7 +16,7 @@
             }
             other => format!("{other:?}"),
         };
-        format!("tick {}: {step}", state.tick)
+        format!("tick {}: {text}", state.tick)
     }
 }
 
@@ -35,20 +35,20 @@
 
 fn describe_request(request: &VoteRequest) -> String {
     match request {
-        VoteRequest::Lease { ballot, .. } => format!("Lease under {}", short(*ballot)),
+        VoteRequest::Lease { ballot, .. } => format!("Lease under {}", describe_ballot(*ballot)),
         VoteRequest::PreVote { .. } => "PreVote".to_owned(),
-        VoteRequest::Renew { ballot, .. } => format!("Renew under {}", short(*ballot)),
-        VoteRequest::Release { ballot } => format!("Release of {}", short(*ballot)),
+        VoteRequest::Renew { ballot, .. } => format!("Renew under {}", describe_ballot(*ballot)),
+        VoteRequest::Release { ballot } => format!("Release of {}", describe_ballot(*ballot)),
         VoteRequest::Recover { incarnation, .. } => format!("Recover as incarnation {incarnation:x}"),
         VoteRequest::Accept { register } => {
             let voters: Vec<_> = register.membership.voters.iter().map(|voter| index_of(*voter)).collect();
-            let (ballot, revision) = (short(register.ballot), register.revision.0);
+            let (ballot, revision) = (describe_ballot(register.ballot), register.revision.0);
             format!("Accept revision {revision} under {ballot} {:?} voters {voters:?}", register.evacuated)
         }
     }
 }
 
-/// Which try, and by whom.
-fn short(ballot: Ballot) -> String {
+/// Formats a ballot as its counter and the index of its proposer.
+fn describe_ballot(ballot: Ballot) -> String {
     format!("{}.{}", ballot.0 >> 32, (ballot.0 & 0xff).saturating_sub(1))
 }
--- a/crates/consensus/tests/model/exploration.rs
+++ b/crates/consensus/tests/model/exploration.rs
@@ -1,4 +1,4 @@
-//! Runs the model checker over one configuration, and prints what it visited and how a property is broken.
+//! Runs the model checker or random walks on one model, and prints the statistics and the path to a violation.
 
 use crate::cluster::{Action, ClusterModel};
 use rand::rngs::SmallRng;
@@ -7,10 +7,12 @@
 use stateright::{Checker, HasDiscoveries, Model};
 use std::time::Instant;
 
-/// The largest part of a walk's steps that bring what is under way further, where there are such. It is drawn for each walk:
-/// with few of them a walk uses its budget of faults up before much is decided, with many it seldom meets a fault midway.
+/// The highest share of a walk's steps for which actions are preferred that complete operations in progress. Each walk
+/// draws its own share: with a low one a walk exhausts its budget of faults before much is decided, with a high one
+/// faults rarely occur in the middle of an operation.
 const MAX_PROGRESS_SHARE: f64 = 0.95;
 
+/// Returns whether an action completes an operation in progress.
 fn is_progress(action: &Action) -> bool {
     matches!(
         action,
@@ -18,37 +20,37 @@
     )
 }
 
-/// What random walks found broken.
+/// A violation that a random walk found.
 #[derive(Debug, PartialEq, Eq)]
-pub struct BrokenWalk {
+pub struct WalkViolation {
     pub property: &'static str,
-    /// The walk's seed.
+    /// The seed of the walk.
     pub seed: u64,
 }
 
-/// What came of random walks.
+/// The result of random walks.
 #[derive(Debug, Default)]
 pub struct WalkReport {
-    pub broken: Option<BrokenWalk>,
-    /// In how many walks the last change of the set of voters that the model knows came to be in force.
-    pub all_changes_made: u64,
+    pub violation: Option<WalkViolation>,
+    /// The number of walks that completed all changes of the set of voters in the model.
+    pub walks_with_all_changes: u64,
 }
 
 impl WalkReport {
     fn add(mut self, other: WalkReport) -> WalkReport {
-        self.all_changes_made += other.all_changes_made;
-        self.broken = self.broken.or(other.broken);
+        self.walks_with_all_changes += other.walks_with_all_changes;
+        self.violation = self.violation.or(other.violation);
         self
     }
 }
 
-/// Takes random walks through states that are too many to be visited one by one: from the start on, one possible step after
-/// the other, up to `max_steps`.
+/// Runs random walks through a state space that is too large for exhaustive search. Each walk starts at the initial
+/// state and takes up to `max_steps` random actions.
 pub fn walk(name: &str, model: &ClusterModel, walks: u64, max_steps: usize) -> WalkReport {
     let begin = Instant::now();
     let walks = number_from_environment("MODEL_WALKS").map_or(walks, |walks| walks as u64);
     let threads = number_from_environment("MODEL_THREADS").unwrap_or(1) as u64;
-    // One alone, whose steps are printed.
+    // `MODEL_WALK` selects a single walk by its seed, and prints its steps.
     let (first, walks) = match number_from_environment("MODEL_WALK") {
         Some(seed) => (seed as u64, 1),
         None => (0, walks),
@@ -58,20 +60,22 @@
             let mut report = WalkReport::default();
             for seed in (first + thread..first + walks).step_by(threads as usize) {
                 report = report.add(walk_once(model, seed, max_steps));
-                if report.broken.is_some() {
+                if report.violation.is_some() {
                     break;
                 }
             }
             report
         };
         let running: Vec<_> = (0..threads).map(|thread| scope.spawn(move || walk_share(thread))).collect();
-        let reports = running.into_iter().map(|thread| thread.join().expect("no panic"));
+        let reports = running.into_iter().map(|thread| thread.join().expect("a walk panicked"));
         reports.fold(WalkReport::default(), WalkReport::add)
     });
-    let (changed, seconds) = (report.all_changes_made, begin.elapsed().as_secs_f64());
-    println!("{name}: {walks} walks of {max_steps} steps, all changes made in {changed}, {seconds:.1} s");
-    if let Some(broken) = &report.broken {
-        println!("  broken by walk {}: {}", broken.seed, broken.property);
+    let (completed, seconds) = (report.walks_with_all_changes, begin.elapsed().as_secs_f64());
+    println!(
+        "{name}: {walks} walks of up to {max_steps} steps, {completed} completed all membership changes, {seconds:.1} s"
+    );
+    if let Some(violation) = &report.violation {
+        println!("  violated by the walk with seed {}: {}", violation.seed, violation.property);
     }
     report
 }
@@ -87,12 +91,12 @@
         model.actions(&state, &mut actions);
         actions.shuffle(&mut random);
         if random.random_bool(progress_share) {
-            // Stable: the others stay for where none of these changes anything.
+            // The sort is stable. Other actions remain as a fallback if no action of this kind changes the state.
             actions.sort_by_key(|action| !is_progress(action));
         }
         let step = |action: Action| Some((model.next_state(&state, action.clone())?, action));
         let Some((next, action)) = actions.into_iter().find_map(step) else {
-            // Nothing is left to happen.
+            // No action is possible any more.
             break;
         };
         if is_described {
@@ -100,26 +104,27 @@
         }
         state = next;
         if let Some(property) = properties.iter().find(|property| !(property.condition)(model, &state)) {
-            let broken = Some(BrokenWalk { property: property.name, seed });
-            return WalkReport { broken, all_changes_made: 0 };
+            let violation = Some(WalkViolation { property: property.name, seed });
+            return WalkReport { violation, walks_with_all_changes: 0 };
         }
     }
-    let is_changed = state.acknowledged.values().any(|committed| model.is_last_set(&committed.membership));
-    WalkReport { broken: None, all_changes_made: u64::from(is_changed) }
+    let has_all_changes =
+        state.acknowledged.values().any(|acknowledged| model.is_final_membership(&acknowledged.membership));
+    WalkReport { violation: None, walks_with_all_changes: u64::from(has_all_changes) }
 }
 
-/// Deep enough for all states of the configurations that run with all tests.
+/// A depth that reaches all states of the models that are searched exhaustively.
 pub const UNBOUNDED_DEPTH: usize = 200;
 
-/// How the checker found a property broken.
+/// A property that the model checker found violated.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Violation {
     pub property: &'static str,
-    /// The length of a shortest path.
+    /// The length of the path to the violation.
     pub steps: usize,
 }
 
-/// Visits all states within the budget and the depth, until a property is broken.
+/// Visits all states within the budget and the depth by breadth-first search, until a property is violated.
 pub fn explore(name: &str, model: &ClusterModel, depth: usize) -> Option<Violation> {
     let begin = Instant::now();
     let threads = number_from_environment("MODEL_THREADS").unwrap_or(1);
@@ -128,11 +133,11 @@
     let checker = checker.finish_when(HasDiscoveries::AnyFailures).spawn_bfs().join();
     let (all, unique) = (checker.state_count(), checker.unique_state_count());
     let (reached, seconds) = (checker.max_depth(), begin.elapsed().as_secs_f64());
-    println!("{name}: {unique} states ({all} with repeats), depth {reached} of {depth}, {seconds:.1} s");
+    println!("{name}: {unique} unique states ({all} generated), depth {reached} of {depth}, {seconds:.1} s");
     let (property, path) = checker.discoveries().into_iter().next()?;
     let path = path.into_vec().into_iter();
     let steps: Vec<_> = path.filter_map(|(state, action)| Some((state, action?))).collect();
-    println!("  broken after {} steps: {property}", steps.len());
+    println!("  violated after {} steps: {property}", steps.len());
     for (state, action) in &steps {
         println!("    {}", model.describe(state, action));
     }
--- a/crates/consensus/tests/model/invariants.rs
+++ b/crates/consensus/tests/model/invariants.rs
@@ -1,4 +1,4 @@
-//! What has to hold in each state.
+//! The invariants that have to hold in each state.
 
 use crate::cluster::{ClusterModel, ClusterState, address, index_of};
 use crate::member::Member;
@@ -7,14 +7,14 @@
 use vanewharf_consensus::{all_voters, has_quorum};
 use vanewharf_protocol::messages::{Membership, Register};
 
-pub const ONE_LEASEHOLDER: &str = "never two leaseholders whose lease is valid at one moment";
-pub const RETAINED: &str = "what was acknowledged is lacked by no majority";
-pub const FOUND: &str = "what was acknowledged is found by every later leaseholder";
-pub const ONE_VALUE: &str = "never two registers acknowledged under one revision";
-pub const OLD_SET_KNOWS: &str = "a set is left only when a majority of it knows of the next";
-pub const FRESH_READ: &str = "a leaseholder's read has all that was acknowledged before";
-pub const LIVE: &str =
-    "with all up and all delivered, a leaseholder comes about that has all that was acknowledged";
+pub const ONE_LEASEHOLDER: &str = "at most one leaseholder has a valid lease";
+pub const VALUES_RETAINED: &str = "no quorum of voters lacks an acknowledged value";
+pub const VALUES_FOUND: &str = "every later leaseholder finds all acknowledged values in its election";
+pub const ONE_REGISTER_PER_REVISION: &str = "at most one register is acknowledged under each revision";
+pub const OLD_SET_KNOWS_CHANGE: &str = "no majority of the old set of voters is unaware of a finished change";
+pub const FRESH_READS: &str = "reads that a leaseholder serves include all acknowledged values";
+pub const LEASEHOLDER_ELECTED: &str =
+    "once all members run and all messages arrive, a member with all acknowledged values wins the lease";
 
 impl ClusterModel {
     pub fn has_one_leaseholder(&self, state: &ClusterState) -> bool {
@@ -24,10 +24,11 @@
         state.members.iter().enumerate().filter(holds_lease).count() <= 1
     }
 
-    /// Those that vote and lack it could otherwise elect one that lacks it. One with amnesia does not vote before it has
-    /// recovered it; one that is down counts by its disk.
+    /// Returns whether no quorum lacks an acknowledged value: such a quorum could elect a leaseholder that lacks it.
+    /// Members with amnesia are not counted, as they vote only after they have recovered the value. Members that are
+    /// down count by their disks.
     pub fn retains_acknowledged_values(&self, state: &ClusterState) -> bool {
-        let Some((_, committed)) = state.acknowledged.last_key_value() else {
+        let Some((_, acknowledged)) = state.acknowledged.last_key_value() else {
             return true;
         };
         let values = state.acknowledged_values();
@@ -37,20 +38,20 @@
             !member.has_amnesia() && !member.register_on_disk.as_ref().is_some_and(has_values)
         };
         let lacking: BTreeSet<_> =
-            all_voters(&committed.membership).into_iter().filter(lacks_values).collect();
-        values.is_empty() || !has_quorum(&committed.membership, &lacking)
+            all_voters(&acknowledged.membership).into_iter().filter(lacks_values).collect();
+        values.is_empty() || !has_quorum(&acknowledged.membership, &lacking)
     }
 
-    /// Of the set before the one that is in force.
+    /// Returns whether no majority of the previous set of voters is unaware of the change to the acknowledged set.
     pub fn old_set_knows_of_change(&self, state: &ClusterState) -> bool {
         let initial_voters = self.initial_voter_addresses();
         let is_finished =
             |membership: &Membership| membership.outgoing.is_empty() && membership.voters != initial_voters;
-        let last = state.acknowledged.last_key_value().map(|(_, committed)| &committed.membership);
+        let last = state.acknowledged.last_key_value().map(|(_, acknowledged)| &acknowledged.membership);
         let Some(membership) = last.filter(|membership| is_finished(membership)) else {
             return true;
         };
-        let (voters, epoch) = self.voters_before(membership);
+        let (voters, epoch) = self.previous_voters(membership);
         let is_unaware = |voter: &SocketAddr| {
             let member = &state.members[index_of(*voter)];
             let knows = |register: &Register| register.membership.epoch > epoch;
@@ -61,6 +62,7 @@
         !has_quorum(&old_set, &unaware)
     }
 
+    /// Returns whether all members that may serve reads publish all acknowledged values.
     pub fn reads_are_fresh(&self, state: &ClusterState) -> bool {
         let values = state.acknowledged_values();
         state.members.iter().enumerate().all(|(index, member)| {
@@ -70,7 +72,7 @@
         })
     }
 
-    /// Whether a member holds the lease, may act by it, and has all that was acknowledged.
+    /// Returns whether a member holds the lease, may serve under it, and publishes all acknowledged values.
     pub fn serves_all_values(&self, state: &ClusterState, index: usize) -> bool {
         let (member, values) = (&state.members[index], state.acknowledged_values());
         let has_values = |register: &Register| values.is_subset(&register.evacuated);
@@ -78,7 +80,8 @@
             && (values.is_empty() || member.published.as_ref().is_some_and(has_values))
     }
 
-    /// Whether the member may try for the lease, as a voter that knows of no other one.
+    /// Returns whether a member may campaign: it is a voter that neither holds the lease nor knows of another
+    /// leaseholder.
     pub fn may_campaign(&self, state: &ClusterState, index: usize) -> bool {
         let (member, now) = (&state.members[index], self.now(state, index));
         !member.holds_lease(now)
--- a/crates/consensus/tests/model/leaseholder.rs
+++ b/crates/consensus/tests/model/leaseholder.rs
@@ -1,7 +1,7 @@
-//! The requests that a candidate and a leaseholder send, as the controller's replica does.
+//! The requests that candidates and leaseholders send. This models the controller's replica.
 
-use crate::cluster::{ClusterModel, ClusterState, Message, PlantedFault, address, index_of};
-use crate::member::{AcceptUnderway, ElectionUnderway, Purpose, RenewalUnderway};
+use crate::cluster::{ClusterModel, ClusterState, Message, Mutation, address, index_of};
+use crate::member::{PendingAccept, PendingElection, PendingRenewal, ProposalPurpose};
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use vanewharf_consensus::{
@@ -9,11 +9,11 @@
 };
 use vanewharf_protocol::messages::{Ballot, Register, Revision, Vote, VoteRequest, VoteResponse};
 
-/// No member: the proposer in the ballots of all, where these are not unique.
-const NOBODY: usize = 9;
+/// An index that no member has. It takes the place of every proposer's index where ballots are not unique.
+const SHARED_PROPOSER: usize = 9;
 
 impl ClusterModel {
-    /// Starts a round and sends its requests. Returns the round's number.
+    /// Starts a round, sends its requests and returns its number.
     pub fn start_round(
         &self,
         state: &mut ClusterState,
@@ -45,7 +45,7 @@
         state.remaining.elections = state.remaining.elections.saturating_sub(1);
         let requested_at = self.now(state, index);
         let member = &mut state.members[index];
-        let proposer = if self.has(PlantedFault::BallotsNotUnique) { NOBODY } else { index };
+        let proposer = if self.has_mutation(Mutation::BallotsNotUnique) { SHARED_PROPOSER } else { index };
         let highest_seen = member.highest_ballot_seen.max(member.voter.promised_ballot());
         let ballot = next_ballot(highest_seen, address(proposer));
         member.claim = BallotClaim::new(ballot);
@@ -57,19 +57,19 @@
         let mut voters = all_voters(&membership);
         let mut election = Election::start(address(index), membership, rank);
         let request = VoteRequest::Lease { ballot, candidate: address(index) };
-        if !self.has(PlantedFault::OwnVoteNotFirst) {
+        if !self.has_mutation(Mutation::OwnVoteNotFirst) {
             let Some(own_vote) = self.vote_for_itself(state, index, &request) else {
                 return;
             };
             let outcome = election.record_response(address(index), own_vote);
-            assert!(outcome.is_continue(), "there are other voters");
+            assert!(outcome.is_continue(), "the candidate's own vote must not decide the election");
             voters.remove(&address(index));
         }
         let round = self.start_round(state, index, &voters, request);
-        state.members[index].election = Some(ElectionUnderway { round, ballot, requested_at, election });
+        state.members[index].election = Some(PendingElection { round, ballot, requested_at, election });
     }
 
-    /// The candidate's own voter has the ballot on disk before any other one hears of it.
+    /// Has the candidate's own voter vote. The ballot is on disk there before any other voter receives it.
     fn vote_for_itself(
         &self,
         state: &mut ClusterState,
@@ -92,22 +92,22 @@
         let request = VoteRequest::Renew { ballot: lease.ballot, leaseholder: address(index) };
         let round = self.start_round(state, index, &all_voters(&membership), request);
         let renewal = RenewalRound::start(lease.ballot, membership);
-        state.members[index].renewal = Some(RenewalUnderway { round, requested_at, renewal });
+        state.members[index].renewal = Some(PendingRenewal { round, requested_at, renewal });
     }
 
-    /// Takes an operator's change. Each adds a different value.
+    /// Proposes an operator's change. Each change adds a different value.
     pub fn propose_value(&self, state: &mut ClusterState, index: usize) {
         state.remaining.proposals -= 1;
         let value = format!("v{}", self.budget.proposals - state.remaining.proposals);
-        self.propose(state, index, Purpose::Value, |register| {
+        self.propose(state, index, ProposalPurpose::Value, |register| {
             register.evacuated.insert(value);
         });
     }
 
-    /// One step of a change of the set of voters, as the replica's `reconfigure`.
-    pub fn reconfigure(&self, state: &mut ClusterState, index: usize, purpose: Purpose) {
+    /// Proposes the next membership of a change of the set of voters, as the replica's `reconfigure`.
+    pub fn reconfigure(&self, state: &mut ClusterState, index: usize, purpose: ProposalPurpose) {
         let member = &state.members[index];
-        let current = if self.has(PlantedFault::UncommittedChangeFinished) {
+        let current = if self.has_mutation(Mutation::UncommittedChangeFinished) {
             member.membership()
         } else {
             member.committed_membership()
@@ -116,31 +116,32 @@
         let Some(mut membership) = next_membership(&current, &target) else {
             return;
         };
-        if self.has(PlantedFault::ChangeWithoutOutgoing) {
+        if self.has_mutation(Mutation::ChangeWithoutOutgoing) {
             membership.outgoing.clear();
         }
         self.propose(state, index, purpose, |register| register.membership = membership);
     }
 
-    /// Gives a register its revision under the ballot in hand, on top of the newest one that was proposed under it.
+    /// Proposes a register with the next revision under the current ballot. It is based on the newest register that was
+    /// proposed for an operator's change under this ballot, or on the committed register if that is newer.
     fn propose(
         &self,
         state: &mut ClusterState,
         index: usize,
-        purpose: Purpose,
+        purpose: ProposalPurpose,
         change: impl FnOnce(&mut Register),
     ) {
         let member = &mut state.members[index];
-        let ballot = member.lease.expect("it holds the lease").ballot;
+        let ballot = member.lease.expect("the proposer holds the lease").ballot;
         let committed = member.published.clone().unwrap_or_else(Register::empty);
         let is_newer = |proposed: &Register| proposed.ballot == ballot && proposed.rank() > committed.rank();
         let chain_end = member.last_proposed.clone().filter(is_newer);
-        let chain_end = chain_end.filter(|_| !self.has(PlantedFault::RoundsNotChained));
+        let chain_end = chain_end.filter(|_| !self.has_mutation(Mutation::RoundsNotChained));
         let mut register = chain_end.unwrap_or(committed);
         change(&mut register);
         register.ballot = ballot;
         register.revision = member.next_revision;
-        if purpose == Purpose::Value {
+        if purpose == ProposalPurpose::Value {
             member.last_proposed = Some(register.clone());
         }
         member.next_revision = Revision(member.next_revision.0 + 1);
@@ -151,7 +152,7 @@
         &self,
         state: &mut ClusterState,
         index: usize,
-        purpose: Purpose,
+        purpose: ProposalPurpose,
         register: Register,
     ) {
         let accept = AcceptRound::start(&register);
@@ -159,10 +160,10 @@
         voters.extend(all_voters(&register.membership));
         let request = VoteRequest::Accept { register: register.clone() };
         let round = self.start_round(state, index, &voters, request);
-        state.members[index].accepts.push(AcceptUnderway { round, purpose, register, accept });
+        state.members[index].accepts.push(PendingAccept { round, purpose, register, accept });
     }
 
-    /// Gives the lease up, so that nobody has to wait for its end.
+    /// Gives up the lease, so that other candidates need not wait until it expires.
     pub fn resign(&self, state: &mut ClusterState, index: usize) {
         state.remaining.resignations -= 1;
         if let Some(lease) = state.members[index].lease.take() {
@@ -171,8 +172,9 @@
         }
     }
 
-    /// Releases the leases granted in a lost election, so that nobody has to wait for their end.
-    pub fn release_lost_election(&self, state: &mut ClusterState, index: usize, lost: &ElectionUnderway) {
+    /// Releases the leases that were granted in a lost election, so that other candidates need not wait until they
+    /// expire.
+    pub fn release_lost_election(&self, state: &mut ClusterState, index: usize, lost: &PendingElection) {
         if state.remaining.releases > 0 {
             state.remaining.releases -= 1;
             self.release(state, index, &all_voters(lost.election.membership()), lost.ballot);
--- a/crates/consensus/tests/model/member.rs
+++ b/crates/consensus/tests/model/member.rs
@@ -6,22 +6,24 @@
 };
 use vanewharf_protocol::messages::{Ballot, Membership, Register, RegisterRank, Revision};
 
-/// As in the controller's order executor.
+/// The number of concurrent accept rounds in the controller's order executor.
 const MAX_CONCURRENT_ROUNDS: usize = 2;
 
-/// Why a register is proposed.
+/// The reason for which a register is proposed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Purpose {
-    /// The register that was found in the election, under the new ballot.
-    Reaffirm,
-    /// An operator's change.
+pub enum ProposalPurpose {
+    /// To commit the register that was found in the election under the new ballot.
+    Repropose,
+    /// To commit an operator's change.
     Value,
+    /// To begin a change of the set of voters.
     BeginChange,
+    /// To finish a change of the set of voters.
     FinishChange,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct ElectionUnderway {
+pub struct PendingElection {
     pub round: u8,
     pub ballot: Ballot,
     pub requested_at: Timestamp,
@@ -29,54 +31,56 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct RenewalUnderway {
+pub struct PendingRenewal {
     pub round: u8,
     pub requested_at: Timestamp,
     pub renewal: RenewalRound,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct AcceptUnderway {
+pub struct PendingAccept {
     pub round: u8,
-    pub purpose: Purpose,
+    pub purpose: ProposalPurpose,
     pub register: Register,
     pub accept: AcceptRound,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct RecoveryUnderway {
+pub struct PendingRecovery {
     pub round: u8,
     pub recovery: RecoveryRound,
 }
 
-/// One process with its disk; what is not on disk is gone with the process.
+/// One process with its disk. State that is not on disk is lost when the process ends.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Member {
     pub running: bool,
     pub voter: Voter,
     pub record_on_disk: Option<VoterRecord>,
     pub register_on_disk: Option<Register>,
-    /// How many rounds it ever started; their numbers tell votes of different rounds apart.
+    /// The number of rounds that the member has started, also before restarts. The numbers of rounds distinguish their
+    /// votes.
     pub rounds_started: u8,
     pub highest_ballot_seen: Ballot,
     pub claim: BallotClaim,
-    pub election: Option<ElectionUnderway>,
+    pub election: Option<PendingElection>,
     pub lease: Option<HeldLease>,
     pub next_revision: Revision,
-    /// The last register that was proposed for an operator's change, committed or not: the next one contains its changes.
+    /// The last register that was proposed for an operator's change, committed or not. The next one includes its
+    /// changes.
     pub last_proposed: Option<Register>,
-    pub renewal: Option<RenewalUnderway>,
-    /// Rounds under way, the oldest first: two at most, both of operators' changes.
-    pub accepts: Vec<AcceptUnderway>,
-    /// The newest committed register that it knows of, and publishes.
+    pub renewal: Option<PendingRenewal>,
+    /// Accept rounds in progress, the oldest first. If there are two, both are of operators' changes.
+    pub accepts: Vec<PendingAccept>,
+    /// The newest committed register that the member knows and publishes.
     pub published: Option<Register>,
-    /// It has started a change, and its lease has not been renewed by both sets since.
+    /// Whether the leaseholder has committed a joint membership and its lease has not been renewed by both sets since.
     pub needs_renewal_by_both_sets: bool,
-    pub recovery: Option<RecoveryUnderway>,
+    pub recovery: Option<PendingRecovery>,
 }
 
 impl Member {
-    /// A running member that has started no round yet.
+    /// Creates a running member that has started no round yet.
     pub fn new(voter: Voter, record_on_disk: VoterRecord) -> Member {
         Member {
             running: true,
@@ -98,7 +102,7 @@
         }
     }
 
-    /// The process ends; the disk stays.
+    /// Ends the process and keeps the disk.
     pub fn crash(&mut self) {
         self.running = false;
         self.highest_ballot_seen = Ballot(0);
@@ -114,8 +118,8 @@
         self.recovery = None;
     }
 
-    /// The newest membership that it knows of, committed or not, and the rank of the register that names it. As the
-    /// replica's `newest_set`.
+    /// Returns the newest membership that the member knows, committed or not, and the rank of the register that names
+    /// it. This corresponds to the replica's `newest_membership`.
     pub fn newest_membership(&self) -> (Membership, RegisterRank) {
         let is_newer = |register: &&Register| register.rank() > self.voter.register().rank();
         let register = self.published.as_ref().filter(is_newer).unwrap_or(self.voter.register());
@@ -130,17 +134,17 @@
         self.published.as_ref().map(|register| register.membership.clone()).unwrap_or_default()
     }
 
-    /// Whether it takes part in votes.
-    pub fn votes(&self) -> bool {
+    /// Returns whether the member takes part in votes.
+    pub fn can_vote(&self) -> bool {
         self.running && !self.voter.is_amnesic()
     }
 
-    /// Whether it has lost what it promised; one that is down counts by its disk.
+    /// Returns whether the member has lost its promises. For a member that is down this depends on its disk.
     pub fn has_amnesia(&self) -> bool {
         if self.running { self.voter.is_amnesic() } else { self.record_on_disk.is_none() }
     }
 
-    /// Whether it may answer reads and take changes now.
+    /// Returns whether the member may answer reads and take changes now.
     pub fn may_serve(&self, now: Timestamp) -> bool {
         self.lease.is_some_and(|lease| lease.may_serve(now))
     }
@@ -149,32 +153,32 @@
         self.lease.is_some_and(|lease| lease.is_valid(now))
     }
 
-    /// The rounds whose responses it still counts.
-    pub fn counts_round(&self, round: u8) -> bool {
+    /// Returns whether responses of this round are still counted.
+    pub fn counts_responses_of(&self, round: u8) -> bool {
         let others = [
-            self.election.as_ref().map(|underway| underway.round),
-            self.renewal.as_ref().map(|underway| underway.round),
-            self.recovery.as_ref().map(|underway| underway.round),
+            self.election.as_ref().map(|pending| pending.round),
+            self.renewal.as_ref().map(|pending| pending.round),
+            self.recovery.as_ref().map(|pending| pending.round),
         ];
-        others.contains(&Some(round)) || self.accepts.iter().any(|underway| underway.round == round)
+        others.contains(&Some(round)) || self.accepts.iter().any(|pending| pending.round == round)
     }
 
-    /// Whether another round of an operator's change may be started: the product starts a second one where the first is held
-    /// up, as long as nothing else is under way.
+    /// Returns whether another round of an operator's change may be started. The controller starts a second round if
+    /// the first one is slow, as long as no other kind of round is in progress.
     pub fn may_propose(&self) -> bool {
         self.accepts.len() < MAX_CONCURRENT_ROUNDS
-            && self.accepts.iter().all(|underway| underway.purpose == Purpose::Value)
+            && self.accepts.iter().all(|pending| pending.purpose == ProposalPurpose::Value)
     }
 
-    /// Takes a round out of those under way.
-    pub fn take_accept(&mut self, round: u8) -> Option<AcceptUnderway> {
-        let position = self.accepts.iter().position(|underway| underway.round == round)?;
+    /// Removes an accept round from those in progress.
+    pub fn take_accept(&mut self, round: u8) -> Option<PendingAccept> {
+        let position = self.accepts.iter().position(|pending| pending.round == round)?;
         Some(self.accepts.remove(position))
     }
 
-    /// Puts a round that goes on back to its place.
-    pub fn put_back_accept(&mut self, underway: AcceptUnderway) {
-        self.accepts.push(underway);
-        self.accepts.sort_by_key(|underway| underway.round);
+    /// Puts an accept round that is still in progress back in its place.
+    pub fn put_back_accept(&mut self, pending: PendingAccept) {
+        self.accepts.push(pending);
+        self.accepts.sort_by_key(|pending| pending.round);
     }
 }
--- a/crates/consensus/tests/model/possible_actions.rs
+++ b/crates/consensus/tests/model/possible_actions.rs
@@ -1,31 +1,33 @@
-//! What may happen next in a state.
+//! The actions that are possible in a state.
 
-use crate::cluster::{Action, ClusterModel, ClusterState, PlantedFault, address};
+use crate::cluster::{Action, ClusterModel, ClusterState, Mutation, address};
 use crate::member::Member;
 use vanewharf_protocol::messages::VoteRequest;
 
 impl ClusterModel {
+    /// Adds all actions that are possible in a state to `actions`.
     pub fn possible_actions(&self, state: &ClusterState, actions: &mut Vec<Action>) {
         if state.remaining.ticks > 0 {
             actions.push(Action::Tick);
         }
         for (index, member) in state.members.iter().enumerate() {
             if member.running {
-                self.faults_of_member(state, index, actions);
-                self.votes_of_member(state, index, actions);
-                self.actions_of_leaseholder(state, index, actions);
+                self.add_member_faults(state, index, actions);
+                self.add_member_actions(state, index, actions);
+                self.add_leaseholder_actions(state, index, actions);
             } else {
                 actions.push(Action::Restart(index));
             }
         }
-        self.deliveries(state, actions);
+        self.add_deliveries(state, actions);
     }
 
-    fn faults_of_member(&self, state: &ClusterState, index: usize, actions: &mut Vec<Action>) {
-        let lost = state.members.iter().filter(|member| !member.votes()).count();
+    /// Adds the crash of a running member and the loss of its disk.
+    fn add_member_faults(&self, state: &ClusterState, index: usize, actions: &mut Vec<Action>) {
+        let lost = state.members.iter().filter(|member| !member.can_vote()).count();
         let member = &state.members[index];
-        // The next one is lost only when those before it are back.
-        if lost < self.tolerated_losses || lost == self.tolerated_losses && !member.votes() {
+        // At most `tolerated_losses` members are lost at the same time; one of these may be lost again.
+        if lost < self.tolerated_losses || lost == self.tolerated_losses && !member.can_vote() {
             if state.remaining.crashes > 0 {
                 actions.push(Action::Crash(index));
             }
@@ -35,19 +37,19 @@
         }
     }
 
-    /// What any running member may do, whether it holds the lease or not.
-    fn votes_of_member(&self, state: &ClusterState, index: usize, actions: &mut Vec<Action>) {
+    /// Adds the actions of a running member that do not depend on whether it holds the lease.
+    fn add_member_actions(&self, state: &ClusterState, index: usize, actions: &mut Vec<Action>) {
         let (remaining, member, now) = (&state.remaining, &state.members[index], self.now(state, index));
         let is_voter = member.membership().voters.contains(&address(index));
-        // A leaseholder may want its own lease anew, under a higher ballot.
+        // A leaseholder may campaign for its own lease again, under a higher ballot.
         let may_campaign = member.voter.may_campaign(now) || member.holds_lease(now);
         if remaining.elections > 0 && is_voter && may_campaign {
             actions.push(Action::Campaign(index));
         }
         let has_promised = member.record_on_disk.as_ref().is_some_and(|record| record.promised_to.is_some());
         let waits_after_restart = member.voter.leaseholder(now).is_none() && !member.voter.may_campaign(now);
-        if remaining.inquiries > 0 && has_promised && waits_after_restart {
-            actions.push(Action::Inquire(index));
+        if remaining.lease_queries > 0 && has_promised && waits_after_restart {
+            actions.push(Action::QueryLease(index));
         }
         if remaining.timeouts > 0 && (!member.accepts.is_empty() || member.election.is_some()) {
             actions.push(Action::TimeOut(index));
@@ -60,7 +62,8 @@
         }
     }
 
-    fn actions_of_leaseholder(&self, state: &ClusterState, index: usize, actions: &mut Vec<Action>) {
+    /// Adds the actions of a member that holds the lease.
+    fn add_leaseholder_actions(&self, state: &ClusterState, index: usize, actions: &mut Vec<Action>) {
         let (remaining, member) = (&state.remaining, &state.members[index]);
         if member.lease.is_none() {
             return;
@@ -95,14 +98,16 @@
     }
 
     fn may_finish_change(&self, member: &Member) -> bool {
-        if self.has(PlantedFault::UncommittedChangeFinished) {
+        if self.has_mutation(Mutation::UncommittedChangeFinished) {
             return !member.membership().outgoing.is_empty();
         }
-        let is_renewed = !member.needs_renewal_by_both_sets || self.has(PlantedFault::NoRenewalByBothSets);
+        let is_renewed =
+            !member.needs_renewal_by_both_sets || self.has_mutation(Mutation::NoRenewalByBothSets);
         !member.committed_membership().outgoing.is_empty() && is_renewed
     }
 
-    fn deliveries(&self, state: &ClusterState, actions: &mut Vec<Action>) {
+    /// Adds the deliveries of all messages in flight to running members, with the faults that may occur.
+    fn add_deliveries(&self, state: &ClusterState, actions: &mut Vec<Action>) {
         for message in &state.messages {
             let is_request = message.response.is_none();
             let receiver = if is_request { message.voter } else { message.requester };
--- a/crates/consensus/tests/model/transitions.rs
+++ b/crates/consensus/tests/model/transitions.rs
@@ -1,11 +1,11 @@
-//! The state that each action leads to.
+//! The state transition of each action.
 
 use crate::cluster::{Action, ClusterModel, ClusterState, Message};
-use crate::member::{Member, Purpose};
+use crate::member::{Member, ProposalPurpose};
 use vanewharf_protocol::messages::{Ballot, VoteRequest};
 
 impl ClusterModel {
-    /// The state after an action, or nothing where it changes nothing.
+    /// Returns the state after an action, or `None` if the action changes nothing.
     pub fn step(&self, state: &ClusterState, action: Action) -> Option<ClusterState> {
         let mut next = state.clone();
         match action {
@@ -18,11 +18,11 @@
             Action::Propose(index) => self.propose_value(&mut next, index),
             Action::BeginChange(index) => {
                 next.remaining.changes_started -= 1;
-                self.reconfigure(&mut next, index, Purpose::BeginChange);
+                self.reconfigure(&mut next, index, ProposalPurpose::BeginChange);
             }
             Action::FinishChange(index) => {
                 next.remaining.changes_finished -= 1;
-                self.reconfigure(&mut next, index, Purpose::FinishChange);
+                self.reconfigure(&mut next, index, ProposalPurpose::FinishChange);
             }
             Action::Resign(index) => self.resign(&mut next, index),
             Action::Crash(index) => {
@@ -36,9 +36,9 @@
                 next.members[index].register_on_disk = None;
             }
             Action::Restart(index) => self.restart(&mut next, index),
-            Action::Inquire(index) => {
-                next.remaining.inquiries -= 1;
-                self.inquire(&mut next, index);
+            Action::QueryLease(index) => {
+                next.remaining.lease_queries -= 1;
+                self.query_earlier_leaseholder(&mut next, index);
             }
             Action::TimeOut(index) => self.time_out(&mut next, index),
             Action::Adopt(index, publisher) => self.adopt(&mut next, index, publisher)?,
@@ -65,7 +65,7 @@
         (next != *state).then_some(next)
     }
 
-    /// Takes over what another member publishes as committed.
+    /// Has a member take over the committed register that another one publishes.
     fn adopt(&self, state: &mut ClusterState, index: usize, publisher: usize) -> Option<()> {
         state.remaining.adoptions -= 1;
         let register = state.members[publisher].published.clone()?;
@@ -74,7 +74,7 @@
             member.register_on_disk = Some(register.clone());
             member.voter.mark_persisted(write);
         }
-        // As the `Store` of the publisher.
+        // As in the publisher's `VersionStore`, only a newer revision replaces the published register.
         if member.published.as_ref().is_none_or(|own| register.revision > own.revision) {
             member.published = Some(register);
         }
@@ -87,21 +87,21 @@
         if !accepts.is_empty() {
             accepts.remove(0);
         }
-        if let Some(underway) = state.members[index].election.take() {
-            self.release_lost_election(state, index, &underway);
+        if let Some(pending) = state.members[index].election.take() {
+            self.release_lost_election(state, index, &pending);
         }
     }
 }
 
 impl ClusterState {
     fn remove_message(&mut self, message: &Message) -> Option<()> {
-        let position = self.messages.iter().position(|one| one == message)?;
+        let position = self.messages.iter().position(|candidate| candidate == message)?;
         self.messages.remove(position);
         Some(())
     }
 
-    /// Drops votes of rounds that are over, which nobody counts, and requests below a promise that cannot be lost, which have
-    /// no effect: states that differ in these alone are the same.
+    /// Drops votes of rounds that are over, which are not counted, and requests below a promise that cannot be lost,
+    /// which have no effect. States that differ only in such messages are equivalent.
     fn drop_messages_without_effect(&mut self) {
         let (members, disks_may_be_lost) = (&self.members, self.remaining.disk_losses > 0);
         self.messages.retain(|message| {
@@ -113,7 +113,7 @@
 }
 
 fn is_awaited(requester: &Member, message: &Message) -> bool {
-    requester.running && requester.counts_round(message.round)
+    requester.running && requester.counts_responses_of(message.round)
 }
 
 fn may_have_effect(voter: &Member, request: &VoteRequest, disks_may_be_lost: bool) -> bool {
