--- a/crates/consensus/src/accept.rs
+++ b/crates/consensus/src/accept.rs
@@ -1,8 +1,8 @@
 //! The accept round, which determines whether a majority has a proposed register on disk.
 //!
 //! A register that a majority of its own membership has accepted is committed: every later candidate finds it (see
-//! `election`). A round that is abandoned or rejected decides nothing: voters may have accepted the register without their
-//! responses arriving, and a later candidate may find it and commit it.
+//! `election`). A round that is abandoned or rejected decides nothing: voters may have accepted the register without
+//! their responses arriving, and a later candidate may find it and commit it.
 
 use crate::quorum::QuorumTracker;
 use std::net::SocketAddr;
--- a/crates/consensus/src/ballot.rs
+++ b/crates/consensus/src/ballot.rs
@@ -9,8 +9,8 @@
 const ADDRESS_BITS: u32 = 32;
 const ADDRESS_MASK: u64 = (1 << ADDRESS_BITS) - 1;
 
-/// Returns a ballot above `highest_seen` that no other machine can choose: its low bits are the proposer's IPv4 address.
-/// Controllers have only IPv4 addresses; of an IPv6 address the last 32 bits would be used.
+/// Returns a ballot above `highest_seen` that no other machine can choose: its low bits are the proposer's IPv4
+/// address. Controllers have only IPv4 addresses; of an IPv6 address the last 32 bits would be used.
 pub fn next_ballot(highest_seen: Ballot, proposer: SocketAddr) -> Ballot {
     let address = match proposer.ip() {
         IpAddr::V4(ip) => u64::from(ip.to_bits()),
@@ -22,10 +22,10 @@
 
 /// The ballot under which a controller campaigns for the lease or holds it.
 ///
-/// A restarted voter may ask the controller to which it had promised its ballot whether the lease is still held, so that it
-/// need not suspend grants for a whole lease duration. A controller that answers "no" renounces that ballot for good. Votes
-/// for the ballot may still be in flight, and if the controller won by them after that answer, there could be two
-/// leaseholders at once.
+/// A restarted voter may ask the controller to which it had promised its ballot whether the lease is still held, so
+/// that it need not suspend grants for a whole lease duration. A controller that answers "no" renounces that ballot for
+/// good. Votes for the ballot may still be in flight, and if the controller won by them after that answer, there could
+/// be two leaseholders at once.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct BallotClaim {
     ballot: Ballot,
@@ -38,8 +38,8 @@
         BallotClaim { ballot, renounced: false }
     }
 
-    /// Answers a restarted voter that asks whether the lease under `ballot` is still held. If it is not, the claim on that
-    /// ballot is renounced.
+    /// Answers a restarted voter that asks whether the lease under `ballot` is still held. If it is not, the claim on
+    /// that ballot is renounced.
     pub fn answer_inquiry(&mut self, ballot: Ballot, lease: Option<HeldLease>, now: Timestamp) -> bool {
         let held = lease.is_some_and(|lease| lease.ballot == ballot && lease.is_valid(now));
         self.renounced |= !held && self.ballot == ballot;
--- a/crates/consensus/src/election.rs
+++ b/crates/consensus/src/election.rs
@@ -1,12 +1,13 @@
 //! The election: one attempt of a candidate to win the lease under one ballot.
 //!
-//! A voter that grants the lease promises to accept nothing under a lower ballot, and reports the newest register that it
-//! has accepted. A committed register was accepted by a majority, which shares a voter with the majority that grants this
-//! lease. So the newest reported register is at least as new as any committed one. The winner proposes it again under its
-//! own ballot before it proposes anything else.
+//! A voter that grants the lease promises to accept nothing under a lower ballot, and reports the newest register that
+//! it has accepted. A committed register was accepted by a majority, which shares a voter with the majority that grants
+//! this lease. So the newest reported register is at least as new as any committed one. The winner proposes it again
+//! under its own ballot before it proposes anything else.
 //!
-//! The newest reported register may name another set of voters than the candidate knew of. Then a majority of that set has
-//! to grant the lease, too: a majority of the set that the candidate knew may be unaware of what the newer set has decided.
+//! The newest reported register may name another set of voters than the candidate knew of. Then a majority of that set
+//! has to grant the lease, too: a majority of the set that the candidate knew may be unaware of what the newer set has
+//! decided.
 
 use crate::membership::all_voters;
 use crate::quorum::QuorumTracker;
@@ -29,16 +30,16 @@
 pub enum ElectionOutcome {
     /// The newest reported register names other voters: these have to be asked for the lease, too.
     QueryAlso(BTreeSet<SocketAddr>),
-    /// The lease is granted. This register, the newest reported one, has to be accepted under the new ballot before anything
-    /// else is proposed.
+    /// The lease is granted. This register, the newest reported one, has to be accepted under the new ballot before
+    /// anything else is proposed.
     Won(Box<Register>),
     /// The candidate is not a voter of the newest set, and must not become leaseholder.
     NotAVoter,
 }
 
 impl Election {
-    /// Starts an election among the newest membership that the candidate knows; `membership_rank` is the rank of the register
-    /// that names it.
+    /// Starts an election among the newest membership that the candidate knows; `membership_rank` is the rank of the
+    /// register that names it.
     pub fn start(candidate: SocketAddr, membership: Membership, membership_rank: RegisterRank) -> Election {
         Election { candidate, membership_rank, tally: QuorumTracker::new(membership) }
     }
@@ -59,8 +60,8 @@
             return ControlFlow::Continue(());
         }
         let found = self.newest_granted_register();
-        // The epoch is compared as well as the rank. A leaseholder that finds no register publishes the initial one without
-        // an accept round, under a ballot that may be above that of a membership change which was begun before.
+        // The epoch is compared as well as the rank. A leaseholder that finds no register publishes the initial one
+        // without an accept round, under a ballot that may be above that of a membership change which was begun before.
         let names_later_set = found.membership.epoch > self.membership().epoch;
         if found.rank() > self.membership_rank || names_later_set {
             self.tally.set_membership(found.membership.clone());
@@ -76,8 +77,8 @@
         }
     }
 
-    /// Returns the highest ballot that a refusing voter has promised, or 0 if none refused. The next attempt has to use a
-    /// higher one.
+    /// Returns the highest ballot that a refusing voter has promised, or 0 if none refused. The next attempt has to use
+    /// a higher one.
     pub fn highest_refused_ballot(&self) -> Ballot {
         self.tally.highest_refused_ballot()
     }
--- a/crates/consensus/src/follower_tracker.rs
+++ b/crates/consensus/src/follower_tracker.rs
@@ -1,7 +1,7 @@
 //! Tracks which controllers follow the leaseholder, and which of them have the committed register on disk.
 //!
-//! For each follower, the tracker records since when it has been in sync and which revision it has to have on disk. It starts
-//! empty whenever the lease is acquired, except after a short loss of the lease.
+//! For each follower, the tracker records since when it has been in sync and which revision it has to have on disk. It
+//! starts empty whenever the lease is acquired, except after a short loss of the lease.
 
 use crate::planner::VoterCandidate;
 use std::collections::BTreeMap;
@@ -49,8 +49,9 @@
 }
 
 impl FollowerTracker {
-    /// Starts tracking when the lease is acquired. If the lease was lost only shortly, tracking continues as if that time, in
-    /// which no controller followed, had not passed: the failure time-out of a failed voter does not start anew.
+    /// Starts tracking when the lease is acquired. If the lease was lost only shortly, tracking continues as if that
+    /// time, in which no controller followed, had not passed: the failure time-out of a failed voter does not start
+    /// anew.
     pub fn lease_acquired(&mut self, now: Timestamp) {
         let gap = self.lease_lost_at.take().map(|lost_at| now.since(lost_at));
         match gap.filter(|gap| *gap < RESUME_WINDOW) {
@@ -91,9 +92,9 @@
         self.followers.retain(|_, progress| now.since(progress.last_progress()) < FOLLOWER_RETENTION);
     }
 
-    /// Returns all machines that may be voters: the current voters, whether they follow or not, the leaseholder itself, and its
-    /// followers. No machine that was ever in sync counts as out of sync for longer than the lease has been held. `address`
-    /// returns the address of the controller on the machine with that IP address.
+    /// Returns all machines that may be voters: the current voters, whether they follow or not, the leaseholder itself,
+    /// and its followers. No machine that was ever in sync counts as out of sync for longer than the lease has been
+    /// held. `address` returns the address of the controller on the machine with that IP address.
     pub fn candidates(
         &self,
         voters: &[SocketAddr],
--- a/crates/consensus/src/follower_tracker/tests.rs
+++ b/crates/consensus/src/follower_tracker/tests.rs
@@ -26,8 +26,8 @@
 fn lagging_and_amnesic_followers_are_out_of_sync() {
     let mut tracker = FollowerTracker::default();
     tracker.lease_acquired(START);
-    // Changes are committed faster than followers write them: follower 2 is always one revision behind, 3 stays at revision
-    // 2, and 4 has amnesia. Voter 5 never pulls.
+    // Changes are committed faster than followers write them: follower 2 is always one revision behind, 3 stays at
+    // revision 2, and 4 has amnesia. Voter 5 never pulls.
     let mut now = START;
     for revision in 1..40u64 {
         now = now.after(Duration::from_millis(100));
@@ -48,8 +48,8 @@
     let all = candidates(&tracker, &[1, 2], now);
     let in_sync = majority_in_sync(&address_set(&[1, 2]), &all);
     assert!(!in_sync, "a voter that has not pulled since the lease was acquired must not count as in sync");
-    let nobody_failed = all.iter().all(|candidate| candidate.out_of_sync_for < FAILURE_TIMEOUT);
-    assert!(nobody_failed, "no voter may count as failed right after the lease was acquired");
+    let none_failed = all.iter().all(|candidate| candidate.out_of_sync_for < FAILURE_TIMEOUT);
+    assert!(none_failed, "no voter may count as failed right after the lease was acquired");
 }
 
 #[test]
--- a/crates/consensus/src/group_commit.rs
+++ b/crates/consensus/src/group_commit.rs
@@ -1,8 +1,9 @@
-//! Group commit: pending changes of operators are committed as one register, in one accept round. They are applied to the
-//! newest proposed register one after the other, and each change has its own outcome.
+//! Group commit: pending changes of operators are committed as one register, in one accept round. They are applied to
+//! the newest proposed register one after the other, and each change has its own outcome.
 //!
-//! All changes of a group are concurrent, so any order among them is valid. Configurations are applied in the order of their
-//! revisions, so that none is superseded by another one of its own group. Evacuations are applied in the order of arrival.
+//! All changes of a group are concurrent, so any order among them is valid. Configurations are applied in the order of
+//! their revisions, so that none is superseded by another one of its own group. Evacuations are applied in the order of
+//! arrival.
 
 use serde_json::value::RawValue;
 use vanewharf_config::configuration::ConfigRevision;
@@ -112,16 +113,16 @@
         register.accepted_configs.drain(..excess);
         return AppliedChange::acknowledged(true);
     }
-    // A revision that is not above the current one changes nothing. It is taken for a repeated request and acknowledged,
-    // unless another configuration is known to have been accepted under the same revision.
+    // A revision that is not above the current one changes nothing. It is taken for a repeated request and
+    // acknowledged, unless another configuration is known to have been accepted under the same revision.
     let accepted = register.accepted_configs.iter().find(|accepted| accepted.revision == proposed.revision);
     let conflicts = accepted.is_some_and(|accepted| *accepted != proposed);
     let outcome = if conflicts { ChangeOutcome::Conflict } else { ChangeOutcome::Acknowledged };
     AppliedChange { outcome, changed: false }
 }
 
-/// Adds the current configuration to the accepted ones if the register lists none. Registers written by versions that did not
-/// list accepted configurations need this.
+/// Adds the current configuration to the accepted ones if the register lists none. Registers written by versions that
+/// did not list accepted configurations need this.
 fn add_current_config(register: &mut Register) {
     if !register.accepted_configs.is_empty() {
         return;
@@ -147,8 +148,8 @@
 const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
 const FNV_PRIME: u64 = 0x0100_0000_01b3;
 
-/// Returns the FNV-1a hash of the configuration's text. Every byte counts, as a client that repeats a request sends the same
-/// text. Digests are stored in registers on disk, so the function must not change.
+/// Returns the FNV-1a hash of the configuration's text. Every byte counts, as a client that repeats a request sends the
+/// same text. Digests are stored in registers on disk, so the function must not change.
 fn digest(config: &RawValue) -> u64 {
     let add_byte = |hash: u64, byte: u8| (hash ^ u64::from(byte)).wrapping_mul(FNV_PRIME);
     config.get().bytes().fold(FNV_OFFSET_BASIS, add_byte)
--- a/crates/consensus/src/lease.rs
+++ b/crates/consensus/src/lease.rs
@@ -1,10 +1,10 @@
 //! The lease: how long it is valid at the voters that granted it, and how long the leaseholder may act on it.
 //!
-//! A voter counts [`LEASE_DURATION`] from when it granted or renewed the lease. The leaseholder counts from when it sent the
-//! request, which is earlier, and stops [`LEASE_SAFETY_MARGIN`] sooner. So it has stopped before any voter of its majority
-//! can grant another lease, as long as no voter's clock runs more than
-//! `LEASE_DURATION / (LEASE_DURATION - LEASE_SAFETY_MARGIN)` = 1.2 times as fast as the leaseholder's. Clocks are monotonic
-//! and need not agree on the time of day.
+//! A voter counts [`LEASE_DURATION`] from when it granted or renewed the lease. The leaseholder counts from when it
+//! sent the request, which is earlier, and stops [`LEASE_SAFETY_MARGIN`] sooner. So it has stopped before any voter of
+//! its majority can grant another lease, as long as no voter's clock runs more than `LEASE_DURATION / (LEASE_DURATION -
+//! LEASE_SAFETY_MARGIN)` = 1.2 times as fast as the leaseholder's. Clocks are monotonic and need not agree on the time
+//! of day.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -46,8 +46,8 @@
     /// The time, by the leaseholder's own clock, at which it must stop acting on the lease.
     pub valid_until: Timestamp,
     /// Whether the register found in the election has been accepted by a majority under this ballot. Until then the
-    /// leaseholder must neither answer reads nor take changes: it is undecided whether an earlier leaseholder's last register
-    /// is committed.
+    /// leaseholder must neither answer reads nor take changes: it is undecided whether an earlier leaseholder's last
+    /// register is committed.
     pub register_committed: bool,
 }
 
--- a/crates/consensus/src/membership.rs
+++ b/crates/consensus/src/membership.rs
@@ -3,10 +3,10 @@
 //! # Why a change needs both majorities
 //!
 //! A majority of the old set and a majority of the new one need not have a voter in common. If the new set could decide
-//! alone as soon as one member knew of it, the old set could elect another leaseholder or commit another register at the
-//! same time. So a change goes through a joint membership, with the old voters as `outgoing`: until it is finished,
-//! elections, renewals and registers need a majority of both sets. Each such quorum shares a voter with every majority of
-//! the old set and with every majority of the new one, so that no two decisions are made unaware of each other.
+//! alone as soon as one member knew of it, the old set could elect another leaseholder or commit another register at
+//! the same time. So a change goes through a joint membership, with the old voters as `outgoing`: until it is finished,
+//! elections, renewals and registers need a majority of both sets. Each such quorum shares a voter with every majority
+//! of the old set and with every majority of the new one, so that no two decisions are made unaware of each other.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -22,8 +22,8 @@
     voter_count / 2 + 1
 }
 
-/// Returns how many voters are needed so that `losses` of them may fail at once and the rest is still a majority. At least
-/// one loss and at most four are provided for.
+/// Returns how many voters are needed so that `losses` of them may fail at once and the rest is still a majority. At
+/// least one loss and at most four are provided for.
 pub fn voter_count_for(losses: u64) -> usize {
     2 * losses.clamp(1, MAX_TOLERATED_LOSSES) as usize + 1
 }
@@ -40,8 +40,8 @@
     membership.voters.iter().chain(&membership.outgoing).copied().collect()
 }
 
-/// Returns whether the assenting voters are a quorum: a majority of the voters, and during a change also a majority of the
-/// outgoing voters. An unknown membership, which has no voters, has no quorum.
+/// Returns whether the assenting voters are a quorum: a majority of the voters, and during a change also a majority of
+/// the outgoing voters. An unknown membership, which has no voters, has no quorum.
 pub fn has_quorum(membership: &Membership, assenting: &BTreeSet<SocketAddr>) -> bool {
     let has_majority = |voters: &[SocketAddr]| {
         let assents = voters.iter().filter(|voter| assenting.contains(voter)).count();
@@ -72,9 +72,9 @@
 
 /// Returns the membership to propose next on the way to a set of voters, or `None` if that set is reached.
 ///
-/// `committed` has to be the membership of the committed register, not of a newer one on the leaseholder's own disk. A joint
-/// membership that is not committed may be on the leaseholder's disk only. It is proposed again, never finished: otherwise
-/// the new set would decide alone while no majority of the old set knows of it.
+/// `committed` has to be the membership of the committed register, not of a newer one on the leaseholder's own disk. A
+/// joint membership that is not committed may be on the leaseholder's disk only. It is proposed again, never finished:
+/// otherwise the new set would decide alone while no majority of the old set knows of it.
 pub fn next_membership(committed: &Membership, voters: &BTreeSet<SocketAddr>) -> Option<Membership> {
     if !committed.outgoing.is_empty() {
         return Some(finish_change(committed));
--- a/crates/consensus/src/planner.rs
+++ b/crates/consensus/src/planner.rs
@@ -1,9 +1,9 @@
 //! Chooses the set of voters that replaces the current one, one change at a time.
 //!
-//! The number of voters is always odd: a set of four tolerates no more losses than one of three. A failed voter is replaced
-//! only by a machine that is in sync, so that the number of tolerated losses does not shrink during the change: joint
-//! consensus needs a majority of the old set, which is available already, and a majority of the new one, which need not
-//! include the newcomer.
+//! The number of voters is always odd: a set of four tolerates no more losses than one of three. A failed voter is
+//! replaced only by a machine that is in sync, so that the number of tolerated losses does not shrink during the
+//! change: joint consensus needs a majority of the old set, which is available already, and a majority of the new one,
+//! which need not include the newcomer.
 
 use crate::follower_tracker::SYNC_TIMEOUT;
 use crate::membership::majority;
@@ -59,8 +59,9 @@
 
 /// Returns the set of voters that should replace the current one, or `None` if no change is needed or possible now.
 ///
-/// Three kinds of change are tried in this order: the set grows towards `target_size`, a failed voter is replaced, and voters
-/// are spread over the zones. A set without a majority in sync is not chosen, as the change could not be finished.
+/// Three kinds of change are tried in this order: the set grows towards `target_size`, a failed voter is replaced, and
+/// voters are spread over the zones. A set without a majority in sync is not chosen, as the change could not be
+/// finished.
 pub fn plan_next_voters(
     membership: &Membership,
     candidates: &[VoterCandidate],
@@ -95,8 +96,8 @@
         Planner { voters, candidates, standbys }
     }
 
-    /// Returns a set of `target_size` voters or, if too few standbys are available, of the largest odd number below it that
-    /// they allow. Returns `None` if that set is no larger than the current one, or has no majority in sync.
+    /// Returns a set of `target_size` voters or, if too few standbys are available, of the largest odd number below it
+    /// that they allow. Returns `None` if that set is no larger than the current one, or has no majority in sync.
     fn grow(&self, target_size: usize) -> Option<BTreeSet<SocketAddr>> {
         let mut voters = self.voters.clone();
         let mut standbys = self.standbys.clone();
@@ -129,8 +130,8 @@
         majority_in_sync(&voters, self.candidates).then_some(voters)
     }
 
-    /// Moves one voter out of the zone that has the most voters. All voters and the newcomer have to have been in sync for
-    /// [`REBALANCE_DELAY`].
+    /// Moves one voter out of the zone that has the most voters. All voters and the newcomer have to have been in sync
+    /// for [`REBALANCE_DELAY`].
     fn rebalance_zones(&self) -> Option<BTreeSet<SocketAddr>> {
         let is_stable = |address: &SocketAddr| {
             self.candidate(address).is_some_and(|candidate| candidate.in_sync_for >= REBALANCE_DELAY)
@@ -154,7 +155,8 @@
         voters
     }
 
-    /// Returns the standby whose addition leaves the fewest voters in the fullest zone. Among equals, the lowest address wins.
+    /// Returns the standby whose addition leaves the fewest voters in the fullest zone. Among equals, the lowest
+    /// address wins.
     fn best_standby(&self, voters: &BTreeSet<SocketAddr>, standbys: &[SocketAddr]) -> Option<SocketAddr> {
         let cost = |standby: &SocketAddr| {
             let mut with_standby = voters.clone();
--- a/crates/consensus/src/planner/tests.rs
+++ b/crates/consensus/src/planner/tests.rs
@@ -2,8 +2,9 @@
 use crate::test_support::{address, address_set, membership};
 use yare::parameterized;
 
-/// Parses machines separated by spaces. `1a+` is machine 1 in zone a. The sign gives its state: `+` has been in sync for just
-/// [`PROMOTION_DELAY`], `=` for [`REBALANCE_DELAY`], `?` is out of sync for half of [`FAILURE_TIMEOUT`], `-` has failed.
+/// Parses machines separated by spaces. `1a+` is machine 1 in zone a. The sign gives its state: `+` has been in sync
+/// for just [`PROMOTION_DELAY`], `=` for [`REBALANCE_DELAY`], `?` is out of sync for half of [`FAILURE_TIMEOUT`], `-`
+/// has failed.
 fn machines(text: &str) -> Vec<VoterCandidate> {
     let machine = |word: &str| {
         let mut letters = word.chars();
--- a/crates/consensus/src/pre_vote.rs
+++ b/crates/consensus/src/pre_vote.rs
@@ -3,9 +3,9 @@
 //! # What it avoids
 //!
 //! A controller that is partitioned from the others cannot win an election, but each attempt would make its own voter
-//! promise a higher ballot. Once the partition heals, that voter would refuse the leaseholder's renewals and registers, which
-//! are under a lower ballot, and so force a needless election. A pre-vote promises nothing, so that a ballot is raised only by
-//! a candidate to which a majority is willing to grant the lease. Safety does not depend on it.
+//! promise a higher ballot. Once the partition heals, that voter would refuse the leaseholder's renewals and registers,
+//! which are under a lower ballot, and so force a needless election. A pre-vote promises nothing, so that a ballot is
+//! raised only by a candidate to which a majority is willing to grant the lease. Safety does not depend on it.
 
 use crate::quorum::QuorumTracker;
 use std::net::SocketAddr;
@@ -24,8 +24,8 @@
         PreVoteRound { tally: QuorumTracker::new(membership) }
     }
 
-    /// Records one response. Breaks once a majority is willing, with the highest ballot that any respondent has promised:
-    /// the candidate's own ballot has to be above it.
+    /// Records one response. Breaks once a majority is willing, with the highest ballot that any respondent has
+    /// promised: the candidate's own ballot has to be above it.
     pub fn record_response(&mut self, voter: SocketAddr, response: VoteResponse) -> ControlFlow<Ballot> {
         self.tally.record(voter, response);
         if self.tally.has_quorum() {
--- a/crates/consensus/src/quorum.rs
+++ b/crates/consensus/src/quorum.rs
@@ -6,8 +6,8 @@
 use std::net::SocketAddr;
 use vanewharf_protocol::messages::{Ballot, Membership, Vote, VoteResponse};
 
-/// Collects the responses of one round and tells whether a quorum of its membership assents. Responses may arrive in any
-/// order, and more than once from the same voter.
+/// Collects the responses of one round and tells whether a quorum of its membership assents. Responses may arrive in
+/// any order, and more than once from the same voter.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct QuorumTracker {
     membership: Membership,
@@ -47,7 +47,8 @@
         self.membership = membership;
     }
 
-    /// Records the response of one voter. If a voter responds more than once, any assent of its latest incarnation counts.
+    /// Records the response of one voter. If a voter responds more than once, any assent of its latest incarnation
+    /// counts.
     pub fn record(&mut self, voter: SocketAddr, response: VoteResponse) {
         self.responses.push(RecordedResponse { voter, response });
     }
@@ -83,8 +84,8 @@
         refused.max().unwrap_or_default()
     }
 
-    /// Returns the voters that have assented. A vote is left out if any response names a later incarnation of its voter: it
-    /// was cast before the voter lost its disk (see `incarnation`).
+    /// Returns the voters that have assented. A vote is left out if any response names a later incarnation of its
+    /// voter: it was cast before the voter lost its disk (see `incarnation`).
     pub(crate) fn assenting_voters(&self) -> BTreeSet<SocketAddr> {
         let responses = self.responses.iter().map(|recorded| (recorded.voter, &recorded.response));
         let latest = latest_incarnations(responses);
--- a/crates/consensus/src/recovery.rs
+++ b/crates/consensus/src/recovery.rs
@@ -1,18 +1,20 @@
 //! Recovery of a member with amnesia, whose disk was lost and which no longer knows what it promised and accepted.
 //!
-//! The member takes no part in voting until it has recovered. It asks the seeds of its configuration, and all voters that
-//! their responses name, what they have promised and accepted, and takes over the highest ballot and the newest register.
+//! The member takes no part in voting until it has recovered. It asks the seeds of its configuration, and all voters
+//! that their responses name, what they have promised and accepted, and takes over the highest ballot and the newest
+//! register.
 //!
 //! # Whose responses suffice
 //!
-//! A seed may be stale: if it was unreachable while the set of voters changed, it names an old set. So responses are needed
-//! from a majority of the set that the newest register among them names. That is safe because a change is also accepted by a
-//! majority of the set before it (see `membership`): a majority of an old set always includes a voter that knows of the next.
+//! A seed may be stale: if it was unreachable while the set of voters changed, it names an old set. So responses are
+//! needed from a majority of the set that the newest register among them names. That is safe because a change is also
+//! accepted by a majority of the set before it (see `membership`): a majority of an old set always includes a voter
+//! that knows of the next.
 //!
 //! If the power failed soon after the first start, no register was ever accepted, and there may be no majority that
-//! remembers anything. Then all members have to respond, each either without an accepted register or with amnesia itself. If
-//! no member remembers anything, the cluster starts again from its seeds, provided that all members were configured with the
-//! same seeds.
+//! remembers anything. Then all members have to respond, each either without an accepted register or with amnesia
+//! itself. If no member remembers anything, the cluster starts again from its seeds, provided that all members were
+//! configured with the same seeds.
 //!
 //! The member sends its requests under a new incarnation, which the others write to disk before they respond (see
 //! `incarnation`).
@@ -24,8 +26,8 @@
 use std::net::SocketAddr;
 use vanewharf_protocol::messages::{Ballot, Register, Revision, Vote, VoteResponse};
 
-/// The recovery of a member with amnesia. The caller asks the members that [`RecoveryRound::next_step`] names, records their
-/// responses, and repeats that until the step is [`RecoveryStep::Restore`].
+/// The recovery of a member with amnesia. The caller asks the members that [`RecoveryRound::next_step`] names, records
+/// their responses, and repeats that until the step is [`RecoveryStep::Restore`].
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct RecoveryRound {
     member: SocketAddr,
@@ -83,8 +85,8 @@
     /// `random`.
     pub fn next_step(&mut self, random: u64) -> RecoveryStep {
         if self.highest_known_incarnation > self.incarnation {
-            // Members that responded to the lower incarnation have not recorded the higher one, and would still count votes
-            // of the incarnation in between.
+            // Members that responded to the lower incarnation have not recorded the higher one, and would still count
+            // votes of the incarnation in between.
             self.incarnation = next_incarnation(self.highest_known_incarnation, random);
             self.responses.clear();
         }
@@ -186,8 +188,8 @@
         RecoveryDecision::Query(peers.difference(&respondents).copied().collect())
     }
 
-    /// Decides where no response reports a register: the member recovers only if it is a seed, and if all other seeds have
-    /// amnesia and were configured with the same seeds.
+    /// Decides where no response reports a register: the member recovers only if it is a seed, and if all other seeds
+    /// have amnesia and were configured with the same seeds.
     fn decide_without_register(&self, member: SocketAddr, seeds: &[SocketAddr]) -> RecoveryDecision {
         let membership = initial_membership(seeds.to_vec());
         let has_same_seeds = |seed: &SocketAddr| {
--- a/crates/consensus/src/recovery/tests.rs
+++ b/crates/consensus/src/recovery/tests.rs
@@ -11,8 +11,8 @@
     response(Vote::Amnesic { seeds: addresses(seeds) })
 }
 
-/// Each case has a name, the responses by member, and either the revision of the recovered register or the members that have
-/// to respond first.
+/// Each case has a name, the responses by member, and either the revision of the recovered register or the members that
+/// have to respond first.
 #[test]
 fn recovery_needs_majority_of_newest_named_set() {
     let (first, later) = (membership(1, &[1, 2, 3], &[]), membership(3, &[1, 3, 4], &[]));
--- a/crates/consensus/src/renewal.rs
+++ b/crates/consensus/src/renewal.rs
@@ -1,8 +1,8 @@
 //! The renewal round, in which a majority extends the lease.
 //!
-//! During a change of the set of voters the round needs a majority of both sets (see `membership`). One such round has to
-//! succeed after the joint membership is committed and before the change is finished. Otherwise only voters of the old set
-//! would have granted the lease, while the new set, which has not, could elect another leaseholder.
+//! During a change of the set of voters the round needs a majority of both sets (see `membership`). One such round has
+//! to succeed after the joint membership is committed and before the change is finished. Otherwise only voters of the
+//! old set would have granted the lease, while the new set, which has not, could elect another leaseholder.
 
 use crate::quorum::QuorumTracker;
 use std::net::SocketAddr;
--- a/crates/consensus/src/voter.rs
+++ b/crates/consensus/src/voter.rs
@@ -2,18 +2,19 @@
 //!
 //! # State
 //!
-//! A voter has on disk its [`VoterRecord`], which contains the promised ballot, and the newest accepted register. The lease
-//! that it has granted is kept in memory only.
+//! A voter has on disk its [`VoterRecord`], which contains the promised ballot, and the newest accepted register. The
+//! lease that it has granted is kept in memory only.
 //!
 //! # Invariants
 //!
 //! * The promised ballot never decreases, and nothing is accepted under a lower one.
 //! * A voter grants one lease at a time.
 //! * A vote is sent only after what it promises is on disk ([`VoterOutput`]).
-//! * A restarted voter grants no lease for one lease duration. Leases are not on disk, so it does not remember one that it
-//!   may have granted just before the restart; after one lease duration that lease has expired. The suspension ends sooner if
-//!   the candidate to which the ballot was promised answers that it holds no lease ([`Voter::end_quiet_period`]). Grants are
-//!   not suspended at the first start of a cluster, as nothing was granted before.
+//! * A restarted voter grants no lease for one lease duration. Leases are not on disk, so it does not remember one that
+//!   it may have granted just before the restart; after one lease duration that lease has expired. The suspension ends
+//!   sooner if the candidate to which the ballot was promised answers that it holds no lease
+//!   ([`Voter::end_quiet_period`]). Grants are not suspended at the first start of a cluster, as nothing was granted
+//!   before.
 //! * A voter whose record is missing although the cluster was started before has amnesia: it does not know what it has
 //!   promised, and votes on nothing until it has recovered ([`Voter::complete_recovery`]).
 
@@ -44,9 +45,9 @@
     record: VoterRecord,
     /// The newest accepted register, which is always on disk.
     register: Register,
-    /// The rank of the newest register that this voter learned to be committed; the write of that register may be under way or
-    /// have failed. Nothing older is accepted: such a vote could complete a majority for a register whose content the
-    /// committed one does not include.
+    /// The rank of the newest register that this voter learned to be committed; the write of that register may be under
+    /// way or have failed. Nothing older is accepted: such a vote could complete a majority for a register whose
+    /// content the committed one does not include.
     learned_rank: RegisterRank,
     /// The last granted lease, which may have expired.
     lease: Option<GrantedLease>,
@@ -59,8 +60,8 @@
     unpersisted: UnpersistedFields,
 }
 
-/// The fields of the record that may not be on disk yet, because a write failed or is under way. They are written again with
-/// the next vote that depends on them.
+/// The fields of the record that may not be on disk yet, because a write failed or is under way. They are written again
+/// with the next vote that depends on them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 struct UnpersistedFields {
     ballot: bool,
@@ -116,8 +117,8 @@
         self.record.quota_divisor
     }
 
-    /// Records between how many proxies quotas are divided now; 0 stands for an unknown number and is ignored. Returns what to
-    /// write if the number has changed. No vote depends on that write.
+    /// Records between how many proxies quotas are divided now; 0 stands for an unknown number and is ignored. Returns
+    /// what to write if the number has changed. No vote depends on that write.
     pub fn update_quota_divisor(&mut self, quota_divisor: u32) -> Option<DurableWrite> {
         if self.amnesic || quota_divisor == 0 || quota_divisor == self.record.quota_divisor {
             return None;
@@ -156,8 +157,9 @@
         !self.amnesic && now >= self.grants_suspended_until && self.leaseholder(now).is_none()
     }
 
-    /// Ends the suspension of grants after a restart, once the candidate to which `ballot` was promised has answered that it
-    /// holds no lease under it and never will (see `ballot`). Has no effect for any ballot other than the promised one.
+    /// Ends the suspension of grants after a restart, once the candidate to which `ballot` was promised has answered
+    /// that it holds no lease under it and never will (see `ballot`). Has no effect for any ballot other than the
+    /// promised one.
     pub fn end_quiet_period(&mut self, ballot: Ballot, now: Timestamp) {
         if ballot == self.record.ballot && self.lease.is_none() {
             self.grants_suspended_until = self.grants_suspended_until.min(now);
@@ -165,8 +167,8 @@
     }
 
     /// Takes over a register that the leaseholder has published as committed, if it is newer than the accepted one. A
-    /// majority has accepted the register, so it is taken over even if this voter has promised a higher ballot since. Returns
-    /// what to write. Taking a register over does not count as a vote.
+    /// majority has accepted the register, so it is taken over even if this voter has promised a higher ballot since.
+    /// Returns what to write. Taking a register over does not count as a vote.
     pub fn adopt_committed_register(&mut self, register: &Register) -> Option<DurableWrite> {
         // A register that was learned before is written again, as its write may have failed.
         let is_newer = register.rank() > self.register.rank() && register.rank() >= self.learned_rank;
@@ -177,8 +179,8 @@
         Some(DurableWrite::Register(Box::new(register.clone())))
     }
 
-    /// Records that a write which this voter requested is on disk. Must not be called earlier: the voter's votes rely on what
-    /// it believes to be on disk.
+    /// Records that a write which this voter requested is on disk. Must not be called earlier: the voter's votes rely
+    /// on what it believes to be on disk.
     pub fn mark_persisted(&mut self, write: DurableWrite) {
         match write {
             DurableWrite::VoterRecord(written) => {
@@ -196,8 +198,9 @@
         }
     }
 
-    /// Ends amnesia with the record and the register that were recovered from the other members. Both have to be on disk. Like
-    /// any restarted voter, this one grants no lease for one lease duration: it may have granted one before it lost its disk.
+    /// Ends amnesia with the record and the register that were recovered from the other members. Both have to be on
+    /// disk. Like any restarted voter, this one grants no lease for one lease duration: it may have granted one before
+    /// it lost its disk.
     pub fn complete_recovery(&mut self, recovered: &VoterRecord, register: Register, now: Timestamp) {
         self.record = VoterRecord { ballot: recovered.ballot.max(register.ballot), ..recovered.clone() };
         self.register = register;
--- a/crates/consensus/src/voter/record.rs
+++ b/crates/consensus/src/voter/record.rs
@@ -1,7 +1,7 @@
 //! The record that a voter has on disk besides the register, and the writes that a voter requests.
 
-// The JSON field names must stay as they are in existing records (`promise-0.json`, `promise-1.json`). Rust fields with other
-// names keep them by `serde(rename)`.
+// The JSON field names must stay as they are in existing records (`promise-0.json`, `promise-1.json`). Rust fields with
+// other names keep them by `serde(rename)`.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -19,16 +19,16 @@
     /// The voters at the first start of the cluster. They are used until a register names others.
     #[serde(rename = "founders")]
     pub initial_members: Vec<SocketAddr>,
-    /// The last quota divisor (the number of proxies between which quotas are divided) that this voter knew, or 0 if it knows
-    /// none. If all processes of the cluster are lost, only this record has the number: counting the proxies that report
-    /// first would give too low a divisor.
+    /// The last quota divisor (the number of proxies between which quotas are divided) that this voter knew, or 0 if it
+    /// knows none. If all processes of the cluster are lost, only this record has the number: counting the proxies that
+    /// report first would give too low a divisor.
     #[serde(rename = "doors", default)]
     pub quota_divisor: u32,
     /// The voter's own incarnation, which increases whenever the voter recovers from the loss of its disk.
     #[serde(default)]
     pub incarnation: u64,
-    /// The latest known incarnations of other members. Votes of their earlier incarnations are not counted together with votes
-    /// of this voter.
+    /// The latest known incarnations of other members. Votes of their earlier incarnations are not counted together
+    /// with votes of this voter.
     #[serde(rename = "incarnations", default)]
     pub peer_incarnations: BTreeMap<SocketAddr, u64>,
 }
@@ -44,9 +44,9 @@
 
 /// The answer of a voter to a request.
 ///
-/// The vote must not be sent before `write` is on disk and [`super::Voter::mark_persisted`] was called: a voter that sent it
-/// and crashed before the write would not remember what it had promised. If the write fails, [`Vote::StorageFailed`] is sent
-/// instead.
+/// The vote must not be sent before `write` is on disk and [`super::Voter::mark_persisted`] was called: a voter that
+/// sent it and crashed before the write would not remember what it had promised. If the write fails,
+/// [`Vote::StorageFailed`] is sent instead.
 #[derive(Clone, Debug)]
 pub struct VoterOutput {
     /// The vote to send.
--- a/crates/consensus/src/voter/requests.rs
+++ b/crates/consensus/src/voter/requests.rs
@@ -44,15 +44,15 @@
         }
     }
 
-    /// Extends the lease under the promised ballot. A voter that missed the election joins the majority behind the lease by a
-    /// renewal under a ballot higher than its own, which it thereby promises.
+    /// Extends the lease under the promised ballot. A voter that missed the election joins the majority behind the
+    /// lease by a renewal under a ballot higher than its own, which it thereby promises.
     ///
-    /// A renewal under the promised ballot is accepted even while grants are suspended after a restart: no other candidate
-    /// uses that ballot, and this voter has granted no lease under a higher one.
+    /// A renewal under the promised ballot is accepted even while grants are suspended after a restart: no other
+    /// candidate uses that ballot, and this voter has granted no lease under a higher one.
     ///
-    /// Such a renewal may be accepted while the disk is slow or busy with another write. It changes nothing durable: the
-    /// ballot is on disk already, and the lease itself is never written, since a restarted voter grants no lease for one lease
-    /// duration anyway. Only a renewal under a ballot that is not on disk yet has to wait for a write.
+    /// Such a renewal may be accepted while the disk is slow or busy with another write. It changes nothing durable:
+    /// the ballot is on disk already, and the lease itself is never written, since a restarted voter grants no lease
+    /// for one lease duration anyway. Only a renewal under a ballot that is not on disk yet has to wait for a write.
     fn handle_renewal(&mut self, ballot: Ballot, leaseholder: SocketAddr, now: Timestamp) -> VoterOutput {
         let is_higher = ballot > self.record.ballot;
         if ballot < self.record.ballot || is_higher && !self.may_grant_lease(leaseholder, now) {
@@ -64,8 +64,8 @@
         VoterOutput { vote: Vote::Accepted, write }
     }
 
-    /// Accepts a register under the promised ballot or a higher one, unless it is older than the one that was accepted or
-    /// learned. It becomes this voter's register once it is on disk.
+    /// Accepts a register under the promised ballot or a higher one, unless it is older than the one that was accepted
+    /// or learned. It becomes this voter's register once it is on disk.
     fn handle_accept(&self, register: Register, now: Timestamp) -> VoterOutput {
         // A register without voters is refused: no candidate could win an election after it.
         let names_no_membership = register.membership.epoch == 0;
@@ -88,9 +88,9 @@
         VoterOutput::without_write(Vote::Accepted)
     }
 
-    /// Reports to a member with amnesia what this voter has promised and accepted, and records the member's new incarnation.
-    /// The incarnation is on disk before the response is sent: from then on, votes of the member's earlier incarnations must
-    /// not be counted together with those of this voter.
+    /// Reports to a member with amnesia what this voter has promised and accepted, and records the member's new
+    /// incarnation. The incarnation is on disk before the response is sent: from then on, votes of the member's earlier
+    /// incarnations must not be counted together with those of this voter.
     fn handle_recovery(&mut self, member: SocketAddr, incarnation: u64) -> VoterOutput {
         let known = self.record.peer_incarnations.get(&member).copied().unwrap_or(0);
         if incarnation < known {
@@ -106,8 +106,8 @@
         }
     }
 
-    /// Returns whether a lease may be granted to this candidate: no other candidate's lease is valid at this voter, and no
-    /// lease that it granted before a restart can still be valid.
+    /// Returns whether a lease may be granted to this candidate: no other candidate's lease is valid at this voter, and
+    /// no lease that it granted before a restart can still be valid.
     fn may_grant_lease(&self, candidate: SocketAddr, now: Timestamp) -> bool {
         let is_held_by_another =
             self.lease.is_some_and(|lease| lease.is_valid(now) && lease.leaseholder != candidate);
--- a/crates/consensus/src/voter/tests.rs
+++ b/crates/consensus/src/voter/tests.rs
@@ -241,8 +241,9 @@
     assert_eq!(read, VoterRecord { ballot: Ballot(7), ..VoterRecord::default() });
 }
 
-/// Runs three voters through seeded random histories of elections, accept rounds and disk losses. No two registers may be
-/// accepted by majorities under one revision, and every later leaseholder has to find the last acknowledged register.
+/// Runs three voters through seeded random histories of elections, accept rounds and disk losses. No two registers may
+/// be accepted by majorities under one revision, and every later leaseholder has to find the last acknowledged
+/// register.
 #[test]
 fn later_leaseholders_find_every_acknowledged_register() {
     for seed in 0..400 {
