--- a/crates/consensus/src/follower_tracker.rs
+++ b/crates/consensus/src/follower_tracker.rs
@@ -50,7 +50,7 @@
 
 impl FollowerTracker {
     /// Starts tracking when the lease is acquired. If the lease was lost only shortly, tracking continues as if that
-    /// time, in which no controller followed, had not passed: the failure time-out of a failed voter does not start
+    /// time, in which no controller followed, had not passed: the failure timeout of a failed voter does not start
     /// anew.
     pub fn lease_acquired(&mut self, now: Timestamp) {
         let gap = self.lease_lost_at.take().map(|lost_at| now.since(lost_at));
--- a/crates/consensus/src/follower_tracker/tests.rs
+++ b/crates/consensus/src/follower_tracker/tests.rs
@@ -40,7 +40,7 @@
     assert!(of(2).out_of_sync_for.is_zero() && of(2).in_sync_for > PROMOTION_DELAY, "{:?}", of(2));
     assert!(of(3).out_of_sync_for > Duration::from_secs(2) && of(3).in_sync_for.is_zero(), "{:?}", of(3));
     let have_failed = of(4).out_of_sync_for > FAILURE_TIMEOUT && of(5).out_of_sync_for > FAILURE_TIMEOUT;
-    assert!(have_failed, "the lease has been held for longer than the failure time-out");
+    assert!(have_failed, "the lease has been held for longer than the failure timeout");
     assert!(of(1).out_of_sync_for.is_zero());
     let in_sync = |numbers: &[u8]| majority_in_sync(&address_set(numbers), &all);
     assert!(in_sync(&[1, 2, 3]) && !in_sync(&[1, 3, 4]) && !in_sync(&[1, 5]));
