--- a/crates/consensus/src/voter.rs
+++ b/crates/consensus/src/voter.rs
@@ -13,7 +13,7 @@
 //! * A restarted voter grants no lease for one lease duration. Leases are not on disk, so it does not remember one that
 //!   it may have granted just before the restart; after one lease duration that lease has expired. The suspension ends
 //!   sooner if the candidate to which the ballot was promised answers that it holds no lease
-//!   ([`Voter::end_quiet_period`]). Grants are not suspended at the first start of a cluster, as nothing was granted
+//!   ([`Voter::end_grant_suspension`]). Grants are not suspended at the first start of a cluster, as nothing was granted
 //!   before.
 //! * A voter whose record is missing although the cluster was started before has amnesia: it does not know what it has
 //!   promised, and votes on nothing until it has recovered ([`Voter::complete_recovery`]).
@@ -160,7 +160,7 @@
     /// Ends the suspension of grants after a restart, once the candidate to which `ballot` was promised has answered
     /// that it holds no lease under it and never will (see `ballot`). Has no effect for any ballot other than the
     /// promised one.
-    pub fn end_quiet_period(&mut self, ballot: Ballot, now: Timestamp) {
+    pub fn end_grant_suspension(&mut self, ballot: Ballot, now: Timestamp) {
         if ballot == self.record.ballot && self.lease.is_none() {
             self.grants_suspended_until = self.grants_suspended_until.min(now);
         }
--- a/crates/consensus/src/voter/tests.rs
+++ b/crates/consensus/src/voter/tests.rs
@@ -115,12 +115,12 @@
 #[test]
 fn restarted_voter_may_campaign_once_ballot_is_renounced() {
     let mut restarted = restarted_voter(Some(&record_with_ballot(2 << 8)), START);
-    restarted.end_quiet_period(Ballot(1 << 8), START);
+    restarted.end_grant_suspension(Ballot(1 << 8), START);
     assert!(
         !restarted.may_campaign(START),
         "a renounced ballot other than the promised one must not end the suspension"
     );
-    restarted.end_quiet_period(Ballot(2 << 8), START);
+    restarted.end_grant_suspension(Ballot(2 << 8), START);
     assert!(restarted.may_campaign(START));
 }
 
--- a/crates/consensus/tests/model/checker.rs
+++ b/crates/consensus/tests/model/checker.rs
@@ -77,7 +77,7 @@
         // Members that are not initial voters have joined later and have recovered before the start.
         let kind = if index < self.initial_voters { StartKind::Initial } else { StartKind::Restart };
         let mut voter = Voter::start(Some(&record), None, &self.seeds(), kind, start);
-        voter.end_quiet_period(Ballot(0), start);
+        voter.end_grant_suspension(Ballot(0), start);
         Member::new(voter, record)
     }
 
--- a/crates/consensus/tests/model/restart.rs
+++ b/crates/consensus/tests/model/restart.rs
@@ -25,7 +25,7 @@
         let (record, register) = (member.record_on_disk.as_ref(), member.register_on_disk.clone());
         member.voter = Voter::start(record, register, &self.seeds(), StartKind::Restart, now);
         if self.has_mutation(Mutation::NoGrantSuspension) {
-            member.voter.end_quiet_period(member.voter.promised_ballot(), now);
+            member.voter.end_grant_suspension(member.voter.promised_ballot(), now);
         }
         if member.voter.is_amnesic() {
             self.recover(state, index, random);
@@ -52,7 +52,7 @@
         if !self.has_mutation(Mutation::ClaimNotRenounced) {
             promised_member.claim = claim;
         }
-        state.members[asker].voter.end_quiet_period(record.ballot, now);
+        state.members[asker].voter.end_grant_suspension(record.ballot, now);
     }
 
     fn recover(&self, state: &mut ClusterState, index: usize, random: u64) {
@@ -129,7 +129,7 @@
         member.register_on_disk = Some(register.clone());
         member.voter.complete_recovery(&record, register, now);
         if self.has_mutation(Mutation::NoGrantSuspension) {
-            member.voter.end_quiet_period(member.voter.promised_ballot(), now);
+            member.voter.end_grant_suspension(member.voter.promised_ballot(), now);
         }
     }
 
--- a/programs/controller/src/replica/recovery.rs
+++ b/programs/controller/src/replica/recovery.rs
@@ -36,7 +36,7 @@
                 Some(true) => return,
                 Some(false) => {
                     let now = self.now();
-                    return self.voter.borrow_mut().end_quiet_period(record.ballot, now);
+                    return self.voter.borrow_mut().end_grant_suspension(record.ballot, now);
                 }
                 None => sleep(LEASE_QUERY_INTERVAL).await,
             }
