--- a/crates/consensus/src/ballot.rs
+++ b/crates/consensus/src/ballot.rs
@@ -40,7 +40,7 @@
 
     /// Answers a restarted voter that asks whether the lease under `ballot` is still held. If it is not, the claim on
     /// that ballot is renounced.
-    pub fn answer_inquiry(&mut self, ballot: Ballot, lease: Option<HeldLease>, now: Timestamp) -> bool {
+    pub fn answer_lease_query(&mut self, ballot: Ballot, lease: Option<HeldLease>, now: Timestamp) -> bool {
         let held = lease.is_some_and(|lease| lease.ballot == ballot && lease.is_valid(now));
         self.renounced |= !held && self.ballot == ballot;
         held
--- a/crates/consensus/src/ballot/tests.rs
+++ b/crates/consensus/src/ballot/tests.rs
@@ -14,14 +14,14 @@
 fn renounced_ballot_is_never_valid_again() {
     let mut claim = BallotClaim::new(Ballot(7));
     let lease = Some(HeldLease::granted(Ballot(7), START));
-    assert!(claim.answer_inquiry(Ballot(7), lease, START) && claim.is_valid_for(Ballot(7)));
-    let held = claim.answer_inquiry(Ballot(3), lease, START);
+    assert!(claim.answer_lease_query(Ballot(7), lease, START) && claim.is_valid_for(Ballot(7)));
+    let held = claim.answer_lease_query(Ballot(3), lease, START);
     assert!(
         !held && claim.is_valid_for(Ballot(7)),
         "a query for an older ballot must not renounce the current one"
     );
-    assert!(!claim.answer_inquiry(Ballot(7), None, START) && !claim.is_valid_for(Ballot(7)));
+    assert!(!claim.answer_lease_query(Ballot(7), None, START) && !claim.is_valid_for(Ballot(7)));
     let mut expired = BallotClaim::new(Ballot(7));
-    let held = expired.answer_inquiry(Ballot(7), lease, START.after(LEASE_DURATION));
+    let held = expired.answer_lease_query(Ballot(7), lease, START.after(LEASE_DURATION));
     assert!(!held && !expired.is_valid_for(Ballot(7)));
 }
--- a/crates/consensus/tests/model/restart.rs
+++ b/crates/consensus/tests/model/restart.rs
@@ -45,7 +45,7 @@
         let promised_member = &mut state.members[promised_to];
         let mut claim = promised_member.claim;
         if !promised_member.running
-            || claim.answer_inquiry(record.ballot, promised_member.lease, time_at_promised)
+            || claim.answer_lease_query(record.ballot, promised_member.lease, time_at_promised)
         {
             return;
         }
--- a/programs/controller/src/replica.rs
+++ b/programs/controller/src/replica.rs
@@ -201,7 +201,7 @@
     /// under it. Where it does not, it never will.
     pub fn confirm_lease(&self, ballot: Ballot) -> bool {
         let mut claim = self.claim.get();
-        let holds_lease = claim.answer_inquiry(ballot, self.lease.get(), self.now());
+        let holds_lease = claim.answer_lease_query(ballot, self.lease.get(), self.now());
         self.claim.set(claim);
         holds_lease
     }
