--- a/crates/consensus/src/election.rs
+++ b/crates/consensus/src/election.rs
@@ -29,7 +29,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ElectionOutcome {
     /// The newest reported register names other voters: these have to be asked for the lease, too.
-    QueryAlso(BTreeSet<SocketAddr>),
+    QueryMoreVoters(BTreeSet<SocketAddr>),
     /// The lease is granted. This register, the newest reported one, has to be accepted under the new ballot before
     /// anything else is proposed.
     Won(Box<Register>),
@@ -67,7 +67,7 @@
             self.tally.set_membership(found.membership.clone());
             self.membership_rank = found.rank();
             if !self.tally.has_quorum() {
-                return ControlFlow::Break(ElectionOutcome::QueryAlso(self.voters_without_response()));
+                return ControlFlow::Break(ElectionOutcome::QueryMoreVoters(self.voters_without_response()));
             }
         }
         if self.membership().voters.contains(&self.candidate) {
--- a/crates/consensus/src/election/tests.rs
+++ b/crates/consensus/src/election/tests.rs
@@ -30,7 +30,7 @@
     let newer = register(1, 2, change);
     let outcome = election.record_response(address(2), granted(newer.clone()));
     let others = [3, 4, 5].map(address).into();
-    assert_eq!(outcome, ControlFlow::Break(ElectionOutcome::QueryAlso(others)));
+    assert_eq!(outcome, ControlFlow::Break(ElectionOutcome::QueryMoreVoters(others)));
     assert!(
         election.record_response(address(3), granted(register(1, 1, voters(&[1, 2, 3])))).is_continue(),
         "of the new set only 1 has granted the lease"
@@ -49,7 +49,7 @@
     let begun = register(1, 1, change);
     let outcome = election.record_response(address(3), granted(begun));
     let others = [2, 4].map(address).into();
-    assert_eq!(outcome, ControlFlow::Break(ElectionOutcome::QueryAlso(others)));
+    assert_eq!(outcome, ControlFlow::Break(ElectionOutcome::QueryMoreVoters(others)));
 }
 
 #[test]
@@ -58,7 +58,7 @@
     assert!(election.record_response(address(1), granted(register(1, 1, voters(&[1, 2, 3])))).is_continue());
     assert!(matches!(
         election.record_response(address(2), granted(register(1, 2, voters(&[2, 3, 4])))),
-        ControlFlow::Break(ElectionOutcome::QueryAlso(others)) if others == [3, 4].map(address).into()
+        ControlFlow::Break(ElectionOutcome::QueryMoreVoters(others)) if others == [3, 4].map(address).into()
     ));
     let outcome = election.record_response(address(3), granted(register(1, 1, voters(&[1, 2, 3]))));
     assert_eq!(outcome, ControlFlow::Break(ElectionOutcome::NotAVoter));
--- a/crates/consensus/tests/model/delivery.rs
+++ b/crates/consensus/tests/model/delivery.rs
@@ -96,7 +96,7 @@
             }
             // All voters have responded without a decision: the election is lost, and the granted leases are released.
             ControlFlow::Continue(()) => self.release_lost_election(state, candidate, &pending),
-            ControlFlow::Break(ElectionOutcome::QueryAlso(others)) => {
+            ControlFlow::Break(ElectionOutcome::QueryMoreVoters(others)) => {
                 // Voters that have not responded are asked again. Their responses to the first request are not counted.
                 let is_of_round = |one: &Message| one.requester == candidate && one.round == round;
                 state.messages.retain(|one| !(is_of_round(one) && one.response.is_some()));
--- a/programs/controller/src/replica/election.rs
+++ b/programs/controller/src/replica/election.rs
@@ -141,7 +141,7 @@
                 decided = self.collect_votes(&voters, request.clone(), record_response).await;
             }
             match decided.take() {
-                Some(ElectionOutcome::QueryAlso(other_voters)) => voters = other_voters,
+                Some(ElectionOutcome::QueryMoreVoters(other_voters)) => voters = other_voters,
                 Some(ElectionOutcome::Won(found)) => return Some(*found),
                 Some(ElectionOutcome::NotAVoter) | None => return None,
             }
