--- a/crates/consensus/tests/model/delivery.rs
+++ b/crates/consensus/tests/model/delivery.rs
@@ -98,8 +98,9 @@
             ControlFlow::Continue(()) => self.release_lost_election(state, candidate, &pending),
             ControlFlow::Break(ElectionOutcome::QueryMoreVoters(others)) => {
                 // Voters that have not responded are asked again. Their responses to the first request are not counted.
-                let is_of_round = |one: &Message| one.requester == candidate && one.round == round;
-                state.messages.retain(|one| !(is_of_round(one) && one.response.is_some()));
+                let is_of_round =
+                    |in_flight: &Message| in_flight.requester == candidate && in_flight.round == round;
+                state.messages.retain(|in_flight| !(is_of_round(in_flight) && in_flight.response.is_some()));
                 pending.round = self.start_round(state, candidate, &others, message.request);
                 state.members[candidate].election = Some(pending);
             }
