--- a/programs/controller/src/replica.rs
+++ b/programs/controller/src/replica.rs
@@ -205,7 +205,7 @@
     /// the lease under it. After answering `false` this process never acquires the lease under that ballot.
     pub fn confirm_lease(&self, ballot: Ballot) -> bool {
         let mut claim = self.claim.get();
-        let holds_lease = claim.answer_inquiry(ballot, self.lease.get(), self.now());
+        let holds_lease = claim.answer_lease_query(ballot, self.lease.get(), self.now());
         self.claim.set(claim);
         holds_lease
     }
--- a/programs/controller/src/replica/election.rs
+++ b/programs/controller/src/replica/election.rs
@@ -144,7 +144,7 @@
                 decided = self.collect_votes(&voters, request.clone(), record_response).await;
             }
             match decided.take() {
-                Some(ElectionOutcome::QueryAlso(other_voters)) => voters = other_voters,
+                Some(ElectionOutcome::QueryMoreVoters(other_voters)) => voters = other_voters,
                 Some(ElectionOutcome::Won(inherited)) => return Some(*inherited),
                 Some(ElectionOutcome::NotAVoter) | None => return None,
             }
