--- a/crates/clock/tests/clock.rs
+++ b/crates/clock/tests/clock.rs
@@ -1,10 +1,10 @@
-//! Arithmetic of timestamps, and waiting by a clock that runs fast or slow.
+//! Timestamp arithmetic, and timers on clocks that advance faster or slower than real time.
 
 use std::time::Duration;
 use vanewharf_clock::{MonotonicClock, Timestamp};
 
 #[test]
-fn timestamps_count_tenths_of_a_millisecond_and_saturate() {
+fn timestamp_arithmetic_rounds_to_ticks_and_saturates() {
     let start = Timestamp(1_000_000_000);
     let later = start.after(Duration::from_millis(250));
     assert_eq!(later, Timestamp(1_000_002_500));
@@ -16,7 +16,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_clock_shows_a_timestamp_at_the_instant_that_it_names_for_it() {
+async fn a_clock_has_reached_a_timestamp_at_its_instant() {
     for rate in [1.0, 0.999_7, 1.000_3, 3.0] {
         let clock = MonotonicClock::with_rate(rate);
         for millis in [1, 333, 60_000] {
--- a/crates/config/src/configuration.rs
+++ b/crates/config/src/configuration.rs
@@ -1,116 +1,116 @@
-//! Configurations as operators send them: routes, services, limits and customers.
+//! Operators' configurations: routes, services, limits and customers.
 //!
-//! A configuration is validated as a whole; one that fails is never in force, not even in part.
+//! A configuration is validated as a whole. An invalid one is refused and no part of it is applied.
 
 use crate::document::{self, DocumentResult, JsonNode};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// A route's latency target lies less than this above its deadline.
+/// The amount by which a route's latency target may exceed its deadline, exclusive.
 const MAX_TARGET_ABOVE_DEADLINE: Duration = Duration::from_secs(60);
-/// The weight of the one service of a route without a split.
+/// The weight of the only service of a route without a weighted split.
 const SOLE_SERVICE_WEIGHT: f64 = 1.0;
 
-/// The number of a configuration; documents write it as `r12`.
+/// The revision number of a configuration, written as `r12` in documents.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ConfigRevision(pub u64);
 
-/// Whether requests on a route change anything at the backend.
+/// Whether the requests of a route have side effects at the backend.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RouteKind {
-    /// They do not, so they may be sent to a second backend.
+    /// Requests have no side effects, so they can be retried at another backend.
     ReadOnly,
-    /// They may.
+    /// Requests may have side effects.
     Mutating,
 }
 
-/// One of a route's services.
+/// A service of a route, with its weight.
 #[derive(Clone, Debug, PartialEq)]
 pub struct WeightedService {
-    /// The service's name.
+    /// The name of the service.
     pub service: String,
-    /// Its share of the route's requests, relative to the other weights.
+    /// The share of the route's requests that the service receives, relative to the other weights.
     pub weight: f64,
 }
 
-/// Which requests go to which services, and on what terms.
+/// A rule that forwards requests with a given host name and path prefix to services.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
-    /// In lower case.
+    /// The host name of the route's requests, in lower case.
     pub hostname: String,
-    /// Begins and ends with a slash.
+    /// The path prefix of the route's requests. It begins and ends with a slash.
     pub path_prefix: String,
-    /// Whether its requests change anything.
+    /// Whether the route's requests have side effects.
     pub kind: RouteKind,
-    /// For a request from its arrival to its response.
+    /// The maximum time from the arrival of a request to its response.
     pub deadline: Duration,
-    /// The latency to aim for.
+    /// The latency objective of the route's requests.
     pub latency_target: Duration,
-    /// Under overload, requests with a lower one are worth more.
+    /// The priority of the route's requests under overload; a lower number is more important.
     pub precedence: u64,
-    /// At least one, and the sum of the weights is above 0.
+    /// The services that the route's requests are split among: at least one, with a sum of weights above 0.
     pub services: Vec<WeightedService>,
-    /// Attempts at a request, the first one included; at least 1.
+    /// The maximum number of attempts per request, including the first; at least 1.
     pub max_attempts: u64,
-    /// Whether its requests need no access key.
+    /// Whether requests without an access key are admitted.
     pub public: bool,
-    /// The regions where its requests must be served; empty: any.
+    /// The regions that may serve the route's requests; empty if all may.
     pub home_regions: Vec<String>,
 }
 
-/// A service that backends run.
+/// A service that is run by backends.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Service {
-    /// The path of its health check.
+    /// The path of the health check.
     pub health_path: String,
-    /// Connections to one backend at a time.
+    /// The maximum number of concurrent connections to one backend.
     pub connection_limit: u64,
-    /// How long a new backend warms up.
+    /// The duration of the warm-up of a new backend.
     pub warmup: Duration,
-    /// The requests a second that a backend may get while it warms up.
+    /// The maximum number of requests per second to a backend during its warm-up.
     pub warmup_per_s: f64,
 }
 
-/// A tenant, who is known by access keys.
+/// A tenant. Its requests are identified by their access keys.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Customer {
-    /// None of them is another customer's too.
+    /// The customer's access keys. No two customers share a key.
     pub access_keys: Vec<String>,
-    /// Validated, but without effect so far.
+    /// The customer's precedence. It is validated but not used.
     pub precedence: u64,
-    /// The quota in requests a second; 0: no limit.
+    /// The quota in requests per second; 0 means unlimited.
     pub rate_per_s: f64,
-    /// Requests above the rate that may be admitted at once.
+    /// The number of requests above the rate that may be admitted in a burst.
     pub burst_allowance: f64,
-    /// The regions where its requests must be served; empty: any.
+    /// The regions that may serve the customer's requests; empty if all may.
     pub home_regions: Vec<String>,
 }
 
-/// Limits for clients' requests.
+/// Limits on clients' requests and connections.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Limits {
-    /// For the head of a request.
+    /// The maximum size of a request's head.
     pub max_header_bytes: u64,
-    /// For the body of a request.
+    /// The maximum size of a request's body.
     pub max_body_bytes: u64,
-    /// For the head of a request to arrive.
+    /// The maximum time in which the head of a request must arrive.
     pub header_deadline: Duration,
-    /// For a connection between two requests.
+    /// The maximum time that a connection may be idle between two requests.
     pub idle_timeout: Duration,
 }
 
 /// A validated configuration.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Config {
-    /// Its number.
+    /// The revision number of the configuration.
     pub revision: ConfigRevision,
-    /// By name.
+    /// The routes by name.
     pub routes: BTreeMap<String, Route>,
-    /// By name; all that routes refer to are there.
+    /// The services by name, including every service that a route refers to.
     pub services: BTreeMap<String, Service>,
-    /// For clients' requests.
+    /// Limits on clients' requests and connections.
     pub limits: Limits,
-    /// By name; none where access keys are not required.
+    /// The customers by name; `None` if access keys are not required.
     pub customers: Option<BTreeMap<String, Customer>>,
 }
 
@@ -119,7 +119,7 @@
     ///
     /// # Errors
     ///
-    /// The first fault that is found.
+    /// The first missing or invalid field.
     pub fn parse(text: &[u8]) -> DocumentResult<Config> {
         let value = document::parse(text)?;
         let root = JsonNode::root(&value);
@@ -204,7 +204,7 @@
     Ok(path_prefix.to_owned())
 }
 
-/// Where both fields are there, the split counts.
+/// Reads the services of a route from `weighted_split` or, if that field is missing, from `service`.
 fn parse_route_services(route: &JsonNode<'_>) -> DocumentResult<Vec<WeightedService>> {
     match (route.optional("service")?, route.optional("weighted_split")?) {
         (_, Some(split)) => parse_split(&split),
--- a/crates/config/src/configuration/tests.rs
+++ b/crates/config/src/configuration/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use yare::parameterized;
 
-/// A valid configuration with each optional field present at least once.
+/// Returns a valid configuration in which each optional field occurs at least once.
 fn valid_text() -> String {
     r#"{"revision":"r7","routes":{"one":{"hostname":"A.example","path_prefix":"/a/","route_kind":"read_only",
     "deadline":"1000ms","target":"400ms","precedence":2,"weighted_split":[{"service":"s","weight":90},
@@ -22,7 +22,7 @@
     let (one, two) = (&config.routes["one"], &config.routes["two"]);
     assert_eq!((one.hostname.as_str(), one.services.len()), ("a.example", 2));
     assert_eq!((two.deadline, two.kind), (Duration::from_millis(2500), RouteKind::Mutating));
-    let customers = config.customers.expect("there are some");
+    let customers = config.customers.expect("customers are configured");
     assert_eq!((customers["c"].rate_per_s, customers["d"].rate_per_s), (245.0, 0.0));
 }
 
@@ -43,7 +43,7 @@
     no_limits = { "\"limits\"", "\"bounds\"", "limits is missing" },
     malformed_duration = { "3000ms", "soon", "limits.header_deadline is not a time such as 1500ms or 2.5s" }
 )]
-fn an_invalid_configuration_is_refused_with_the_place_of_the_fault(from: &str, to: &str, error: &str) {
+fn an_invalid_configuration_is_refused_with_the_path_of_the_field(from: &str, to: &str, error: &str) {
     let invalid = valid_text().replace(from, to);
     assert_ne!(invalid, valid_text());
     assert_eq!(Config::parse(invalid.as_bytes()).expect_err("invalid").to_string(), error);
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,5 +1,5 @@
-//! Settings files of processes and configurations of operators: parsing and validation, with errors that name
-//! the place in the document.
+//! Parsing and validation of the processes' settings files and of operators' configurations. Errors contain the path
+//! of the invalid field.
 
 #![forbid(unsafe_code)]
 
--- a/crates/config/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -1,4 +1,5 @@
-//! The settings file that the platform writes for each process. Unknown fields are ignored.
+//! Parsing and validation of the settings file, which the platform writes for each process. Unknown fields are
+//! ignored.
 
 use crate::document::{self, DocumentError, DocumentResult, JsonNode};
 use std::collections::BTreeMap;
@@ -9,128 +10,129 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// The environment variable with the path of the settings file.
+/// The environment variable that contains the path of the settings file.
 const PATH_VARIABLE: &str = "VANEWHARF_SETTINGS";
 
-/// Offsets from the first internal port: the controller for internal calls, the agent for other agents, and
-/// the agent for the proxy on its machine.
+/// The port of a controller for internal calls, as an offset from the first internal port.
 const CONTROLLER_PORT_OFFSET: u16 = 0;
+/// The port of an agent for calls from other agents, as an offset from the first internal port.
 const AGENT_PORT_OFFSET: u16 = 1;
+/// The port of an agent for calls from the proxy on its machine, as an offset from the first internal port.
 const AGENT_LOOPBACK_PORT_OFFSET: u16 = 2;
 
-/// Machine losses that are tolerated unless the settings name another number.
+/// The number of simultaneous machine losses that are tolerated by default.
 const DEFAULT_MACHINE_LOSSES: u64 = 1;
 
-/// Why a process has no settings.
+/// The reason why the settings of a process cannot be loaded.
 #[derive(Debug, Error)]
 pub enum SettingsError {
-    /// No path is given.
+    /// The environment variable with the path of the settings file is not set.
     #[error("VANEWHARF_SETTINGS is not set")]
     PathNotSet,
     /// The file cannot be read.
     #[error("cannot read {path}: {source}")]
     Unreadable {
-        /// Of the file.
+        /// The path of the file.
         path: PathBuf,
-        /// Why.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// The file's content is not valid.
+    /// The content of the file is not valid.
     #[error("cannot read {path}: {source}")]
     Malformed {
-        /// Of the file.
+        /// The path of the file.
         path: PathBuf,
-        /// What is wrong with it.
+        /// The validation error.
         source: DocumentError,
     },
 }
 
-/// Limits on the system as a whole, as far as the programs need them.
+/// Limits on the system as a whole. Only the limits that the programs use are read.
 #[derive(Clone, Debug)]
 pub struct LimitsTable {
-    /// Whether the limit on revocation holds for proxies without contact to the leaseholder too.
+    /// Whether the limit on revocation also applies to proxies that cannot reach the leaseholder.
     pub revocation_global: bool,
-    /// How long a revoked access key may still be let in.
+    /// The maximum time for which a revoked access key may still be accepted.
     pub revocation: Duration,
-    /// From SIGTERM to the end of the process.
+    /// The maximum time from SIGTERM to the end of the process.
     pub grace_period: Duration,
-    /// The longest that clients may cache an answer of the registry.
+    /// The maximum time for which clients may cache an answer of the directory service.
     pub ttl_max: Duration,
-    /// Requests above a tenant's quota that may be admitted, over all proxies.
+    /// The number of requests above a tenant's quota that all proxies together may admit.
     pub rate_allowance: f64,
-    /// Retries in relation to requests.
+    /// The maximum number of retries per request, within a window.
     pub retry_ratio: f64,
-    /// The window over which retries are counted.
+    /// The length of the window over which retries are counted.
     pub retry_window: Duration,
-    /// Retries in a window in addition to the ratio.
+    /// The number of retries per window that are allowed in addition to the ratio.
     pub retry_allowance: f64,
-    /// By what factor the requests to a backend that warms up may exceed its limit.
+    /// The factor by which the requests to a backend that is warming up may exceed its limit.
     pub warmup_overshoot: f64,
-    /// Requests to backends that warm up in addition to the factor.
+    /// The number of requests to a backend that is warming up that are allowed in addition to the factor.
     pub warmup_allowance: f64,
 }
 
-/// The platform's API with the list of backends.
+/// The platform's API that lists the backends.
 #[derive(Clone, Debug)]
 pub struct CloudApi {
-    /// Where it serves HTTP.
+    /// The address of its HTTP server.
     pub address: SocketAddr,
-    /// Calls a second that it permits.
+    /// The maximum number of calls per second.
     pub rate_per_s: f64,
-    /// How far its list may lag behind.
+    /// The maximum time by which its list may lag behind the actual backends.
     pub allowed_lag: Duration,
 }
 
-/// The ports for calls between the system's own processes; at least three.
+/// The range of at least three ports that the system's processes use for calls to each other.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PortRange {
-    /// The first one.
+    /// The first port of the range.
     pub first: u16,
-    /// The last one.
+    /// The last port of the range, inclusive.
     pub last: u16,
 }
 
 /// The settings of one process.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// The node's name.
+    /// The name of the node.
     pub name: String,
-    /// The machine's address.
+    /// The IP address of the machine.
     pub ip: IpAddr,
-    /// The machine's zone.
+    /// The zone of the machine.
     pub zone: String,
-    /// The machine's region.
+    /// The region of the machine.
     pub region: String,
     /// The region of each zone.
     pub zones: BTreeMap<String, String>,
-    /// Where the process listens, by the kind of client.
+    /// The addresses on which the process listens, by kind of client.
     pub listen_addresses: BTreeMap<String, SocketAddr>,
-    /// For calls between the system's own processes.
+    /// The ports for calls between the system's processes.
     pub internal_ports: PortRange,
-    /// Controllers to contact where no others are known; only the machines' addresses count, not the ports.
+    /// The controllers to contact while no others are known. Only their IP addresses are used, not the ports.
     pub seeds: Vec<SocketAddr>,
-    /// Whether this is the system's first start, so that there is no state to recover.
+    /// Whether this is the first start of the whole system, so that there is no state to recover.
     pub initial_start: bool,
-    /// Memory for the process, in MB.
+    /// The memory limit of the process, in MB.
     pub memory_mb: u64,
-    /// File descriptors for the process.
+    /// The limit on the file descriptors of the process.
     pub file_descriptors: u64,
-    /// None where the machine has no disk.
+    /// The directory for durable data; `None` if the machine has no disk.
     pub data_directory: Option<PathBuf>,
-    /// How many machines with a disk may be lost at once.
+    /// The number of machines with a disk that may be lost at the same time.
     pub tolerated_machine_losses: u64,
     /// Limits on the system as a whole.
     pub limits_table: LimitsTable,
-    /// None where the process does not use it.
+    /// The platform's API; `None` if the process does not use it.
     pub cloud_api: Option<CloudApi>,
 }
 
 impl Settings {
-    /// The path of the settings file, by the environment variable `VANEWHARF_SETTINGS`.
+    /// Returns the path of the settings file from the environment variable `VANEWHARF_SETTINGS`.
     ///
     /// # Errors
     ///
-    /// [`SettingsError::PathNotSet`].
+    /// [`SettingsError::PathNotSet`] if the variable is not set.
     pub fn path_from_environment() -> Result<PathBuf, SettingsError> {
         std::env::var_os(PATH_VARIABLE).map(PathBuf::from).ok_or(SettingsError::PathNotSet)
     }
@@ -139,7 +141,8 @@
     ///
     /// # Errors
     ///
-    /// [`SettingsError::Unreadable`] and [`SettingsError::Malformed`].
+    /// [`SettingsError::Unreadable`] if the file cannot be read, [`SettingsError::Malformed`] if its content is not
+    /// valid.
     pub fn read(path: PathBuf) -> Result<Settings, SettingsError> {
         let text = match std::fs::read(&path) {
             Ok(text) => text,
@@ -152,7 +155,7 @@
     ///
     /// # Errors
     ///
-    /// The first fault that is found.
+    /// The first missing or invalid field.
     pub fn parse(text: &[u8]) -> DocumentResult<Settings> {
         let value = document::parse(text)?;
         let root = JsonNode::root(&value);
@@ -190,29 +193,29 @@
         })
     }
 
-    /// Where this process listens for that kind of client.
+    /// Returns the address on which this process listens for the given kind of client.
     ///
     /// # Errors
     ///
-    /// [`DocumentError::Missing`] where the settings name none.
+    /// [`DocumentError::Missing`] if the settings contain no such address.
     pub fn listen_address(&self, kind: &'static str) -> DocumentResult<SocketAddr> {
         let missing = || DocumentError::Missing { path: format!("listen_addresses.{kind}") };
         self.listen_addresses.get(kind).copied().ok_or_else(missing)
     }
 
-    /// Where a controller on that machine listens for internal calls.
+    /// Returns the address on which the controller on a machine listens for internal calls.
     pub fn controller_address(&self, ip: IpAddr) -> SocketAddr {
         SocketAddr::new(ip, self.internal_ports.first + CONTROLLER_PORT_OFFSET)
     }
 
-    /// Where the agent on that machine listens for other agents.
+    /// Returns the address on which the agent on a machine listens for other agents.
     pub fn agent_address(&self, ip: IpAddr) -> SocketAddr {
         SocketAddr::new(ip, self.internal_ports.first + AGENT_PORT_OFFSET)
     }
 
-    /// Where the agent on this machine listens for its proxy.
+    /// Returns the address on which the agent on this machine listens for the local proxy.
     pub fn agent_loopback_address(&self) -> SocketAddr {
-        // Tests run several machines on one, each with a loopback address of its own.
+        // Tests run several nodes on one machine, each with its own loopback address.
         let ip = if self.ip.is_loopback() { self.ip } else { IpAddr::V4(Ipv4Addr::LOCALHOST) };
         SocketAddr::new(ip, self.internal_ports.first + AGENT_LOOPBACK_PORT_OFFSET)
     }
