--- a/crates/runtime/src/environment.rs
+++ b/crates/runtime/src/environment.rs
@@ -1,7 +1,7 @@
-//! What a program finds where it runs: the network, a directory for its data, a clock and randomness.
+//! The environment of a program: the network, the data directory, the clock and random numbers.
 //!
-//! On a machine these are the operating system's. A simulator implements [`Network`] and [`Directory`]
-//! itself, so that the same programs run on simulated networks, clocks and disks.
+//! In production, the operating system provides them. A simulator implements [`Network`] and [`Directory`] itself, so
+//! that the same programs run on simulated networks, clocks and disks.
 
 mod disk;
 mod tcp;
@@ -19,67 +19,67 @@
 use tokio::io::{AsyncRead, AsyncWrite};
 use vanewharf_clock::MonotonicClock;
 
-/// A future on the heap; programs are single-threaded, so it need not be `Send`.
+/// A boxed future. Programs are single-threaded, so it does not have to be `Send`.
 pub type BoxFuture<'a, T> = Pin<Box<dyn Future<Output = T> + 'a>>;
 
-/// A stream of bytes in both directions.
+/// A bidirectional stream of bytes.
 pub trait ByteStream: AsyncRead + AsyncWrite + Unpin {}
 
 impl<T: AsyncRead + AsyncWrite + Unpin> ByteStream for T {}
 
-/// A connection.
+/// A network connection.
 pub type Stream = Box<dyn ByteStream>;
 
-/// Where connections of clients arrive.
+/// A socket that accepts connections.
 pub trait Listener {
     /// Waits for the next connection.
     ///
     /// # Errors
     ///
-    /// Where the network refuses; the listener can be used further.
+    /// If the network reports an error. The listener can still be used afterwards.
     ///
     /// # Cancel safety
     ///
-    /// A connection is not lost where the future is dropped before it is ready.
+    /// No connection is lost if the future is dropped before it completes.
     fn accept(&mut self) -> BoxFuture<'_, io::Result<Stream>>;
 }
 
-/// A network, as a process on one machine sees it.
+/// The network as seen from one machine.
 pub trait Network {
-    /// Opens a connection. There is no deadline; the caller sets one.
+    /// Opens a connection. There is no timeout; callers set their own.
     ///
     /// # Errors
     ///
-    /// Where the other side cannot be reached or refuses.
+    /// If the address cannot be reached or refuses the connection.
     fn connect(&self, to: SocketAddr) -> BoxFuture<'static, io::Result<Stream>>;
 
-    /// Listens at an address of the machine.
+    /// Listens on an address of the machine.
     ///
     /// # Errors
     ///
-    /// Where the address is in use or not the machine's.
+    /// If the address is in use or does not belong to the machine.
     fn listen(&self, at: SocketAddr) -> io::Result<Box<dyn Listener>>;
 
-    /// A number that differs each time, from all others of its kind on this network.
+    /// Returns a number that is unique among all numbers that this network has returned.
     fn unique_id(&self) -> u64;
 }
 
-/// One operation on a [`Directory`]. File names have no path.
+/// One operation on a [`Directory`]. File names do not contain paths.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FileOperation {
-    /// Replaces a file's content. It is durable after `Sync` of that file.
+    /// Replaces the content of a file. The new content is durable after a `Sync` of the file.
     Write {
-        /// The file's name.
+        /// The name of the file.
         file: String,
-        /// Its whole new content.
+        /// The complete new content.
         bytes: Vec<u8>,
     },
-    /// Makes a file's content durable.
+    /// Makes the content of a file durable.
     Sync {
-        /// The file's name.
+        /// The name of the file.
         file: String,
     },
-    /// Renames a file, replacing one that has the new name. It is durable after `SyncDirectory`.
+    /// Renames a file, replacing any file with the new name. The rename is durable after `SyncDirectory`.
     Rename {
         /// The old name.
         from: String,
@@ -90,60 +90,60 @@
     SyncDirectory,
 }
 
-/// The directory for data that outlasts the process.
+/// A directory for data that must survive restarts of the process.
 pub trait Directory {
-    /// All files by name; for the start, as it blocks.
+    /// Reads all files and returns their contents by name. Blocks the thread, so it must only be used during start-up.
     ///
     /// # Errors
     ///
-    /// Where the disk cannot be read.
+    /// If the disk cannot be read.
     fn read_all(&self) -> io::Result<BTreeMap<String, Vec<u8>>>;
 
-    /// Executes the operations in their order, up to the first that fails.
+    /// Executes the operations in order and stops at the first that fails.
     ///
     /// # Errors
     ///
-    /// That of the operation that failed; those before it have been executed.
+    /// The error of the operation that failed. The operations before it have been executed.
     ///
     /// # Cancel safety
     ///
-    /// Operations are executed also where the future is dropped.
+    /// The operations are executed even if the future is dropped.
     fn execute(&self, operations: Vec<FileOperation>) -> BoxFuture<'static, io::Result<()>>;
 }
 
-/// Network, directory, clock and randomness of one process.
+/// The network, data directory, clock and random numbers of one process.
 #[derive(Clone)]
 pub struct Environment {
-    /// The network, as seen from the process' machine.
+    /// The network as seen from the machine of the process.
     pub network: Rc<dyn Network>,
-    /// None where the machine has no disk.
+    /// The data directory; `None` if the machine has no disk.
     pub directory: Option<Rc<dyn Directory>>,
     random: Rc<RefCell<SmallRng>>,
     clock_rate: f64,
 }
 
 impl Environment {
-    /// One with that network and directory, whose random numbers are determined by the seed.
+    /// Creates an environment whose random numbers are determined by `seed`.
     pub fn new(network: Rc<dyn Network>, directory: Option<Rc<dyn Directory>>, seed: u64) -> Environment {
         let random = Rc::new(RefCell::new(SmallRng::seed_from_u64(seed)));
         Environment { network, directory, random, clock_rate: 1.0 }
     }
 
-    /// The same with a clock that runs fast (above 1) or slow (below 1).
+    /// Returns the environment with a clock that advances faster (above 1) or slower (below 1) than real time.
     pub fn with_clock_rate(self, clock_rate: f64) -> Environment {
         Environment { clock_rate, ..self }
     }
 
-    /// The same on another network.
+    /// Returns the environment with another network.
     pub fn with_network(self, network: Rc<dyn Network>) -> Environment {
         Environment { network, ..self }
     }
 
-    /// That of the machine, with a data directory, which is created where it does not exist.
+    /// Creates the environment that the operating system provides. The data directory is created if it does not exist.
     ///
     /// # Errors
     ///
-    /// Where the directory cannot be created.
+    /// If the data directory cannot be created.
     pub fn of_machine(data_directory: Option<PathBuf>) -> io::Result<Environment> {
         let directory = match data_directory {
             Some(path) => Some(Rc::new(disk::DiskDirectory::open(path)?) as Rc<dyn Directory>),
@@ -152,22 +152,22 @@
         Ok(Environment::new(Rc::new(tcp::TcpNetwork), directory, rand::random()))
     }
 
-    /// Starts a clock for the process.
+    /// Starts a monotonic clock.
     pub fn clock(&self) -> MonotonicClock {
         MonotonicClock::with_rate(self.clock_rate)
     }
 
-    /// A random number below `end`; 0 where that is 0.
+    /// Returns a random number below `end`, or 0 if `end` is 0.
     pub fn random_below(&self, end: u64) -> u64 {
         self.random.borrow_mut().random_range(0..end.max(1))
     }
 
-    /// A random number that identifies one incarnation of a process.
+    /// Returns a random number that identifies one incarnation of a process.
     pub fn random_incarnation(&self) -> u64 {
         self.random_below(u64::MAX >> 1)
     }
 
-    /// Puts the items into a random order.
+    /// Shuffles the items.
     pub fn shuffle<T>(&self, items: &mut [T]) {
         for last in (1..items.len()).rev() {
             items.swap(last, self.random_below(last as u64 + 1) as usize);
--- a/crates/runtime/src/environment/disk.rs
+++ b/crates/runtime/src/environment/disk.rs
@@ -1,5 +1,4 @@
-//! A directory on the machine's disk. A thread of its own executes operations, as they block for as long as
-//! the disk does.
+//! A data directory in the machine's file system. File operations block, so a dedicated thread executes them.
 
 use super::{BoxFuture, Directory, FileOperation};
 use std::collections::BTreeMap;
@@ -13,7 +12,7 @@
 const THREAD_NAME: &str = "disk";
 const THREAD_STACK_BYTES: usize = 256 << 10;
 
-/// Operations to execute, and the receiver of their result.
+/// A batch of operations for the disk thread, and the channel for its result.
 struct Job {
     operations: Vec<FileOperation>,
     result: oneshot::Sender<io::Result<()>>,
@@ -21,12 +20,12 @@
 
 pub(super) struct DiskDirectory {
     path: PathBuf,
-    /// To the thread; it ends when this is dropped.
+    /// The queue of the disk thread. The thread ends when the sender is dropped.
     jobs: mpsc::Sender<Job>,
 }
 
 impl DiskDirectory {
-    /// Creates the directory where it does not exist, and starts the thread.
+    /// Creates the directory if it does not exist, and starts the disk thread.
     pub(super) fn open(path: PathBuf) -> io::Result<DiskDirectory> {
         fs::create_dir_all(&path)?;
         let (jobs, received) = mpsc::channel::<Job>();
@@ -41,7 +40,7 @@
     }
 }
 
-/// The file that was written last, still open so that syncing it need not open it again.
+/// The file that was written last. It is kept open so that a following sync does not have to open it again.
 struct WrittenFile {
     name: String,
     file: File,
@@ -75,7 +74,7 @@
 }
 
 fn thread_ended() -> io::Error {
-    io::Error::other("the disk's thread has ended")
+    io::Error::other("the disk thread has terminated")
 }
 
 impl Directory for DiskDirectory {
--- a/crates/runtime/src/environment/tcp.rs
+++ b/crates/runtime/src/environment/tcp.rs
@@ -1,25 +1,25 @@
-//! The machine's own network.
+//! The TCP network of the operating system.
 
 use super::{BoxFuture, Listener, Network, Stream};
 use std::io;
 use std::net::SocketAddr;
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 
-/// Connections that wait to be accepted.
-const BACKLOG: u32 = 512;
+/// The length of the operating system's queue of connections to be accepted.
+const ACCEPT_BACKLOG: u32 = 512;
 
 pub(super) struct TcpNetwork;
 
 impl Network for TcpNetwork {
     fn connect(&self, to: SocketAddr) -> BoxFuture<'static, io::Result<Stream>> {
-        Box::pin(async move { Ok(without_delay(TcpStream::connect(to).await?)) })
+        Box::pin(async move { Ok(with_nodelay(TcpStream::connect(to).await?)) })
     }
 
     fn listen(&self, at: SocketAddr) -> io::Result<Box<dyn Listener>> {
         let socket = TcpSocket::new_v4()?;
         socket.set_reuseaddr(true)?;
         socket.bind(at)?;
-        Ok(Box::new(socket.listen(BACKLOG)?))
+        Ok(Box::new(socket.listen(ACCEPT_BACKLOG)?))
     }
 
     fn unique_id(&self) -> u64 {
@@ -31,14 +31,14 @@
     fn accept(&mut self) -> BoxFuture<'_, io::Result<Stream>> {
         Box::pin(async move {
             let (stream, _) = TcpListener::accept(self).await?;
-            Ok(without_delay(stream))
+            Ok(with_nodelay(stream))
         })
     }
 }
 
-/// Small messages are sent at once (`TCP_NODELAY`); a connection on which that cannot be set works all the
-/// same.
-fn without_delay(stream: TcpStream) -> Stream {
+/// Sets `TCP_NODELAY`, so that small messages are sent immediately. An error is ignored, because the connection also
+/// works without the option.
+fn with_nodelay(stream: TcpStream) -> Stream {
     let _ = stream.set_nodelay(true);
     Box::new(stream)
 }
--- a/crates/runtime/src/invariants.rs
+++ b/crates/runtime/src/invariants.rs
@@ -1,26 +1,26 @@
-//! What must hold at all times, checked while the programs run.
+//! Invariants that the programs check at run time.
 //!
-//! A violation is counted for the whole process and logged as an error, so that it is seen on a machine as well as in
-//! tests, which assert that none was counted.
+//! A violation is logged as an error, for operators, and counted for the whole process, for tests, which assert that the
+//! count is zero.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// Something that must always hold.
+/// A condition that must always hold.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Invariant {
-    /// A process ends in order only when each request that it has read is answered.
+    /// A process that shuts down gracefully has answered every request that it has read.
     AnsweredBeforeExit,
-    /// What is written to disk is never older than what was to be written before.
+    /// No write to disk contains an older state than a write that was requested before it.
     DiskNeverGoesBack,
-    /// An order is acknowledged only once the register that contains it is committed.
+    /// An operator's order is acknowledged only after the register that contains it has been committed.
     AcknowledgedIsCommitted,
-    /// The invariants that a proxy's stages count for themselves hold.
+    /// The proxy's stages, which count violations of their own invariants, have counted none.
     ProxyStages,
-    /// What the leaseholder publishes is newer than what it had before, so that its readers take it.
+    /// Every update that the leaseholder publishes is newer than the one before, so that followers accept it.
     PublishedIsNewer,
 }
 
-/// The names that violations are logged under, by invariant.
+/// The names of the invariants in log lines, indexed by `Invariant`.
 const NAMES: [&str; 5] = [
     "answered_before_exit",
     "disk_never_goes_back",
@@ -29,29 +29,30 @@
     "published_is_newer",
 ];
 
+/// The number of violations found by this process, indexed by `Invariant`.
 static VIOLATIONS: [AtomicU64; NAMES.len()] = [const { AtomicU64::new(0) }; NAMES.len()];
 
 impl Invariant {
-    /// Counts and logs a violation unless `holds`; returns `holds`.
+    /// Counts and logs a violation if `holds` is false. Returns `holds`.
     pub fn check(self, holds: bool) -> bool {
         if !holds {
             let violations = VIOLATIONS[self as usize].fetch_add(1, Ordering::Relaxed) + 1;
             let name = NAMES[self as usize];
             spdlog::error!(
-                "an invariant does not hold",
+                "invariant violated",
                 kv: { event = "invariant_violated", invariant = name, violations }
             );
         }
         holds
     }
 
-    /// How often this process has found it violated.
+    /// Returns how many violations of this invariant the process has found.
     pub fn violations(self) -> u64 {
         VIOLATIONS[self as usize].load(Ordering::Relaxed)
     }
 }
 
-/// How often this process has found any invariant violated.
+/// Returns how many violations of all invariants the process has found.
 pub fn total_violations() -> u64 {
     VIOLATIONS.iter().map(|count| count.load(Ordering::Relaxed)).sum()
 }
--- a/crates/runtime/src/lib.rs
+++ b/crates/runtime/src/lib.rs
@@ -1,5 +1,5 @@
-//! What a program runs on: its environment (network, directory, clock, randomness), the log, the invariants that it
-//! checks and the main function.
+//! The runtime of the system's programs: the environment (network, data directory, clock, random numbers), the log, the
+//! invariants that are checked at run time, and the main function.
 
 #![forbid(unsafe_code)]
 
--- a/crates/runtime/src/program.rs
+++ b/crates/runtime/src/program.rs
@@ -1,4 +1,4 @@
-//! The main function of the system's programs: command line, runtime, and shutdown on SIGTERM.
+//! The common main function of the system's programs: command line, async runtime and shutdown on SIGTERM.
 
 use crate::environment::Environment;
 use getopts::Options;
@@ -12,31 +12,32 @@
 use tokio::sync::oneshot;
 use vanewharf_config::settings::Settings;
 
-/// Completes when the program is to shut down.
+/// A future that completes when the program has to shut down.
 pub type ShutdownSignal = oneshot::Receiver<()>;
 
-/// Why a program ended with a failure; `E` is the program's own error.
+/// The reason why a program exits with a failure. `E` is the type of the program's own errors.
 #[derive(Debug, Error)]
 enum ProgramError<E: Display> {
-    #[error("no runtime: {0}")]
+    #[error("cannot start the async runtime: {0}")]
     Runtime(io::Error),
-    #[error("no signals: {0}")]
+    #[error("cannot install signal handlers: {0}")]
     Signals(io::Error),
-    #[error("the disk cannot be read: {0}")]
+    #[error("cannot open the data directory: {0}")]
     DataDirectory(io::Error),
     #[error("{0}")]
     Run(E),
 }
 
-/// What the command line requests.
+/// The result of parsing the command line.
 enum Invocation {
+    /// Run the program with these settings.
     Run(Box<Settings>),
-    /// All there was to print is printed.
+    /// Exit with this code. All output has been printed.
     Exit(ExitCode),
 }
 
-/// Parses the command line and runs the program until it ends; it gets a [`ShutdownSignal`] on SIGTERM.
-/// Failures are printed to standard error.
+/// Parses the command line and runs the program until it ends. SIGTERM completes the program's [`ShutdownSignal`].
+/// Errors are printed to standard error.
 pub fn main<F, R, E>(name: &str, version: &str, run: F) -> ExitCode
 where
     F: FnOnce(Settings, Environment, ShutdownSignal) -> R,
@@ -68,15 +69,15 @@
     R: Future<Output = Result<(), E>>,
     E: Display,
 {
-    // First of all, as a signal without a handler ends the process.
+    // The handlers are installed first, because an unhandled SIGTERM or SIGHUP terminates the process.
     let mut terminate = signal(SignalKind::terminate()).map_err(ProgramError::Signals)?;
-    // Held so that SIGHUP is ignored: settings are not reloaded, as what may change in them is replicated by
-    // the system.
+    // Keeping this handler alive ignores SIGHUP. Settings are not reloaded, because all configuration that may change
+    // at run time is replicated by the system.
     let _hangup = signal(SignalKind::hangup()).map_err(ProgramError::Signals)?;
     let (shutdown, shutdown_signal) = oneshot::channel();
     tokio::task::spawn_local(async move {
         terminate.recv().await;
-        // A program that has ended already needs no signal.
+        // Fails only if the program has already ended.
         let _ = shutdown.send(());
     });
     let environment =
@@ -86,10 +87,10 @@
 
 fn options() -> Options {
     let mut options = Options::new();
-    options.optopt("s", "settings", "the settings file (else the one VANEWHARF_SETTINGS names)", "FILE");
-    options.optflag("c", "check", "only tell whether it would start by the settings");
-    options.optflag("h", "help", "print this");
-    options.optflag("V", "version", "print the version");
+    options.optopt("s", "settings", "path of the settings file (default: $VANEWHARF_SETTINGS)", "FILE");
+    options.optflag("c", "check", "validate the settings file and exit");
+    options.optflag("h", "help", "print this help and exit");
+    options.optflag("V", "version", "print the version and exit");
     options
 }
 
@@ -101,7 +102,7 @@
     };
     let matches = match options.parse(std::env::args_os().skip(1)) {
         Ok(matches) if matches.free.is_empty() => matches,
-        Ok(matches) => return refuse(format!("'{}' is not known; see --help", matches.free[0])),
+        Ok(matches) => return refuse(format!("Unexpected argument: '{}'; see --help", matches.free[0])),
         Err(error) => return refuse(format!("{error}; see --help")),
     };
     if matches.opt_present("help") {
@@ -118,7 +119,7 @@
     };
     match path.and_then(Settings::read) {
         Ok(_) if matches.opt_present("check") => {
-            println!("{name}: the settings can be read");
+            println!("{name}: the settings file is valid");
             Invocation::Exit(ExitCode::SUCCESS)
         }
         Ok(settings) => Invocation::Run(Box::new(settings)),
--- a/crates/runtime/tests/command_line/mod.rs
+++ b/crates/runtime/tests/command_line/mod.rs
@@ -1,7 +1,7 @@
-//! A program of the system as a user starts it: what it prints and refuses, byte for byte but for its name and paths.
+//! The exact output of a program's command line, except for the program's name and paths.
 //!
-//! All programs share `vanewharf_runtime::program::main`, and so these tests: each program's `tests/command_line.rs` names its
-//! executable and includes this file.
+//! All programs share `vanewharf_runtime::program::main` and therefore these tests. The `tests/command_line.rs` of each
+//! program defines `PROGRAM`, the path of its executable, and includes this file.
 
 use super::PROGRAM;
 use std::path::PathBuf;
@@ -16,16 +16,16 @@
 const HELP: &str = "Usage: <program> [options]
 
 Options:
-    -s, --settings FILE the settings file (else the one VANEWHARF_SETTINGS
-                        names)
-    -c, --check         only tell whether it would start by the settings
-    -h, --help          print this
-    -V, --version       print the version
+    -s, --settings FILE path of the settings file (default:
+                        $VANEWHARF_SETTINGS)
+    -c, --check         validate the settings file and exit
+    -h, --help          print this help and exit
+    -V, --version       print the version and exit
 ";
 
 fn settings_file(name: &str, text: &str) -> PathBuf {
     let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("{}-{name}", env!("CARGO_PKG_NAME")));
-    std::fs::write(&path, text).expect("a file of our own");
+    std::fs::write(&path, text).expect("a file in the test's directory");
     path
 }
 
@@ -33,7 +33,7 @@
     Command::new(PROGRAM).env_remove("VANEWHARF_SETTINGS").args(words).output().expect("the program runs")
 }
 
-/// With the program's name replaced.
+/// Decodes output and replaces the name of the program.
 fn text(bytes: &[u8]) -> String {
     let text = String::from_utf8(bytes.to_vec()).expect("text");
     text.replace(
@@ -73,7 +73,7 @@
 fn check() {
     let file = settings_file("valid.json", VALID_SETTINGS);
     let path = file.to_str().expect("text");
-    let message = "<program>: the settings can be read\n";
+    let message = "<program>: the settings file is valid\n";
     assert_printed(&["--check", "--settings", path], message);
     assert_printed(&["-c", "-s", path], message);
     let by_environment = Command::new(PROGRAM).env("VANEWHARF_SETTINGS", path).arg("--check").output();
@@ -84,7 +84,7 @@
 #[test]
 fn refusals() {
     assert_refused(&["--unknown"], "<program>: Unrecognized option: 'unknown'; see --help\n");
-    assert_refused(&["word"], "<program>: 'word' is not known; see --help\n");
+    assert_refused(&["word"], "<program>: Unexpected argument: 'word'; see --help\n");
     assert_refused(&["--settings"], "<program>: Argument to option 'settings' missing; see --help\n");
     assert_refused(&["--check"], "<program>: VANEWHARF_SETTINGS is not set\n");
     let absent = "<program>: cannot read /nowhere/at-all.json: No such file or directory (os error 2)\n";
@@ -93,7 +93,7 @@
     let path = file.to_str().expect("text");
     let output = run(&["--check", "--settings", path]);
     let message = String::from_utf8(output.stderr).expect("text");
-    let (name, reason) = message.split_once(": ").expect("its name first");
+    let (name, reason) = message.split_once(": ").expect("the program's name first");
     assert_eq!(reason, format!("cannot read {path}: ip_address: it is no address\n"));
     assert_eq!((PROGRAM.ends_with(&format!("/{name}")), output.status.code()), (true, Some(1)));
 }
--- a/crates/runtime/tests/disk.rs
+++ b/crates/runtime/tests/disk.rs
@@ -1,4 +1,4 @@
-//! The machine's data directory.
+//! The data directory in the machine's file system.
 
 use std::path::PathBuf;
 use vanewharf_runtime::environment::{Environment, FileOperation};
@@ -8,7 +8,7 @@
     runtime.block_on(future)
 }
 
-/// A directory of the test's own that does not exist yet.
+/// Returns a path for one test at which nothing exists yet.
 fn fresh_path(test: &str) -> PathBuf {
     let path = std::env::temp_dir().join(format!("vanewharf-{}-{test}", std::process::id()));
     let _ = std::fs::remove_dir_all(&path);
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn a_file_that_was_written_synced_and_renamed_is_read_by_the_next_process() {
+fn a_replaced_file_is_read_after_a_restart() {
     let path = fresh_path("replace");
     let directory = Environment::of_machine(Some(path.clone())).expect("created").directory.expect("given");
     let operations = vec![
@@ -38,14 +38,14 @@
         FileOperation::SyncDirectory,
     ];
     block_on(directory.execute(operations)).expect("executed");
-    let next = Environment::of_machine(Some(path.clone())).expect("there").directory.expect("given");
-    let files = next.read_all().expect("read");
+    let reopened = Environment::of_machine(Some(path.clone())).expect("opened").directory.expect("given");
+    let files = reopened.read_all().expect("read");
     assert_eq!(files, [("record".to_owned(), b"1".to_vec())].into());
     std::fs::remove_dir_all(path).expect("removed");
 }
 
 #[test]
-fn operations_after_one_that_fails_are_not_executed() {
+fn operations_after_a_failed_one_are_not_executed() {
     let path = fresh_path("failure");
     let directory = Environment::of_machine(Some(path.clone())).expect("created").directory.expect("given");
     let operations = vec![write("a", "1"), rename("missing", "b"), write("c", "3")];
