--- a/crates/runtime/src/invariants.rs
+++ b/crates/runtime/src/invariants.rs
@@ -1,7 +1,7 @@
 //! Invariants that the programs check at run time.
 //!
-//! A violation is logged as an error, for operators, and counted for the whole process, for tests, which assert that the
-//! count is zero.
+//! A violation is logged as an error, for operators, and counted for the whole process, for tests, which assert
+//! that the count is zero.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
--- a/programs/agent/src/error.rs
+++ b/programs/agent/src/error.rs
@@ -1,4 +1,4 @@
-//! Why the agent cannot start. The text goes to standard error.
+//! Errors that prevent the agent from starting. Their texts are printed to standard error.
 
 use std::io;
 use std::net::SocketAddr;
@@ -10,9 +10,9 @@
     /// A listener could not be opened.
     #[error("cannot listen on {address}: {source}")]
     Listen {
-        /// On loopback, for the proxy, or for other agents.
+        /// The address for the proxy or for other agents.
         address: SocketAddr,
-        /// What the operating system answered.
+        /// The error of the operating system.
         source: io::Error,
     },
 }
--- a/programs/agent/src/lib.rs
+++ b/programs/agent/src/lib.rs
@@ -1,11 +1,11 @@
-//! The agent: runs alongside a proxy, on its machine, and keeps the link to the control plane for it.
+//! The agent: a process that runs on the machine of each proxy and connects it to the control plane.
 //!
-//! It pulls updates from a controller (`upstream`) and serves them to the proxy over loopback (`proxy_api`), whose
-//! reports it sends with its own pulls. Agents exchange the peers that they know (`peer_shuffle`, `peer_api`): where no
-//! controller is up to date an agent pulls through a peer, which relays its reports (`reports`).
+//! It pulls updates from a controller (`upstream`), serves them to the proxy over loopback (`proxy_api`) and sends the
+//! proxy's reports with its own pulls. Agents exchange the addresses of known peers (`peer_shuffle`, `peer_api`). If no
+//! controller is reachable and up to date, an agent pulls from a peer, which relays its reports (`reports`).
 //!
-//! Everything runs on one thread, in tasks of the current local set. The tasks share `AgentState`; no borrow of its
-//! cells is held across an await.
+//! All tasks run on one thread, in the current local task set. They share `AgentState`; no borrow of its cells is held
+//! across an await.
 
 #![forbid(unsafe_code)]
 
@@ -29,15 +29,15 @@
 use vanewharf_runtime::environment::{Environment, Listener};
 use vanewharf_runtime::program::ShutdownSignal;
 
-/// The fraction of the grace period for which the agent goes on serving the proxy, which drains its clients meanwhile.
-/// The rest is for the process to exit before it is killed.
-const SERVED_GRACE_FRACTION: f64 = 0.9;
+/// The fraction of the grace period during which the agent still serves the proxy, which is draining its clients. The
+/// remaining time lets the process exit before it is killed.
+const DRAIN_GRACE_FRACTION: f64 = 0.9;
 
-/// Runs the agent on the current local set until `shutdown` comes, and for most of the grace period after that.
+/// Runs the agent on the current local task set until `shutdown` completes and for most of the grace period afterwards.
 ///
 /// # Errors
 ///
-/// Where an address cannot be listened on.
+/// If a listener cannot be opened.
 pub async fn run(
     settings: Settings,
     environment: Environment,
@@ -53,9 +53,9 @@
     spawn_local(peer_shuffle::shuffle_peers(Rc::clone(&state)));
     spawn_local(upstream::pull_updates(Rc::clone(&state)));
 
-    // A dropped sender ends the agent as a sent message does.
+    // The agent also shuts down if the sender was dropped.
     let _ = shutdown.await;
-    sleep(settings.limits_table.grace_period.mul_f64(SERVED_GRACE_FRACTION)).await;
+    sleep(settings.limits_table.grace_period.mul_f64(DRAIN_GRACE_FRACTION)).await;
     Ok(())
 }
 
--- a/programs/agent/src/peer_api.rs
+++ b/programs/agent/src/peer_api.rs
@@ -1,4 +1,5 @@
-//! Serves other agents: exchanges peers with them, and answers the pulls of those that reach no controller.
+//! Serves other agents: exchanges known peers with them, and answers the pulls of agents that reach no up-to-date
+//! controller.
 
 use crate::state::AgentState;
 use std::rc::Rc;
@@ -11,7 +12,8 @@
 /// Serves other agents; never returns.
 pub(crate) async fn serve(listener: Box<dyn Listener>, state: Rc<AgentState>) {
     let handler = move |request| {
-        // Drawn for each request, of whatever kind, when it arrives: a simulated run replays the same draws.
+        // Drawn on the arrival of every request, whatever its kind, so that a simulated run makes the same
+        // draws when it is repeated.
         let random_offset = state.random_offset();
         handle_request(Rc::clone(&state), random_offset, request)
     };
@@ -26,7 +28,8 @@
     }
 }
 
-/// Answers with some of the peers known before those of the request are taken in.
+/// Answers with a sample of the known peers, then merges the peers of the request. The sample is taken first,
+/// so that it does not contain them.
 fn handle_shuffle(state: &AgentState, random_offset: usize, request: &Request) -> RpcResponse {
     let received: Vec<PeerEntry> = match serde_json::from_slice(request.body()) {
         Ok(received) => received,
--- a/programs/agent/src/peer_shuffle.rs
+++ b/programs/agent/src/peer_shuffle.rs
@@ -1,4 +1,5 @@
-//! Exchanges known peers with one of them every now and then, so that each agent's view stays random and current.
+//! Periodically exchanges known peers with one of them, so that each agent's view of the peers stays random and
+//! current.
 
 use crate::state::AgentState;
 use std::net::IpAddr;
@@ -9,14 +10,15 @@
 use vanewharf_protocol::messages::PeerEntry;
 use vanewharf_rpc::RpcClient;
 
-/// Time between two shuffles, and the random part that comes on top so that agents do not move in step.
+/// The minimum time between two exchanges.
 const SHUFFLE_INTERVAL: Duration = Duration::from_millis(1800);
+/// The upper bound of the random time added to [`SHUFFLE_INTERVAL`], which keeps agents from synchronizing.
 const SHUFFLE_JITTER_MS: u64 = 400;
 
-/// How long a peer or controller may take to answer: across regions it takes a connection and a round trip.
-const ANSWER_TIMEOUT: Duration = Duration::from_millis(400);
+/// The timeout of a call to a peer or controller. It covers a connection setup and a round trip between regions.
+const CALL_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Exchanges peers; never returns.
+/// Exchanges peers periodically; never returns.
 pub(crate) async fn shuffle_peers(state: Rc<AgentState>) {
     loop {
         let random_offset = state.random_offset();
@@ -29,22 +31,22 @@
     }
 }
 
-/// Exchanges peers with one of them, which is dropped if it does not answer.
+/// Exchanges peers with `peer`, which is removed from the view if it does not answer.
 async fn shuffle_with(state: &AgentState, peer: IpAddr, random_offset: usize) {
     let sample = state.peers.borrow().sample(random_offset, state.publisher.now());
     let mut client = RpcClient::new(state.settings.agent_address(peer), &state.environment.network);
-    match client.call::<_, Vec<PeerEntry>>(endpoints::GOSSIP, &sample, ANSWER_TIMEOUT).await {
+    match client.call::<_, Vec<PeerEntry>>(endpoints::GOSSIP, &sample, CALL_TIMEOUT).await {
         Ok(received) => state.peers.borrow_mut().merge(&received, state.publisher.now()),
         Err(_) => state.peers.borrow_mut().remove(peer),
     }
 }
 
-/// Asks the controllers for some peers, until one answers.
+/// Requests peers from one controller after the other, until one answers.
 async fn bootstrap_peers(state: &AgentState) {
     for controller in state.controllers() {
         let address = state.settings.controller_address(controller);
         let mut client = RpcClient::new(address, &state.environment.network);
-        if let Ok(received) = client.get::<Vec<PeerEntry>>(endpoints::PEERS, ANSWER_TIMEOUT).await {
+        if let Ok(received) = client.get::<Vec<PeerEntry>>(endpoints::PEERS, CALL_TIMEOUT).await {
             state.peers.borrow_mut().merge(&received, state.publisher.now());
             return;
         }
--- a/programs/agent/src/proxy_api.rs
+++ b/programs/agent/src/proxy_api.rs
@@ -1,4 +1,4 @@
-//! Serves the local proxy over loopback: its pulls are answered from what this agent has, and bring its reports.
+//! Serves the local proxy over loopback. Its pulls are answered from this agent's store and contain its reports.
 
 use crate::state::AgentState;
 use std::rc::Rc;
--- a/programs/agent/src/reports.rs
+++ b/programs/agent/src/reports.rs
@@ -1,40 +1,41 @@
-//! Reports that wait to be sent with the next pull: the local proxy's own, and those of proxies whose agents pull from
-//! this one because they reach no controller.
+//! The reports to be sent with the next pull: those of the local proxy, and those of proxies whose agents pull
+//! from this agent because they reach no up-to-date controller.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 use vanewharf_clock::Timestamp;
 use vanewharf_protocol::messages::ProxyReport;
 
-/// A report older than this is not sent: its proxy is gone, or reports elsewhere. A proxy makes one with each pull, of
-/// which it makes several per second.
+/// The age from which reports are no longer sent. A proxy reports with each of its several pulls per second, so
+/// an older report means that the proxy is gone or reports through another agent.
 const MAX_REPORT_AGE: Duration = Duration::from_millis(800);
 
-/// Reports of other proxies that are relayed at once: a few peers' worth, so that a cut-off region does not load one agent.
+/// The maximum number of relayed reports. It suffices for a few peers, and is small so that one agent is not overloaded
+/// when a whole region is cut off from the controllers.
 const MAX_RELAYED_REPORTS: usize = 8;
 
-/// A report, and when it was made by this machine's clock.
+/// A report and its time of creation by the local clock.
 #[derive(Clone, Debug)]
 struct TimedReport {
     report: ProxyReport,
-    made_at: Timestamp,
+    created_at: Timestamp,
 }
 
 impl TimedReport {
     fn new(report: ProxyReport, now: Timestamp) -> TimedReport {
-        let made_at = now.before(Duration::from_millis(report.age_ms));
-        TimedReport { report, made_at }
+        let created_at = now.before(Duration::from_millis(report.age_ms));
+        TimedReport { report, created_at }
     }
 
     fn age(&self, now: Timestamp) -> Duration {
-        now.since(self.made_at)
+        now.since(self.created_at)
     }
 
     fn is_current(&self, now: Timestamp) -> bool {
         self.age(now) < MAX_REPORT_AGE
     }
 
-    /// The report as it is to be sent now.
+    /// Returns the report with its age updated to `now`.
     fn with_current_age(&self, now: Timestamp) -> ProxyReport {
         ProxyReport { age_ms: self.age(now).as_millis() as u64, ..self.report.clone() }
     }
@@ -44,26 +45,26 @@
 #[derive(Debug, Default)]
 pub(crate) struct ReportStore {
     local: Option<TimedReport>,
-    /// By the proxy's name.
+    /// The reports of other proxies, by proxy name.
     relayed: BTreeMap<String, TimedReport>,
 }
 
 impl ReportStore {
-    /// Records a report of the local proxy.
+    /// Replaces the report of the local proxy.
     pub(crate) fn record_local(&mut self, report: ProxyReport, now: Timestamp) {
         self.local = Some(TimedReport::new(report, now));
     }
 
-    /// Records reports of other proxies, as many as there is room for.
+    /// Records reports of other proxies, up to [`MAX_RELAYED_REPORTS`] in total.
     pub(crate) fn record_relayed(&mut self, reports: &[ProxyReport], now: Timestamp) {
         self.relayed.retain(|_, report| report.is_current(now));
-        let room = MAX_RELAYED_REPORTS.saturating_sub(self.relayed.len());
-        for report in reports.iter().take(room) {
+        let capacity_left = MAX_RELAYED_REPORTS.saturating_sub(self.relayed.len());
+        for report in reports.iter().take(capacity_left) {
             self.relayed.insert(report.proxy.name.clone(), TimedReport::new(report.clone(), now));
         }
     }
 
-    /// The current reports, the local proxy's first; of the same proxy never two.
+    /// Returns the reports that are not too old, with the local proxy's first and at most one per proxy.
     pub(crate) fn current(&self, now: Timestamp) -> Vec<ProxyReport> {
         let local = self.local.as_ref().filter(|report| report.is_current(now));
         let local_name = local.map(|report| &report.report.proxy.name);
--- a/programs/agent/src/source_probe.rs
+++ b/programs/agent/src/source_probe.rs
@@ -1,9 +1,10 @@
-//! Probes of other sources during pulls.
+//! Probes other sources while a pull is in progress.
 //!
-//! A pull from a source that is down costs its whole timeout before the next one is turned to, and with several of them in
-//! a row that adds up. So a source that has failed is probed before it is turned to again, and while a pull is overdue the
-//! next sources are probed: those that do not answer, or lag, are avoided from then on. A probe brings no update, so that a
-//! pull that is merely slow, as its answer comes over a narrow link, is not made slower.
+//! A pull from a source that is down takes its whole timeout before the next source is tried, and the timeouts
+//! of several such sources add up. Therefore a source that has failed is probed before it is used again, and
+//! the next sources are probed while a pull is overdue. Sources that do not answer, or whose copy is outdated,
+//! are avoided from then on. The answer to a probe contains no update, so that probes do not delay a pull whose
+//! answer is only slow because of a link with a low bandwidth.
 
 use crate::state::AgentState;
 use crate::upstream::Sources;
@@ -17,10 +18,10 @@
 use vanewharf_discovery::{PullProgress, SourceSelector};
 use vanewharf_rpc::{RpcClient, RpcError};
 
-/// A pull that has no answer for so long after it had to be answered is overdue.
-const OVERDUE: Duration = Duration::from_millis(250);
+/// The time after the end of the long poll from which an unanswered pull is overdue.
+const OVERDUE_DELAY: Duration = Duration::from_millis(250);
 
-/// When the probed source's copy was attested to be the newest, where it answers.
+/// A future of the time at which the probed source's copy was last attested to be the newest.
 type ProbeAnswer = Pin<Box<dyn Future<Output = Result<Option<Timestamp>, RpcError>>>>;
 
 struct Probe {
@@ -28,26 +29,28 @@
     answer: ProbeAnswer,
 }
 
-/// The probes of one agent, one at a time.
+/// Probes sources on behalf of one agent, one at a time.
 pub(crate) struct SourceProber {
     state: Rc<AgentState>,
-    under_way: Option<Probe>,
+    in_flight: Option<Probe>,
 }
 
 impl SourceProber {
     pub(crate) fn new(state: Rc<AgentState>) -> SourceProber {
-        SourceProber { state, under_way: None }
+        SourceProber { state, in_flight: None }
     }
 
-    /// The source whose probe is under way.
+    /// Returns the source whose probe is in flight.
     pub(crate) fn probed(&self) -> Option<SocketAddr> {
-        self.under_way.as_ref().map(|probe| probe.source)
+        self.in_flight.as_ref().map(|probe| probe.source)
     }
 
-    /// Probes sources, one after the other, during a pull that was sent now and may be held back for `wait`. Never returns.
+    /// Probes sources, one after the other, during a pull that was just sent to `pulled_from` and that the source may
+    /// delay for up to `wait`. Never returns.
     ///
     /// # Cancel safety
-    /// A probe that is under way goes on with the next call.
+    ///
+    /// A probe in flight is continued by the next call.
     pub(crate) async fn probe_during_pull(
         &mut self,
         selector: &mut SourceSelector,
@@ -55,11 +58,11 @@
         pulled_from: SocketAddr,
         wait: Duration,
     ) {
-        let overdue_at = Instant::now() + wait + OVERDUE;
+        let overdue_at = Instant::now() + wait + OVERDUE_DELAY;
         loop {
             let is_overdue = Instant::now() >= overdue_at;
             let progress = if is_overdue { PullProgress::Overdue } else { PullProgress::Ordinary };
-            let Some(probe) = self.under_way_or_next(selector, sources, pulled_from, progress) else {
+            let Some(probe) = self.in_flight_or_next(selector, sources, pulled_from, progress) else {
                 match progress {
                     PullProgress::Overdue => return pending().await,
                     PullProgress::Ordinary => sleep_until(overdue_at).await,
@@ -68,7 +71,7 @@
             };
             let source = probe.source;
             let answer = (&mut probe.answer).await.ok();
-            self.under_way = None;
+            self.in_flight = None;
             let is_up_to_date = selector.record_probe(source, answer, self.state.publisher.now());
             if is_up_to_date && is_overdue {
                 return pending().await;
@@ -76,20 +79,21 @@
         }
     }
 
-    fn under_way_or_next(
+    /// Returns the probe in flight, or starts the next one. Returns `None` if no source has to be probed.
+    fn in_flight_or_next(
         &mut self,
         selector: &SourceSelector,
         sources: &Sources,
         pulled_from: SocketAddr,
         progress: PullProgress,
     ) -> Option<&mut Probe> {
-        if self.under_way.is_none() {
+        if self.in_flight.is_none() {
             let Sources { controllers, peers } = sources;
             let now = self.state.publisher.now();
             let source = selector.choose_probe(controllers, peers, pulled_from, progress, now);
-            self.under_way = source.map(|source| self.start(source));
+            self.in_flight = source.map(|source| self.start(source));
         }
-        self.under_way.as_mut()
+        self.in_flight.as_mut()
     }
 
     fn start(&self, source: SocketAddr) -> Probe {
--- a/programs/agent/src/state.rs
+++ b/programs/agent/src/state.rs
@@ -1,4 +1,4 @@
-//! What the agent's tasks share.
+//! The state shared by the agent's tasks.
 
 use crate::reports::ReportStore;
 use std::cell::RefCell;
@@ -8,14 +8,15 @@
 use vanewharf_rpc::Publisher;
 use vanewharf_runtime::environment::Environment;
 
-/// Random numbers below this choose among peers: far more than a view holds, so that all are about as likely.
+/// The exclusive upper bound of random offsets into the list of peers. It is far above the size of a view, so that all
+/// peers are chosen with nearly equal probability.
 const MAX_RANDOM_OFFSET: u64 = 1 << 16;
 
 /// The state of one agent.
 pub(crate) struct AgentState {
     pub(crate) settings: Settings,
     pub(crate) environment: Environment,
-    /// The newest updates, and who waits for newer ones.
+    /// The store of the newest updates. It also answers the pulls that wait for newer ones.
     pub(crate) publisher: Publisher,
     pub(crate) peers: RefCell<PeerView>,
     pub(crate) reports: RefCell<ReportStore>,
@@ -28,13 +29,14 @@
         AgentState { settings, environment, publisher, peers, reports: RefCell::default() }
     }
 
-    /// A random offset into a list of peers.
+    /// Returns a random offset into the list of peers.
     pub(crate) fn random_offset(&self) -> usize {
         self.environment.random_below(MAX_RANDOM_OFFSET) as usize
     }
 
-    /// The known controllers, nearest first: those of this zone, of this region, and others, each by address. The seeds
-    /// of the settings that no fleet summary names come with the last.
+    /// Returns the known controllers, nearest first: those in this zone, in this region and elsewhere, each
+    /// group in the order of addresses. Seeds from the settings that are not in the fleet summary belong to the
+    /// last group.
     pub(crate) fn controllers(&self) -> Vec<IpAddr> {
         let store = self.publisher.store();
         let entries = store.fleet_summary.iter().flat_map(|summary| &summary.controllers);
@@ -57,7 +59,7 @@
     }
 }
 
-/// How far a machine is; less is nearer.
+/// The distance of a machine; a smaller value is nearer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Distance {
     is_other_zone: bool,
--- a/programs/agent/src/upstream.rs
+++ b/programs/agent/src/upstream.rs
@@ -1,4 +1,5 @@
-//! Pulls updates from one source after the other, as the source selector chooses them, and sends reports with each pull.
+//! Pulls updates from the sources that the source selector chooses, one pull after the other, and sends reports
+//! with each pull.
 
 use crate::source_probe::SourceProber;
 use crate::state::AgentState;
@@ -10,13 +11,13 @@
 use vanewharf_protocol::messages::PullRequest;
 use vanewharf_rpc::RpcClient;
 
-/// Time until the next pull where the last one was of no use, or no source is left.
-const RETRY_INTERVAL: Duration = Duration::from_millis(60);
+/// The delay before the next pull if the last one failed, its source was not up to date, or there was no source.
+const RETRY_DELAY: Duration = Duration::from_millis(60);
 
-/// Connections kept open, to the sources used last.
-const MAX_CLIENTS: usize = 4;
+/// The maximum number of open connections to recently used sources.
+const MAX_CACHED_CLIENTS: usize = 4;
 
-/// Pulls updates; never returns.
+/// Pulls updates continuously; never returns.
 pub(crate) async fn pull_updates(state: Rc<AgentState>) {
     let mut upstream = Upstream {
         prober: SourceProber::new(Rc::clone(&state)),
@@ -25,21 +26,22 @@
         clients: Vec::new(),
     };
     loop {
-        if upstream.pull_once().await == Usefulness::Useless {
-            sleep(RETRY_INTERVAL).await;
+        if upstream.pull_once().await == NextPull::Delayed {
+            sleep(RETRY_DELAY).await;
         }
     }
 }
 
-/// Whether a pull was worth following by another one at once.
+/// When to send the next pull.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Usefulness {
-    Useful,
-    /// Nobody answered, or the source that did is not up to date.
-    Useless,
+enum NextPull {
+    /// At once, because the source that answered is up to date.
+    Immediate,
+    /// After [`RETRY_DELAY`], because no source answered, or the one that did is not up to date.
+    Delayed,
 }
 
-/// What may be pulled from, nearest first.
+/// The sources that updates can be pulled from, each list in its order of preference.
 pub(crate) struct Sources {
     pub(crate) controllers: Vec<SocketAddr>,
     pub(crate) peers: Vec<SocketAddr>,
@@ -54,14 +56,14 @@
 }
 
 impl Upstream {
-    async fn pull_once(&mut self) -> Usefulness {
+    async fn pull_once(&mut self) -> NextPull {
         let state = Rc::clone(&self.state);
         let now = || state.publisher.now();
         let sources = Sources { controllers: self.controller_addresses(), peers: self.peer_addresses() };
         let Sources { controllers, peers } = &sources;
         let probed = self.prober.probed();
         let Some(choice) = self.selector.choose_next(controllers, peers, probed, now()) else {
-            return Usefulness::Useless;
+            return NextPull::Delayed;
         };
         let SourceChoice { source, wait } = choice;
         let mut client = self.take_client(source);
@@ -70,21 +72,22 @@
             biased;
             result = state.publisher.pull(&mut client, &request) => result,
             () = self.prober.probe_during_pull(&mut self.selector, &sources, source, wait) => {
-                unreachable!("probing goes on until the pull ends")
+                unreachable!("`probe_during_pull` never returns")
             }
         };
         match result {
             Ok(updates) => {
-                self.keep_client(client);
+                self.cache_client(client);
                 if updates.needs_snapshot {
                     spdlog::info!(
-                        "received changes do not apply; a snapshot is requested",
+                        "received changes do not apply to the local version; requesting a snapshot",
                         kv: { event = "snapshot_requested", peer: = source }
                     );
                 }
-                // By the source's own attestation: what this agent has may be newer, from another source.
+                // The source is judged by its own attestation, not by the store of this agent, which may have newer
+                // data from another source.
                 let is_up_to_date = self.selector.record_answer(source, updates.attested_at, peers, now());
-                if is_up_to_date { Usefulness::Useful } else { Usefulness::Useless }
+                if is_up_to_date { NextPull::Immediate } else { NextPull::Delayed }
             }
             Err(error) => {
                 spdlog::debug!(
@@ -92,7 +95,7 @@
                     kv: { event = "pull_failed", peer: = source, error: = error }
                 );
                 self.selector.record_failure(source, peers, now());
-                Usefulness::Useless
+                NextPull::Delayed
             }
         }
     }
@@ -102,7 +105,8 @@
         self.state.controllers().into_iter().map(|ip| settings.controller_address(ip)).collect()
     }
 
-    /// The peers' addresses, from an offset on that depends on the name, so that not all agents turn to the same peer.
+    /// Returns the peers' addresses. The order starts at an offset that depends on the length of the agent's
+    /// name, so that agents do not all prefer the same peer.
     fn peer_addresses(&self) -> Vec<SocketAddr> {
         let settings = &self.state.settings;
         let offset = usize::from(u8::try_from(settings.name.len()).unwrap_or(0));
@@ -110,7 +114,7 @@
         peers.into_iter().map(|ip| settings.agent_address(ip)).collect()
     }
 
-    /// The kept connection to a source, or a new one.
+    /// Returns the cached connection to a source, or a new one.
     fn take_client(&mut self, source: SocketAddr) -> RpcClient {
         match self.clients.iter().position(|client| client.address == source) {
             Some(index) => self.clients.remove(index),
@@ -118,9 +122,9 @@
         }
     }
 
-    fn keep_client(&mut self, client: RpcClient) {
+    fn cache_client(&mut self, client: RpcClient) {
         self.clients.insert(0, client);
-        self.clients.truncate(MAX_CLIENTS);
+        self.clients.truncate(MAX_CACHED_CLIENTS);
     }
 
     fn pull_request(&self, wait: Duration) -> PullRequest {
