--- a/programs/proxy/src/pools.rs
+++ b/programs/proxy/src/pools.rs
@@ -1,12 +1,15 @@
-//! All routing decisions of one proxy; deterministic, without sockets.
+//! All routing decisions of one proxy. They are deterministic and use no sockets.
 //!
-//! Each service in each region is a `BackendPool` with its own policy balancer, which chooses among the pool's
-//! backends. [`BackendPools`] decides the rest: whether a request is admitted (`admission`), which pools it may go to
-//! and in which order (`request`), whether another attempt is allowed (`retry`), and how much a backend receives while
+//! The backends of a service in one region form a `BackendPool` with its own policy balancer, which chooses among them.
+//! [`BackendPools`] decides the rest: whether a request is admitted (`admission`), which pools may serve it and in
+//! which order (`request`), whether another attempt is allowed (`retry`), and how much traffic a backend receives while
 //! it warms up (`warm_up`). `dispatch` implements the lifecycle of a request with these.
 //!
-//! Invariants: a balancer is notified of the end of every attempt that it requested, also after the client was
-//! answered; a request is forgotten only after all its attempts have ended.
+//! Two clocks are in use. Parameters named `now` are the current time by the router's clock ([`Ticks`]), parameters
+//! named `at` are the same time by the process's monotonic clock.
+//!
+//! Invariants: a balancer is notified of the end of every attempt that it requested, even after the client was
+//! answered; the state of a request is removed only after all its attempts have ended.
 
 mod admission;
 mod backend_pool;
@@ -20,7 +23,7 @@
 use crate::snapshot::Snapshot;
 use crate::status::ProxyStatus;
 use crate::update::{TokenRequest, Update};
-use admission::Admission;
+use admission::AdmissionController;
 use backend_pool::BackendPool;
 use backend_table::BackendTable;
 use rand::SeedableRng;
@@ -41,11 +44,11 @@
 use vanewharf_policy::interface::{Action, Arrival, BackendId, Event, Idempotency, Ticks, TxnId};
 use vanewharf_protocol::messages::{FleetSummary, Register};
 
-/// Statuses by which a client may conclude that its request did not run: Request Timeout, Misdirected Request, Too Many
-/// Requests and Service Unavailable.
+/// The statuses from which a client may conclude that its request did not run: Request Timeout, Misdirected
+/// Request, Too Many Requests and Service Unavailable.
 const NOT_RUN_STATUSES: [u16; 4] = [408, 421, 429, 503];
 
-/// Identifies a pool: one service in one region.
+/// The key of a pool: one service in one region.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct PoolKey {
     service: Rc<str>,
@@ -63,7 +66,7 @@
 }
 
 impl Location {
-    /// The region of a zone; empty for an unknown zone.
+    /// Returns the region of a zone; empty for an unknown zone.
     fn region_of(&self, zone: &str) -> Rc<str> {
         Rc::from(self.zones.get(zone).map_or("", String::as_str))
     }
@@ -79,8 +82,8 @@
     pub location: Location,
     /// The platform's limits on all proxies together.
     pub limits: LimitsTable,
-    /// Whether this is the first start of the whole system. On any other start, quota tokens and retries may have been
-    /// spent just before, so that budgets start empty.
+    /// Whether this is the first start of the whole system. On any other start, the budgets of quota tokens and retries
+    /// start empty, because the previous process may just have spent them.
     pub initial_start: bool,
     /// The seed of all random draws.
     pub seed: u64,
@@ -99,22 +102,22 @@
     pools: BTreeMap<PoolKey, BackendPool>,
     backends: BackendTable,
     requests: BTreeMap<TxnId, RequestInFlight>,
-    /// Requests that were concluded since the last batch of events; some may have attempts in flight.
+    /// The requests that were concluded since the last batch of events. Some may still have attempts in flight.
     concluded: Vec<TxnId>,
-    admission: Admission,
+    admission: AdmissionController,
     retry_budgets: RetryBudgets,
     /// This proxy's recent attempts by backend, for outlier detection.
     attempt_history: AttemptHistory,
     /// The number of proxies that share the limits on all proxies together.
     proxy_count: f64,
-    /// Actions that resulted from updates; returned with the next batch of events.
-    pending: Vec<Action>,
+    /// The actions that resulted from updates. They are returned with the next batch of events.
+    pending_actions: Vec<Action>,
     status: Rc<ProxyStatus>,
 }
 
 impl BackendPools {
-    /// Starts without configuration and without backends. Token requests are sent to `token_requests`, and the figures
-    /// for reports to the control plane are published in `status`.
+    /// Creates the routing decisions without configuration and backends. Token requests are sent to
+    /// `token_requests`, and the counters for reports to the control plane are published in `status`.
     pub fn start(
         config: PoolsConfig,
         snapshot: Rc<Snapshot>,
@@ -133,18 +136,23 @@
             backends: BackendTable::default(),
             requests: BTreeMap::new(),
             concluded: Vec::new(),
-            admission: Admission::new(limits.rate_allowance, initial_start, token_requests, clock.now()),
+            admission: AdmissionController::new(
+                limits.rate_allowance,
+                initial_start,
+                token_requests,
+                clock.now(),
+            ),
             retry_budgets: RetryBudgets::new(&limits, initial_start),
             attempt_history: AttemptHistory::default(),
             proxy_count: 1.0,
-            pending: Vec::new(),
+            pending_actions: Vec::new(),
             status,
             location,
             limits,
         }
     }
 
-    /// Applies a newer register; returns whether it changes anything for this proxy.
+    /// Applies a newer register. Returns whether the routing tables were rebuilt.
     fn apply_register(&mut self, register: Rc<Register>) -> bool {
         let previous = self.register.replace(Rc::clone(&register));
         if previous.is_some_and(|previous| previous.routes_like(&register)) {
@@ -162,9 +170,9 @@
         true
     }
 
-    /// Applies a newer fleet summary; returns whether it changes the health of any backend.
+    /// Applies a newer fleet summary. Returns whether the health of any backend changed.
     fn apply_fleet_summary(&mut self, summary: &FleetSummary) -> bool {
-        // A control plane that counts no proxies has not received any reports yet.
+        // A leaseholder that counts no proxies has not received any reports yet, so its summary is ignored.
         if summary.quota_divisor == 0 {
             return false;
         }
@@ -179,7 +187,7 @@
         self.backends.set_unhealthy(&summary.unhealthy)
     }
 
-    /// Updates all pools to the newest backend list, configuration and health of backends.
+    /// Updates all pools to the newest backend list, routing tables and health of backends.
     fn refresh_backends(&mut self, now: Ticks) -> BackendUpdate {
         let at = self.clock.now();
         let Some(tables) = self.tables.clone() else {
@@ -200,7 +208,7 @@
         BackendUpdate::Snapshot(refreshed.entries)
     }
 
-    /// The pool of the given key; created on first use.
+    /// Returns the pool of the given key, which is created on first use.
     fn pool(&mut self, key: &PoolKey, now: Ticks) -> &mut BackendPool {
         let (tables, random) = (self.tables.as_deref(), &mut self.random);
         let pools = &mut self.pools;
@@ -210,8 +218,8 @@
         pools.get_mut(key).expect("it was inserted where it was missing")
     }
 
-    /// Forgets concluded requests that have no attempts in flight.
-    fn forget_finished_requests(&mut self) {
+    /// Removes concluded requests that have no attempts in flight.
+    fn remove_finished_requests(&mut self) {
         for txn in std::mem::take(&mut self.concluded) {
             if self.requests.get(&txn).is_some_and(RequestInFlight::is_finished) {
                 self.requests.remove(&txn);
@@ -224,15 +232,15 @@
     type Update = Update;
 
     fn decide(&mut self, now: Ticks, events: Vec<Event>) -> Vec<Action> {
-        self.forget_finished_requests();
+        self.remove_finished_requests();
         self.admission.shrink_when_cut_off(self.clock.now());
-        let mut actions = std::mem::take(&mut self.pending);
+        let mut actions = std::mem::take(&mut self.pending_actions);
         for event in events {
             match event {
                 Event::RequestArrived(arrival) => self.handle_arrival(&arrival, now, &mut actions),
                 Event::AttemptEnded(report) => self.handle_attempt_end(report, now, &mut actions),
                 Event::ClientDisconnected(txn) => self.handle_disconnect(txn, now, &mut actions),
-                // The pools' balancers use no quota counters, peers or timers; backends arrive as updates.
+                // The pools' balancers use no quota counters, peers or timers, and backend lists arrive as updates.
                 _ => {}
             }
         }
@@ -271,8 +279,8 @@
         instance.into_iter().chain(tenant).collect()
     }
 
-    /// Relays a backend's error reply instead of the proxy's own answer, unless the reply's status promises that the
-    /// request did not run: it may have run at another backend.
+    /// Relays a backend's error reply instead of the proxy's own answer. The exception is a reply whose status
+    /// means that the request did not run, because it may have run at another backend.
     fn final_answer(&self, _: TxnId, answer: FinalAnswer, failure: Option<Reply>) -> FinalAnswer {
         match (answer, failure) {
             (FinalAnswer::OutcomeUnknown | FinalAnswer::Declined { retry_after: None }, Some(reply))
--- a/programs/proxy/src/pools/backend_pool.rs
+++ b/programs/proxy/src/pools/backend_pool.rs
@@ -1,4 +1,4 @@
-//! One pool: the backends of a service in one region, and the policy balancer that chooses among them.
+//! A pool: the policy balancer that chooses among the backends of a service in one region.
 
 use crate::routing::{RequestClass, RouteRule, RoutingTables};
 use crate::ticks::to_ticks;
@@ -13,33 +13,36 @@
     Idempotency, Plan, Product, ProductId, QuotaClaim, Ticks, TxnId, WarmUp,
 };
 
-/// Factor from a route's latency target to the balancer's. The balancer expects answers within a third of its target,
-/// which suits targets of many times the usual latency; here targets are only about three times the usual latency.
+/// The ratio of the balancer's latency target to the route's. The balancer expects answers within a third of
+/// its target, which is right for targets of many times the usual latency. Targets of routes are only about
+/// three times the usual latency.
 const LATENCY_TARGET_FACTOR: f64 = 2.0;
-/// How long a balancer may reject every request while it has no attempt in flight.
+/// The maximum time for which a balancer may reject every request while it has no attempt in flight.
 pub(super) const MAX_STALL: Duration = Duration::from_millis(300);
-/// The class used for a kind of request that no route has.
+/// The latency target of the class for a kind of request that no route has.
 const DEFAULT_LATENCY_TARGET: Duration = Duration::from_millis(500);
+/// The precedence of the class for a kind of request that no route has.
 const DEFAULT_PRECEDENCE: u64 = 1;
-/// The fraction of its capacity that a backend has when it starts.
-const INITIAL_CAPACITY: f64 = 0.2;
-/// Maximum number of attempts for one request within this pool.
+/// The fraction of its full capacity with which a backend starts.
+const INITIAL_CAPACITY_FRACTION: f64 = 0.2;
+/// The maximum number of attempts per request within one pool.
 const MAX_ATTEMPTS_IN_POOL: usize = 4;
-/// How long the balancer expects an idle connection to a backend to stay open.
+/// The time for which the balancer expects an idle connection to a backend to stay open.
 const IDLE_TIMEOUT: Ticks = Ticks(20_000);
 
 /// The pool of one service in one region.
 pub(super) struct BackendPool {
     balancer: Balancer,
-    /// The classes that the balancer distinguishes; it identifies a class by its position.
+    /// The classes that the balancer distinguishes. Their indices are the balancer's product ids.
     classes: Vec<RequestClass>,
     attempts_in_flight: usize,
-    /// When the balancer began to reject every request although it has no attempt in flight.
+    /// The time from which the balancer has rejected every request while it had no attempt in flight.
     pub(super) stalled_since: Option<Timestamp>,
 }
 
 impl BackendPool {
-    /// A pool without backends. It keeps the request classes that the routing tables have at this time.
+    /// Creates a pool without backends. Its request classes are those of the current routing tables and do not change
+    /// afterwards.
     pub(super) fn new(
         tables: Option<&RoutingTables>,
         service: &str,
@@ -53,22 +56,22 @@
         BackendPool { balancer: Balancer::new(config), classes, attempts_in_flight: 0, stalled_since: None }
     }
 
-    /// Notifies the balancer of an event and returns its decision.
+    /// Passes an event to the balancer and returns its decision.
     pub(super) fn decide(&mut self, now: Ticks, event: Event) -> Vec<Action> {
         self.balancer.decide(now, vec![event])
     }
 
-    /// Asks the balancer to choose a backend for a request.
+    /// Lets the balancer choose a backend for a request.
     pub(super) fn offer(&mut self, txn: TxnId, rule: &RouteRule, deadline: Ticks, now: Ticks) -> Vec<Action> {
         let product = nearest_class(&self.classes, rule);
         let claim = QuotaClaim { cost: 1.0, subset_size: 1, ..QuotaClaim::default() };
         self.decide(now, Event::RequestArrived(Arrival { txn, product, claim, deadline }))
     }
 
-    /// Records a decision on a new request and returns whether the balancer has stalled. A balancer that has
-    /// learnt that answers are too slow rejects every request; without an attempt in flight it can never learn
-    /// that they are faster again.
-    pub(super) fn has_stalled(&mut self, decision: &[Action], at: Timestamp) -> bool {
+    /// Records a decision on a new request and returns whether the balancer has stalled. A balancer that has learnt
+    /// that answers are too slow rejects every request. If it also has no attempt in flight, it cannot learn that
+    /// answers have become faster.
+    pub(super) fn detect_stall(&mut self, decision: &[Action], at: Timestamp) -> bool {
         if !matches!(decision, [Action::Reject { .. }]) {
             self.stalled_since = None;
             return false;
@@ -88,21 +91,21 @@
     }
 
     pub(super) fn remove_backend(&mut self, backend: BackendId, now: Ticks) {
-        let gone = BackendInfo {
+        let removed = BackendInfo {
             backend,
             status: BackendStatus::Gone,
             capacity: 1.0,
             local: false,
             started_at: None,
         };
-        self.decide(now, Event::BackendChanges(vec![gone]));
+        self.decide(now, Event::BackendChanges(vec![removed]));
     }
 }
 
-/// The classes of all routes, with at least one of each kind.
+/// Returns the classes of all routes, and a default class for each kind of request that no route has.
 fn request_classes(tables: Option<&RoutingTables>) -> Vec<RequestClass> {
-    let known = tables.map(RoutingTables::request_classes).unwrap_or_default();
-    let mut classes: Vec<_> = known.into_iter().collect();
+    let configured = tables.map(RoutingTables::request_classes).unwrap_or_default();
+    let mut classes: Vec<_> = configured.into_iter().collect();
     for kind in [RouteKind::ReadOnly, RouteKind::Mutating] {
         if !classes.iter().any(|class| class.kind == kind) {
             classes.push(RequestClass {
@@ -115,8 +118,8 @@
     classes
 }
 
-/// The class closest to the route's. A class of another kind is never chosen, because read-only and mutating requests
-/// are retried by different rules.
+/// Returns the class that is closest to the route's. A class of another kind is never chosen, because the rules for
+/// retries differ between read-only and mutating requests.
 fn nearest_class(classes: &[RequestClass], rule: &RouteRule) -> ProductId {
     let same_kind = classes.iter().enumerate().filter(|(_, class)| class.kind == rule.kind);
     let distance = |(_, class): &(usize, &RequestClass)| {
@@ -125,8 +128,8 @@
     ProductId(same_kind.min_by_key(distance).map_or(0, |(position, _)| position))
 }
 
-/// The configuration of a pool's balancer. The value of a request falls with its precedence number. There are no quotas
-/// and no peers, because requests are admitted before a balancer sees them.
+/// Returns the configuration of a pool's balancer. The value of a request decreases with its precedence number. Quotas
+/// and peers are not used, because requests are admitted before a balancer receives them.
 fn balancer_config(classes: &[RequestClass], warm_up: Duration, seed: u64, now: Ticks) -> BalancerConfig {
     let no_quota = Plan {
         rate: 0.0,
@@ -151,7 +154,7 @@
             max_retry_after: Ticks::SECOND,
             max_attempts: MAX_ATTEMPTS_IN_POOL,
         },
-        warm_up: WarmUp { initial_capacity: INITIAL_CAPACITY, ramp_time: to_ticks(warm_up) },
+        warm_up: WarmUp { initial_capacity: INITIAL_CAPACITY_FRACTION, ramp_time: to_ticks(warm_up) },
         idle_timeout: IDLE_TIMEOUT,
         meter_period: Ticks(0),
         counter_timeout: None,
--- a/programs/proxy/src/pools/backend_table.rs
+++ b/programs/proxy/src/pools/backend_table.rs
@@ -1,7 +1,7 @@
-//! The backends of the newest list: the pool each belongs to, its warm-up and health, and the state of it that was last
-//! published to its pool's balancer and to the router.
+//! The backends of the newest list: the pool that each belongs to, its warm-up and health, and its state as last
+//! published to the pool's balancer and to the router.
 //!
-//! A backend keeps its id while consecutive lists contain it; ids are never reused.
+//! A backend keeps its id as long as every list contains it. Ids are never reused.
 
 use super::warm_up::WarmUp;
 use super::{Location, PoolKey};
@@ -17,21 +17,21 @@
 
 /// One backend of the newest list.
 pub(super) struct PooledBackend {
-    /// Its entry in the newest list.
+    /// The backend's entry in the newest list.
     pub(super) listed: Backend,
     pool: PoolKey,
     pub(super) warm_up: WarmUp,
-    /// The state that its pool's balancer was last notified of.
+    /// The state of which the pool's balancer was last notified.
     pub(super) published: Option<BackendInfo>,
 }
 
-/// A backend that is missing from the newest list.
+/// A backend that the newest list no longer contains.
 pub(super) struct RemovedBackend {
     pub(super) id: BackendId,
     pub(super) pool: PoolKey,
 }
 
-/// A changed backend that its pool's balancer must be notified of.
+/// A changed state of a backend, of which the pool's balancer must be notified.
 pub(super) struct BackendChange {
     pub(super) pool: PoolKey,
     pub(super) info: BackendInfo,
@@ -39,13 +39,13 @@
 
 /// The state of all backends after a refresh.
 pub(super) struct Refreshed {
-    /// All backends; for the router.
+    /// All backends, for the router.
     pub(super) entries: Vec<BackendEntry>,
-    /// The backends that have changed; for their pools' balancers.
+    /// The changed backends, for the balancers of their pools.
     pub(super) changes: Vec<BackendChange>,
 }
 
-/// The newest list of backends, and when it was taken.
+/// The newest list of backends, with the latest possible time at which it was read from the platform.
 struct TakenList {
     list: Rc<BackendList>,
     taken_at: Timestamp,
@@ -58,9 +58,10 @@
     pub(super) by_id: BTreeMap<BackendId, PooledBackend>,
     ids: HashMap<String, BackendId>,
     last_id: u32,
-    /// When the evacuation of each zone ended. Its backends warm up again, because they had no traffic meanwhile.
+    /// The times at which the evacuations of zones ended. The backends of these zones warm up again from then
+    /// on, because they had no traffic during the evacuation.
     reopened_zones: BTreeMap<String, Timestamp>,
-    /// The failure share of each unhealthy backend, from 0 to 1, by the reports of all proxies.
+    /// The fraction of failed attempts of each unhealthy backend, from 0 to 1, according to the reports of all proxies.
     pub(super) unhealthy: BTreeMap<String, f64>,
 }
 
@@ -81,7 +82,7 @@
         self.reopened_zones.extend(zones.map(|zone| (zone.clone(), at)));
     }
 
-    /// Replaces the set of unhealthy backends; returns whether it changed.
+    /// Replaces the set of unhealthy backends. Returns whether it changed.
     pub(super) fn set_unhealthy(&mut self, unhealthy: &BTreeMap<String, f64>) -> bool {
         if self.unhealthy == *unhealthy {
             return false;
@@ -90,13 +91,13 @@
         true
     }
 
-    /// The published state of all backends of a pool.
+    /// Returns the published states of all backends of a pool.
     pub(super) fn published_in(&self, pool: &PoolKey) -> Vec<BackendInfo> {
         let backends = self.by_id.values().filter(|backend| backend.pool == *pool);
         backends.filter_map(|backend| backend.published.clone()).collect()
     }
 
-    /// Adds, updates and removes backends to match the newest list; returns those removed, or `None` if no list has
+    /// Adds, updates and removes backends to match the newest list. Returns the removed ones, or `None` if no list has
     /// arrived yet.
     pub(super) fn apply_list(&mut self, location: &Location) -> Option<Vec<RemovedBackend>> {
         let TakenList { list, taken_at } = self.newest_list.as_ref()?;
@@ -121,7 +122,7 @@
         Some(self.remove_unlisted(&listed))
     }
 
-    /// The id of a backend by its name; assigns a new id to an unknown name.
+    /// Returns the id of the backend with the given name, and assigns a new id to an unknown name.
     fn id(&mut self, name: &str) -> BackendId {
         if let Some(id) = self.ids.get(name) {
             return *id;
@@ -135,36 +136,36 @@
     fn remove_unlisted(&mut self, listed: &BTreeSet<BackendId>) -> Vec<RemovedBackend> {
         let mut removed = Vec::new();
         self.by_id.retain(|id, backend| {
-            let stays = listed.contains(id);
-            if !stays {
+            let is_listed = listed.contains(id);
+            if !is_listed {
                 self.ids.remove(&backend.listed.id);
                 removed.push(RemovedBackend { id: *id, pool: backend.pool.clone() });
             }
-            stays
+            is_listed
         });
         removed
     }
 
-    /// The pools in which so many backends are unhealthy that the cause must be shared. Shifting load between their
-    /// backends would not help, so their weights stay.
+    /// Returns the pools in which so many backends are unhealthy that the cause must be shared. Their backends
+    /// keep their weights, because shifting load between them would not help.
     fn pools_with_shared_cause(&self) -> BTreeSet<PoolKey> {
         #[derive(Default)]
         struct HealthCounts {
             unhealthy: usize,
-            all: usize,
+            total: usize,
         }
         let mut counts: BTreeMap<&PoolKey, HealthCounts> = BTreeMap::new();
         for backend in self.by_id.values() {
             let count = counts.entry(&backend.pool).or_default();
             count.unhealthy += usize::from(self.unhealthy.contains_key(&backend.listed.id));
-            count.all += 1;
+            count.total += 1;
         }
-        let shared = counts.into_iter().filter(|(_, count)| is_shared_cause(count.unhealthy, count.all));
+        let shared = counts.into_iter().filter(|(_, count)| is_shared_cause(count.unhealthy, count.total));
         shared.map(|(pool, _)| pool.clone()).collect()
     }
 
-    /// Recomputes the state of each backend. `now` and `at` are the same time by the router's clock and by this
-    /// process's monotonic clock.
+    /// Recomputes the state of each backend and publishes it where it has changed. `now` and `at` are the same time by
+    /// the router's clock and by the process's monotonic clock.
     pub(super) fn refresh(
         &mut self,
         tables: &RoutingTables,
@@ -213,10 +214,10 @@
         f64::from(self.listed.capacity) * weight
     }
 
-    /// Sets the published state; returns whether it changed.
+    /// Updates the published state. Returns whether it changed.
     fn publish(&mut self, info: &BackendInfo) -> bool {
         let unchanged = self.published.as_ref().is_some_and(|published| {
-            // The start time is only an estimate that varies with each list, so it is published once per warm-up.
+            // The start time is an estimate that differs with each list, so it is published only once per warm-up.
             let started_at = published.started_at.filter(|_| info.started_at.is_some()).or(info.started_at);
             BackendInfo { started_at, ..info.clone() } == *published
         });
--- a/programs/proxy/src/pools/dispatch.rs
+++ b/programs/proxy/src/pools/dispatch.rs
@@ -1,7 +1,7 @@
 //! The lifecycle of a request: arrival, admission, the pools of one region after the other, the attempts in each pool,
-//! and the final answer. Each step appends the actions that the router has to carry out.
+//! and the final answer. Each step appends the actions for the router to `actions`.
 
-use super::admission::Verdict;
+use super::admission::AdmissionDecision;
 use super::request::{Attempt, RequestInFlight};
 use super::{BackendPools, PoolKey, warm_up};
 use crate::snapshot::AuthorizedRequest;
@@ -22,34 +22,40 @@
         };
         self.status.count_request(&request.rule);
         let request = AuthorizedRequest { expiry: arrival.deadline, ..request };
-        let verdict = self.admission.admit(txn, request, now, self.clock.now());
-        self.apply_verdict(txn, verdict, now, actions);
+        let decision = self.admission.admit(txn, request, now, self.clock.now());
+        self.apply_admission(txn, decision, now, actions);
     }
 
-    /// Applies the lenders' answers. The resulting actions are carried out with the next batch of events.
+    /// Applies the answers to token requests. The resulting actions are returned with the next batch of events.
     pub(super) fn apply_token_grants(&mut self, grants: TokenGrants, now: Ticks) {
         let at = self.clock.now();
         self.admission.record_grants(&grants, at);
         let mut actions = Vec::new();
         for WaitingAnswer { txn, answer } in grants.waiting {
-            if let Some(verdict) = self.admission.resume(txn, answer, now, at) {
-                self.apply_verdict(txn, verdict, now, &mut actions);
+            if let Some(decision) = self.admission.resume(txn, answer, now, at) {
+                self.apply_admission(txn, decision, now, &mut actions);
             }
         }
-        self.pending.append(&mut actions);
+        self.pending_actions.append(&mut actions);
     }
 
-    fn apply_verdict(&mut self, txn: TxnId, verdict: Verdict, now: Ticks, actions: &mut Vec<Action>) {
-        match verdict {
-            Verdict::Admitted(request) => self.start_request(txn, request, now, actions),
-            Verdict::Waiting => {}
-            Verdict::Rejected { retry_after } => {
+    fn apply_admission(
+        &mut self,
+        txn: TxnId,
+        decision: AdmissionDecision,
+        now: Ticks,
+        actions: &mut Vec<Action>,
+    ) {
+        match decision {
+            AdmissionDecision::Admitted(request) => self.start_request(txn, request, now, actions),
+            AdmissionDecision::Waiting => {}
+            AdmissionDecision::Rejected { retry_after } => {
                 actions.push(Action::Reject { txn, retry_after: Some(retry_after) });
             }
         }
     }
 
-    /// Picks one of the route's services at random by weight and offers the request to the first pool.
+    /// Chooses one of the route's services at random by weight, and offers the request to the first of its pools.
     fn start_request(
         &mut self,
         txn: TxnId,
@@ -59,14 +65,14 @@
     ) {
         let draw = self.random.random::<f64>();
         let services = &request.rule.services;
-        let drawn = pick_weighted(services.iter().map(|service| service.weight), draw);
-        let service = Rc::clone(&services[drawn].name);
+        let chosen = pick_weighted(services.iter().map(|service| service.weight), draw);
+        let service = Rc::clone(&services[chosen].name);
         self.retry_budgets.record_request(&service, self.proxy_count);
         self.requests.insert(txn, RequestInFlight::new(request, service, &self.location));
         self.offer_to_next_pool(txn, now, actions);
     }
 
-    /// Offers the request to the pool of the next region, or rejects the request if none is left.
+    /// Offers the request to the pool of the next region, or rejects it if none is left.
     fn offer_to_next_pool(&mut self, txn: TxnId, now: Ticks, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get_mut(&txn) else {
             return;
@@ -78,13 +84,13 @@
         let at = self.clock.now();
         let pool = self.pool(&key, now);
         let decision = pool.offer(txn, &rule, expiry, now);
-        if pool.has_stalled(&decision, at) {
+        if pool.detect_stall(&decision, at) {
             self.restart_pool(&key, now);
         }
-        self.carry_out(&key, decision, now, actions);
+        self.apply_decision(&key, decision, now, actions);
     }
 
-    /// Rejects a request that no pool accepts. Its quota token is returned unless an attempt reached a backend.
+    /// Rejects a request that no pool accepts. Its quota token is refunded unless an attempt reached a backend.
     fn reject(&mut self, txn: TxnId, actions: &mut Vec<Action>) {
         if let Some(request) = self.requests.get(&txn)
             && let Some(tenant) = request.tenant.as_ref().filter(|_| !request.reached_backend)
@@ -95,15 +101,15 @@
         actions.push(Action::Reject { txn, retry_after: None });
     }
 
-    /// Replaces a pool by a new one with the same backends and without what was learnt about their latencies.
+    /// Replaces a pool by a new one with the same backends, whose balancer has learnt nothing about their latencies.
     fn restart_pool(&mut self, key: &PoolKey, now: Ticks) {
         self.pools.remove(key);
         let backends = self.backends.published_in(key);
         self.pool(key, now).decide(now, Event::BackendList(backends));
     }
 
-    /// Marks a request as concluded. It is retained until all its attempts have ended, because the balancers must be
-    /// notified of each end.
+    /// Marks a request as concluded. Its state is kept until all its attempts have ended, because the balancers must be
+    /// notified of the end of each.
     fn conclude(&mut self, txn: TxnId) {
         if let Some(request) = self.requests.get_mut(&txn) {
             request.conclude();
@@ -112,7 +118,13 @@
     }
 
     /// Translates a balancer's decision into actions for the router.
-    fn carry_out(&mut self, key: &PoolKey, decision: Vec<Action>, now: Ticks, actions: &mut Vec<Action>) {
+    fn apply_decision(
+        &mut self,
+        key: &PoolKey,
+        decision: Vec<Action>,
+        now: Ticks,
+        actions: &mut Vec<Action>,
+    ) {
         for action in decision {
             match action {
                 Action::SendAttempt { txn, backend, .. } => {
@@ -128,7 +140,7 @@
                     self.conclude(txn);
                     actions.push(Action::Fail { txn });
                 }
-                // Quota counters, peers and their timers belong to other deployments.
+                // Balancers in pools have no quota counters and peers, nor timers for them.
                 Action::SetTimer { .. }
                 | Action::IncrementCounter { .. }
                 | Action::SendPeerMessage { .. } => {}
@@ -136,7 +148,7 @@
         }
     }
 
-    /// Sends an attempt that a balancer requests, or notifies the balancer that the attempt was not sent.
+    /// Sends an attempt that a balancer requests, or notifies the balancer that it was not sent.
     fn send_attempt(
         &mut self,
         key: &PoolKey,
@@ -145,7 +157,7 @@
         now: Ticks,
         actions: &mut Vec<Action>,
     ) {
-        let allowed = self.may_send(txn, backend);
+        let allowed = self.try_reserve_attempt(txn, backend);
         let Some(request) = self.requests.get_mut(&txn) else {
             return;
         };
@@ -157,15 +169,16 @@
             }
             return actions.push(Action::SendAttempt { txn, backend, timeout: None });
         }
-        // The balancer then chooses another backend or rejects the request.
-        let event = Event::AttemptEnded(not_sent(txn, number_in_pool));
+        // The balancer responds by choosing another backend or rejecting the request.
+        let event = Event::AttemptEnded(not_sent_report(txn, number_in_pool));
         let decision = self.pool(key, now).decide(now, event);
-        self.carry_out(key, decision, now, actions);
+        self.apply_decision(key, decision, now, actions);
     }
 
-    /// Whether one more attempt may be sent, by the route's maximum, the backend's slow start and, once an attempt has
-    /// reached a backend, the service's retry budget. Takes the tokens for it.
-    fn may_send(&mut self, txn: TxnId, backend: BackendId) -> bool {
+    /// Returns whether one more attempt may be sent, and spends the tokens for it. The attempt is limited by
+    /// the route's maximum, by the backend's slow start and, once an attempt has reached a backend, by the
+    /// service's retry budget.
+    fn try_reserve_attempt(&mut self, txn: TxnId, backend: BackendId) -> bool {
         let at = self.clock.now();
         let Some(request) = self.requests.get(&txn).filter(|request| request.has_attempts_left()) else {
             return false;
@@ -179,13 +192,13 @@
             let rate_per_s = service.map_or(0.0, |service| service.warmup_per_s);
             warm_up::proxy_limit(limits, rate_per_s, proxy_count)
         };
-        if !backend.warm_up.try_send(limit, at) {
+        if !backend.warm_up.try_spend(limit, at) {
             return false;
         }
         !request.reached_backend || self.retry_budgets.try_spend(&request.service)
     }
 
-    /// Handles the end of an attempt: its pool's balancer decides what follows.
+    /// Handles the end of an attempt. The balancer of its pool decides what to do next.
     pub(super) fn handle_attempt_end(
         &mut self,
         report: AttemptReport,
@@ -200,7 +213,7 @@
             return;
         };
         let (key, number_in_pool, backend) = (attempt.pool.clone(), attempt.number_in_pool, attempt.backend);
-        self.record_backend_health(backend, report.outcome);
+        self.record_attempt_result(backend, report.outcome);
         if concluded || report.complete || report.outcome == Outcome::Succeeded {
             self.conclude(report.txn);
         }
@@ -210,12 +223,12 @@
         pool.record_attempt_end();
         let report = AttemptReport { attempt: number_in_pool, ..report };
         let decision = pool.decide(now, Event::AttemptEnded(report));
-        self.carry_out(&key, decision, now, actions);
+        self.apply_decision(&key, decision, now, actions);
     }
 
-    /// Counts an attempt for outlier detection. Rejections for lack of capacity and attempts that were not
-    /// completed say nothing about a backend's health.
-    fn record_backend_health(&mut self, backend: BackendId, outcome: Outcome) {
+    /// Counts an attempt for outlier detection. Rejected, cancelled and unsent attempts are not counted,
+    /// because they do not indicate whether the backend is healthy.
+    fn record_attempt_result(&mut self, backend: BackendId, outcome: Outcome) {
         if matches!(outcome, Outcome::Rejected | Outcome::Cancelled | Outcome::NotSent) {
             return;
         }
@@ -237,13 +250,13 @@
         };
         if let Some(pool) = self.pools.get_mut(&key) {
             let decision = pool.decide(now, Event::ClientDisconnected(txn));
-            self.carry_out(&key, decision, now, actions);
+            self.apply_decision(&key, decision, now, actions);
         }
     }
 }
 
-/// The report on an attempt that was not sent.
-fn not_sent(txn: TxnId, attempt: AttemptNumber) -> AttemptReport {
+/// Creates the report on an attempt that was not sent.
+fn not_sent_report(txn: TxnId, attempt: AttemptNumber) -> AttemptReport {
     AttemptReport {
         txn,
         attempt,
--- a/programs/proxy/src/pools/request.rs
+++ b/programs/proxy/src/pools/request.rs
@@ -1,7 +1,7 @@
-//! The state of one admitted request: the regions that it may still go to and the attempts that were made for it.
+//! The state of an admitted request: the regions that have not been tried yet and the attempts that were sent.
 //!
-//! A request's attempts are numbered twice: over all pools, which is what the router knows, and within each pool, which
-//! is what the pool's balancer knows. The numbers within a pool include attempts that were never sent.
+//! Attempts have two numbers: the router numbers them over all pools, the balancer of a pool numbers them within the
+//! pool. The numbers within a pool include attempts that were requested but never sent.
 
 use super::{Location, PoolKey};
 use crate::routing::{RouteRule, Tenant};
@@ -14,39 +14,41 @@
 pub(super) struct Attempt {
     pub(super) pool: PoolKey,
     pub(super) backend: BackendId,
-    /// Its number within its pool.
+    /// The number of the attempt within its pool.
     pub(super) number_in_pool: AttemptNumber,
     pub(super) ended: bool,
 }
 
-/// The number of attempts that the balancer of one pool has requested, sent or not.
+/// The number of attempts that the balancer of one pool has requested, whether they were sent or not.
 struct RequestedAttempts {
     pool: PoolKey,
     count: u32,
 }
 
-/// An admitted request that still has an answer to come or an attempt in flight.
+/// An admitted request that has no final answer yet or still has an attempt in flight.
 pub(super) struct RequestInFlight {
     pub(super) rule: Rc<RouteRule>,
     pub(super) tenant: Option<Rc<Tenant>>,
     pub(super) service: Rc<str>,
-    /// Regions that were not tried yet; the next one is the last element.
+    /// The regions that have not been tried yet. The next one is the last element.
     remaining_regions: Vec<Rc<str>>,
-    /// The pool that currently owns the request.
+    /// The pool to which the request was offered last.
     pub(super) pool: Option<PoolKey>,
-    /// When the client stops waiting.
+    /// The time at which the client stops waiting.
     pub(super) expiry: Ticks,
+    /// The attempts that were sent, in the order of their numbers over all pools.
     attempts: Vec<Attempt>,
     requested: Vec<RequestedAttempts>,
-    /// At least one attempt reached a backend.
+    /// Whether at least one attempt reached a backend.
     pub(super) reached_backend: bool,
     may_have_run: bool,
-    /// The client has its final answer, or has left.
+    /// Whether the client was answered or has disconnected.
     concluded: bool,
 }
 
 impl RequestInFlight {
-    /// A new request for `service`. It may go to every region that both its route and its tenant allow.
+    /// Creates the state of a new request to `service`. It may be served in the regions that both its route and its
+    /// tenant allow.
     pub(super) fn new(request: AuthorizedRequest, service: Rc<str>, location: &Location) -> RequestInFlight {
         let remaining_regions = allowed_regions(&request, location);
         RequestInFlight {
@@ -64,8 +66,8 @@
         }
     }
 
-    /// Moves the request to the pool of the next region. Returns `None` if no region is left, or if no further attempt
-    /// is allowed.
+    /// Moves the request to the pool of the next region. Returns `None` if no region is left or no further attempt is
+    /// allowed.
     pub(super) fn next_pool(&mut self) -> Option<PoolKey> {
         let unsafe_to_retry = self.may_have_run && self.rule.kind == RouteKind::Mutating;
         if !self.has_attempts_left() || unsafe_to_retry {
@@ -81,7 +83,7 @@
         self.attempts.len() < self.rule.max_attempts
     }
 
-    /// Counts an attempt requested by a pool's balancer and returns the attempt's number within that pool.
+    /// Counts an attempt that a pool's balancer requests, and returns its number within that pool.
     pub(super) fn count_requested_attempt(&mut self, pool: &PoolKey) -> AttemptNumber {
         let known = self.requested.iter().position(|requested| requested.pool == *pool);
         let position = known.unwrap_or_else(|| {
@@ -93,7 +95,7 @@
         number
     }
 
-    /// Records that an attempt was sent.
+    /// Adds an attempt that is being sent.
     pub(super) fn add_attempt(&mut self, attempt: Attempt) {
         self.attempts.push(attempt);
     }
@@ -104,8 +106,8 @@
         pool: &PoolKey,
         number_in_pool: AttemptNumber,
     ) -> Option<AttemptNumber> {
-        let is_meant = |attempt: &Attempt| attempt.pool == *pool && attempt.number_in_pool == number_in_pool;
-        self.attempts.iter().position(is_meant).map(|position| AttemptNumber(position as u32))
+        let matches = |attempt: &Attempt| attempt.pool == *pool && attempt.number_in_pool == number_in_pool;
+        self.attempts.iter().position(matches).map(|position| AttemptNumber(position as u32))
     }
 
     /// Records the end of an attempt and returns the attempt, or `None` if there is no attempt of that number.
@@ -117,7 +119,7 @@
         Some(attempt)
     }
 
-    /// Records that the client has its final answer, or has left.
+    /// Records that the client was answered or has disconnected.
     pub(super) fn conclude(&mut self) {
         self.concluded = true;
     }
@@ -126,14 +128,14 @@
         self.concluded
     }
 
-    /// Whether the request can be forgotten: it is concluded and has no attempt in flight.
+    /// Returns whether the request is concluded and has no attempt in flight, so that its state can be removed.
     pub(super) fn is_finished(&self) -> bool {
         self.concluded && self.attempts.iter().all(|attempt| attempt.ended)
     }
 }
 
-/// The regions that may serve a request, in reverse order of preference: this proxy's own region is preferred and
-/// therefore the last element.
+/// Returns the regions that may serve a request, in reverse order of preference. This proxy's own region is
+/// preferred and therefore the last element.
 fn allowed_regions(request: &AuthorizedRequest, location: &Location) -> Vec<Rc<str>> {
     let allows = |homes: &[String], region: &str| homes.is_empty() || homes.iter().any(|home| home == region);
     let allowed = |region: &str| {
--- a/programs/proxy/src/pools/retry.rs
+++ b/programs/proxy/src/pools/retry.rs
@@ -1,4 +1,4 @@
-//! Retry budgets: retries to a service are limited to a fraction of its requests, so that retries do not overload a
+//! Retry budgets. The retries to a service are limited to a fraction of its requests, so that they do not overload a
 //! failing service.
 
 use std::collections::BTreeMap;
@@ -8,12 +8,12 @@
 
 /// This proxy's share of the retry budgets of all services.
 pub(super) struct RetryBudgets {
-    /// Retries allowed per request.
+    /// The number of retries allowed per request.
     ratio: f64,
-    /// Retries of all proxies together that are allowed on top, as a burst.
+    /// The number of additional retries that all proxies together may send in a burst.
     allowance: f64,
-    /// Whether new budgets start full. After a restart they start empty, because this process's predecessor may have
-    /// spent them.
+    /// Whether new budgets start full. After a restart they start empty, because the previous process may just
+    /// have spent them.
     start_full: bool,
     pub(super) by_service: BTreeMap<Rc<str>, RetryBudget>,
 }
@@ -32,7 +32,7 @@
         RetryPolicy { ratio: self.ratio, allowance: self.allowance, proxies: proxy_count }
     }
 
-    /// Adds what one request contributes to the service's budget.
+    /// Adds the contribution of one request to the service's budget.
     pub(super) fn record_request(&mut self, service: &Rc<str>, proxy_count: f64) {
         let policy = self.policy(proxy_count);
         let start_full = self.start_full;
@@ -40,7 +40,7 @@
         self.by_service.entry(Rc::clone(service)).or_insert_with(new_budget).record_request(&policy);
     }
 
-    /// Takes one retry from the service's budget; returns false if it has none.
+    /// Spends one retry of the service's budget. Returns false if none is left.
     pub(super) fn try_spend(&mut self, service: &Rc<str>) -> bool {
         self.by_service.get_mut(service).is_some_and(RetryBudget::try_spend)
     }
--- a/programs/proxy/src/pools/tests.rs
+++ b/programs/proxy/src/pools/tests.rs
@@ -1,4 +1,4 @@
-//! The decisions of one proxy by updates, requests and the ends of attempts; without sockets.
+//! The routing decisions of one proxy on updates, requests and the ends of attempts, without sockets.
 
 use super::backend_pool::MAX_STALL;
 use super::backend_table::PooledBackend;
@@ -16,12 +16,12 @@
 
 const SECOND: Ticks = Ticks::SECOND;
 
-/// One proxy's decisions in zone east-a, with what they share with the gate and the token client.
+/// The routing decisions of one proxy in zone east-a, in place of its gate and token client.
 struct Fixture {
     pools: BackendPools,
     snapshot: Rc<Snapshot>,
-    requested: mpsc::UnboundedReceiver<TokenRequest>,
-    txns: u64,
+    token_requests: mpsc::UnboundedReceiver<TokenRequest>,
+    last_txn: u64,
 }
 
 fn backend(id: &str, service: &str, zone: &str) -> Backend {
@@ -61,7 +61,7 @@
     })
 }
 
-/// A fleet of this proxy alone, and the number of token lenders where there are any.
+/// Returns the summary of a fleet of this proxy alone, with the given number of token lenders.
 fn fleet_summary(lenders: Option<u32>) -> Update {
     let tenants = [("t".to_owned(), TenantUsage { requests_per_s: 0.0, quota_shares: 0.0 })].into();
     let version = Version { ballot: Ballot(1), number: 1 };
@@ -93,10 +93,10 @@
             warmup_allowance: 5.0,
         };
         let snapshot = Rc::new(Snapshot::new(MonotonicClock::start(), &limits));
-        let (token_requests, requested) = mpsc::unbounded_channel();
+        let (sender, token_requests) = mpsc::unbounded_channel();
         let config = PoolsConfig { location, limits, initial_start: true, seed: 7 };
-        let pools = BackendPools::start(config, Rc::clone(&snapshot), Rc::default(), token_requests);
-        let mut fixture = Fixture { pools, snapshot, requested, txns: 0 };
+        let pools = BackendPools::start(config, Rc::clone(&snapshot), Rc::default(), sender);
+        let mut fixture = Fixture { pools, snapshot, token_requests, last_txn: 0 };
         fixture.apply_update(Update::Register(register(1, &[])));
         fixture.set_backends(list);
         fixture.apply_update(fleet_summary(lenders));
@@ -114,10 +114,10 @@
     }
 
     fn send_request(&mut self, path: &str) -> (TxnId, Vec<Action>) {
-        self.txns += 1;
-        let txn = TxnId(self.txns);
-        let tables = self.snapshot.tables.borrow().clone().expect("a configuration has come");
-        let ResolvedRoute { rule, tenant } = tables.resolve("h", path, Some("k")).expect("it has a route");
+        self.last_txn += 1;
+        let txn = TxnId(self.last_txn);
+        let tables = self.snapshot.tables.borrow().clone().expect("there is a configuration");
+        let ResolvedRoute { rule, tenant } = tables.resolve("h", path, Some("k")).expect("there is a route");
         let expiry = SECOND + Ticks(20_000);
         let authorized = AuthorizedRequest { rule, tenant, expiry, abandoned: false };
         self.snapshot.authorized.borrow_mut().insert(txn, authorized);
@@ -138,7 +138,7 @@
         self.pools.decide(SECOND, vec![Event::AttemptEnded(report)])
     }
 
-    /// The name of the backend that a request is sent to; none where it is sent to none.
+    /// Returns the name of the backend to which a request is sent, or `None` if it is not sent.
     fn chosen_backend(&self, actions: &[Action]) -> Option<String> {
         let [Action::SendAttempt { txn, backend, .. }] = actions else {
             return None;
@@ -152,7 +152,7 @@
         self.pools.backends.by_id.values().find(|backend| backend.listed.id == name)
     }
 
-    /// The capacity that the balancer counts a backend with.
+    /// Returns the capacity of a backend as published to the balancer.
     fn capacity(&self, name: &str) -> Option<f64> {
         let published = self.backend(name).and_then(|backend| backend.published.as_ref());
         published.map(|published| published.capacity)
@@ -168,13 +168,13 @@
 }
 
 #[test]
-fn a_request_goes_to_its_own_region_and_to_the_next_where_that_rejects_it() {
+fn requests_prefer_the_own_region_and_fall_back_to_the_next() {
     let mut fixture = Fixture::start(backends(), None);
     let (txn, actions) = fixture.send_request("/read/x");
     assert!(fixture.chosen_backend(&actions).is_some_and(|id| id.starts_with('e')), "{actions:?}");
     fixture.complete(txn, 0, Outcome::Succeeded);
     let (_, actions) = fixture.send_request("/home/x");
-    assert_eq!(fixture.chosen_backend(&actions).as_deref(), Some("w1"), "home is elsewhere");
+    assert_eq!(fixture.chosen_backend(&actions).as_deref(), Some("w1"), "the home region is west");
     let mut drained = backends();
     drained[0].draining = true;
     fixture.set_backends(drained.clone());
@@ -185,7 +185,7 @@
     drained.remove(1);
     fixture.set_backends(drained);
     let (_, actions) = fixture.send_request("/read/x");
-    assert_eq!(fixture.chosen_backend(&actions).as_deref(), Some("w1"), "nothing is left in its own region");
+    assert_eq!(fixture.chosen_backend(&actions).as_deref(), Some("w1"), "the own region has no backend");
 }
 
 #[test]
@@ -197,7 +197,7 @@
     }
     let (txn, _) = fixture.send_request("/write/x");
     let actions = fixture.complete(txn, 0, Outcome::ConnectFailed);
-    assert!(fixture.chosen_backend(&actions).is_some(), "it reached no backend");
+    assert!(fixture.chosen_backend(&actions).is_some(), "the attempt reached no backend");
     assert!(
         is_rejected_for_capacity(&fixture.complete(txn, 1, Outcome::ConnectFailed)),
         "no more attempts are allowed"
@@ -205,9 +205,9 @@
 }
 
 #[test]
-fn a_retry_spends_from_the_budget_that_requests_fill() {
+fn retries_are_limited_by_the_budget_that_requests_fill() {
     let mut fixture = Fixture::start(backends(), None);
-    // The budget starts empty; seven requests fill it for one retry.
+    // The budget starts empty. It takes seven requests to fill it for one retry.
     fixture.pools.retry_budgets.by_service.insert(Rc::from("s"), RetryBudget::empty());
     let mut retried = 0;
     for _ in 0..8 {
@@ -220,7 +220,7 @@
 }
 
 #[test]
-fn an_evacuated_zone_gets_no_requests_and_warms_up_when_it_is_reopened() {
+fn an_evacuated_zone_receives_no_requests_and_warms_up_after_the_evacuation() {
     let mut fixture = Fixture::start(vec![backend("e1", "s", "east-a"), backend("w1", "s", "west-a")], None);
     fixture.apply_update(Update::Register(register(2, &["east-a"])));
     let (txn, actions) = fixture.send_request("/read/x");
@@ -229,28 +229,28 @@
     fixture.apply_update(Update::Register(register(3, &[])));
     let warming_up =
         fixture.backend("e1").is_some_and(|backend| backend.warm_up.until > fixture.snapshot.clock.now());
-    assert!(warming_up, "its backends had no traffic meanwhile");
+    assert!(warming_up, "the zone's backends had no traffic during the evacuation");
 }
 
 #[test]
 fn a_register_that_differs_only_in_its_voters_changes_nothing() {
     let mut fixture = Fixture::start(backends(), None);
     let tables =
-        |fixture: &Fixture| fixture.snapshot.tables.borrow().clone().expect("a configuration has come");
+        |fixture: &Fixture| fixture.snapshot.tables.borrow().clone().expect("there is a configuration");
     let before = tables(&fixture);
     let voter = "10.0.0.9:7600".parse().expect("an address");
     let membership = Membership { epoch: 2, voters: vec![voter], outgoing: Vec::new() };
     let other = Register { revision: Revision(2), membership, ..Register::clone(&register(1, &[])) };
     let backends_changed = fixture.pools.apply_update(SECOND, Update::Register(Rc::new(other.clone())));
     assert!(backends_changed.is_none(), "backends are not refreshed");
-    assert!(Rc::ptr_eq(&before, &tables(&fixture)), "nor are routing tables built");
+    assert!(Rc::ptr_eq(&before, &tables(&fixture)), "routing tables are not rebuilt");
     let evacuated = Register { revision: Revision(3), evacuated: ["east-a".to_owned()].into(), ..other };
     assert!(fixture.pools.apply_update(SECOND, Update::Register(Rc::new(evacuated))).is_some());
     assert!(!Rc::ptr_eq(&before, &tables(&fixture)));
 }
 
 #[test]
-fn a_backend_that_warms_up_gets_its_share_and_the_rest_goes_elsewhere() {
+fn a_backend_that_warms_up_is_limited_and_other_backends_receive_the_rest() {
     let warming_up = Backend { warmup_left_ms: 3_000, ..backend("e1", "s", "east-a") };
     let mut fixture = Fixture::start(vec![warming_up, backend("w1", "s", "west-a")], None);
     fixture.pools.proxy_count = 4.0;
@@ -262,19 +262,19 @@
             fixture.complete(txn, 0, Outcome::Succeeded);
         }
     }
-    // Four proxies may send it 16 in a second between them.
+    // Four proxies together may send 16 requests in a second to the backend.
     assert!(requests.get("e1").copied().unwrap_or(0) <= 4, "{requests:?}");
     assert!(requests.get("w1").copied().unwrap_or(0) >= 4, "{requests:?}");
 }
 
 #[test]
-fn a_rejection_by_quota_says_when_to_retry_and_an_unsent_request_returns_its_token() {
+fn a_rejection_by_quota_has_a_retry_time_and_the_token_of_an_unsent_request_is_refunded() {
     let mut fixture = Fixture::start(Vec::new(), None);
     for _ in 0..30 {
         let (_, actions) = fixture.send_request("/read/x");
         assert!(
             is_rejected_for_capacity(&actions),
-            "there is no backend, and no token was spent: {actions:?}"
+            "rejected for lack of a backend, not by quota, as tokens are refunded: {actions:?}"
         );
     }
     fixture.set_backends(backends());
@@ -286,16 +286,16 @@
             _ => drop(fixture.complete(txn, 0, Outcome::Succeeded)),
         }
     }
-    let wait = retry_after.expect("a burst of 8");
+    let wait = retry_after.expect("30 requests exceed the burst of 8");
     assert!(wait >= Ticks(500) && wait <= Ticks(1_500), "{wait:?}");
 }
 
 #[test]
-fn where_controllers_lease_tokens_a_request_waits_for_its_own() {
+fn requests_wait_for_leased_tokens() {
     let mut fixture = Fixture::start(backends(), Some(3));
     let (granted, actions) = fixture.send_request("/read/x");
-    assert_eq!(actions, [], "it waits");
-    let requested = fixture.requested.try_recv().expect("a token is requested");
+    assert_eq!(actions, [], "the request waits for a token");
+    let requested = fixture.token_requests.try_recv().expect("a token is requested");
     assert_eq!((requested.waiting, &*requested.tenant), (Some(granted), "t"));
     let actions = fixture.apply_update(token_answer(granted, TokenAnswer::Granted));
     assert!(fixture.chosen_backend(&actions).is_some());
@@ -303,28 +303,28 @@
     let (refused, _) = fixture.send_request("/read/x");
     let actions = fixture.apply_update(token_answer(refused, TokenAnswer::Refused));
     assert!(matches!(actions.as_slice(), [Action::Reject { retry_after: Some(_), .. }]), "{actions:?}");
-    // Its client disconnects: the token serves the next request without another token request.
+    // The client disconnects while its request waits. The next request uses the token and requests no other.
     let (abandoned, _) = fixture.send_request("/read/x");
     fixture.pools.decide(SECOND, vec![Event::ClientDisconnected(abandoned)]);
     assert_eq!(fixture.apply_update(token_answer(abandoned, TokenAnswer::Granted)), []);
-    while fixture.requested.try_recv().is_ok() {}
+    while fixture.token_requests.try_recv().is_ok() {}
     let (_, actions) = fixture.send_request("/read/x");
-    assert!(fixture.chosen_backend(&actions).is_some() && fixture.requested.try_recv().is_err());
-    // Its time is over: the same.
+    assert!(fixture.chosen_backend(&actions).is_some() && fixture.token_requests.try_recv().is_err());
+    // The request expires while it waits. Again, the next request uses the token.
     let (expired, _) = fixture.send_request("/read/x");
     fixture.pools.apply_update(SECOND + Ticks(20_000), token_answer(expired, TokenAnswer::Granted));
-    assert_eq!(fixture.pools.decide(SECOND, Vec::new()), [], "nothing is sent for a request that is over");
-    while fixture.requested.try_recv().is_ok() {}
+    assert_eq!(fixture.pools.decide(SECOND, Vec::new()), [], "an expired request is not sent");
+    while fixture.token_requests.try_recv().is_ok() {}
     let (_, actions) = fixture.send_request("/read/x");
-    assert!(fixture.chosen_backend(&actions).is_some() && fixture.requested.try_recv().is_err());
-    // No lender answers: this proxy's own bucket has not filled yet.
+    assert!(fixture.chosen_backend(&actions).is_some() && fixture.token_requests.try_recv().is_err());
+    // No lender answers. The proxy's own bucket decides and rejects the request, because it has not filled yet.
     let (unanswered, _) = fixture.send_request("/read/x");
     let actions = fixture.apply_update(token_answer(unanswered, TokenAnswer::NoAnswer));
     assert!(matches!(actions.as_slice(), [Action::Reject { retry_after: Some(_), .. }]), "{actions:?}");
 }
 
 #[test]
-fn an_unhealthy_backend_gets_less_unless_most_of_its_pool_is_unhealthy() {
+fn the_capacity_of_an_unhealthy_backend_is_reduced_unless_most_of_its_pool_is_unhealthy() {
     let mut fixture = Fixture::start(backends(), None);
     let with_unhealthy = |unhealthy: &[&str], number| {
         let version = Version { ballot: Ballot(1), number };
@@ -350,21 +350,21 @@
         }
         requests
     };
-    let even = requests_to_e1(&mut fixture);
+    let requests_while_healthy = requests_to_e1(&mut fixture);
     fixture.apply_update(with_unhealthy(&["e1"], 2));
     fixture.pools.backends.unhealthy = [("e1".to_owned(), 0.9)].into();
     fixture.pools.refresh_backends(SECOND);
     assert!(
         fixture.capacity("e1").is_some_and(|capacity| capacity < 0.2) && fixture.capacity("e2") == Some(4.0)
     );
-    assert!(even >= 15, "{even} of 60 before");
+    assert!(requests_while_healthy >= 15, "{requests_while_healthy} of 60 requests while healthy");
     fixture.apply_update(with_unhealthy(&["e1", "e2"], 3));
     assert_eq!(
         (fixture.capacity("e1"), fixture.capacity("e2")),
         (Some(4.0), Some(4.0)),
-        "the cause is shared"
+        "capacities stay if the cause is shared"
     );
-    // What this proxy saw itself is reported.
+    // The proxy reports the failed attempts that it has seen itself.
     let (txn, _) = fixture.send_request("/read/x");
     fixture.complete(txn, 0, Outcome::ConnectionLost);
     fixture.apply_update(with_unhealthy(&[], 4));
@@ -372,10 +372,10 @@
 }
 
 #[test]
-fn a_balancer_that_rejects_everything_with_nothing_in_flight_is_replaced() {
+fn a_stalled_balancer_is_replaced() {
     let mut fixture = Fixture::start(vec![backend("e1", "s", "east-a"), backend("e2", "s", "east-b")], None);
-    // Answers too late for any latency target: the balancer learns that none can be met, and has nothing to
-    // unlearn it by.
+    // All answers are too late for any latency target. The balancer learns to reject every request, and without
+    // attempts it cannot learn that answers have become faster.
     for _ in 0..12 {
         let (txn, actions) = fixture.send_request("/write/x");
         if fixture.chosen_backend(&actions).is_some() {
@@ -398,16 +398,16 @@
         let (_, actions) = fixture.send_request("/write/x");
         matches!(actions.as_slice(), [Action::SendAttempt { .. }])
     };
-    assert!(!served(&mut fixture), "it rejects");
-    // As if it had rejected everything for longer than a balancer may.
-    let before = fixture.snapshot.clock.now().before(MAX_STALL * 2);
-    fixture.pools.pools.values_mut().for_each(|pool| pool.stalled_since = Some(before));
+    assert!(!served(&mut fixture), "the balancer rejects every request");
+    // Simulates a stall that is longer than `MAX_STALL`.
+    let stalled_since = fixture.snapshot.clock.now().before(MAX_STALL * 2);
+    fixture.pools.pools.values_mut().for_each(|pool| pool.stalled_since = Some(stalled_since));
     served(&mut fixture);
     assert!(served(&mut fixture), "the new balancer accepts");
 }
 
 #[test]
-fn an_error_reply_is_relayed_unless_its_status_says_that_the_request_did_not_run() {
+fn an_error_reply_is_relayed_unless_its_status_means_that_the_request_did_not_run() {
     let fixture = Fixture::start(backends(), None);
     let reply = |status: u16| {
         use tokio_util::codec::Decoder;
@@ -422,5 +422,9 @@
             _ => None,
         };
     assert_eq!((relayed(500), relayed(504)), (Some(500), Some(504)));
-    assert_eq!([relayed(503), relayed(429), relayed(421), relayed(408)], [None; 4], "it may have run");
+    assert_eq!(
+        [relayed(503), relayed(429), relayed(421), relayed(408)],
+        [None; 4],
+        "the request may have run"
+    );
 }
--- a/programs/proxy/src/pools/warm_up.rs
+++ b/programs/proxy/src/pools/warm_up.rs
@@ -1,5 +1,5 @@
-//! Slow start of one backend: until it has warmed up, the attempts of all proxies together are limited, and each proxy
-//! has an equal share of that limit.
+//! The slow start of a backend. Until it has warmed up, the rate of attempts is limited over all proxies, and
+//! each proxy has an equal share of that limit.
 
 use crate::ticks::to_ticks;
 use std::time::Duration;
@@ -10,9 +10,9 @@
 
 /// The warm-up of one backend.
 pub(super) struct WarmUp {
-    /// When the warm-up ends.
+    /// The end of the warm-up.
     pub(super) until: Timestamp,
-    /// The token bucket of this proxy's share; created by the first attempt during the warm-up.
+    /// The token bucket of this proxy's share, created by the first attempt during the warm-up.
     bucket: Option<SlowStart>,
 }
 
@@ -21,19 +21,21 @@
         WarmUp { until, bucket: None }
     }
 
-    /// Prolongs the warm-up. It is never shortened, because reports about it are only lower bounds.
+    /// Extends the warm-up. It is never shortened, because reported ends of the warm-up are only lower bounds.
     pub(super) fn extend(&mut self, until: Timestamp) {
         self.until = self.until.max(until);
     }
 
-    /// When the backend started, given the length of a complete warm-up; `None` once the backend is warm.
+    /// Computes the backend's start time from the length of a complete warm-up. Returns `None` once the backend has
+    /// warmed up.
     pub(super) fn started_at(&self, warm_up: Duration, now: Ticks, at: Timestamp) -> Option<Ticks> {
         let remaining = self.until.since(at);
         (!remaining.is_zero()).then(|| now - to_ticks(warm_up.saturating_sub(remaining)))
     }
 
-    /// Whether one more attempt may be sent. Takes a token from this proxy's share if the backend is warming up.
-    pub(super) fn try_send(&mut self, limit: impl FnOnce() -> SlowStartLimit, at: Timestamp) -> bool {
+    /// Returns whether one more attempt may be sent. While the backend warms up, this spends a token of this proxy's
+    /// share.
+    pub(super) fn try_spend(&mut self, limit: impl FnOnce() -> SlowStartLimit, at: Timestamp) -> bool {
         if self.until <= at {
             return true;
         }
@@ -42,7 +44,7 @@
     }
 }
 
-/// One proxy's share of the limit for a backend that is warming up. `rate_per_s` is the rate that the service's
+/// Returns one proxy's share of the limit for a backend that is warming up. `rate_per_s` is the rate that the service's
 /// backends sustain during their warm-up.
 pub(super) fn proxy_limit(limits: &LimitsTable, rate_per_s: f64, proxy_count: f64) -> SlowStartLimit {
     SlowStartLimit::per_proxy(SlowStartPolicy {
