--- a/crates/system-simulator/examples/capacity/backend_lists.rs
+++ b/crates/system-simulator/examples/capacity/backend_lists.rs
@@ -101,7 +101,7 @@
     let gate_state = Rc::new(GateState::new(MonotonicClock::start(), &limits));
     let location = Location { zone: zone(0), region: "region-00".to_owned(), zones: zones() };
     let config = PoolsConfig { location, limits, initial_start: false, seed: 1 };
-    BackendPools::start(config, gate_state, Rc::default(), mpsc::unbounded_channel().0)
+    BackendPools::new(config, gate_state, Rc::default(), mpsc::unbounded_channel().0)
 }
 
 fn proxy_columns(old: BackendList, new: BackendList) -> String {
--- a/programs/proxy/src/data_plane.rs
+++ b/programs/proxy/src/data_plane.rs
@@ -54,7 +54,7 @@
         let config =
             PoolsConfig { location, limits, initial_start: settings.initial_start, seed: incarnation };
         let (token_requests, requested) = mpsc::unbounded_channel();
-        let pools = BackendPools::start(config, Rc::clone(&gate_state), Rc::clone(&status), token_requests);
+        let pools = BackendPools::new(config, Rc::clone(&gate_state), Rc::clone(&status), token_requests);
         let (sender, updates) = mpsc::unbounded_channel();
         let token_client =
             TokenClient::new(publisher.clone(), Rc::clone(settings), environment, sender.clone());
--- a/programs/proxy/src/pools.rs
+++ b/programs/proxy/src/pools.rs
@@ -118,7 +118,7 @@
 impl BackendPools {
     /// Creates the routing decisions without configuration and backends. Token requests are sent to
     /// `token_requests`, and the counters for reports to the control plane are published in `status`.
-    pub fn start(
+    pub fn new(
         config: PoolsConfig,
         gate_state: Rc<GateState>,
         status: Rc<ProxyStatus>,
--- a/programs/proxy/src/pools/tests.rs
+++ b/programs/proxy/src/pools/tests.rs
@@ -95,7 +95,7 @@
         let gate_state = Rc::new(GateState::new(MonotonicClock::start(), &limits));
         let (sender, token_requests) = mpsc::unbounded_channel();
         let config = PoolsConfig { location, limits, initial_start: true, seed: 7 };
-        let pools = BackendPools::start(config, Rc::clone(&gate_state), Rc::default(), sender);
+        let pools = BackendPools::new(config, Rc::clone(&gate_state), Rc::default(), sender);
         let mut fixture = Fixture { pools, gate_state, token_requests, last_txn: 0 };
         fixture.apply_update(Update::Register(register(1, &[])));
         fixture.set_backends(list);
