--- a/programs/proxy/src/gate_state.rs
+++ b/programs/proxy/src/gate_state.rs
@@ -15,7 +15,7 @@
 
 /// A request that the gate has authorized and that has not been offered to a pool yet.
 pub struct AuthorizedRequest {
-    /// The route that it matched.
+    /// The route that the request matched.
     pub rule: Rc<RouteRule>,
     /// The owner of the request's API key; `None` on public routes.
     pub tenant: Option<Rc<Tenant>>,
@@ -33,7 +33,7 @@
     pub authorized: RefCell<BTreeMap<TxnId, AuthorizedRequest>>,
     /// The time at which the current configuration was last attested to be the newest acknowledged one.
     pub attested_at: Cell<Option<Timestamp>>,
-    /// The time before which requests must expire to be admitted; set while the proxy shuts down.
+    /// The latest expiry of requests that are still admitted; set while the proxy shuts down.
     pub admission_deadline: Cell<Option<Ticks>>,
     /// The clock that [`GateState::attested_at`] refers to.
     pub clock: MonotonicClock,
