--- a/programs/proxy/src/data_plane.rs
+++ b/programs/proxy/src/data_plane.rs
@@ -1,12 +1,12 @@
 //! The routing decisions of one proxy and the background tasks that update them, without client and backend sockets.
 //!
-//! The program runs a [`DataPlane`] behind sockets, the simulator runs one with simulated clients and backends. Both
-//! have the same link to the agent and the same token client.
+//! The program runs a [`DataPlane`] behind sockets; the simulator runs one with simulated clients and backends.
+//! The link to the agent and the token client are the same in both.
 
 use crate::agent_link::AgentLink;
+use crate::gate_state::GateState;
 use crate::pools::{BackendPools, Location, PoolsConfig};
 use crate::readiness::Readiness;
-use crate::snapshot::Snapshot;
 use crate::status::ProxyStatus;
 use crate::token_client::TokenClient;
 use crate::update::Update;
@@ -19,32 +19,32 @@
 use vanewharf_rpc::RpcClient;
 use vanewharf_runtime::environment::Environment;
 
-/// The routing decisions, the state they share with the background tasks, and the queue of updates for them.
+/// The routing decisions, the state that they share with the background tasks, and the queue of updates for them.
 pub struct DataPlane {
     /// State shared with the request gate.
-    pub snapshot: Rc<Snapshot>,
-    /// Figures for the reports to the control plane.
+    pub gate_state: Rc<GateState>,
+    /// The counters for the reports to the control plane.
     pub status: Rc<ProxyStatus>,
     /// The store of everything that was pulled from the local agent.
     pub publisher: Publisher,
     /// The routing decisions.
     pub pools: BackendPools,
-    /// Updates for [`DataPlane::pools`], in their order of arrival.
+    /// The queue of updates for [`DataPlane::pools`], in their order of arrival.
     pub updates: mpsc::UnboundedReceiver<Update>,
 }
 
 impl DataPlane {
-    /// Starts the decisions, and spawns the link to the agent and the token client on the current local task set.
-    /// `frontend` is the address for clients that is reported to the control plane.
+    /// Creates the routing decisions, and spawns the link to the agent and the token client on the current local task
+    /// set. `frontend` is the address for clients that is reported to the control plane.
     ///
     /// # Panics
     ///
-    /// Outside of a local task set.
+    /// If it is called outside of a local task set.
     pub fn start(settings: &Rc<Settings>, environment: &Environment, frontend: SocketAddr) -> DataPlane {
-        // The simulator is reproducible only if these draws and spawns keep their order.
+        // Simulations are reproducible only if the order of these random draws and spawned tasks does not change.
         let (clock, incarnation) = (environment.clock(), environment.random_incarnation());
         let (publisher, status) = (Publisher::new(clock), Rc::<ProxyStatus>::default());
-        let snapshot = Rc::new(Snapshot::new(clock, &settings.limits_table));
+        let gate_state = Rc::new(GateState::new(clock, &settings.limits_table));
         let location = Location {
             zone: settings.zone.clone(),
             region: settings.region.clone(),
@@ -54,7 +54,7 @@
         let config =
             PoolsConfig { location, limits, initial_start: settings.initial_start, seed: incarnation };
         let (token_requests, requested) = mpsc::unbounded_channel();
-        let pools = BackendPools::start(config, Rc::clone(&snapshot), Rc::clone(&status), token_requests);
+        let pools = BackendPools::new(config, Rc::clone(&gate_state), Rc::clone(&status), token_requests);
         let (sender, updates) = mpsc::unbounded_channel();
         let token_client =
             TokenClient::new(publisher.clone(), Rc::clone(settings), environment, sender.clone());
@@ -63,15 +63,15 @@
             agent: RpcClient::new(settings.agent_loopback_address(), &environment.network),
             entry: proxy_entry(settings, frontend),
             incarnation,
-            readiness: Readiness::new(&snapshot, &status, &publisher),
+            readiness: Readiness::new(&gate_state, &status, &publisher),
             updates: sender,
         };
         tokio::task::spawn_local(link.run());
-        DataPlane { snapshot, status, publisher, pools, updates }
+        DataPlane { gate_state, status, publisher, pools, updates }
     }
 }
 
-/// This proxy's entry in the control plane's list of proxies.
+/// Returns this proxy's entry in the control plane's list of proxies.
 fn proxy_entry(settings: &Settings, frontend: SocketAddr) -> ProxyEntry {
     ProxyEntry {
         name: settings.name.clone(),
