--- a/crates/protocol/src/endpoints.rs
+++ b/crates/protocol/src/endpoints.rs
@@ -1,25 +1,28 @@
-//! Paths and header fields of the HTTP calls between the system's own programs.
+//! Paths and header names of the internal HTTP calls.
 //!
-//! They are fixed, as programs of two versions call each other during an upgrade.
+//! They must not change, because programs of two versions call each other during an upgrade.
 
-/// `POST` [`PullRequest`](crate::messages::PullRequest), answered by
+/// `POST`: takes a [`PullRequest`](crate::messages::PullRequest), returns a
 /// [`PullResponse`](crate::messages::PullResponse).
 pub const PULL: &str = "/pull";
-/// `POST` [`VoteRequest`](crate::messages::VoteRequest), answered by
+/// `POST`: takes a [`VoteRequest`](crate::messages::VoteRequest), returns a
 /// [`VoteResponse`](crate::messages::VoteResponse).
 pub const VOTE: &str = "/vote";
-/// `POST` the [`Ballot`](crate::messages::Ballot) of a lease, answered by whether it is still held.
+/// `POST`: takes the [`Ballot`](crate::messages::Ballot) of a lease, returns whether the receiver still holds
+/// that lease.
 pub const HOLDS_LEASE: &str = "/holds";
-/// `POST` [`TokenCounts`](crate::messages::TokenCounts) that are wanted, answered by those that are leased.
+/// `POST`: takes the [`TokenCounts`](crate::messages::TokenCounts) that a proxy requests, returns those that
+/// the controller leases to it.
 pub const LEASE_TOKENS: &str = "/lend";
-/// `POST` some [`PeerEntry`](crate::messages::PeerEntry)s, answered by others: one exchange of gossip.
+/// `POST`: one gossip exchange. Takes a list of [`PeerEntry`](crate::messages::PeerEntry) and returns another.
 pub const GOSSIP: &str = "/shuffle";
-/// `GET`, answered by [`PeerEntry`](crate::messages::PeerEntry)s to begin gossip with.
+/// `GET`: returns the list of [`PeerEntry`](crate::messages::PeerEntry) with which an agent starts to gossip.
 pub const PEERS: &str = "/neighbours";
-/// `GET`, answered by the [`Membership`](crate::messages::Membership) that a controller knows.
+/// `GET`: returns the [`Membership`](crate::messages::Membership) that the controller knows.
 pub const MEMBERSHIP: &str = "/membership";
 
-/// The header field with the [`CallId`](crate::deduplication::CallId) of a request and of its response.
+/// Header that carries the [`CallId`](crate::deduplication::CallId) of a request, and in a response the id of
+/// the request that it answers.
 pub const CALL_ID: &str = "Call-Id";
-/// The header field of a response that was given to the same call before.
+/// Header that marks a response as a copy of the one that an earlier arrival of the same call received.
 pub const CALL_REPEATED: &str = "Call-Repeated";
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -1,5 +1,5 @@
-//! The protocol between the system's programs: messages, their versions, changes between two versions,
-//! endpoints and call ids.
+//! The internal protocol of vanewharf: the messages that its programs exchange, their versions and incremental
+//! changes, the endpoints, and the call ids by which a server recognizes duplicates.
 
 #![forbid(unsafe_code)]
 
--- a/crates/protocol/src/messages.rs
+++ b/crates/protocol/src/messages.rs
@@ -1,15 +1,16 @@
-//! The messages that the system's programs exchange as JSON.
+//! The JSON messages that the vanewharf programs exchange.
 //!
-//! A reader pulls: it sends the versions that it has of each source ([`VersionVector`]) and gets what is
-//! newer ([`PullResponse`]). Controllers additionally exchange [`VoteRequest`]s and [`VoteResponse`]s.
+//! State is distributed by pulling: a reader sends the versions that it has of each source ([`VersionVector`])
+//! and receives what is newer ([`PullResponse`]). Controllers additionally run the consensus protocol
+//! ([`VoteRequest`], [`VoteResponse`]).
 //!
 //! Invariants:
-//! - Durations are whole milliseconds (`_ms`). An instant is never sent, only how long ago it was, as clocks
-//!   of two machines are not compared.
-//! - Names on the wire and on disk are fixed: programs of two versions run side by side during an upgrade,
-//!   and a program reads files that the version before it wrote. Where a Rust field or variant has a clearer
-//!   name than the wire, `#[serde(rename)]` keeps the latter; it must not be changed.
-//! - A field that was added later has `#[serde(default)]`, as an older program does not send it.
+//! - Durations are whole milliseconds (`_ms`). A message never contains an absolute time, only an age, because
+//!   the clocks of two machines are not comparable.
+//! - Names on the wire and on disk must not change: programs of two versions run side by side during an
+//!   upgrade, and a program reads files that its previous version wrote. A field or variant whose Rust name
+//!   differs from its wire name has `#[serde(rename)]`.
+//! - A field that was added in a later version has `#[serde(default)]`, because older programs do not send it.
 
 mod backends;
 mod consensus;
--- a/crates/protocol/src/messages/consensus.rs
+++ b/crates/protocol/src/messages/consensus.rs
@@ -1,52 +1,53 @@
-//! Requests to voters of the consensus group and their votes.
+//! Requests to the voters of the consensus group, and their votes.
 
 use super::{Ballot, Register};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// What a candidate or the leaseholder requests of a voter.
+/// A request of a candidate, of the leaseholder or of a recovering member to a voter.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum VoteRequest {
-    /// Whether a lease would be granted now; the voter promises nothing. Without it, a candidate that cannot
-    /// win, as it is partitioned, would return with a higher ballot and so preempt the leaseholder.
+    /// Asks whether the voter would grant a lease now, without any promise. A partitioned candidate, which
+    /// cannot win, would otherwise raise its ballot and preempt the leaseholder when the partition heals.
     PreVote {
-        /// Who would become leaseholder.
+        /// The address of the candidate.
         #[serde(rename = "holder")]
         candidate: SocketAddr,
     },
-    /// For a lease.
+    /// Asks the voter to grant a lease.
     Lease {
-        /// The candidate's own, higher than any it knows of.
+        /// The ballot of the lease: the candidate's own, and higher than any ballot that it knows.
         ballot: Ballot,
-        /// Who would become leaseholder.
+        /// The address of the candidate.
         #[serde(rename = "holder")]
         candidate: SocketAddr,
     },
-    /// For another term of a lease.
+    /// Asks the voter to extend a lease by another term.
     Renew {
-        /// The lease's.
+        /// The ballot of the lease.
         ballot: Ballot,
-        /// Who holds the lease.
+        /// The address of the leaseholder.
         #[serde(rename = "holder")]
         leaseholder: SocketAddr,
     },
-    /// To store a register on disk.
+    /// Asks the voter to store a register on disk.
     Accept {
-        /// Of the leaseholder, under its ballot.
+        /// The leaseholder's register, with the ballot of its lease.
         register: Register,
     },
-    /// The leaseholder gives its lease up.
+    /// Tells the voter that the leaseholder gives up its lease.
     Release {
-        /// The lease's.
+        /// The ballot of the lease.
         ballot: Ballot,
     },
-    /// For the voter's state, by a member with amnesia: from then on, votes that the member cast in an
-    /// earlier incarnation do not count together with the voter's.
+    /// Asks for the voter's state, on behalf of a member with amnesia (one that lost its disk's content).
+    /// From then on, a vote that the member cast in an earlier incarnation does not count together with the
+    /// vote of this voter.
     Recover {
         /// The address of the member with amnesia.
         member: SocketAddr,
-        /// Its new incarnation.
+        /// The new incarnation of that member.
         incarnation: u64,
     },
 }
@@ -54,60 +55,60 @@
 /// A voter's answer to a [`VoteRequest`].
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Vote {
-    /// To `Lease`: it is granted.
+    /// Answers `Lease`: the lease is granted.
     Granted {
         /// The newest register that the voter has accepted.
         register: Register,
-        /// The last quota divisor that the voter knew; 0: none.
+        /// The last quota divisor that the voter knew; 0 if it knows none.
         #[serde(rename = "doors", default)]
         quota_divisor: u32,
     },
-    /// To `PreVote`: it would grant a lease under a ballot above that one.
+    /// Answers `PreVote`: the voter would grant a lease under a ballot above the promised one.
     Willing {
-        /// The highest ballot that it has promised.
+        /// The highest ballot that the voter has promised.
         promised: Ballot,
     },
-    /// To `Renew`, `Accept` and `Release`: done.
+    /// Answers `Renew`, `Accept` and `Release`: the request was carried out.
     Accepted,
-    /// To `Recover`: what it has promised and accepted.
+    /// Answers `Recover` with what the voter has promised and accepted.
     #[serde(rename = "Known")]
     Recovered {
-        /// The highest ballot that it has promised.
+        /// The highest ballot that the voter has promised.
         promised: Ballot,
-        /// The newest register that it has accepted.
+        /// The newest register that the voter has accepted.
         register: Register,
     },
-    /// It has promised a higher ballot, or granted a lease that has not expired.
+    /// The voter has promised a higher ballot, or has granted a lease that has not expired.
     Refused {
-        /// The highest ballot that it has promised.
+        /// The highest ballot that the voter has promised.
         promised: Ballot,
-        /// Who holds the lease, where it knows.
+        /// The leaseholder, if the voter knows one.
         #[serde(rename = "holder")]
         leaseholder: Option<SocketAddr>,
     },
-    /// The requester is an earlier incarnation of a member whose later one is known here.
+    /// The request comes from an earlier incarnation of a member of which the voter knows a later one.
     #[serde(rename = "Outlived")]
     Superseded {
-        /// The later one.
+        /// The latest incarnation that the voter knows.
         incarnation: u64,
     },
-    /// It has lost its record and may not vote.
+    /// The voter has amnesia: it has lost its record and may not vote.
     Amnesic {
-        /// The seeds in its settings.
+        /// The seed nodes in the voter's settings.
         seeds: Vec<SocketAddr>,
     },
-    /// Writing its record to disk failed.
+    /// The voter could not write its record to disk.
     #[serde(rename = "Unable")]
     StorageFailed,
 }
 
-/// A vote, with the incarnation of the voter and those that it knows of the others. By these a vote that a
-/// member cast before it lost its disk does not count together with the vote of one that knows of the loss.
+/// A vote with the incarnations that the voter knows. They keep a vote that a member cast before it lost its
+/// disk from counting together with the vote of a member that knows of the loss.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct VoteResponse {
-    /// The voter's own.
+    /// The voter's own incarnation.
     pub incarnation: u64,
-    /// Those of others, by their addresses.
+    /// The incarnations of other members, by address, as far as the voter knows them.
     #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
     pub incarnations: BTreeMap<SocketAddr, u64>,
     /// The vote itself.
--- a/crates/protocol/src/messages/pull.rs
+++ b/crates/protocol/src/messages/pull.rs
@@ -1,4 +1,4 @@
-//! Pulls: the versions that a reader has, and the answer with what is newer.
+//! Pulls: a reader sends the versions that it has and receives what is newer.
 
 use super::{
     BackendList, BackendListChange, Ballot, ControllerEntry, FleetSummary, ProxyReport, Register,
@@ -9,36 +9,37 @@
 use std::time::Duration;
 use vanewharf_clock::Timestamp;
 
-/// The version of something that successive leaseholders publish; a later leaseholder's is always greater.
+/// The version of a source that successive leaseholders publish. The versions of a later leaseholder are
+/// always greater, because its ballot is.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Version {
     /// The ballot of the leaseholder that published it.
     pub ballot: Ballot,
-    /// Counts up under one ballot.
+    /// A counter that increases with each publication under one ballot.
     #[serde(rename = "no")]
     pub number: u64,
 }
 
 impl Version {
-    /// Above all versions that there are.
+    /// A version above all that can be published.
     const HIGHEST: Version = Version { ballot: Ballot(u64::MAX), number: u64::MAX };
 }
 
-/// The versions that a reader has, of each source; the default is that it has nothing.
+/// The version that a reader has of each source. The default stands for a reader that has nothing.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VersionVector {
-    /// Of the register.
+    /// The revision of the register.
     pub register: Revision,
-    /// Of the list of backends.
+    /// The version of the list of backends.
     #[serde(rename = "list")]
     pub backend_list: Version,
-    /// Of the fleet's summary.
+    /// The version of the fleet summary.
     #[serde(rename = "ledger")]
     pub fleet_summary: Version,
 }
 
 impl VersionVector {
-    /// Above all versions that there are: nothing is newer for a reader that says it has these.
+    /// Versions above all that can be published: a reader that sends these receives no source.
     pub const HIGHEST: VersionVector = VersionVector {
         register: Revision(u64::MAX),
         backend_list: Version::HIGHEST,
@@ -49,65 +50,66 @@
 /// A controller that pulls from the leaseholder.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Follower {
-    /// Its machine.
+    /// The controller's machine.
     #[serde(rename = "row")]
     pub controller: ControllerEntry,
-    /// The register on its disk; none while it has amnesia, having lost its disk's content.
+    /// The rank of the register on the controller's disk. `None` while the controller has amnesia: it has lost
+    /// its disk's content.
     #[serde(rename = "kept")]
     pub persisted: Option<RegisterRank>,
 }
 
-/// A request for everything newer than the versions that the reader has.
+/// A request for everything that is newer than the reader's versions.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct PullRequest {
-    /// What the reader has.
+    /// The versions that the reader has.
     #[serde(rename = "have")]
     pub versions: VersionVector,
-    /// How long the response may be delayed until there is something new (long polling).
+    /// How long the server may delay the response until there is something newer (long polling).
     pub wait_ms: u64,
-    /// The reader, where it is a controller.
+    /// The reader itself, if it is a controller.
     #[serde(rename = "office")]
     pub follower: Option<Follower>,
-    /// The tokens that the reader leases, where it is a controller that does so.
+    /// The reader's report on its token leases, if it is a controller that leases tokens.
     #[serde(rename = "lent")]
     pub token_leases: Option<TokenLeaseReport>,
-    /// Reports of proxies that are to reach the leaseholder.
+    /// Reports of proxies, to be forwarded to the leaseholder.
     pub reports: Vec<ProxyReport>,
 }
 
-/// What is newer than the reader's versions, each source as a snapshot or as changes.
+/// Everything that is newer than the reader's versions, each source as a snapshot or as changes.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct PullResponse {
-    /// A snapshot.
+    /// A snapshot of the register.
     pub register: Option<Register>,
-    /// In place of the snapshot, where the reader is few versions behind.
+    /// The changes of the register, instead of a snapshot, if the reader is only a few versions behind.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub register_changes: Vec<RegisterChange>,
-    /// A snapshot.
+    /// A snapshot of the list of backends.
     #[serde(rename = "list")]
     pub backend_list: Option<BackendList>,
-    /// In place of the snapshot, where the reader is few versions behind.
+    /// The changes of the list of backends, instead of a snapshot, if the reader is only a few versions behind.
     #[serde(rename = "list_changes", default, skip_serializing_if = "Vec::is_empty")]
     pub backend_list_changes: Vec<BackendListChange>,
-    /// Always a snapshot.
+    /// A snapshot of the fleet summary, which is never sent as changes.
     #[serde(rename = "ledger")]
     pub fleet_summary: Option<FleetSummary>,
-    /// How long ago the register that the reader now has was attested to be the newest acknowledged one,
-    /// counted from when the response was sent; none: it never was.
+    /// The age of the attestation that the register which the reader now has was the newest acknowledged one,
+    /// as of when the response was sent. `None` if there was no attestation yet.
     #[serde(rename = "sure_ms")]
     pub attested_age_ms: Option<u64>,
-    /// How long the response was delayed until there was something new, or the wait was over.
+    /// How long the server delayed the response, until there was something newer or the reader's wait was over.
     #[serde(rename = "held_ms")]
     pub delay_ms: u64,
-    /// The address of the leaseholder for internal calls, where it is known.
+    /// The leaseholder's address for internal calls, if the server knows it.
     #[serde(rename = "holder")]
     pub leaseholder: Option<SocketAddr>,
 }
 
 impl PullResponse {
-    /// When what the sender has was attested to be the newest, by the clock of a reader that sent its pull at `sent_at`. The
-    /// response was made no sooner than its delay after that; its age is counted from that earliest time, so that nothing
-    /// passes for fresher than it is.
+    /// When the state of the server was attested to be the newest, by the clock of a reader that sent its pull
+    /// at `sent_at`. The server sent the response at `sent_at + delay` at the earliest; the age is subtracted
+    /// from that earliest time, so that the state never appears fresher than it is.
     pub fn attested_at(&self, sent_at: Timestamp) -> Option<Timestamp> {
         let answered_at = sent_at.after(Duration::from_millis(self.delay_ms));
         self.attested_age_ms.map(|age_ms| answered_at.before(Duration::from_millis(age_ms)))
--- a/crates/protocol/src/messages/register.rs
+++ b/crates/protocol/src/messages/register.rs
@@ -1,4 +1,5 @@
-//! The operator's register: the configuration that is in force, evacuated zones, and the consensus group.
+//! The replicated register: the operator's current configuration, the evacuated zones and the membership of the
+//! consensus group.
 
 use serde::{Deserialize, Serialize};
 use serde_json::value::RawValue;
@@ -6,22 +7,23 @@
 use std::hash::{Hash, Hasher};
 use std::net::SocketAddr;
 
-/// Orders leases: each lease that a majority grants has a higher one. The low bits differ between candidates.
+/// The number of a lease. Each lease that a majority grants has a higher ballot than the one before. The low bits
+/// differ between candidates.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Ballot(pub u64);
 
-/// Counts the versions of the register; 0: there was none yet.
+/// The version number of the register; 0 if no register was written yet.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Revision(pub u64);
 
-/// Orders two registers: the greater one is the one that later leaseholders go by. On the wire and on disk it
-/// is an array of the two numbers.
+/// The position of a register in the order of all registers: later leaseholders adopt the greatest one. On the
+/// wire and on disk it is an array of the two numbers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(from = "(Ballot, Revision)", into = "(Ballot, Revision)")]
 pub struct RegisterRank {
-    /// Of the leaseholder that wrote the register.
+    /// The ballot of the leaseholder that wrote the register.
     pub ballot: Ballot,
-    /// Of the register.
+    /// The revision of the register.
     pub revision: Revision,
 }
 
@@ -37,85 +39,85 @@
     }
 }
 
-/// The operator's register: the newest configuration, as it was sent, and the zones that are to get no
-/// traffic.
+/// The state that the consensus group replicates: the operator's newest configuration, exactly as it was sent,
+/// the evacuated zones and the membership of the group.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Register {
-    /// Of the leaseholder that wrote it.
+    /// The ballot of the leaseholder that wrote this register.
     pub ballot: Ballot,
-    /// Counts up with each change.
+    /// The version number, incremented by each change.
     #[serde(rename = "no")]
     pub revision: Revision,
-    /// The configuration's text, byte for byte; none until there was a first one.
+    /// The text of the configuration, byte for byte; `None` until the operator sends the first one.
     pub config: Option<Box<RawValue>>,
-    /// Zones that are to get no traffic.
+    /// Zones that get no traffic.
     pub evacuated: BTreeSet<String>,
-    /// The consensus group.
+    /// The members of the consensus group.
     pub membership: Membership,
-    /// The last configurations that were accepted, the oldest first; for controllers alone.
+    /// The last configurations that were accepted, oldest first. Only controllers use them.
     #[serde(rename = "taken", default, skip_serializing_if = "Vec::is_empty")]
     pub accepted_configs: Vec<AcceptedConfig>,
 }
 
-/// The replicas that grant leases and store the register. It changes by joint consensus: while there are
-/// outgoing voters, a majority of these is needed in addition to a majority of the voters.
+/// The controllers that grant leases and store the register. The membership changes by joint consensus: while
+/// there are outgoing voters, a majority of these is needed in addition to a majority of the voters.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Membership {
-    /// Counts up with each change; 0: the membership is not known.
+    /// A number that each change increments; 0 if the membership is unknown.
     pub epoch: u64,
-    /// Addresses of the voters for internal calls.
+    /// The voters' addresses for internal calls.
     pub voters: Vec<SocketAddr>,
-    /// Those of the voters before, until the change is complete.
+    /// The addresses of the previous voters, until the change of membership is complete.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub outgoing: Vec<SocketAddr>,
 }
 
-/// A configuration that was accepted. It distinguishes one that is sent again from another one with the same
-/// number.
+/// The identity of an accepted configuration. It tells a configuration that is sent again from a different one
+/// with the same revision.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AcceptedConfig {
-    /// The number in the configuration.
+    /// The revision that the configuration contains.
     pub revision: u64,
-    /// A digest of its text as it was sent.
+    /// A digest of the configuration's text as it was sent.
     pub digest: u64,
 }
 
 /// The difference between one register and the next.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct RegisterChange {
-    /// The register that it applies to.
+    /// The revision of the register to which the change applies.
     pub from: Revision,
-    /// The register that it results in.
+    /// The revision of the register that results.
     #[serde(rename = "no")]
     pub revision: Revision,
-    /// As in the register that it results in.
+    /// The ballot of the register that results.
     pub ballot: Ballot,
-    /// As in the register that it results in.
+    /// The evacuated zones of the register that results.
     pub evacuated: BTreeSet<String>,
-    /// As in the register that it results in.
+    /// The membership of the register that results.
     pub membership: Membership,
-    /// Edits of the configuration, in their order.
+    /// The edits of the configuration, in the order in which they are applied.
     pub edits: Vec<ConfigEdit>,
-    /// CRC-32 of the configuration's text after the edits.
+    /// The CRC-32 of the configuration's text after the edits.
     #[serde(rename = "sum")]
     pub checksum: u32,
 }
 
-/// An edit of one entry of a table in the configuration, or of a whole part where no entry is named.
+/// An edit of the configuration: of one entry of a top-level table, or of a whole top-level field.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ConfigEdit {
-    /// The name of a top-level field.
+    /// The name of the top-level field.
     pub part: String,
-    /// The name of an entry, where the part is a table.
+    /// The name of the entry, if the field is a table; `None` to edit the whole field.
     #[serde(default)]
     pub entry: Option<String>,
-    /// The new value; none: it is removed.
+    /// The new value; `None` to remove the entry or field.
     #[serde(default)]
     pub value: Option<Box<RawValue>>,
 }
 
 impl Register {
-    /// The register before there was any.
+    /// The initial register, before the first change.
     pub fn empty() -> Register {
         Register {
             ballot: Ballot(0),
@@ -127,20 +129,19 @@
         }
     }
 
-    /// What equality and hashes go by; a configuration counts by its text.
+    /// The fields that equality and hash are computed from; a configuration is compared by its text.
     fn content(&self) -> (RegisterRank, Option<&str>, &BTreeSet<String>, &Membership) {
         let config = self.config.as_ref().map(|config| config.get());
         (self.rank(), config, &self.evacuated, &self.membership)
     }
 
-    /// Whether the two have the same effect on traffic: ballot, revision and membership are no business of a
-    /// proxy.
+    /// Whether both registers have the same effect on traffic: ballot, revision and membership have none.
     pub fn routes_like(&self, other: &Register) -> bool {
         let (config, other_config) = (self.config.as_deref(), other.config.as_deref());
         self.evacuated == other.evacuated && config.map(RawValue::get) == other_config.map(RawValue::get)
     }
 
-    /// Its place in the order of all registers.
+    /// The position of this register in the order of all registers.
     pub fn rank(&self) -> RegisterRank {
         RegisterRank { ballot: self.ballot, revision: self.revision }
     }
--- a/crates/protocol/src/messages/reports.rs
+++ b/crates/protocol/src/messages/reports.rs
@@ -1,45 +1,45 @@
-//! What proxies and token lenders report of themselves to the leaseholder.
+//! Reports of proxies and token lenders to the leaseholder.
 
 use super::ProxyEntry;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::net::IpAddr;
 
-/// What a proxy reports of itself.
+/// The report of one proxy.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ProxyReport {
-    /// Who reports.
+    /// The proxy that reports.
     #[serde(rename = "door")]
     pub proxy: ProxyEntry,
-    /// Drawn anew at each start of the process: its counts begin at 0 then.
+    /// A random id of the proxy's process: the counts start at 0 in each new incarnation.
     #[serde(rename = "life")]
     pub incarnation: u64,
     /// How long ago the report was made.
     pub age_ms: u64,
-    /// The last [`quota_divisor`](super::FleetSummary::quota_divisor) that it got: a leaseholder that has
-    /// lost its state starts from that.
+    /// The last [`quota_divisor`](super::FleetSummary::quota_divisor) that the proxy received. A leaseholder
+    /// that has lost its state starts from it.
     #[serde(rename = "counted", default)]
     pub quota_divisor: u32,
-    /// Requests admitted since the start, by tenant.
+    /// Requests admitted since the process started, by tenant.
     #[serde(rename = "let_through")]
     pub admitted: BTreeMap<String, u64>,
-    /// The share of each tenant's quota by which it admits; 1 is the whole quota.
+    /// The share of each tenant's quota that the proxy uses for admission; 1 is the whole quota.
     #[serde(rename = "slices")]
     pub quota_shares: BTreeMap<String, f64>,
-    /// Requests since the start, by host.
+    /// Requests since the process started, by host.
     pub hosts: BTreeMap<String, HostCounts>,
-    /// Recent attempts, by the id of the backend, for backends that failed some.
+    /// Recent attempts, by backend id, for the backends at which some of them failed.
     #[serde(rename = "tried", default, skip_serializing_if = "BTreeMap::is_empty")]
     pub attempts: BTreeMap<String, AttemptCounts>,
 }
 
-/// Requests for one host. On the wire it is an array of the two counts.
+/// Counts of the requests for one host. On the wire it is an array of the two counts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(u64, u64)", into = "(u64, u64)")]
 pub struct HostCounts {
     /// All requests.
     pub requests: u64,
-    /// Those on routes with home regions.
+    /// Requests for routes with home regions.
     pub homed: u64,
 }
 
@@ -55,31 +55,31 @@
     }
 }
 
-/// Recent attempts of a proxy at one backend.
+/// Recent attempts of one proxy at one backend.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AttemptCounts {
-    /// Requests that were sent.
+    /// All attempts that were sent to the backend.
     #[serde(rename = "tried")]
     pub attempts: u32,
-    /// Those that failed there.
+    /// The attempts that failed at the backend.
     pub failed: u32,
 }
 
-/// What a controller reports of the tokens that it leases to proxies.
+/// The report of a controller that leases tokens to proxies.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TokenLeaseReport {
-    /// The controller's machine.
+    /// The address of the controller's machine.
     pub ip: IpAddr,
-    /// Drawn anew at each start of the process: its counts begin at 0 then.
+    /// A random id of the controller's process: the counts start at 0 in each new incarnation.
     #[serde(rename = "life")]
     pub incarnation: u64,
-    /// Tokens leased since the start, by tenant.
+    /// Tokens leased since the process started, by tenant.
     #[serde(rename = "let_through")]
     pub admitted: BTreeMap<String, u64>,
-    /// The share of each tenant's quota by which it leases; 1 is the whole quota.
+    /// The share of each tenant's quota from which the controller leases tokens; 1 is the whole quota.
     #[serde(rename = "slices")]
     pub quota_shares: BTreeMap<String, f64>,
 }
 
-/// Tokens requested from a lender or leased by it, by tenant; one token admits one request.
+/// Tokens that a proxy requests or a controller leases, by tenant; one token admits one request.
 pub type TokenCounts = BTreeMap<String, u32>;
