--- a/crates/protocol/src/history.rs
+++ b/crates/protocol/src/history.rs
@@ -1,8 +1,8 @@
-//! The last changes of what is published, so that a reader that is few versions behind gets these in place of
-//! a snapshot.
+//! The most recent changes of each published source. A reader that is only a few versions behind receives these
+//! changes instead of a snapshot.
 //!
-//! Each process that serves readers has a history of its own, of the replacements and changes that it has
-//! applied. A reader that is farther behind, or whose result differs from the publisher's, gets a snapshot.
+//! Each process that serves readers keeps its own history of the replacements and changes that it has applied. A
+//! reader that is further behind, or whose result differs from the publisher's, receives a snapshot.
 
 mod backend_list_history;
 mod config_document;
@@ -12,5 +12,5 @@
 pub use config_document::ConfigDocument;
 pub use register_history::RegisterHistory;
 
-/// Changes that one history retains at most.
+/// The maximum number of changes that one history retains.
 const MAX_RETAINED_CHANGES: usize = 48;
--- a/crates/protocol/src/history/backend_list_history.rs
+++ b/crates/protocol/src/history/backend_list_history.rs
@@ -1,4 +1,4 @@
-//! The last changes of the list of backends.
+//! The most recent changes of the list of backends.
 
 use super::MAX_RETAINED_CHANGES;
 use crate::messages::{Backend, BackendList, BackendListChange, Version};
@@ -6,19 +6,19 @@
 use std::time::Duration;
 use vanewharf_clock::Timestamp;
 
-/// How much longer than expected a backend may still warm up without counting as changed.
+/// A backend does not count as changed if its remaining warm-up time exceeds the expected one by this much.
 const WARMUP_TOLERANCE_MS: u64 = 200;
 
-/// A list with the time at which it was taken from the platform, by this process' clock.
+/// A list of backends with the time at which it was read from the platform API, by this process's clock.
 #[derive(Clone, Copy, Debug)]
 pub struct TakenList<'a> {
-    /// The list.
+    /// The list of backends.
     pub list: &'a BackendList,
-    /// When it was taken, at the latest.
+    /// The latest time at which the list may have been read.
     pub taken_at: Timestamp,
 }
 
-/// Changes that lead to the current list, without a gap between one and the next.
+/// A gapless sequence of changes, the last of which results in the current list.
 #[derive(Clone, Debug, Default)]
 pub struct BackendListHistory {
     changes: VecDeque<TimedChange>,
@@ -27,13 +27,13 @@
 #[derive(Clone, Debug)]
 struct TimedChange {
     change: BackendListChange,
-    /// When the newer list was taken: the change's warm-up times count from then.
+    /// When the resulting list was read from the platform API; the warm-up times in the change are as of then.
     taken_at: Timestamp,
 }
 
 impl BackendListHistory {
-    /// Records that the current list was replaced by a newer one. Where half of all backends or more have
-    /// changed, all changes are dropped.
+    /// Records that a newer list replaced the current one. Drops all changes if half of the backends or more
+    /// have changed.
     pub fn record_replacement(&mut self, old: Option<TakenList<'_>>, new: TakenList<'_>) {
         let Some(old) = old else {
             return self.changes.clear();
@@ -61,8 +61,8 @@
         self.retain(change, new.taken_at);
     }
 
-    /// The changes from that version to the current list, which was taken at `taken_at`; none where they are
-    /// not retained. Their age is that of the current list, and warm-up times count from when it was taken.
+    /// Returns the changes from that version to the current list, which was read at `taken_at`, or `None` if they
+    /// are not retained. The changes get the age of the current list, and warm-up times as of `taken_at`.
     pub fn changes_since(
         &self,
         version: Version,
@@ -80,8 +80,8 @@
         Some(self.changes.iter().skip(first).map(aged).collect())
     }
 
-    /// The list that results from these changes, the newest of which was taken at `taken_at`. None, without
-    /// any effect, where they do not start from the current one.
+    /// Applies the changes to the old list and returns the result, which was read at `taken_at`. Returns `None`,
+    /// and changes nothing, if they do not start from the old list.
     pub fn apply_changes(
         &mut self,
         old: TakenList<'_>,
@@ -121,7 +121,8 @@
     backend.warmup_left_ms = backend.warmup_left_ms.saturating_sub(elapsed.as_millis() as u64);
 }
 
-/// Whether nothing has changed but that warm-up went on for that time.
+/// Whether the two entries differ only in the remaining warm-up time, which is no longer than expected after
+/// `elapsed` plus the tolerance.
 fn is_unchanged(old: &Backend, new: &Backend, elapsed: Duration) -> bool {
     let expected = old.warmup_left_ms.saturating_sub(elapsed.as_millis() as u64);
     let same_otherwise = Backend { warmup_left_ms: old.warmup_left_ms, ..new.clone() } == *old;
--- a/crates/protocol/src/history/config_document.rs
+++ b/crates/protocol/src/history/config_document.rs
@@ -1,11 +1,11 @@
-//! A configuration as JSON in two levels, with the edits that make one into another.
+//! A configuration parsed as a JSON document to a depth of two levels, and the edits from one document to another.
 
 use crate::messages::ConfigEdit;
 use serde_json::value::RawValue;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A configuration, split into its top-level parts and the entries of those that are tables. Values below are
-/// stored as text. Two equal documents have the same [`text`](ConfigDocument::text).
+/// A configuration, split into its top-level fields and the entries of those fields that are tables. Deeper values
+/// are stored as text. Equal documents have the same [`text`](ConfigDocument::text).
 #[derive(Clone, Debug, Default)]
 pub struct ConfigDocument {
     parts: BTreeMap<String, Part>,
@@ -13,9 +13,9 @@
 
 #[derive(Clone, Debug)]
 enum Part {
-    /// A JSON object: values by name.
+    /// A JSON object, as its values by name.
     Table(BTreeMap<String, Box<RawValue>>),
-    /// Any other value.
+    /// Any other JSON value.
     Plain(Box<RawValue>),
 }
 
@@ -35,14 +35,15 @@
 }
 
 impl ConfigDocument {
-    /// None where the text is no JSON object.
+    /// Parses a configuration; returns `None` if it is not a JSON object.
     pub fn parse(config: &RawValue) -> Option<ConfigDocument> {
         let raw: BTreeMap<String, Box<RawValue>> = serde_json::from_str(config.get()).ok()?;
         let parts = raw.into_iter().map(|(name, value)| (name, Part::parse(&value))).collect();
         Some(ConfigDocument { parts })
     }
 
-    /// The document's one textual form: names in order, no space between tokens.
+    /// Formats the document in its canonical form: names of both levels sorted, no whitespace between them and
+    /// their values.
     pub fn text(&self) -> Option<Box<RawValue>> {
         let mut text = String::from("{");
         for (index, (name, part)) in self.parts.iter().enumerate() {
@@ -56,7 +57,7 @@
         RawValue::from_string(text).ok()
     }
 
-    /// The edits that make this document into the newer one.
+    /// Returns the edits that turn this document into the newer one.
     pub(super) fn edits_to(&self, newer: &ConfigDocument) -> Vec<ConfigEdit> {
         let mut edits = Vec::new();
         let names: BTreeSet<_> = self.parts.keys().chain(newer.parts.keys()).collect();
@@ -73,7 +74,7 @@
         edits
     }
 
-    /// Carries the edits out; one that names an entry of a part that is no table is ignored.
+    /// Applies the edits. An edit of an entry is ignored if its field is not a table.
     pub(super) fn apply(&mut self, edits: &[ConfigEdit]) {
         for ConfigEdit { part, entry, value } in edits {
             match (entry, value) {
@@ -111,7 +112,7 @@
     Some(())
 }
 
-/// First the entries that are removed, then those that are new or have changed.
+/// Returns the edits from the old table to the new one: first the removed entries, then the added and changed ones.
 fn table_edits(
     part: &str,
     old: &BTreeMap<String, Box<RawValue>>,
--- a/crates/protocol/src/history/register_history.rs
+++ b/crates/protocol/src/history/register_history.rs
@@ -1,21 +1,21 @@
-//! The last changes of the register.
+//! The most recent changes of the register.
 
 use super::{ConfigDocument, MAX_RETAINED_CHANGES};
 use crate::messages::{ConfigEdit, Register, RegisterChange, Revision};
 use serde_json::value::RawValue;
 use std::collections::VecDeque;
 
-/// The approximate size of all retained changes together, at most.
+/// The maximum total size of the retained changes, by the approximate size of each.
 const MAX_RETAINED_BYTES: usize = 256 * 1024;
-/// The approximate size of an edit beside its value.
+/// The approximate size of an edit without its value.
 const EDIT_OVERHEAD_BYTES: usize = 60;
 
-/// Changes that lead to the current register, without a gap between one and the next.
+/// A gapless sequence of changes, the last of which results in the current register.
 #[derive(Clone, Debug, Default)]
 pub struct RegisterHistory {
-    /// The current configuration; the next change is computed against it.
+    /// The current configuration, against which the next change is computed.
     document: Option<ConfigDocument>,
-    /// Of the document's text, where it is known.
+    /// The checksum of the document's text, if it is known.
     checksum: Option<u32>,
     changes: VecDeque<SizedChange>,
 }
@@ -27,8 +27,8 @@
 }
 
 impl RegisterHistory {
-    /// Records that the current register was replaced by a newer one. Where the difference between the two is
-    /// not much shorter than the newer one, all changes are dropped.
+    /// Records that a newer register replaced the current one. Drops all changes if the difference between the
+    /// two is at least half as long as the newer one.
     pub fn record_replacement(&mut self, old: Option<&Register>, new: &Register) {
         let document = new.config.as_ref().and_then(|config| ConfigDocument::parse(config));
         let change = match (old, &self.document, &document) {
@@ -45,14 +45,14 @@
         }
     }
 
-    /// The changes from that revision to the current register; none where they are not retained.
+    /// Returns the changes from that revision to the current register, or `None` if they are not retained.
     pub fn changes_since(&self, revision: Revision) -> Option<Vec<RegisterChange>> {
         let first = self.changes.iter().position(|sized| sized.change.from == revision)?;
         Some(self.changes.iter().skip(first).map(|sized| sized.change.clone()).collect())
     }
 
-    /// The register that results from these changes. None, without any effect, where they do not start from
-    /// the current one or the result's checksum is not theirs.
+    /// Applies the changes to the register and returns the result. Returns `None`, and changes nothing, if they do
+    /// not start from this register or the checksum of the result does not match.
     pub fn apply_changes(&mut self, register: &Register, changes: Vec<RegisterChange>) -> Option<Register> {
         let mut revision = register.revision;
         for change in &changes {
@@ -84,7 +84,7 @@
         changes: &[RegisterChange],
         checksum: u32,
     ) -> Option<Box<RawValue>> {
-        // Where only membership or evacuations have changed, the text need not be made again.
+        // If only the membership or the evacuated zones have changed, the text stays the same.
         if self.checksum == Some(checksum) && changes.iter().all(|change| change.edits.is_empty()) {
             return register.config.clone();
         }
@@ -111,7 +111,8 @@
     }
 }
 
-/// None where the newer register has no configuration, or a snapshot of it is less than twice as long.
+/// Returns the change from the old register to the new one, or `None` if the new one has no configuration or if
+/// its snapshot is not more than twice as long as the change.
 fn change_between(
     old: &Register,
     new: &Register,
--- a/crates/protocol/src/version_store.rs
+++ b/crates/protocol/src/version_store.rs
@@ -1,7 +1,7 @@
-//! The current version of each source in a process, applied from pull responses and served to readers.
+//! The current version of each source in one process, updated from pull responses and served to readers.
 //!
-//! Invariants: no source goes back to an older version, and at [`VersionStore::attested_at`] the current
-//! register was in fact the newest acknowledged one.
+//! Invariants: no source is replaced by an older version, and the current register was the newest acknowledged
+//! one at [`VersionStore::attested_at`].
 
 use crate::history::{BackendListHistory, RegisterHistory, TakenList};
 use crate::messages::{
@@ -13,66 +13,66 @@
 use std::time::Duration;
 use vanewharf_clock::Timestamp;
 
-/// The current version of each source, with the history of their last changes.
+/// The current version of each source, with the histories of recent changes.
 #[derive(Clone, Debug, Default)]
 pub struct VersionStore {
-    /// None until there was one.
+    /// The current register; `None` until one is set.
     pub register: Option<Rc<Register>>,
     register_history: RegisterHistory,
     backend_list_history: BackendListHistory,
-    /// Received changes did not apply to the current register: the next pull requests a snapshot.
+    /// Whether received changes did not apply to the current register. The next pull then requests a snapshot.
     needs_register_snapshot: bool,
-    /// Received changes did not apply to the current list: the next pull requests a snapshot.
+    /// Whether received changes did not apply to the current list. The next pull then requests a snapshot.
     needs_backend_list_snapshot: bool,
-    /// None until there was one.
+    /// The current list of backends; `None` until one is set.
     pub backend_list: Option<Rc<BackendList>>,
-    /// When the list was taken from the platform, at the latest.
+    /// The latest time at which the current list may have been read from the platform API.
     pub backend_list_taken_at: Timestamp,
-    /// None until there was one.
+    /// The current fleet summary; `None` until one is set.
     pub fleet_summary: Option<Rc<FleetSummary>>,
-    /// When the summary was received.
+    /// When the current fleet summary was received.
     pub fleet_summary_received_at: Timestamp,
-    /// When the current register was attested to be the newest acknowledged one, and the current list of
-    /// backends to be no older than the leaseholder's; none: never.
+    /// The time at which the current register was the newest acknowledged one and the current list of backends
+    /// was no older than the leaseholder's, by the latest attestation. `None` if there was none yet.
     pub attested_at: Option<Timestamp>,
-    /// The address of the leaseholder for internal calls, as far as is known.
+    /// The leaseholder's address for internal calls, if it is known.
     pub leaseholder: Option<SocketAddr>,
 }
 
-/// Which sources a response has replaced.
+/// The effects of applying a pull response.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct AppliedUpdates {
-    /// The register was replaced.
+    /// Whether the register was replaced.
     pub register: bool,
-    /// The list of backends was replaced.
+    /// Whether the list of backends was replaced.
     pub backend_list: bool,
-    /// The fleet's summary was replaced.
+    /// Whether the fleet summary was replaced.
     pub fleet_summary: bool,
-    /// There were changes that could not be applied: the next pull requests a snapshot.
+    /// Whether a snapshot is needed because changes could not be applied. The next pull requests it.
     pub needs_snapshot: bool,
-    /// When the sender's register was attested to be the newest one, whether or not the response could be
-    /// applied.
+    /// When the register of the response's sender was attested to be the newest one, whether or not the response
+    /// could be applied.
     pub attested_at: Option<Timestamp>,
 }
 
 impl AppliedUpdates {
-    /// Whether anything was replaced.
+    /// Whether any source was replaced.
     pub fn any(self) -> bool {
         self.register || self.backend_list || self.fleet_summary
     }
 }
 
-/// The form in which a reader gets the register.
+/// The form in which a reader receives the register.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RegisterForm {
-    /// As the operator sent it, with the list of accepted configurations: for controllers, which store it.
+    /// As a snapshot in the operator's wording, with the accepted configurations. For controllers, which store it.
     Verbatim,
-    /// As changes where they are retained, else a snapshot without the accepted configurations.
+    /// As changes if they are retained, otherwise as a snapshot without the accepted configurations.
     Incremental,
 }
 
 impl VersionStore {
-    /// The current version of each source.
+    /// Returns the current version of each source.
     pub fn versions(&self) -> VersionVector {
         VersionVector {
             register: self.register.as_ref().map_or(Revision(0), |register| register.revision),
@@ -81,8 +81,8 @@
         }
     }
 
-    /// The versions for a pull request: the current ones, but the lowest version for a source whose snapshot is needed.
-    /// Not to be mistaken for what this process has: whoever publishes goes by [`versions`](Self::versions).
+    /// Returns the versions to send in a pull request: the current ones, but the lowest version for each source of
+    /// which a snapshot is needed. To learn what this process has, use [`versions`](Self::versions).
     pub fn versions_to_request(&self) -> VersionVector {
         let mut versions = self.versions();
         if self.needs_register_snapshot {
@@ -94,7 +94,7 @@
         versions
     }
 
-    /// Whether any source is newer here than at a reader with these versions.
+    /// Whether this store has a newer version of any source than the reader.
     pub fn is_newer_than(&self, reader: &VersionVector) -> bool {
         let own = self.versions();
         own.register > reader.register
@@ -102,7 +102,7 @@
             || own.fleet_summary > reader.fleet_summary
     }
 
-    /// Replaces the register where this one is newer, and returns whether it was.
+    /// Replaces the register if the given one is newer, and returns whether it was.
     pub fn set_register(&mut self, register: Rc<Register>) -> bool {
         let is_newer = self.register.as_ref().is_none_or(|current| register.revision > current.revision);
         if is_newer {
@@ -113,7 +113,7 @@
         is_newer
     }
 
-    /// Replaces the list of backends where this one is newer, and returns whether it was.
+    /// Replaces the list of backends if the given one is newer, and returns whether it was.
     pub fn set_backend_list(&mut self, list: BackendList, now: Timestamp) -> bool {
         let is_newer = self.backend_list.as_ref().is_none_or(|current| list.version > current.version);
         if is_newer {
@@ -128,7 +128,7 @@
         is_newer
     }
 
-    /// Replaces the fleet's summary where this one is newer, and returns whether it was.
+    /// Replaces the fleet summary if the given one is newer, and returns whether it was.
     pub fn set_fleet_summary(&mut self, summary: FleetSummary, now: Timestamp) -> bool {
         let is_newer = self.fleet_summary.as_ref().is_none_or(|current| summary.version > current.version);
         if is_newer {
@@ -143,7 +143,7 @@
         self.attested_at = self.attested_at.max(Some(at));
     }
 
-    /// Applies what is newer in the response to a pull that was sent at `sent_at`.
+    /// Applies every newer source in the response to a pull that was sent at `sent_at`.
     pub fn apply(&mut self, response: PullResponse, sent_at: Timestamp, now: Timestamp) -> AppliedUpdates {
         let attested_at = response.attested_at(sent_at);
         let leaseholder = response.leaseholder;
@@ -155,8 +155,8 @@
             attested_at,
         };
         updates.needs_snapshot = self.needs_register_snapshot || self.needs_backend_list_snapshot;
-        // The attestation is of all that the response contains: where changes could not be applied, the
-        // current register or list is older.
+        // The attestation covers everything in the response. If changes could not be applied, the current
+        // register or list is older than what was attested.
         if let Some(attested_at) = updates.attested_at.filter(|_| !updates.needs_snapshot) {
             self.attest(attested_at);
         }
@@ -171,9 +171,9 @@
                 self.set_register(Rc::new(register))
             }
             (None, Some(newest)) if newest.revision > self.versions().register => {
-                self.follow_register(changes)
+                self.apply_register_changes(changes)
             }
-            // No changes, or such as lead to what is held already: the answer to an older pull.
+            // There are no changes, or they result in a version that is not newer: the response is to an older pull.
             _ => false,
         }
     }
@@ -190,25 +190,25 @@
                 self.set_backend_list(list, now)
             }
             (None, Some(newest)) if newest.version > self.versions().backend_list => {
-                self.follow_backend_list(changes, now)
+                self.apply_backend_list_changes(changes, now)
             }
-            // No changes, or such as lead to what is held already: the answer to an older pull.
+            // There are no changes, or they result in a version that is not newer: the response is to an older pull.
             _ => false,
         }
     }
 
-    fn follow_register(&mut self, changes: Vec<RegisterChange>) -> bool {
+    fn apply_register_changes(&mut self, changes: Vec<RegisterChange>) -> bool {
         let current = self.register.as_deref();
         let result = current.and_then(|register| self.register_history.apply_changes(register, changes));
         self.needs_register_snapshot = result.is_none();
-        let followed = result.is_some();
+        let is_applied = result.is_some();
         if let Some(register) = result {
             self.register = Some(Rc::new(register));
         }
-        followed
+        is_applied
     }
 
-    fn follow_backend_list(&mut self, changes: Vec<BackendListChange>, now: Timestamp) -> bool {
+    fn apply_backend_list_changes(&mut self, changes: Vec<BackendListChange>, now: Timestamp) -> bool {
         let age = changes.last().map_or(Duration::ZERO, |last| Duration::from_millis(last.age_ms));
         let taken_at = now.before(age);
         let current = self.backend_list.as_deref();
@@ -216,16 +216,16 @@
         let result =
             current.and_then(|list| self.backend_list_history.apply_changes(list, changes, taken_at));
         self.needs_backend_list_snapshot = result.is_none();
-        let followed = result.is_some();
+        let is_applied = result.is_some();
         if let Some(list) = result {
             self.backend_list = Some(Rc::new(list));
             self.backend_list_taken_at = taken_at;
         }
-        followed
+        is_applied
     }
 
-    /// The response to a reader with these versions: all that is newer. `delay` is how long the response was
-    /// delayed.
+    /// Returns the response to a reader with these versions, which contains every newer source. `delay` is the
+    /// time for which the response was delayed.
     pub fn response_to(
         &self,
         reader: &VersionVector,
@@ -243,14 +243,14 @@
             backend_list,
             backend_list_changes,
             fleet_summary: fleet_summary.map(|summary| FleetSummary::clone(summary)),
-            // Rounded up, so that nothing passes for fresher than it is.
+            // The age is rounded up, so that the register never appears fresher than it is.
             attested_age_ms: self.attested_at.map(|at| now.since(at).as_millis() as u64 + 1),
             delay_ms: delay.as_millis() as u64,
             leaseholder: self.leaseholder,
         }
     }
 
-    /// A snapshot or changes of the register, where it is newer here.
+    /// Returns a snapshot or changes of the register if it is newer than the reader's.
     fn newer_register(
         &self,
         reader: &VersionVector,
@@ -272,7 +272,7 @@
         }
     }
 
-    /// A snapshot or changes of the list of backends, where it is newer here.
+    /// Returns a snapshot or changes of the list of backends if it is newer than the reader's.
     fn newer_backend_list(
         &self,
         reader: &VersionVector,
--- a/crates/protocol/tests/incremental_updates.rs
+++ b/crates/protocol/tests/incremental_updates.rs
@@ -1,5 +1,4 @@
-//! Readers that get changes in place of snapshots end up with what the publisher has, or notice that they do
-//! not.
+//! Readers that receive changes instead of snapshots reach the publisher's state, or detect that they have not.
 
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -15,10 +14,10 @@
 use vanewharf_protocol::version_store::{RegisterForm, VersionStore};
 
 const START: Timestamp = Timestamp(1_000_000_000);
-/// How far the warm-up times of publisher and reader may be apart.
+/// The maximum difference between the warm-up times at the publisher and at a reader.
 const WARMUP_TOLERANCE_MS: u64 = 250;
 
-/// Route names with a value that tells versions of a route apart.
+/// Route names, each with a value that identifies the version of the route.
 type Routes = BTreeMap<String, u64>;
 
 fn register(number: u64, routes: &Routes, other_parts: u64) -> Register {
@@ -37,7 +36,8 @@
 }
 
 fn config_value(register: &Register) -> Value {
-    serde_json::from_str(register.config.as_ref().expect("there is one").get()).expect("JSON")
+    serde_json::from_str(register.config.as_ref().expect("the register has a configuration").get())
+        .expect("JSON")
 }
 
 fn backend(id: u64, warmup_left_ms: u64, draining: bool) -> Backend {
@@ -50,13 +50,13 @@
     publisher.response_to(&reader.versions_to_request(), RegisterForm::Incremental, Duration::ZERO, now)
 }
 
-/// A publisher whose register and list of backends change by chance.
+/// A publisher whose register and list of backends change at random.
 struct RandomPublisher {
     random: SmallRng,
     store: VersionStore,
     now: Timestamp,
     routes: Routes,
-    /// When each backend is warm, and whether it drains.
+    /// When the warm-up of each backend ends, and whether the backend is draining.
     backends: BTreeMap<u64, (Timestamp, bool)>,
 }
 
@@ -118,18 +118,21 @@
     let ids = |list: &BackendList| {
         list.backends.iter().map(|backend| (backend.id.clone(), backend.draining)).collect::<Vec<_>>()
     };
-    assert_eq!(own.map(ids), theirs.map(ids), "{case}: list");
+    assert_eq!(own.map(ids), theirs.map(ids), "{case}: backends");
     let warmups = |list: Option<&BackendList>| {
         let backends = list.map(|list| list.backends.clone()).unwrap_or_default();
         backends.into_iter().map(|backend| backend.warmup_left_ms).collect::<Vec<_>>()
     };
     for (own, theirs) in warmups(own).into_iter().zip(warmups(theirs)) {
-        assert!(own.abs_diff(theirs) <= WARMUP_TOLERANCE_MS, "{case}: {own} {theirs}");
+        assert!(
+            own.abs_diff(theirs) <= WARMUP_TOLERANCE_MS,
+            "{case}: warm-up of {own} ms, at the source {theirs} ms"
+        );
     }
 }
 
 #[test]
-fn readers_that_follow_changes_have_what_the_publisher_has() {
+fn readers_that_apply_changes_reach_the_publishers_state() {
     for seed in 0..8 {
         let mut publisher = RandomPublisher::new(seed);
         let mut readers = vec![VersionStore::default(); 3];
@@ -140,12 +143,12 @@
                 if publisher.random.random_bool(0.4) {
                     continue;
                 }
-                // The last one pulls from the first.
+                // The last reader pulls from the first one.
                 let source = if index == 2 { readers[0].clone() } else { publisher.store.clone() };
                 let now = publisher.now;
                 let response: PullResponse = serde_json::to_string(&response(&source, &readers[index], now))
                     .and_then(|text| serde_json::from_str(&text))
-                    .expect("JSON there and back");
+                    .expect("a response survives the round trip through JSON");
                 changes += response.register_changes.len();
                 snapshots += usize::from(response.register.is_some());
                 readers[index].apply(response, now, now);
@@ -157,7 +160,7 @@
 }
 
 #[test]
-fn a_change_whose_checksum_does_not_match_is_refused_and_a_snapshot_requested() {
+fn changes_with_a_wrong_checksum_are_refused_and_a_snapshot_is_requested() {
     let (mut publisher, mut reader) = (VersionStore::default(), VersionStore::default());
     let routes = |factor: u64| (0..40u64).map(|one| (format!("r{one}"), one * factor)).collect::<Routes>();
     publisher.set_register(Rc::new(register(1, &routes(1), 0)));
@@ -172,14 +175,14 @@
         (reader.register.as_ref().map(|register| register.revision), reader.attested_at),
         (Some(Revision(1)), None)
     );
-    assert_eq!(reader.versions_to_request(), VersionVector::default(), "as one that has nothing");
+    assert_eq!(reader.versions_to_request(), VersionVector::default(), "the reader asks for everything");
     let snapshot = response(&publisher, &reader, START);
     assert!(snapshot.register.is_some() && reader.apply(snapshot, START, START).register);
     assert_eq!(reader.versions().register, Revision(2));
 }
 
 #[test]
-fn a_list_whose_changes_do_not_apply_is_not_attested_as_the_newest() {
+fn a_list_to_which_changes_do_not_apply_is_not_attested() {
     let (mut publisher, mut reader) = (VersionStore::default(), VersionStore::default());
     let list = |number, draining| {
         let backends = (0..9).map(|id| backend(id, 0, draining && id == 0)).collect();
@@ -197,15 +200,15 @@
     assert_eq!(inapplicable.backend_list_changes.len(), 1);
     inapplicable.backend_list_changes[0].from.number = 7;
     assert!(!reader.apply(inapplicable, START, START).backend_list);
-    assert_eq!(reader.attested_at, attested_at, "it does not have what its publisher has");
+    assert_eq!(reader.attested_at, attested_at, "the reader does not have the attested list");
     let updates = reader.apply(attested(&publisher, &reader), START, START);
     assert!(updates.backend_list && reader.attested_at == Some(START) && updates.attested_at == Some(START));
 }
 
-/// A leaseholder publishes a list or a register while a pull of its own, sent before it won the lease, is under way: the
-/// answer has them as changes of what it had then.
+/// A new leaseholder publishes a list or a register while a pull that it sent before it won the lease is in flight. The
+/// response then contains both as changes of the versions that it had before.
 #[test]
-fn changes_that_lead_to_what_is_held_already_need_no_snapshot() {
+fn changes_to_the_current_versions_need_no_snapshot() {
     let (mut publisher, mut reader) = (VersionStore::default(), VersionStore::default());
     let routes: Routes = (0..40u64).map(|one| (format!("r{one}"), one)).collect();
     let list = |number, draining| {
@@ -217,20 +220,20 @@
     reader.apply(response(&publisher, &reader, START), START, START);
     publisher.set_register(Rc::new(register(2, &routes, 1)));
     publisher.set_backend_list(list(2, true), START);
-    let mut overtaken = response(&publisher, &reader, START);
-    assert_eq!((overtaken.register_changes.len(), overtaken.backend_list_changes.len()), (1, 1));
-    overtaken.attested_age_ms = Some(0);
+    let mut outdated = response(&publisher, &reader, START);
+    assert_eq!((outdated.register_changes.len(), outdated.backend_list_changes.len()), (1, 1));
+    outdated.attested_age_ms = Some(0);
     reader.set_register(Rc::new(register(2, &routes, 1)));
     reader.set_backend_list(list(2, true), START);
-    assert!(!reader.apply(overtaken, START, START).any(), "nothing in it is newer");
+    assert!(!reader.apply(outdated, START, START).any(), "nothing in the response is newer");
     assert_eq!(reader.versions(), publisher.versions());
-    assert_eq!(reader.attested_at, Some(START), "it has all that its publisher has");
+    assert_eq!(reader.attested_at, Some(START), "the reader has everything that its publisher has");
 }
 
-/// What is held and what is requested differ while a snapshot is needed. Others go on getting what is held, and a snapshot
-/// that is no newer ends the need: its sender has nothing more.
+/// While a snapshot is needed, the requested versions differ from the current ones. The process goes on to serve the
+/// current ones to its own readers, and a snapshot that is no newer ends the need, as its sender has nothing newer.
 #[test]
-fn a_reader_that_needs_a_snapshot_serves_what_it_has_and_is_content_with_one_as_old() {
+fn a_reader_that_needs_a_snapshot_serves_its_versions_and_accepts_a_snapshot_of_the_same_version() {
     let (mut publisher, mut reader) = (VersionStore::default(), VersionStore::default());
     let list = |number| {
         let backends = (0..9).map(|id| backend(id, 0, id < number)).collect();
@@ -243,19 +246,19 @@
     let mut inapplicable = response(&publisher, &reader, START);
     inapplicable.backend_list_changes[0].from.number = 7;
     assert!(reader.apply(inapplicable, START, START).needs_snapshot);
-    assert_eq!(reader.versions().backend_list.number, 1, "what it holds");
+    assert_eq!(reader.versions().backend_list.number, 1, "the current version is unchanged");
     assert_eq!(reader.versions_to_request().backend_list, Version::default());
-    assert!(reader.is_newer_than(&VersionVector::default()), "others may have it");
+    assert!(reader.is_newer_than(&VersionVector::default()), "the current list is still served");
     let snapshot = PullResponse { attested_age_ms: Some(0), ..response(&lagging, &reader, START) };
     assert!(snapshot.backend_list.is_some());
     assert!(!reader.apply(snapshot, START, START).needs_snapshot);
     assert_eq!(reader.versions_to_request().backend_list.number, 1);
-    assert_eq!(reader.attested_at, Some(START), "as new as what the sender attests");
+    assert_eq!(reader.attested_at, Some(START), "the reader has everything that the sender attests");
     assert!(reader.apply(response(&publisher, &reader, START), START, START).backend_list);
 }
 
 #[test]
-fn a_change_of_membership_alone_is_followed_and_one_with_another_checksum_is_not() {
+fn a_change_of_membership_alone_is_applied_unless_its_checksum_is_wrong() {
     let (mut publisher, mut reader) = (VersionStore::default(), VersionStore::default());
     let routes: Routes = (0..40u64).map(|one| (format!("r{one}"), one)).collect();
     for number in 1..=2 {
@@ -263,7 +266,11 @@
         reader.apply(response(&publisher, &reader, START), START, START);
     }
     let config = |store: &VersionStore| {
-        store.register.as_ref().and_then(|register| register.config.clone()).expect("there is one")
+        store
+            .register
+            .as_ref()
+            .and_then(|register| register.config.clone())
+            .expect("the register has a configuration")
     };
     let before = config(&reader);
     let voters = vec!["10.0.0.9:7600".parse().expect("an address")];
@@ -272,12 +279,12 @@
     publisher.set_register(Rc::new(after));
     let mut correct = response(&publisher, &reader, START);
     assert!(correct.register_changes.iter().all(|change| change.edits.is_empty()));
-    // One whose checksum is another's is refused, though it edits nothing.
+    // A change with a wrong checksum is refused, even though it edits nothing.
     let mut wrong =
         PullResponse { register_changes: correct.register_changes.clone(), ..PullResponse::default() };
     wrong.register_changes[0].checksum ^= 1;
-    let mut misled = reader.clone();
-    assert!(!misled.apply(wrong, START, START).register);
+    let mut second_reader = reader.clone();
+    assert!(!second_reader.apply(wrong, START, START).register);
     correct.attested_age_ms = Some(0);
     assert!(reader.apply(correct, START, START).register);
     assert_eq!((config(&reader).get(), reader.versions().register), (before.get(), Revision(3)));
