--- a/crates/protocol/src/deduplication.rs
+++ b/crates/protocol/src/deduplication.rs
@@ -1,5 +1,5 @@
-//! Ids of calls between the system's own processes, and what a server remembers of them: a call that arrives
-//! again, late or duplicated by the network, is recognized and has no effect.
+//! Ids of internal calls, and the history by which a server recognizes a call that arrives again, because the
+//! network delayed or duplicated it. Such a call has no effect.
 
 use crate::endpoints;
 use std::collections::BTreeMap;
@@ -8,20 +8,20 @@
 use thiserror::Error;
 use tokio::time::Instant;
 
-/// Callers that are remembered; of more, those that called longest ago are forgotten, and a call of theirs
-/// that arrives again would pass for a new one.
+/// The maximum number of callers in a history. Beyond it, the callers that called longest ago are evicted; a
+/// repeated call of an evicted caller would be handled as a new one.
 const MAX_CALLERS: usize = 4096;
 
-/// Identifies a call. It is written as two hexadecimal numbers, joined by `-`.
+/// Identifies an internal call. Its text form is two hexadecimal numbers joined by `-`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallId {
-    /// Drawn by each client at its start. A client has one call in flight at a time.
+    /// A random id that each client draws when it is created. A client has one call in flight at a time.
     pub caller: u64,
-    /// Counts the client's calls.
+    /// The number of the call among the client's calls.
     pub sequence: u64,
 }
 
-/// A header field that holds no [`CallId`].
+/// A header value is not a [`CallId`].
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 #[error("the call's id cannot be read")]
 pub struct MalformedCallId;
@@ -42,34 +42,34 @@
     }
 }
 
-/// Whether the effects of two equal calls add up. Such a call is retried under the same id, and the server
-/// gives the answer that it gave before. All others are idempotent, and are retried under a new id.
-pub fn has_cumulative_effect(path: &str) -> bool {
+/// Whether calls to the path are not idempotent. Such a call is retried under the same id, and the server repeats
+/// its previous response. All other calls are idempotent and are retried under a new id.
+pub fn is_non_idempotent(path: &str) -> bool {
     path == endpoints::LEASE_TOKENS
 }
 
-/// The latest call of one caller.
+/// What a server remembers of one caller.
 #[derive(Clone, Debug)]
 struct CallerState<T> {
-    /// Of its latest call.
+    /// The number of the caller's latest call.
     sequence: u64,
-    /// The answer to its latest call; none where it is not given yet, or was not recorded.
-    answer: Option<T>,
+    /// The response to the latest call; `None` if there is none yet or it was not recorded.
+    response: Option<T>,
     last_call_at: Instant,
 }
 
-/// Whether a server has seen a call before.
+/// Whether a call arrived before.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CallStatus<T> {
-    /// It has not arrived before.
+    /// The call has not arrived before.
     New,
-    /// It has arrived before, and was given this answer.
+    /// The call has arrived before and received this response.
     Answered(T),
-    /// It, or a later one of its caller, has arrived before; no answer to it is recorded.
+    /// This call, or a later one of the same caller, has arrived before, and no response to this call is recorded.
     Repeated,
 }
 
-/// The latest call of each caller, with answers of type `T`.
+/// The latest call of each caller, with responses of type `T`.
 #[derive(Clone, Debug)]
 pub struct CallHistory<T> {
     callers: BTreeMap<u64, CallerState<T>>,
@@ -82,13 +82,13 @@
 }
 
 impl<T: Clone> CallHistory<T> {
-    /// Records the call where it is new, and returns its status.
+    /// Returns the status of the call, and records the call if it is new.
     pub fn observe(&mut self, id: CallId, now: Instant) -> CallStatus<T> {
-        let fresh = CallerState { sequence: id.sequence, answer: None, last_call_at: now };
+        let fresh = CallerState { sequence: id.sequence, response: None, last_call_at: now };
         match self.callers.get_mut(&id.caller) {
             Some(known) if id.sequence <= known.sequence => {
-                let answer = known.answer.clone().filter(|_| id.sequence == known.sequence);
-                return answer.map_or(CallStatus::Repeated, CallStatus::Answered);
+                let response = known.response.clone().filter(|_| id.sequence == known.sequence);
+                return response.map_or(CallStatus::Repeated, CallStatus::Answered);
             }
             Some(known) => *known = fresh,
             None => {
@@ -101,16 +101,16 @@
         CallStatus::New
     }
 
-    /// Remembers the answer until its caller's next call; ignored where that has arrived already.
-    pub fn record_answer(&mut self, id: CallId, answer: T) {
+    /// Records the response to a call until the caller's next call arrives. Ignores it if that has arrived already.
+    pub fn record_response(&mut self, id: CallId, response: T) {
         if let Some(known) = self.callers.get_mut(&id.caller)
             && known.sequence == id.sequence
         {
-            known.answer = Some(answer);
+            known.response = Some(response);
         }
     }
 
-    /// A quarter at a time, so that the sort is rare.
+    /// Evicts a quarter of the callers at once, so that the sort is rarely needed.
     fn evict_oldest_quarter(&mut self) {
         let mut times: Vec<_> = self.callers.values().map(|caller| caller.last_call_at).collect();
         times.sort_unstable();
--- a/crates/protocol/src/deduplication/tests.rs
+++ b/crates/protocol/src/deduplication/tests.rs
@@ -7,26 +7,30 @@
 }
 
 #[test]
-fn a_call_that_arrives_again_has_no_effect_and_is_answered_as_before() {
+fn a_repeated_call_has_no_effect_and_gets_the_recorded_response() {
     let (mut history, now) = (CallHistory::default(), Instant::now());
     assert_eq!(history.observe(id(1, 1), now), CallStatus::New);
-    assert_eq!(history.observe(id(1, 1), now), CallStatus::Repeated, "while the first is in flight");
-    history.record_answer(id(1, 1), "first");
+    assert_eq!(history.observe(id(1, 1), now), CallStatus::Repeated, "the first arrival is still in flight");
+    history.record_response(id(1, 1), "first");
     assert_eq!(history.observe(id(1, 1), now), CallStatus::Answered("first"));
-    assert_eq!(history.observe(id(2, 1), now), CallStatus::New, "another caller's");
+    assert_eq!(history.observe(id(2, 1), now), CallStatus::New, "the call of another caller");
     assert_eq!(history.observe(id(1, 3), now), CallStatus::New);
     assert_eq!(history.observe(id(1, 1), now), CallStatus::Repeated, "a later call has arrived");
-    assert_eq!(history.observe(id(1, 2), now), CallStatus::Repeated, "late, and its caller no longer waits");
-    history.record_answer(id(1, 1), "late");
+    assert_eq!(
+        history.observe(id(1, 2), now),
+        CallStatus::Repeated,
+        "a delayed call, for which its caller no longer waits"
+    );
+    history.record_response(id(1, 1), "late");
     assert_eq!(
         history.observe(id(1, 3), now),
         CallStatus::Repeated,
-        "an answer to an earlier call is not this one's"
+        "the response to an earlier call is not recorded for this one"
     );
 }
 
 #[test]
-fn callers_that_called_longest_ago_are_evicted_when_there_are_too_many() {
+fn callers_that_called_longest_ago_are_evicted_beyond_the_limit() {
     let (mut history, start) = (CallHistory::<()>::default(), Instant::now());
     for caller in 0..3 * MAX_CALLERS as u64 {
         history.observe(id(caller, 1), start + Duration::from_millis(caller));
--- a/crates/rpc/src/client.rs
+++ b/crates/rpc/src/client.rs
@@ -16,7 +16,7 @@
 use tokio::time::{Instant, timeout};
 use tokio_util::codec::Framed;
 use vanewharf_http1::{ClientCodec, ReadError, Reply};
-use vanewharf_protocol::deduplication::{CallId, has_cumulative_effect};
+use vanewharf_protocol::deduplication::{CallId, is_non_idempotent};
 use vanewharf_protocol::endpoints::CALL_ID;
 use vanewharf_runtime::environment::{Network, Stream};
 
@@ -141,7 +141,7 @@
             Err(RpcError::ConnectionLost | RpcError::MismatchedCallId)
                 if is_reused && call.is_retryable() =>
             {
-                if !has_cumulative_effect(call.path) {
+                if !is_non_idempotent(call.path) {
                     self.last_call.sequence += 1;
                 }
                 self.send_once(&call, within).await
--- a/crates/rpc/src/server/dispatcher.rs
+++ b/crates/rpc/src/server/dispatcher.rs
@@ -4,7 +4,7 @@
 use std::cell::RefCell;
 use tokio::time::Instant;
 use vanewharf_http1::Request;
-use vanewharf_protocol::deduplication::{CallHistory, CallId, CallStatus, has_cumulative_effect};
+use vanewharf_protocol::deduplication::{CallHistory, CallId, CallStatus, is_non_idempotent};
 use vanewharf_protocol::endpoints::{CALL_ID, CALL_REPEATED};
 
 /// The handler of a server, with the calls that it has had.
@@ -48,10 +48,10 @@
                 RpcResponse::error(409, "this call, or a later one of its caller, was heard before")
             }
             CallStatus::New => {
-                let is_recorded = has_cumulative_effect(request.target());
+                let is_recorded = is_non_idempotent(request.target());
                 let response = (self.handler)(request).await;
                 if is_recorded {
-                    history.borrow_mut().record_answer(id, response.clone());
+                    history.borrow_mut().record_response(id, response.clone());
                 }
                 response
             }
