--- a/crates/rpc/src/server.rs
+++ b/crates/rpc/src/server.rs
@@ -1,4 +1,4 @@
-//! The server: a task for each connection, whose requests are answered one after the other.
+//! The server. Each connection has its own task, which answers the requests one after another.
 
 mod connection;
 mod dispatcher;
@@ -15,12 +15,12 @@
 
 use crate::response::RpcResponse;
 
-/// Connections at a time; more are closed at once.
+/// The maximum number of open connections; further ones are closed immediately.
 const MAX_CONNECTIONS: usize = 1500;
-/// Until the next attempt, where accepting a connection fails.
+/// The delay before the next attempt after accepting a connection has failed.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Serves for as long as the program runs.
+/// Serves requests as long as the program runs.
 pub async fn serve<H, F>(listener: Box<dyn Listener>, handler: H)
 where
     H: Fn(Request) -> F + 'static,
@@ -29,7 +29,7 @@
     serve_until_drained(listener, handler, ServerDrain::default()).await;
 }
 
-/// Serves until the program shuts down; see [`ServerDrain::shut_down`].
+/// Serves requests until the program shuts down; see [`ServerDrain::shut_down`].
 pub async fn serve_until_drained<H, F>(listener: Box<dyn Listener>, handler: H, drain: ServerDrain)
 where
     H: Fn(Request) -> F + 'static,
@@ -38,8 +38,8 @@
     accept_connections(listener, Dispatcher::new(handler), drain).await;
 }
 
-/// Serves the system's own calls: one that arrives again is not handled again. Its response is that which was
-/// given before, where the effects of such calls add up, and status 409 otherwise.
+/// Serves internal calls, and handles a call that arrives repeatedly only once. A repeated call receives the recorded
+/// response if it is not idempotent, and status 409 otherwise.
 pub async fn serve_deduplicated<H, F>(listener: Box<dyn Listener>, handler: H)
 where
     H: Fn(Request) -> F + 'static,
@@ -48,7 +48,7 @@
     serve_deduplicated_until_drained(listener, handler, ServerDrain::default()).await;
 }
 
-/// Serves the system's own calls until the program shuts down; see [`serve_deduplicated`].
+/// Serves internal calls until the program shuts down; see [`serve_deduplicated`].
 pub async fn serve_deduplicated_until_drained<H, F>(
     listener: Box<dyn Listener>,
     handler: H,
@@ -71,10 +71,10 @@
     let dispatcher = Rc::new(dispatcher);
     let connections = Rc::new(Cell::new(0));
     loop {
-        // Cancel safe: accept loses no connection.
+        // This is cancel safe: `accept` loses no connection.
         let accepted = tokio::select! {
             biased;
-            () = drain.started() => return,
+            () = drain.wait_for_drain() => return,
             accepted = listener.accept() => accepted,
         };
         match accepted {
@@ -87,7 +87,7 @@
                     connections.set(connections.get() - 1);
                 });
             }
-            // Closed, so that the client tries another server.
+            // The connection is closed, so that the client tries another server.
             Ok(_) => {}
             Err(_) => tokio::time::sleep(ACCEPT_RETRY_DELAY).await,
         }
@@ -100,11 +100,11 @@
     F: Future<Output = RpcResponse>,
 {
     let mut connection = ServerConnection::new(stream, drain.clone());
-    while let Some(exchange) = connection.read_request().await {
-        let _open = drain.open_call();
-        let is_open = match exchange {
-            Ok(request) => connection.answer(request, dispatcher).await,
-            Err(refusal) => connection.refuse(refusal).await,
+    while let Some(request) = connection.read_request().await {
+        let _open_call = drain.open_call();
+        let is_open = match request {
+            Ok(request) => connection.respond(request, dispatcher).await,
+            Err(response) => connection.reject(response).await,
         };
         if !is_open {
             return;
--- a/crates/rpc/src/server/connection.rs
+++ b/crates/rpc/src/server/connection.rs
@@ -1,4 +1,4 @@
-//! One connection of a client.
+//! The server's side of one client connection.
 
 use super::dispatcher::Dispatcher;
 use super::drain::ServerDrain;
@@ -18,68 +18,70 @@
 
 pub(super) struct ServerConnection {
     framed: Framed<Stream, ServerCodec>,
-    /// What arrived while the request before it was handled, one at most.
-    read_ahead: Option<Result<Request, ReadError>>,
+    /// The pipelined request, or read error, that arrived while the previous request was being handled.
+    pipelined: Option<Result<Request, ReadError>>,
     drain: ServerDrain,
 }
 
-/// How reading goes on from an idle connection.
-enum Start {
-    /// Something arrived completely, or the connection ended.
+/// What arrived on an idle connection.
+enum ReadProgress {
+    /// A complete request or an error arrived, or the connection ended (`None`).
     Complete(Option<Result<Request, ReadError>>),
-    /// The first bytes of a request arrived.
+    /// The first bytes of a request arrived, but not all of it.
     Partial,
 }
 
 impl ServerConnection {
     pub(super) fn new(stream: Stream, drain: ServerDrain) -> ServerConnection {
         let framed = Framed::new(stream, ServerCodec::with_max_body(MAX_BODY_BYTES));
-        ServerConnection { framed, read_ahead: None, drain }
+        ServerConnection { framed, pipelined: None, drain }
     }
 
-    /// The next request, or the response to one that is refused for its form. None where the connection has
-    /// ended, was idle for too long, or is idle while the program shuts down.
+    /// Returns the next request, or the error response to a malformed one. Returns `None` if the connection has ended,
+    /// was idle for too long, or is idle while the program shuts down.
     pub(super) async fn read_request(&mut self) -> Option<Result<Request, RpcResponse>> {
-        let read = match self.read_ahead.take() {
+        let read = match self.pipelined.take() {
             Some(read) => Some(read),
-            None => match timeout(IDLE_TIMEOUT, self.read_start_unless_draining()).await {
-                Ok(Start::Complete(read)) => read,
-                Ok(Start::Partial) => timeout(REQUEST_TIMEOUT, self.framed.next()).await.unwrap_or(None),
+            None => match timeout(IDLE_TIMEOUT, self.await_request_unless_draining()).await {
+                Ok(ReadProgress::Complete(read)) => read,
+                Ok(ReadProgress::Partial) => {
+                    timeout(REQUEST_TIMEOUT, self.framed.next()).await.unwrap_or(None)
+                }
                 Err(_) => None,
             },
         };
         match read? {
             Ok(request) => Some(Ok(request)),
-            Err(error) => refusal(&error).map(Err),
+            Err(error) => error_response(&error).map(Err),
         }
     }
 
-    async fn read_start_unless_draining(&mut self) -> Start {
+    async fn await_request_unless_draining(&mut self) -> ReadProgress {
         let drain = self.drain.clone();
-        // Cancel safe: what was read of a request stays in the codec.
+        // This is cancel safe: the bytes that were read of a request stay in the codec.
         tokio::select! {
             biased;
-            start = self.read_start() => start,
-            () = drain.started() => Start::Complete(None),
+            progress = self.await_request() => progress,
+            () = drain.wait_for_drain() => ReadProgress::Complete(None),
         }
     }
 
-    async fn read_start(&mut self) -> Start {
+    async fn await_request(&mut self) -> ReadProgress {
         poll_fn(|cx| match self.framed.poll_next_unpin(cx) {
-            Poll::Ready(read) => Poll::Ready(Start::Complete(read)),
+            Poll::Ready(read) => Poll::Ready(ReadProgress::Complete(read)),
             Poll::Pending if self.is_empty() => Poll::Pending,
-            Poll::Pending => Poll::Ready(Start::Partial),
+            Poll::Pending => Poll::Ready(ReadProgress::Partial),
         })
         .await
     }
 
-    /// Whether no byte of a request has arrived.
+    /// Whether no byte of the next request has arrived.
     fn is_empty(&self) -> bool {
         self.framed.read_buffer().is_empty() && self.framed.codec().buffered_bytes() == 0
     }
 
-    /// Dispatches the request and writes its response. Whether the connection can be used further.
-    pub(super) async fn answer<H, F>(&mut self, request: Request, dispatcher: &Dispatcher<H>) -> bool
+    /// Dispatches the request and writes its response. Returns whether the connection remains usable.
+    pub(super) async fn respond<H, F>(&mut self, request: Request, dispatcher: &Dispatcher<H>) -> bool
     where
         H: Fn(Request) -> F,
         F: Future<Output = RpcResponse>,
@@ -87,45 +89,45 @@
         let closes = request.closes_connection();
         let call_id = request.field(CALL_ID).map(str::to_owned);
         let drain = self.drain.clone();
-        // A call that is given up may have taken effect: it is answered as uncertain, and its future is dropped.
+        // An abandoned call may have taken effect, so its response leaves the outcome open. Its future is dropped.
         let response = tokio::select! {
             biased;
-            response = self.unless_disconnected(dispatcher.dispatch(request)) => response,
-            () = drain.ending() => Some(RpcResponse::error(503, "the program ends; send it again")),
+            response = self.run_unless_disconnected(dispatcher.dispatch(request)) => response,
+            () = drain.wait_for_abort() => Some(RpcResponse::error(503, "the program ends; send it again")),
         };
-        // A request that was read ahead is answered before the connection ends.
-        let closes = closes || self.drain.has_started() && self.read_ahead.is_none();
+        // A pipelined request is answered before the connection ends.
+        let closes = closes || self.drain.is_draining() && self.pipelined.is_none();
         match response {
             Some(response) => self.write(&response, call_id.as_deref(), closes).await,
             None => false,
         }
     }
 
-    /// Writes the response to a malformed request. Whether the connection can be used further, which it
-    /// cannot.
-    pub(super) async fn refuse(&mut self, response: RpcResponse) -> bool {
+    /// Writes the error response to a malformed request and closes the connection. Returns false, as the connection is
+    /// not usable any more.
+    pub(super) async fn reject(&mut self, response: RpcResponse) -> bool {
         self.write(&response, None, true).await
     }
 
-    /// The response, or nothing where the client has disconnected. Then nobody waits for it any more, and the
-    /// handler's future is dropped at its current await point. The connection is polled first, as a request
-    /// that the network has delayed arrives together with the connection's end.
-    async fn unless_disconnected(
+    /// Runs the handler's future and returns its response, or `None` if the client disconnects before. Nobody waits for
+    /// the response then, and the future is dropped at its current await point. The connection is polled first, because
+    /// a request that the network has delayed arrives together with the end of its connection.
+    async fn run_unless_disconnected(
         &mut self,
         response: impl Future<Output = RpcResponse>,
     ) -> Option<RpcResponse> {
-        // Else the end would be seen only after the runtime has polled the operating system once more.
+        // Without this, the end would be noticed only after the runtime has polled the operating system again.
         tokio::task::yield_now().await;
         let mut response = pin!(response);
         poll_fn(|cx| {
-            if self.read_ahead.is_none()
+            if self.pipelined.is_none()
                 && let Poll::Ready(read) = self.framed.poll_next_unpin(cx)
             {
                 match read {
                     None | Some(Err(ReadError::Io(_) | ReadError::UnexpectedEof)) => {
                         return Poll::Ready(None);
                     }
-                    Some(read) => self.read_ahead = Some(read),
+                    Some(read) => self.pipelined = Some(read),
                 }
             }
             response.as_mut().poll(cx).map(Some)
@@ -160,8 +162,8 @@
     }
 }
 
-/// The response to a request that cannot be read; none where the connection has ended.
-fn refusal(error: &ReadError) -> Option<RpcResponse> {
+/// Returns the response to a request that cannot be read, or `None` if the connection has ended.
+fn error_response(error: &ReadError) -> Option<RpcResponse> {
     match error {
         ReadError::Io(_) | ReadError::UnexpectedEof => None,
         ReadError::HeadTooLarge => Some(RpcResponse::error(431, "the head is too large")),
--- a/crates/rpc/src/server/dispatcher.rs
+++ b/crates/rpc/src/server/dispatcher.rs
@@ -1,4 +1,4 @@
-//! Passes requests to the handler, repeated calls excepted.
+//! Dispatch of requests to the handler, except for repeated calls.
 
 use crate::response::RpcResponse;
 use std::cell::RefCell;
@@ -7,10 +7,10 @@
 use vanewharf_protocol::deduplication::{CallHistory, CallId, CallStatus, is_non_idempotent};
 use vanewharf_protocol::endpoints::{CALL_ID, CALL_REPEATED};
 
-/// The handler of a server, with the calls that it has had.
+/// The handler of a server and the history of its calls.
 pub(super) struct Dispatcher<H> {
     handler: H,
-    /// None where the server is public, so that call ids mean nothing.
+    /// The history of internal calls; `None` for a public server, which ignores call ids.
     history: Option<RefCell<CallHistory<RpcResponse>>>,
 }
 
@@ -23,8 +23,8 @@
         Dispatcher { handler, history: Some(RefCell::default()) }
     }
 
-    /// The handler's response, or that to a repeated call. Where the future is dropped, no response is
-    /// recorded: the call counts as repeated from then on.
+    /// Returns the handler's response, or the response to a repeated call. If the future is dropped, no response is
+    /// recorded, and the call counts as repeated from then on.
     pub(super) async fn dispatch<F>(&self, request: Request) -> RpcResponse
     where
         H: Fn(Request) -> F,
@@ -37,7 +37,7 @@
             Ok(id) => id,
             Err(error) => return RpcResponse::error(400, &error.to_string()),
         };
-        // The borrow ends before the handler runs.
+        // The borrow of the history must end before the handler runs.
         let status = history.borrow_mut().observe(id, Instant::now());
         match status {
             CallStatus::Answered(mut response) => {
--- a/crates/rpc/tests/disconnected_clients.rs
+++ b/crates/rpc/tests/disconnected_clients.rs
@@ -1,5 +1,5 @@
-//! The server, on loopback: a client that disconnects is noticed, and one that sends further requests gets
-//! them answered.
+//! The server on loopback: it notices when a client disconnects during a call, and answers pipelined requests in
+//! order.
 
 mod support;
 
@@ -18,19 +18,19 @@
     format!("POST {path} HTTP/1.1\r\nHost: x\r\nContent-Length: 2\r\n\r\n{{}}").into_bytes()
 }
 
-/// A response with the request's path as its body.
+/// Returns a response whose body is the request's path.
 fn echo(request: &Request) -> RpcResponse {
     RpcResponse { status: 200, headers: Vec::new(), body: request.target().as_bytes().to_vec() }
 }
 
-/// Another client's complete call.
-async fn call(address: SocketAddr, path: &str) {
-    let mut client = TcpStream::connect(address).await.expect("it listens");
-    client.write_all(&request(path)).await.expect("sent");
-    client.read_u8().await.expect("a response");
+/// Makes a complete call on a connection of its own.
+async fn complete_call(address: SocketAddr, path: &str) {
+    let mut client = TcpStream::connect(address).await.expect("the server listens");
+    client.write_all(&request(path)).await.expect("the request is sent");
+    client.read_u8().await.expect("a response arrives");
 }
 
-/// Sends a message when it is dropped.
+/// Sends a message when dropped.
 struct NotifyOnDrop(mpsc::UnboundedSender<()>);
 
 impl Drop for NotifyOnDrop {
@@ -53,20 +53,20 @@
                 echo(&request)
             }
         }));
-        let mut client = TcpStream::connect(address).await.expect("it listens");
-        client.write_all(&request("/wait")).await.expect("sent");
-        is_started.recv().await.expect("started");
+        let mut client = TcpStream::connect(address).await.expect("the server listens");
+        client.write_all(&request("/wait")).await.expect("the request is sent");
+        is_started.recv().await.expect("the handler starts");
         drop(client);
-        is_dropped.recv().await.expect("dropped");
+        is_dropped.recv().await.expect("the handler is dropped");
     });
 }
 
 #[test]
-fn a_request_that_arrives_together_with_its_connections_end_is_not_handled() {
+fn a_request_that_arrives_with_the_end_of_its_connection_is_not_handled() {
     on_loopback(|listener, address| async move {
-        // Both are there before the server looks: it does not run until they were sent.
-        let mut client = std::net::TcpStream::connect(address).expect("the backlog takes it");
-        client.write_all(&request("/late")).expect("sent");
+        // The request and the end of the connection are both sent before the server first runs.
+        let mut client = std::net::TcpStream::connect(address).expect("the connection fits into the backlog");
+        client.write_all(&request("/late")).expect("the request is sent");
         drop(client);
         let handled = Rc::new(RefCell::new(Vec::new()));
         let handler_log = Rc::clone(&handled);
@@ -77,14 +77,14 @@
                 echo(&request)
             }
         }));
-        // When one that came after it is answered, the first one has been read.
-        call(address, "/next").await;
+        // The server has read the first request once a later one is answered.
+        complete_call(address, "/next").await;
         assert_eq!(*handled.borrow(), ["/next"]);
     });
 }
 
 #[test]
-fn requests_that_arrive_while_one_is_handled_are_answered_in_their_order() {
+fn pipelined_requests_are_answered_in_order() {
     on_loopback(|listener, address| async move {
         let resume = Rc::new(Notify::new());
         let resumed = Rc::clone(&resume);
@@ -97,18 +97,18 @@
                 echo(&request)
             }
         }));
-        let mut client = TcpStream::connect(address).await.expect("it listens");
+        let mut client = TcpStream::connect(address).await.expect("the server listens");
         let requests: Vec<u8> = ["/1", "/2", "/3"].iter().flat_map(|path| request(path)).collect();
-        client.write_all(&requests).await.expect("sent");
-        call(address, "/4").await;
+        client.write_all(&requests).await.expect("the request is sent");
+        complete_call(address, "/4").await;
         resume.notify_one();
         let (mut text, mut buffer) = (String::new(), [0; 1024]);
         while text.matches("\r\n\r\n/").count() < 3 {
-            let length = client.read(&mut buffer).await.expect("responses");
-            assert!(length > 0, "it ended after {text}");
+            let length = client.read(&mut buffer).await.expect("the connection is open");
+            assert!(length > 0, "the connection ended after {text}");
             text.push_str(&String::from_utf8_lossy(&buffer[..length]));
         }
-        let positions = ["/1", "/2", "/3"].map(|path| text.find(path).expect("there"));
+        let positions = ["/1", "/2", "/3"].map(|path| text.find(path).expect("each response is present"));
         assert!(positions.is_sorted(), "{text}");
     });
 }
--- a/crates/rpc/tests/shutdown.rs
+++ b/crates/rpc/tests/shutdown.rs
@@ -1,4 +1,4 @@
-//! The shutdown of a server, on loopback: what was read is answered, and idle connections are closed.
+//! The shutdown of a server on loopback: calls that were read are answered, and idle connections are closed.
 
 mod support;
 
@@ -15,7 +15,7 @@
 
 const REQUEST: &[u8] = b"GET /slow HTTP/1.1\r\nHost: x\r\n\r\n";
 
-/// Serves calls that are answered once `release` is notified, and notifies `read` of each.
+/// Starts a server that notifies `read` of each call and answers it once `release` is notified.
 fn start_server(listener: Box<dyn Listener>, read: &Rc<Notify>, release: &Rc<Notify>) -> ServerDrain {
     let drain = ServerDrain::default();
     let (read, release) = (Rc::clone(read), Rc::clone(release));
@@ -32,13 +32,13 @@
 }
 
 async fn connect(address: SocketAddr) -> TcpStream {
-    TcpStream::connect(address).await.expect("it listens")
+    TcpStream::connect(address).await.expect("the server listens")
 }
 
-/// All that the server sends until it closes the connection.
+/// Returns everything that the server sends until it closes the connection.
 async fn read_to_end(stream: &mut TcpStream) -> String {
     let mut text = String::new();
-    stream.read_to_string(&mut text).await.expect("the connection ends in order");
+    stream.read_to_string(&mut text).await.expect("the server closes the connection without an error");
     text
 }
 
@@ -48,7 +48,7 @@
         let (read, release) = (Rc::new(Notify::new()), Rc::new(Notify::new()));
         let drain = start_server(listener, &read, &release);
         let (mut idle, mut busy) = (connect(address).await, connect(address).await);
-        busy.write_all(REQUEST).await.expect("sent");
+        busy.write_all(REQUEST).await.expect("the request is sent");
         read.notified().await;
         let shutdown = async {
             drain.shut_down(Instant::now() + DEADLINE).await;
@@ -63,22 +63,22 @@
             );
         };
         tokio::join!(shutdown, clients);
-        assert!(TcpStream::connect(address).await.is_err(), "no further connection is accepted");
-        assert_eq!(total_violations(), 0, "invariants");
+        assert!(TcpStream::connect(address).await.is_err(), "the server must accept no further connection");
+        assert_eq!(total_violations(), 0, "violated invariants");
     });
 }
 
 #[test]
-fn a_call_that_is_not_over_in_time_is_answered_as_uncertain() {
+fn a_call_that_exceeds_the_deadline_is_answered_with_503() {
     on_loopback(|listener, address| async move {
         let (read, release) = (Rc::new(Notify::new()), Rc::new(Notify::new()));
         let drain = start_server(listener, &read, &release);
         let mut busy = connect(address).await;
-        busy.write_all(REQUEST).await.expect("sent");
+        busy.write_all(REQUEST).await.expect("the request is sent");
         read.notified().await;
         drain.shut_down(Instant::now()).await;
         let response = read_to_end(&mut busy).await;
         assert!(response.starts_with("HTTP/1.1 503 ") && response.contains("send it again"), "{response}");
-        assert_eq!(total_violations(), 0, "invariants");
+        assert_eq!(total_violations(), 0, "violated invariants");
     });
 }
