--- a/crates/exchange/src/connection.rs
+++ b/crates/exchange/src/connection.rs
@@ -1,87 +1,89 @@
-//! One connection to a backend, which carries one attempt at a time: what each event on it proves of the attempt, and
-//! whether the connection can carry another.
+//! The state machine of one connection to a backend, which carries one attempt at a time. It derives from each event
+//! the outcome of the attempt, and whether the connection can be reused.
 
 use vanewharf_policy::interface::Outcome;
 
-/// Why an attempt is no longer waited for.
+/// The reason for which an attempt is cancelled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum CancelReason {
-    /// Its time is over.
+    /// The attempt's time limit was exceeded.
     TimedOut,
-    /// The policy cancelled it.
+    /// The routing policy cancelled the attempt.
     Cancelled,
 }
 
-/// The state of a connection.
+/// The state of a connection to a backend.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum ConnectionState {
     /// The connection is being established.
     Dialling,
-    /// The attempt's bytes are being written.
+    /// The attempt's request is being written.
     Writing {
-        /// Whether the connection has carried nothing before.
+        /// Whether this is the first attempt on the connection.
         fresh: bool,
     },
-    /// The attempt's last byte is written.
+    /// The attempt's request was written completely; its reply is awaited.
     AwaitingReply,
-    /// The connection waits for its next attempt.
+    /// The connection is open and has no attempt.
     Idle,
-    /// The connection carries nothing more.
+    /// The connection cannot carry any further attempt.
     Closed,
 }
 
-/// What happens on a connection.
+/// An event on a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum ConnectionEvent {
-    /// It is established.
+    /// The connection was established.
     Connected,
-    /// It was refused, or was not established in time.
+    /// The connection was refused, or was not established in time.
     ConnectFailed,
-    /// No local socket was left to dial with, which proves nothing of the backend.
+    /// No local socket was available to dial with, which says nothing about the backend.
     NoLocalSocket,
-    /// The attempt's last byte was written.
+    /// The last byte of the attempt's request was written.
     Written,
     /// The connection broke.
     Broken,
-    /// What was received is no reply.
+    /// The received bytes are not a valid reply.
     MalformedReply,
     /// A complete reply was received.
     Replied {
-        /// What the reply proves of the attempt.
+        /// The outcome of the attempt according to the reply.
         outcome: Outcome,
-        /// Whether the connection ends with it.
+        /// Whether the connection closes after the reply.
         close: bool,
     },
-    /// The attempt is no longer waited for.
+    /// The attempt was cancelled.
     Cancelled(CancelReason),
-    /// The idle connection was assigned its next attempt.
+    /// The idle connection was assigned a new attempt.
     AttemptAssigned,
-    /// Bytes or the end of the connection were received while it was idle.
+    /// Bytes, or the end of the stream, were received while the connection was idle.
     UnsolicitedData,
 }
 
-/// What becomes of the attempt.
+/// The effect of an event on the attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptEffect {
-    /// Nothing yet.
+    /// No effect: the attempt is still in flight, or the connection has none.
     Pending,
-    /// It ended.
+    /// The attempt ended with this outcome.
     Ended(Outcome),
-    /// It ended without any reply; how long the connection had been idle before may be the reason.
+    /// The attempt ended with this outcome and without any reply. The cause may be that the connection had been idle
+    /// for too long before the attempt.
     EndedWithoutReply(Outcome),
-    /// The connection had been closed unnoticed and nothing has run: the attempt is to be made on a new one.
+    /// The reused connection turned out to be closed. The backend has not executed the request, so the attempt must be
+    /// repeated on a new connection.
     Redial,
-    /// The event cannot happen in this state.
+    /// The event is impossible in this state.
     Unexpected,
 }
 
 impl ConnectionState {
-    /// The state in which an attempt begins, on a reused connection or on a new one.
+    /// Returns the initial state for an attempt on a reused or on a new connection.
     pub fn for_attempt(reused: bool) -> ConnectionState {
         if reused { ConnectionState::Writing { fresh: false } } else { ConnectionState::Dialling }
     }
 
-    /// The state after an event, and what the event means for the attempt.
+    /// Returns the state after the event, and the effect of the event on the attempt.
     pub fn on_event(self, event: ConnectionEvent) -> (ConnectionState, AttemptEffect) {
         use ConnectionEvent::*;
         use ConnectionState::*;
@@ -98,7 +100,7 @@
             (AwaitingReply, Replied { outcome, close }) => {
                 (if close { Closed } else { Idle }, AttemptEffect::Ended(outcome))
             }
-            // The request was not written completely, so it cannot have run.
+            // The request was not written completely, so the backend cannot have executed it.
             (Dialling | Writing { .. }, Cancelled(CancelReason::TimedOut)) => ended(Outcome::ConnectFailed),
             (AwaitingReply, Cancelled(CancelReason::TimedOut)) => ended(Outcome::TimedOut),
             (Dialling | Writing { .. } | AwaitingReply, Cancelled(CancelReason::Cancelled)) => {
--- a/crates/exchange/src/connection/tests.rs
+++ b/crates/exchange/src/connection/tests.rs
@@ -1,13 +1,14 @@
 use super::*;
 
-fn after(reused: bool, events: &[ConnectionEvent]) -> (ConnectionState, AttemptEffect) {
+/// Returns the state and the last effect after a sequence of events on a reused or new connection.
+fn state_after(reused: bool, events: &[ConnectionEvent]) -> (ConnectionState, AttemptEffect) {
     events.iter().fold((ConnectionState::for_attempt(reused), AttemptEffect::Pending), |(state, _), event| {
         state.on_event(*event)
     })
 }
 
 #[test]
-fn outcomes_follow_from_what_was_written() {
+fn outcome_depends_on_how_much_of_the_request_was_written() {
     use ConnectionEvent::*;
     let replied = |outcome, close| Replied { outcome, close };
     let (timed_out, cancelled) =
@@ -74,7 +75,7 @@
         ),
     ];
     for (reused, events, state, effect) in cases {
-        assert_eq!(after(*reused, events), (*state, *effect), "{events:?}");
+        assert_eq!(state_after(*reused, events), (*state, *effect), "{events:?}");
     }
     let idle = ConnectionState::Idle.on_event(AttemptAssigned);
     assert_eq!(idle, (ConnectionState::Writing { fresh: false }, AttemptEffect::Pending));
--- a/crates/exchange/src/lib.rs
+++ b/crates/exchange/src/lib.rs
@@ -1,7 +1,7 @@
-//! The state machines between the routing policy and the network, without any input or output of their own: what a
-//! gateway knows of its open requests ([`Txns`]) and of one connection to a backend ([`ConnectionState`]).
+//! I/O-free state machines between the routing policy and the network: the requests that a gateway has in flight
+//! ([`Txns`]), and one connection to a backend ([`ConnectionState`]).
 //!
-//! The gateway drives them by what happens on its sockets and carries out what they decide.
+//! The gateway feeds them the events on its sockets and carries out their decisions.
 
 #![forbid(unsafe_code)]
 
--- a/crates/exchange/src/txns.rs
+++ b/crates/exchange/src/txns.rs
@@ -1,29 +1,29 @@
-//! The requests that a gateway has in flight ("txns" on the wire), with the attempts that were made for each.
+//! The client requests that a gateway has in flight ("txns" on the wire), and the attempts at backends for each.
 //!
-//! Invariants: a request has at most one answer; each attempt ends at most once; a request is forgotten only when it is
-//! answered (or its client has left) and none of its attempts is in flight.
+//! Invariants: a request gets at most one answer; each attempt ends at most once; a request is removed only after it was
+//! answered or its client disconnected, and when none of its attempts is in flight.
 
 use std::collections::BTreeMap;
 use thiserror::Error;
 use vanewharf_policy::interface::{AttemptNumber, BackendId, Idempotency, Outcome, Ticks, TxnId};
 
-/// One attempt; `C` is whatever cancels it.
+/// One attempt; `C` is the handle that cancels it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Attempt<C> {
     backend: BackendId,
     started: Ticks,
     may_have_run: bool,
-    /// None once it was cancelled or has ended.
+    /// The handle that cancels the attempt; `None` before it is set and after the attempt was cancelled or has ended.
     canceller: Option<C>,
     ended: bool,
 }
 
-/// One request; `A` is whatever gives its client the final answer. It is present until the answer is given or the client
-/// has left.
+/// One client request; `A` is the handle that sends the final answer to its client.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Txn<A, C> {
     retry: RetryRule,
     deadline: Ticks,
+    /// The handle for the answer; `None` after the answer was sent or the client disconnected.
     answer: Option<A>,
     attempts: Vec<Attempt<C>>,
 }
@@ -42,19 +42,19 @@
     }
 }
 
-/// Whether a request may be retried after it may have run.
+/// Whether a request may be retried after a backend may have executed it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum RetryRule {
-    Allowed,
-    OnlyIfNeverRan,
+    Always,
+    OnlyIfNotExecuted,
 }
 
 /// The requests in flight.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Txns<A, C> {
     txns: BTreeMap<TxnId, Txn<A, C>>,
-    /// Those that may be finished. They are removed only after the batch is decided, as an action of the same batch may
-    /// still name them.
+    /// Requests that may be finished. They are removed only after all actions of the current batch, because an action
+    /// of the same batch may still refer to them.
     maybe_finished: Vec<TxnId>,
 }
 
@@ -64,94 +64,94 @@
     }
 }
 
-/// What became of an attempt that ended.
+/// The result of an attempt that ended.
 #[derive(Debug, PartialEq, Eq)]
 pub struct EndedAttempt<A> {
-    /// The backend that it was made at.
+    /// The backend to which the attempt was sent.
     pub backend: BackendId,
-    /// How long it took.
+    /// The duration of the attempt.
     pub latency: Ticks,
-    /// Whether the request is answered, by this outcome or before.
+    /// Whether the request is answered, by this attempt or before.
     pub complete: bool,
-    /// Takes the reply to the client, where this is the first good one.
+    /// The handle that sends the reply to the client, if this is the first successful reply.
     pub answer: Option<A>,
 }
 
-/// An attempt was reported to have ended that was not in flight.
+/// An attempt that was not in flight was reported to have ended.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum UnexpectedEnd {
-    /// There is no such attempt.
-    #[error("the attempt is not known")]
+    /// The gateway does not know the attempt.
+    #[error("unknown attempt")]
     UnknownAttempt,
-    /// It had ended before.
-    #[error("the attempt had ended before")]
+    /// The attempt had already ended.
+    #[error("attempt already ended")]
     AlreadyEnded,
 }
 
-/// What a request's expiry requires.
+/// The action that the expiry of a request requires.
 #[derive(Debug, PartialEq, Eq)]
 pub enum ExpiryAction {
-    /// Nothing: it is answered, or not known any more.
+    /// No action: the request is answered, or was removed.
     Nothing,
-    /// These attempts are to be cancelled as timed out; the policy decides on the request when they have ended.
+    /// These attempts must be cancelled as timed out. The policy decides about the request when they have ended.
     CancelAttempts(Vec<AttemptNumber>),
-    /// Nothing is in flight and the client has no answer.
+    /// No attempt is in flight and the client has no answer.
     Overdue,
 }
 
-/// What becomes of an attempt that is to be made.
+/// The result of starting an attempt.
 #[derive(Debug, PartialEq, Eq)]
 pub enum AttemptStart {
-    /// The request is not known.
+    /// The gateway does not know the request.
     UnknownTxn,
-    /// The request was answered in this very batch, or its time is over: nothing is sent.
+    /// The request was answered earlier in the same batch, or its deadline has passed: nothing is sent.
     NotSent {
         /// The attempt's number.
         number: AttemptNumber,
         /// Whether the request is answered.
         complete: bool,
     },
-    /// The attempt is to be sent.
+    /// The attempt must be sent.
     Started {
         /// The attempt's number.
         number: AttemptNumber,
-        /// When its reply is no longer waited for.
+        /// When the attempt times out.
         deadline: Ticks,
-        /// Whether the request cannot take effect twice by it.
+        /// False if the attempt could execute a non-idempotent request for the second time.
         permitted: bool,
     },
 }
 
 impl<A, C> Txns<A, C> {
-    /// Adds a request that arrived.
+    /// Adds a request that arrived from a client.
     pub fn insert(&mut self, id: TxnId, idempotency: Idempotency, deadline: Ticks, answer: A) {
         let retry = if idempotency == Idempotency::NonIdempotent {
-            RetryRule::OnlyIfNeverRan
+            RetryRule::OnlyIfNotExecuted
         } else {
-            RetryRule::Allowed
+            RetryRule::Always
         };
         self.txns.insert(id, Txn { retry, deadline, answer: Some(answer), attempts: Vec::new() });
     }
 
-    /// Records that the client has left; returns whether it was still to be answered.
+    /// Records that the client has disconnected; returns whether its request was still unanswered.
     pub fn client_left(&mut self, id: TxnId) -> bool {
-        let left = self.txns.get_mut(&id).is_some_and(|txn| txn.answer.take().is_some());
-        if left {
+        let was_unanswered = self.txns.get_mut(&id).is_some_and(|txn| txn.answer.take().is_some());
+        if was_unanswered {
             self.maybe_finished.push(id);
         }
-        left
+        was_unanswered
     }
 
-    /// Whether the request is known: unanswered, or with attempts in flight.
+    /// Whether the request is present, because it is unanswered or has attempts in flight.
     pub fn contains(&self, id: TxnId) -> bool {
         self.txns.contains_key(&id)
     }
 
-    /// Records how an attempt ended.
+    /// Records the outcome of an attempt.
     ///
     /// # Errors
     ///
-    /// Where the attempt was not in flight.
+    /// Returns an error if the attempt was not in flight.
     pub fn record_end(
         &mut self,
         id: TxnId,
@@ -174,7 +174,7 @@
         Ok(EndedAttempt { backend, latency, complete, answer })
     }
 
-    /// What is to be done now that the request's time is over.
+    /// Returns what must be done after the request's deadline has passed.
     pub fn expire(&self, id: TxnId) -> ExpiryAction {
         let Some(txn) = self.txns.get(&id) else {
             return ExpiryAction::Nothing;
@@ -187,26 +187,26 @@
         if txn.is_answered() { ExpiryAction::Nothing } else { ExpiryAction::Overdue }
     }
 
-    /// Takes what cancels an attempt. None the second time, and where its outcome was recorded.
+    /// Takes the handle that cancels an attempt. Returns `None` if it was taken before or the attempt has ended.
     pub fn take_canceller(&mut self, id: TxnId, number: AttemptNumber) -> Option<C> {
         self.attempt_mut(id, number)?.canceller.take()
     }
 
-    /// Whether a client may be informed that retrying the request is harmless.
+    /// Whether the client may be told that it is safe to retry the request.
     pub fn is_retry_safe(&self, id: TxnId) -> bool {
-        let is_safe = |txn: &Txn<A, C>| txn.retry != RetryRule::OnlyIfNeverRan || !txn.may_have_run();
+        let is_safe = |txn: &Txn<A, C>| txn.retry != RetryRule::OnlyIfNotExecuted || !txn.may_have_run();
         self.txns.get(&id).is_none_or(is_safe)
     }
 
-    /// Takes what gives the client its final answer. None where the request was settled, or its client left, in this
-    /// very batch.
+    /// Takes the handle that sends the final answer to the client. Returns `None` if the request was answered, or its
+    /// client disconnected, earlier in the same batch.
     pub fn take_answer(&mut self, id: TxnId) -> Option<A> {
         let answer = self.txns.get_mut(&id)?.answer.take()?;
         self.maybe_finished.push(id);
         Some(answer)
     }
 
-    /// Records that an attempt is to be made, which may take `timeout` at most and no longer than the request.
+    /// Records a new attempt. It times out after `timeout`, if there is one, and at the latest at the request's deadline.
     pub fn start_attempt(
         &mut self,
         id: TxnId,
@@ -219,26 +219,26 @@
         };
         let number = AttemptNumber(txn.attempts.len() as u32);
         let not_sent = txn.is_answered() || txn.deadline <= now;
-        let has_run = txn.may_have_run();
+        let may_have_run_before = txn.may_have_run();
         let (may_have_run, ended) = (!not_sent, not_sent);
         txn.attempts.push(Attempt { backend, started: now, may_have_run, canceller: None, ended });
         if not_sent {
             return AttemptStart::NotSent { number, complete: txn.is_answered() };
         }
-        let deadline = timeout.map_or(txn.deadline, |span| txn.deadline.min(now + span));
-        let permitted = !(txn.retry == RetryRule::OnlyIfNeverRan && has_run);
+        let deadline = timeout.map_or(txn.deadline, |timeout| txn.deadline.min(now + timeout));
+        let permitted = !(txn.retry == RetryRule::OnlyIfNotExecuted && may_have_run_before);
         AttemptStart::Started { number, deadline, permitted }
     }
 
-    /// Sets what cancels an attempt that was started.
+    /// Sets the handle that cancels a started attempt.
     pub fn set_canceller(&mut self, id: TxnId, number: AttemptNumber, canceller: C) {
         if let Some(attempt) = self.attempt_mut(id, number) {
             attempt.canceller = Some(canceller);
         }
     }
 
-    /// Forgets the requests that are answered and have nothing in flight, and returns their ids. To be called once the
-    /// batch is decided.
+    /// Removes the requests that are answered and have no attempt in flight, and returns their ids. Must be called after
+    /// all actions of a batch.
     pub fn remove_finished(&mut self) -> Vec<TxnId> {
         let mut removed = Vec::new();
         for id in std::mem::take(&mut self.maybe_finished) {
@@ -250,18 +250,18 @@
         removed
     }
 
-    /// The requests whose client waits for an answer, each with whether it may have run.
+    /// Returns the unanswered requests, each with whether a backend may have executed it.
     pub fn unanswered(&self) -> Vec<(TxnId, bool)> {
         let unanswered = self.txns.iter().filter(|(_, txn)| !txn.is_answered());
         unanswered.map(|(id, txn)| (*id, txn.may_have_run())).collect()
     }
 
-    /// For a request whose client waits for an answer: whether it may have run.
+    /// Returns whether a backend may have executed the request, or `None` if the request is answered or unknown.
     pub fn unanswered_may_have_run(&self, id: TxnId) -> Option<bool> {
         self.txns.get(&id).filter(|txn| !txn.is_answered()).map(Txn::may_have_run)
     }
 
-    /// Whether nothing is in flight.
+    /// Whether no request is in flight.
     pub fn is_empty(&self) -> bool {
         self.txns.is_empty()
     }
--- a/crates/exchange/src/txns/tests.rs
+++ b/crates/exchange/src/txns/tests.rs
@@ -1,18 +1,18 @@
 use super::*;
 
-const ONE: TxnId = TxnId(1);
-const FIRST: AttemptNumber = AttemptNumber(0);
+const TXN: TxnId = TxnId(1);
+const FIRST_ATTEMPT: AttemptNumber = AttemptNumber(0);
 
 fn txns(idempotency: Idempotency) -> Txns<&'static str, &'static str> {
     let mut txns = Txns::default();
-    txns.insert(ONE, idempotency, Ticks(100), "answer");
+    txns.insert(TXN, idempotency, Ticks(100), "answer");
     txns
 }
 
-fn start(txns: &mut Txns<&'static str, &'static str>, now: i64) -> AttemptStart {
-    let started = txns.start_attempt(ONE, BackendId(7), None, Ticks(now));
+fn start_attempt(txns: &mut Txns<&'static str, &'static str>, now: i64) -> AttemptStart {
+    let started = txns.start_attempt(TXN, BackendId(7), None, Ticks(now));
     if let AttemptStart::Started { number, .. } = started {
-        txns.set_canceller(ONE, number, "cancel");
+        txns.set_canceller(TXN, number, "cancel");
     }
     started
 }
@@ -21,20 +21,23 @@
 fn a_txn_has_one_answer_and_is_removed_when_no_attempt_is_in_flight() {
     let mut txns = txns(Idempotency::Idempotent);
     assert_eq!(
-        start(&mut txns, 10),
-        AttemptStart::Started { number: FIRST, deadline: Ticks(100), permitted: true }
+        start_attempt(&mut txns, 10),
+        AttemptStart::Started { number: FIRST_ATTEMPT, deadline: Ticks(100), permitted: true }
     );
-    start(&mut txns, 12);
-    let ended = txns.record_end(ONE, FIRST, Outcome::Succeeded, Ticks(30)).expect("it was in flight");
+    start_attempt(&mut txns, 12);
+    let ended = txns
+        .record_end(TXN, FIRST_ATTEMPT, Outcome::Succeeded, Ticks(30))
+        .expect("the attempt was in flight");
     assert_eq!((ended.answer, ended.complete, ended.latency), (Some("answer"), true, Ticks(20)));
-    assert_eq!(txns.take_answer(ONE), None, "answered already");
-    assert_eq!(txns.remove_finished(), [], "the other is still in flight");
-    let other =
-        txns.record_end(ONE, AttemptNumber(1), Outcome::Succeeded, Ticks(40)).expect("it was in flight");
+    assert_eq!(txns.take_answer(TXN), None, "the request is already answered");
+    assert_eq!(txns.remove_finished(), [], "the other attempt is still in flight");
+    let other = txns
+        .record_end(TXN, AttemptNumber(1), Outcome::Succeeded, Ticks(40))
+        .expect("the attempt was in flight");
     assert_eq!((other.answer, other.complete), (None, true));
-    assert_eq!(txns.remove_finished(), [ONE]);
+    assert_eq!(txns.remove_finished(), [TXN]);
     assert_eq!(
-        txns.record_end(ONE, FIRST, Outcome::Succeeded, Ticks(50)),
+        txns.record_end(TXN, FIRST_ATTEMPT, Outcome::Succeeded, Ticks(50)),
         Err(UnexpectedEnd::UnknownAttempt)
     );
     assert!(txns.is_empty());
@@ -43,45 +46,59 @@
 #[test]
 fn an_answered_or_expired_txn_starts_no_attempt() {
     let mut txns = txns(Idempotency::Idempotent);
-    assert_eq!(start(&mut txns, 100), AttemptStart::NotSent { number: FIRST, complete: false });
-    assert!(txns.client_left(ONE) && !txns.client_left(ONE));
-    assert_eq!(start(&mut txns, 20), AttemptStart::NotSent { number: AttemptNumber(1), complete: true });
+    assert_eq!(
+        start_attempt(&mut txns, 100),
+        AttemptStart::NotSent { number: FIRST_ATTEMPT, complete: false }
+    );
+    assert!(txns.client_left(TXN) && !txns.client_left(TXN));
+    assert_eq!(
+        start_attempt(&mut txns, 20),
+        AttemptStart::NotSent { number: AttemptNumber(1), complete: true }
+    );
     assert_eq!(txns.start_attempt(TxnId(9), BackendId(7), None, Ticks(0)), AttemptStart::UnknownTxn);
 }
 
 #[test]
 fn a_non_idempotent_txn_is_retried_only_if_nothing_may_have_run() {
     let mut txns = txns(Idempotency::NonIdempotent);
-    assert!(txns.is_retry_safe(ONE));
-    start(&mut txns, 10);
-    assert!(!txns.is_retry_safe(ONE), "it may run at any moment");
-    assert!(matches!(start(&mut txns, 11), AttemptStart::Started { permitted: false, .. }));
+    assert!(txns.is_retry_safe(TXN));
+    start_attempt(&mut txns, 10);
+    assert!(!txns.is_retry_safe(TXN), "the attempt may be executed at any moment");
+    assert!(matches!(start_attempt(&mut txns, 11), AttemptStart::Started { permitted: false, .. }));
     for number in [0, 1] {
-        txns.record_end(ONE, AttemptNumber(number), Outcome::Rejected, Ticks(20)).expect("it was in flight");
+        txns.record_end(TXN, AttemptNumber(number), Outcome::Rejected, Ticks(20))
+            .expect("the attempt was in flight");
     }
-    assert!(txns.is_retry_safe(ONE));
-    assert!(matches!(start(&mut txns, 21), AttemptStart::Started { permitted: true, .. }));
+    assert!(txns.is_retry_safe(TXN));
+    assert!(matches!(start_attempt(&mut txns, 21), AttemptStart::Started { permitted: true, .. }));
 }
 
 #[test]
 fn expiry_cancels_attempts_once_and_reports_an_overdue_txn() {
     let mut txns = txns(Idempotency::Idempotent);
-    assert_eq!(txns.expire(ONE), ExpiryAction::Overdue);
-    start(&mut txns, 10);
-    assert_eq!(txns.expire(ONE), ExpiryAction::CancelAttempts(vec![FIRST]));
-    assert_eq!((txns.take_canceller(ONE, FIRST), txns.take_canceller(ONE, FIRST)), (Some("cancel"), None));
-    txns.record_end(ONE, FIRST, Outcome::TimedOut, Ticks(100)).expect("it was in flight");
-    assert_eq!(txns.record_end(ONE, FIRST, Outcome::Succeeded, Ticks(101)), Err(UnexpectedEnd::AlreadyEnded));
-    assert!(txns.take_answer(ONE).is_some());
-    assert_eq!(txns.expire(ONE), ExpiryAction::Nothing);
+    assert_eq!(txns.expire(TXN), ExpiryAction::Overdue);
+    start_attempt(&mut txns, 10);
+    assert_eq!(txns.expire(TXN), ExpiryAction::CancelAttempts(vec![FIRST_ATTEMPT]));
+    assert_eq!(
+        (txns.take_canceller(TXN, FIRST_ATTEMPT), txns.take_canceller(TXN, FIRST_ATTEMPT)),
+        (Some("cancel"), None)
+    );
+    txns.record_end(TXN, FIRST_ATTEMPT, Outcome::TimedOut, Ticks(100)).expect("the attempt was in flight");
+    assert_eq!(
+        txns.record_end(TXN, FIRST_ATTEMPT, Outcome::Succeeded, Ticks(101)),
+        Err(UnexpectedEnd::AlreadyEnded)
+    );
+    assert!(txns.take_answer(TXN).is_some());
+    assert_eq!(txns.expire(TXN), ExpiryAction::Nothing);
     assert_eq!(txns.expire(TxnId(5)), ExpiryAction::Nothing);
 }
 
 #[test]
 fn an_attempt_timeout_is_capped_by_the_deadline() {
     let mut txns = txns(Idempotency::Idempotent);
-    let start_with_timeout =
-        |txns: &mut Txns<_, &str>, span| txns.start_attempt(ONE, BackendId(7), Some(Ticks(span)), Ticks(10));
+    let start_with_timeout = |txns: &mut Txns<_, &str>, timeout| {
+        txns.start_attempt(TXN, BackendId(7), Some(Ticks(timeout)), Ticks(10))
+    };
     assert!(matches!(start_with_timeout(&mut txns, 20), AttemptStart::Started { deadline: Ticks(30), .. }));
     assert!(matches!(start_with_timeout(&mut txns, 500), AttemptStart::Started { deadline: Ticks(100), .. }));
 }
