--- a/crates/exchange/src/txns.rs
+++ b/crates/exchange/src/txns.rs
@@ -11,7 +11,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Attempt<C> {
     backend: BackendId,
-    started: Ticks,
+    started_at: Ticks,
     may_have_run: bool,
     /// The handle that cancels the attempt; `None` before it is set and after the attempt was cancelled or has ended.
     canceller: Option<C>,
@@ -21,7 +21,7 @@
 /// One client request; `A` is the handle that sends the final answer to its client.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Txn<A, C> {
-    retry: RetryRule,
+    retry_rule: RetryRule,
     deadline: Ticks,
     /// The handle for the answer; `None` after the answer was sent or the client disconnected.
     answer: Option<A>,
@@ -42,7 +42,7 @@
     }
 }
 
-/// Whether a request may be retried after a backend may have executed it.
+/// The condition under which a request may be retried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum RetryRule {
     Always,
@@ -95,7 +95,7 @@
     Nothing,
     /// These attempts must be cancelled as timed out. The policy decides about the request when they have ended.
     CancelAttempts(Vec<AttemptNumber>),
-    /// No attempt is in flight and the client has no answer.
+    /// No attempt is in flight and the client has no answer: it must be answered now.
     Overdue,
 }
 
@@ -125,12 +125,12 @@
 impl<A, C> Txns<A, C> {
     /// Adds a request that arrived from a client.
     pub fn insert(&mut self, id: TxnId, idempotency: Idempotency, deadline: Ticks, answer: A) {
-        let retry = if idempotency == Idempotency::NonIdempotent {
+        let retry_rule = if idempotency == Idempotency::NonIdempotent {
             RetryRule::OnlyIfNotExecuted
         } else {
             RetryRule::Always
         };
-        self.txns.insert(id, Txn { retry, deadline, answer: Some(answer), attempts: Vec::new() });
+        self.txns.insert(id, Txn { retry_rule, deadline, answer: Some(answer), attempts: Vec::new() });
     }
 
     /// Records that the client has disconnected; returns whether its request was still unanswered.
@@ -167,7 +167,7 @@
         if already_ended {
             return Err(UnexpectedEnd::AlreadyEnded);
         }
-        let (backend, latency) = (attempt.backend, now - attempt.started);
+        let (backend, latency) = (attempt.backend, now - attempt.started_at);
         let answer = if outcome == Outcome::Succeeded { txn.answer.take() } else { None };
         let complete = txn.is_answered();
         self.maybe_finished.push(id);
@@ -194,7 +194,7 @@
 
     /// Whether the client may be told that it is safe to retry the request.
     pub fn is_retry_safe(&self, id: TxnId) -> bool {
-        let is_safe = |txn: &Txn<A, C>| txn.retry != RetryRule::OnlyIfNotExecuted || !txn.may_have_run();
+        let is_safe = |txn: &Txn<A, C>| txn.retry_rule != RetryRule::OnlyIfNotExecuted || !txn.may_have_run();
         self.txns.get(&id).is_none_or(is_safe)
     }
 
@@ -221,12 +221,12 @@
         let not_sent = txn.is_answered() || txn.deadline <= now;
         let may_have_run_before = txn.may_have_run();
         let (may_have_run, ended) = (!not_sent, not_sent);
-        txn.attempts.push(Attempt { backend, started: now, may_have_run, canceller: None, ended });
+        txn.attempts.push(Attempt { backend, started_at: now, may_have_run, canceller: None, ended });
         if not_sent {
             return AttemptStart::NotSent { number, complete: txn.is_answered() };
         }
         let deadline = timeout.map_or(txn.deadline, |timeout| txn.deadline.min(now + timeout));
-        let permitted = !(txn.retry == RetryRule::OnlyIfNotExecuted && may_have_run_before);
+        let permitted = !(txn.retry_rule == RetryRule::OnlyIfNotExecuted && may_have_run_before);
         AttemptStart::Started { number, deadline, permitted }
     }
 
--- a/crates/protocol/src/deduplication.rs
+++ b/crates/protocol/src/deduplication.rs
@@ -21,7 +21,7 @@
     pub sequence: u64,
 }
 
-/// A header value is not a [`CallId`].
+/// The error for a header value that is not a [`CallId`].
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 #[error("the call's id cannot be read")]
 pub struct MalformedCallId;
@@ -114,8 +114,8 @@
     fn evict_oldest_quarter(&mut self) {
         let mut times: Vec<_> = self.callers.values().map(|caller| caller.last_call_at).collect();
         times.sort_unstable();
-        let oldest = times[times.len() / 4];
-        self.callers.retain(|_, caller| caller.last_call_at > oldest);
+        let cutoff = times[times.len() / 4];
+        self.callers.retain(|_, caller| caller.last_call_at > cutoff);
     }
 }
 
--- a/crates/protocol/src/history/backend_list_history.rs
+++ b/crates/protocol/src/history/backend_list_history.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 use vanewharf_clock::Timestamp;
 
-/// A backend does not count as changed if its remaining warm-up time exceeds the expected one by this much.
+/// A backend does not count as changed if its remaining warm-up time exceeds the expected one by no more than this.
 const WARMUP_TOLERANCE_MS: u64 = 200;
 
 /// A list of backends with the time at which it was read from the platform API, by this process's clock.
--- a/crates/protocol/src/history/register_history.rs
+++ b/crates/protocol/src/history/register_history.rs
@@ -5,7 +5,7 @@
 use serde_json::value::RawValue;
 use std::collections::VecDeque;
 
-/// The maximum total size of the retained changes, by the approximate size of each.
+/// The maximum size of all retained changes together, which is computed approximately.
 const MAX_RETAINED_BYTES: usize = 256 * 1024;
 /// The approximate size of an edit without its value.
 const EDIT_OVERHEAD_BYTES: usize = 60;
--- a/crates/protocol/src/messages/register.rs
+++ b/crates/protocol/src/messages/register.rs
@@ -48,7 +48,8 @@
     /// The version number, incremented by each change.
     #[serde(rename = "no")]
     pub revision: Revision,
-    /// The text of the configuration, byte for byte; `None` until the operator sends the first one.
+    /// The text of the configuration, which controllers store byte for byte as it was sent; `None` until the operator
+    /// sends the first one.
     pub config: Option<Box<RawValue>>,
     /// Zones that get no traffic.
     pub evacuated: BTreeSet<String>,
