--- a/crates/protocol/src/version_store.rs
+++ b/crates/protocol/src/version_store.rs
@@ -83,7 +83,7 @@
 
     /// Returns the versions to send in a pull request: the current ones, but the lowest version for each source of
     /// which a snapshot is needed. To learn what this process has, use [`versions`](Self::versions).
-    pub fn versions_to_request(&self) -> VersionVector {
+    pub fn versions_for_pull(&self) -> VersionVector {
         let mut versions = self.versions();
         if self.needs_register_snapshot {
             versions.register = Revision(0);
--- a/crates/protocol/tests/incremental_updates.rs
+++ b/crates/protocol/tests/incremental_updates.rs
@@ -47,7 +47,7 @@
 }
 
 fn response(publisher: &VersionStore, reader: &VersionStore, now: Timestamp) -> PullResponse {
-    publisher.response_to(&reader.versions_to_request(), RegisterForm::Incremental, Duration::ZERO, now)
+    publisher.response_to(&reader.versions_for_pull(), RegisterForm::Incremental, Duration::ZERO, now)
 }
 
 /// A publisher whose register and list of backends change at random.
@@ -175,7 +175,7 @@
         (reader.register.as_ref().map(|register| register.revision), reader.attested_at),
         (Some(Revision(1)), None)
     );
-    assert_eq!(reader.versions_to_request(), VersionVector::default(), "the reader asks for everything");
+    assert_eq!(reader.versions_for_pull(), VersionVector::default(), "the reader asks for everything");
     let snapshot = response(&publisher, &reader, START);
     assert!(snapshot.register.is_some() && reader.apply(snapshot, START, START).register);
     assert_eq!(reader.versions().register, Revision(2));
@@ -247,12 +247,12 @@
     inapplicable.backend_list_changes[0].from.number = 7;
     assert!(reader.apply(inapplicable, START, START).needs_snapshot);
     assert_eq!(reader.versions().backend_list.number, 1, "the current version is unchanged");
-    assert_eq!(reader.versions_to_request().backend_list, Version::default());
+    assert_eq!(reader.versions_for_pull().backend_list, Version::default());
     assert!(reader.is_newer_than(&VersionVector::default()), "the current list is still served");
     let snapshot = PullResponse { attested_age_ms: Some(0), ..response(&lagging, &reader, START) };
     assert!(snapshot.backend_list.is_some());
     assert!(!reader.apply(snapshot, START, START).needs_snapshot);
-    assert_eq!(reader.versions_to_request().backend_list.number, 1);
+    assert_eq!(reader.versions_for_pull().backend_list.number, 1);
     assert_eq!(reader.attested_at, Some(START), "the reader has everything that the sender attests");
     assert!(reader.apply(response(&publisher, &reader, START), START, START).backend_list);
 }
--- a/programs/agent/src/upstream.rs
+++ b/programs/agent/src/upstream.rs
@@ -125,7 +125,7 @@
 
     fn pull_request(&self, wait: Duration) -> PullRequest {
         PullRequest {
-            versions: self.state.publisher.store().versions_to_request(),
+            versions: self.state.publisher.store().versions_for_pull(),
             wait_ms: wait.as_millis() as u64,
             follower: None,
             token_leases: None,
--- a/programs/controller/src/roles/leaseholder_following.rs
+++ b/programs/controller/src/roles/leaseholder_following.rs
@@ -100,7 +100,7 @@
 
 fn pull_request(state: &ControllerState) -> PullRequest {
     PullRequest {
-        versions: state.publisher.store().versions_to_request(),
+        versions: state.publisher.store().versions_for_pull(),
         wait_ms: LONG_POLL.as_millis() as u64,
         follower: Some(Follower {
             controller: state.entry.clone(),
--- a/programs/proxy/src/agent_link.rs
+++ b/programs/proxy/src/agent_link.rs
@@ -65,7 +65,7 @@
 
     fn pull(&self) -> PullRequest {
         PullRequest {
-            versions: self.readiness.publisher.store().versions_to_request(),
+            versions: self.readiness.publisher.store().versions_for_pull(),
             wait_ms: LONG_POLL.as_millis() as u64,
             follower: None,
             token_leases: None,
