--- a/crates/protocol/src/messages/register.rs
+++ b/crates/protocol/src/messages/register.rs
@@ -137,7 +137,7 @@
     }
 
     /// Whether both registers have the same effect on traffic: ballot, revision and membership have none.
-    pub fn routes_like(&self, other: &Register) -> bool {
+    pub fn has_same_routing(&self, other: &Register) -> bool {
         let (config, other_config) = (self.config.as_deref(), other.config.as_deref());
         self.evacuated == other.evacuated && config.map(RawValue::get) == other_config.map(RawValue::get)
     }
--- a/programs/proxy/src/pools.rs
+++ b/programs/proxy/src/pools.rs
@@ -147,7 +147,7 @@
     /// Applies a newer register; returns whether it changes anything for this proxy.
     fn apply_register(&mut self, register: Rc<Register>) -> bool {
         let previous = self.register.replace(Rc::clone(&register));
-        if previous.is_some_and(|previous| previous.routes_like(&register)) {
+        if previous.is_some_and(|previous| previous.has_same_routing(&register)) {
             return false;
         }
         let Some(tables) = RoutingTables::from_register(&register).map(Rc::new) else {
