--- a/crates/protocol/src/history.rs
+++ b/crates/protocol/src/history.rs
@@ -8,7 +8,7 @@
 mod config_document;
 mod register_history;
 
-pub use backend_list_history::{BackendListHistory, TakenList};
+pub use backend_list_history::{BackendListHistory, TimedBackendList};
 pub use config_document::ConfigDocument;
 pub use register_history::RegisterHistory;
 
--- a/crates/protocol/src/history/backend_list_history.rs
+++ b/crates/protocol/src/history/backend_list_history.rs
@@ -11,7 +11,7 @@
 
 /// A list of backends with the time at which it was read from the platform API, by this process's clock.
 #[derive(Clone, Copy, Debug)]
-pub struct TakenList<'a> {
+pub struct TimedBackendList<'a> {
     /// The list of backends.
     pub list: &'a BackendList,
     /// The latest time at which the list may have been read.
@@ -34,7 +34,7 @@
 impl BackendListHistory {
     /// Records that a newer list replaced the current one. Drops all changes if half of the backends or more
     /// have changed.
-    pub fn record_replacement(&mut self, old: Option<TakenList<'_>>, new: TakenList<'_>) {
+    pub fn record_replacement(&mut self, old: Option<TimedBackendList<'_>>, new: TimedBackendList<'_>) {
         let Some(old) = old else {
             return self.changes.clear();
         };
@@ -84,7 +84,7 @@
     /// and changes nothing, if they do not start from the old list.
     pub fn apply_changes(
         &mut self,
-        old: TakenList<'_>,
+        old: TimedBackendList<'_>,
         changes: Vec<BackendListChange>,
         taken_at: Timestamp,
     ) -> Option<BackendList> {
--- a/crates/protocol/src/version_store.rs
+++ b/crates/protocol/src/version_store.rs
@@ -3,7 +3,7 @@
 //! Invariants: no source is replaced by an older version, and the current register was the newest acknowledged
 //! one at [`VersionStore::attested_at`].
 
-use crate::history::{BackendListHistory, RegisterHistory, TakenList};
+use crate::history::{BackendListHistory, RegisterHistory, TimedBackendList};
 use crate::messages::{
     BackendList, BackendListChange, FleetSummary, PullResponse, Register, RegisterChange, Revision, Version,
     VersionVector,
@@ -119,8 +119,8 @@
         if is_newer {
             let taken_at = now.before(Duration::from_millis(list.age_ms));
             let current = self.backend_list.as_deref();
-            let current = current.map(|list| TakenList { list, taken_at: self.backend_list_taken_at });
-            self.backend_list_history.record_replacement(current, TakenList { list: &list, taken_at });
+            let current = current.map(|list| TimedBackendList { list, taken_at: self.backend_list_taken_at });
+            self.backend_list_history.record_replacement(current, TimedBackendList { list: &list, taken_at });
             self.backend_list = Some(Rc::new(list));
             self.backend_list_taken_at = taken_at;
             self.needs_backend_list_snapshot = false;
@@ -212,7 +212,7 @@
         let age = changes.last().map_or(Duration::ZERO, |last| Duration::from_millis(last.age_ms));
         let taken_at = now.before(age);
         let current = self.backend_list.as_deref();
-        let current = current.map(|list| TakenList { list, taken_at: self.backend_list_taken_at });
+        let current = current.map(|list| TimedBackendList { list, taken_at: self.backend_list_taken_at });
         let result =
             current.and_then(|list| self.backend_list_history.apply_changes(list, changes, taken_at));
         self.needs_backend_list_snapshot = result.is_none();
--- a/crates/system-simulator/examples/capacity/backend_lists.rs
+++ b/crates/system-simulator/examples/capacity/backend_lists.rs
@@ -7,7 +7,7 @@
 use vanewharf_clock::{MonotonicClock, Timestamp};
 use vanewharf_gateway::router::RoutingPolicy;
 use vanewharf_policy::interface::Ticks;
-use vanewharf_protocol::history::{BackendListHistory, TakenList};
+use vanewharf_protocol::history::{BackendListHistory, TimedBackendList};
 use vanewharf_protocol::messages::{Backend, BackendList, Ballot, FleetSummary, PullResponse, Version};
 use vanewharf_proxy::pools::{BackendPools, Location, PoolsConfig};
 use vanewharf_proxy::snapshot::Snapshot;
@@ -80,8 +80,8 @@
 
 fn release_columns(old: &BackendList, new: &BackendList) -> String {
     let now = Timestamp(16_000);
-    let old = TakenList { list: old, taken_at: Timestamp(10_000) };
-    let new = TakenList { list: new, taken_at: now };
+    let old = TimedBackendList { list: old, taken_at: Timestamp(10_000) };
+    let new = TimedBackendList { list: new, taken_at: now };
     let (mut sender, mut receiver) = (BackendListHistory::default(), BackendListHistory::default());
     let recording = measure(|| sender.record_replacement(Some(old), new));
     let changes = sender.changes_since(old.list.version, now, now).expect("a change");
