--- a/crates/compatibility/tests/messages.rs
+++ b/crates/compatibility/tests/messages.rs
@@ -372,7 +372,7 @@
 fn votes() {
     let promised = Ballot(9);
     assert_message("vote_granted", &Vote::Granted { register: full_register(), quota_divisor: 6 });
-    assert_message("vote_willing", &Vote::Willing { promised });
+    assert_message("vote_willing", &Vote::WouldGrant { promised });
     assert_message("vote_accepted", &Vote::Accepted);
     assert_message("vote_known", &Vote::Recovered { promised, register: full_register() });
     assert_message("vote_refused", &Vote::Refused { promised, leaseholder: Some(socket_address(2)) });
--- a/crates/consensus/src/pre_vote.rs
+++ b/crates/consensus/src/pre_vote.rs
@@ -37,7 +37,7 @@
 
     fn highest_promised_ballot(&self) -> Ballot {
         let promised = self.tally.votes().filter_map(|vote| match vote {
-            Vote::Willing { promised } | Vote::Refused { promised, .. } => Some(*promised),
+            Vote::WouldGrant { promised } | Vote::Refused { promised, .. } => Some(*promised),
             _ => None,
         });
         promised.max().unwrap_or_default()
--- a/crates/consensus/src/pre_vote/tests.rs
+++ b/crates/consensus/src/pre_vote/tests.rs
@@ -2,7 +2,7 @@
 use crate::test_support::{address, membership, refused, response};
 
 fn willing(promised: u64) -> VoteResponse {
-    response(Vote::Willing { promised: Ballot(promised) })
+    response(Vote::WouldGrant { promised: Ballot(promised) })
 }
 
 #[test]
--- a/crates/consensus/src/quorum.rs
+++ b/crates/consensus/src/quorum.rs
@@ -23,7 +23,7 @@
 
 impl RecordedResponse {
     fn assents(&self) -> bool {
-        matches!(self.response.vote, Vote::Granted { .. } | Vote::Willing { .. } | Vote::Accepted)
+        matches!(self.response.vote, Vote::Granted { .. } | Vote::WouldGrant { .. } | Vote::Accepted)
     }
 
     fn refuses(&self) -> bool {
--- a/crates/consensus/src/voter/requests.rs
+++ b/crates/consensus/src/voter/requests.rs
@@ -25,7 +25,7 @@
     /// Whether it would grant a lease now, without promising anything.
     fn handle_pre_vote(&self, candidate: SocketAddr, now: Timestamp) -> VoterOutput {
         if self.may_grant_lease(candidate, now) {
-            VoterOutput::without_write(Vote::Willing { promised: self.record.ballot })
+            VoterOutput::without_write(Vote::WouldGrant { promised: self.record.ballot })
         } else {
             self.refuse(now)
         }
--- a/crates/protocol/src/messages/consensus.rs
+++ b/crates/protocol/src/messages/consensus.rs
@@ -64,7 +64,8 @@
         quota_divisor: u32,
     },
     /// Answers `PreVote`: the voter would grant a lease under a ballot above the promised one.
-    Willing {
+    #[serde(rename = "Willing")]
+    WouldGrant {
         /// The highest ballot that the voter has promised.
         promised: Ballot,
     },
