--- a/crates/compatibility/tests/messages.rs
+++ b/crates/compatibility/tests/messages.rs
@@ -135,7 +135,7 @@
         quota_divisor: 6,
         tenants: [("ana".to_owned(), TenantUsage { requests_per_s: 412.5, quota_shares: 500.0 })].into(),
         token_lenders: Some(3),
-        homed_hosts: text_set(&["shop.example"]),
+        home_region_hosts: text_set(&["shop.example"]),
         controllers: [controller_entry()].into(),
         unhealthy: [("i-1".to_owned(), 0.125)].into(),
     }
@@ -160,7 +160,7 @@
         quota_divisor: 6,
         admitted: admitted(),
         quota_shares: quota_shares(),
-        hosts: [("shop.example".to_owned(), HostCounts { requests: 100, homed: 40 })].into(),
+        hosts: [("shop.example".to_owned(), HostCounts { requests: 100, home_region_requests: 40 })].into(),
         attempts: [("i-1".to_owned(), AttemptCounts { attempts: 20, failed: 3 })].into(),
         ..plain_report()
     }
--- a/crates/discovery/src/aggregator.rs
+++ b/crates/discovery/src/aggregator.rs
@@ -216,7 +216,7 @@
             quota_divisor: quota_divisor as u32,
             tenants,
             token_lenders,
-            homed_hosts: self.homed_hosts(),
+            home_region_hosts: self.homed_hosts(),
             controllers: self.controllers.keys().cloned().collect(),
             unhealthy,
         }
@@ -248,9 +248,10 @@
         for (host, counts) in self.proxies.values().flat_map(|proxy| &proxy.hosts) {
             let sum = hosts.entry(host).or_default();
             sum.requests += counts.requests;
-            sum.homed += counts.homed;
+            sum.home_region_requests += counts.home_region_requests;
         }
-        let mostly_homed = |sum: &HostCounts| sum.homed as f64 > HOMED_FRACTION * sum.requests as f64;
+        let mostly_homed =
+            |sum: &HostCounts| sum.home_region_requests as f64 > HOMED_FRACTION * sum.requests as f64;
         hosts.into_iter().filter(|(_, sum)| mostly_homed(sum)).map(|(host, _)| host.clone()).collect()
     }
 }
@@ -258,7 +259,7 @@
 /// The part of a summary that proxies use; the rest is for controllers, and would cost each proxy bandwidth.
 pub fn summary_for_proxies(summary: FleetSummary) -> FleetSummary {
     let tenants = if summary.token_lenders.is_some() { BTreeMap::new() } else { summary.tenants };
-    FleetSummary { proxies: Vec::new(), homed_hosts: BTreeSet::new(), tenants, ..summary }
+    FleetSummary { proxies: Vec::new(), home_region_hosts: BTreeSet::new(), tenants, ..summary }
 }
 
 #[cfg(test)]
--- a/crates/discovery/src/aggregator/tests.rs
+++ b/crates/discovery/src/aggregator/tests.rs
@@ -58,11 +58,11 @@
 fn a_host_is_homed_when_most_of_its_requests_are_on_routes_with_home_regions() {
     let mut aggregator = FleetAggregator::default();
     let hosts = [
-        ("mostly".to_owned(), HostCounts { requests: 10, homed: 7 }),
-        ("hardly".to_owned(), HostCounts { requests: 10, homed: 5 }),
+        ("mostly".to_owned(), HostCounts { requests: 10, home_region_requests: 7 }),
+        ("hardly".to_owned(), HostCounts { requests: 10, home_region_requests: 5 }),
     ];
     aggregator.record_report(ProxyReport { hosts: hosts.into(), ..report("a", 1, 0, 0) }, START);
-    let homed = aggregator.summarize(Version::default(), 20.0, START).homed_hosts;
+    let homed = aggregator.summarize(Version::default(), 20.0, START).home_region_hosts;
     assert_eq!(homed.into_iter().collect::<Vec<_>>(), ["mostly"]);
 }
 
--- a/crates/protocol/src/messages/fleet.rs
+++ b/crates/protocol/src/messages/fleet.rs
@@ -72,7 +72,7 @@
     pub token_lenders: Option<u32>,
     /// Hosts most of whose requests are for routes with home regions.
     #[serde(rename = "homed")]
-    pub homed_hosts: BTreeSet<String>,
+    pub home_region_hosts: BTreeSet<String>,
     /// All known controllers.
     #[serde(rename = "offices")]
     pub controllers: BTreeSet<ControllerEntry>,
--- a/crates/protocol/src/messages/reports.rs
+++ b/crates/protocol/src/messages/reports.rs
@@ -40,18 +40,18 @@
     /// All requests.
     pub requests: u64,
     /// Requests for routes with home regions.
-    pub homed: u64,
+    pub home_region_requests: u64,
 }
 
 impl From<(u64, u64)> for HostCounts {
-    fn from((requests, homed): (u64, u64)) -> HostCounts {
-        HostCounts { requests, homed }
+    fn from((requests, home_region_requests): (u64, u64)) -> HostCounts {
+        HostCounts { requests, home_region_requests }
     }
 }
 
 impl From<HostCounts> for (u64, u64) {
     fn from(counts: HostCounts) -> (u64, u64) {
-        (counts.requests, counts.homed)
+        (counts.requests, counts.home_region_requests)
     }
 }
 
--- a/crates/system-simulator/examples/capacity/fleet.rs
+++ b/crates/system-simulator/examples/capacity/fleet.rs
@@ -124,7 +124,9 @@
 
 /// Requests to this many hosts.
 pub fn host_counts(hosts: usize, requests: u64) -> BTreeMap<String, HostCounts> {
-    let counts = |number| (format!("host-{number:04}.shop.example"), HostCounts { requests, homed: 20 });
+    let counts = |number| {
+        (format!("host-{number:04}.shop.example"), HostCounts { requests, home_region_requests: 20 })
+    };
     (0..hosts).map(counts).collect()
 }
 
--- a/programs/controller/src/registry_api.rs
+++ b/programs/controller/src/registry_api.rs
@@ -52,7 +52,8 @@
     let home_regions = home_regions(state);
     let store = state.publisher.store();
     // Clients are sent to home regions only where most of the host's requests have to go there.
-    let goes_home = store.fleet_summary.as_ref().is_some_and(|summary| summary.homed_hosts.contains(host));
+    let goes_home =
+        store.fleet_summary.as_ref().is_some_and(|summary| summary.home_region_hosts.contains(host));
     let regions = home_regions.get(host).filter(|_| goes_home);
     let aggregator = state.aggregator.borrow();
     let reported: Vec<&ProxyEntry> = aggregator.live_proxies(now).collect();
--- a/programs/proxy/src/status.rs
+++ b/programs/proxy/src/status.rs
@@ -31,7 +31,7 @@
         }
         if let Some(counts) = hosts.get_mut(&*rule.host) {
             counts.requests += 1;
-            counts.homed += u64::from(!rule.home_regions.is_empty());
+            counts.home_region_requests += u64::from(!rule.home_regions.is_empty());
         }
     }
 }
