--- a/crates/exchange/src/txns.rs
+++ b/crates/exchange/src/txns.rs
@@ -134,7 +134,7 @@
     }
 
     /// Records that the client has disconnected; returns whether its request was still unanswered.
-    pub fn client_left(&mut self, id: TxnId) -> bool {
+    pub fn record_client_disconnect(&mut self, id: TxnId) -> bool {
         let was_unanswered = self.txns.get_mut(&id).is_some_and(|txn| txn.answer.take().is_some());
         if was_unanswered {
             self.maybe_finished.push(id);
--- a/crates/exchange/src/txns/tests.rs
+++ b/crates/exchange/src/txns/tests.rs
@@ -50,7 +50,7 @@
         start_attempt(&mut txns, 100),
         AttemptStart::NotSent { number: FIRST_ATTEMPT, complete: false }
     );
-    assert!(txns.client_left(TXN) && !txns.client_left(TXN));
+    assert!(txns.record_client_disconnect(TXN) && !txns.record_client_disconnect(TXN));
     assert_eq!(
         start_attempt(&mut txns, 20),
         AttemptStart::NotSent { number: AttemptNumber(1), complete: true }
