--- a/crates/exchange/src/txns.rs
+++ b/crates/exchange/src/txns.rs
@@ -175,7 +175,7 @@
     }
 
     /// Returns what must be done after the request's deadline has passed.
-    pub fn expire(&self, id: TxnId) -> ExpiryAction {
+    pub fn expiry_action(&self, id: TxnId) -> ExpiryAction {
         let Some(txn) = self.txns.get(&id) else {
             return ExpiryAction::Nothing;
         };
--- a/crates/exchange/src/txns/tests.rs
+++ b/crates/exchange/src/txns/tests.rs
@@ -76,9 +76,9 @@
 #[test]
 fn expiry_cancels_attempts_once_and_reports_an_overdue_txn() {
     let mut txns = txns(Idempotency::Idempotent);
-    assert_eq!(txns.expire(TXN), ExpiryAction::Overdue);
+    assert_eq!(txns.expiry_action(TXN), ExpiryAction::Overdue);
     start_attempt(&mut txns, 10);
-    assert_eq!(txns.expire(TXN), ExpiryAction::CancelAttempts(vec![FIRST_ATTEMPT]));
+    assert_eq!(txns.expiry_action(TXN), ExpiryAction::CancelAttempts(vec![FIRST_ATTEMPT]));
     assert_eq!(
         (txns.take_canceller(TXN, FIRST_ATTEMPT), txns.take_canceller(TXN, FIRST_ATTEMPT)),
         (Some("cancel"), None)
@@ -89,8 +89,8 @@
         Err(UnexpectedEnd::AlreadyEnded)
     );
     assert!(txns.take_answer(TXN).is_some());
-    assert_eq!(txns.expire(TXN), ExpiryAction::Nothing);
-    assert_eq!(txns.expire(TxnId(5)), ExpiryAction::Nothing);
+    assert_eq!(txns.expiry_action(TXN), ExpiryAction::Nothing);
+    assert_eq!(txns.expiry_action(TxnId(5)), ExpiryAction::Nothing);
 }
 
 #[test]
--- a/programs/gateway/src/router.rs
+++ b/programs/gateway/src/router.rs
@@ -275,7 +275,7 @@
 
     /// Cancels the attempts of a request whose time is over; when they have ended, the policy decides on it.
     fn expire(&mut self, id: TxnId, now: Ticks) {
-        match self.txns.expire(id) {
+        match self.txns.expiry_action(id) {
             ExpiryAction::Nothing => {}
             ExpiryAction::CancelAttempts(in_flight) => {
                 in_flight
