--- a/programs/controller/src/registry_api.rs
+++ b/programs/controller/src/registry_api.rs
@@ -54,7 +54,7 @@
     let store = state.publisher.store();
     // Clients are directed to the home regions only if most of the host's requests must be served there.
     let prefers_home_regions =
-        store.fleet_summary.as_ref().is_some_and(|summary| summary.homed_hosts.contains(host));
+        store.fleet_summary.as_ref().is_some_and(|summary| summary.home_region_hosts.contains(host));
     let regions = home_regions.get(host).filter(|_| prefers_home_regions);
     let aggregator = state.aggregator.borrow();
     let reported: Vec<&ProxyEntry> = aggregator.live_proxies(now).collect();
--- a/programs/gateway/src/router.rs
+++ b/programs/gateway/src/router.rs
@@ -172,7 +172,7 @@
         match message {
             RouterMessage::NewRequest(new_request) => self.add_request(new_request),
             RouterMessage::ClientLeft(id) => {
-                if self.txns.client_left(id) {
+                if self.txns.record_client_disconnect(id) {
                     self.shared.resources.count(Counter::ClientsLeft);
                     self.events.push(Event::ClientDisconnected(id));
                 }
@@ -275,7 +275,7 @@
 
     /// Cancels the attempts of a request whose time is over; when they have ended, the policy decides on it.
     fn expire(&mut self, id: TxnId, now: Ticks) {
-        match self.txns.expire(id) {
+        match self.txns.expiry_action(id) {
             ExpiryAction::Nothing => {}
             ExpiryAction::CancelAttempts(in_flight) => {
                 in_flight
--- a/programs/proxy/src/agent_link.rs
+++ b/programs/proxy/src/agent_link.rs
@@ -69,7 +69,7 @@
 
     fn pull_request(&self) -> PullRequest {
         PullRequest {
-            versions: self.readiness.publisher.store().versions_to_request(),
+            versions: self.readiness.publisher.store().versions_for_pull(),
             wait_ms: LONG_POLL_WAIT.as_millis() as u64,
             follower: None,
             token_leases: None,
