--- a/crates/discovery/src/admission_rates.rs
+++ b/crates/discovery/src/admission_rates.rs
@@ -1,42 +1,43 @@
-//! Rates at which the owners of token buckets admit requests, measured from the cumulative counters they report.
+//! Rates at which the owners of token buckets admit requests, computed from the cumulative counters in their reports.
 //!
-//! An owner is a proxy or, where controllers lease tokens, a controller. Its counters start from zero with each
-//! incarnation of its process, so counters of two incarnations are never subtracted from each other.
+//! An owner is a proxy or, where controllers lease tokens, a controller. Its counters start from zero at each start
+//! of its process, so counters of two incarnations are never subtracted from each other.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 use vanewharf_clock::Timestamp;
 use vanewharf_protocol::messages::TenantUsage;
 
-/// The shortest span over which a rate is measured. Proxies read their counters out once per summary (each 700 ms) but
-/// report more often: over a shorter span rates would alternate between zero and too much.
+/// Shortest interval over which a rate is computed. Proxies read their counters once per summary (every 700 ms) but
+/// report more often, so over a shorter interval the rate would alternate between zero and too high a value.
 const MIN_RATE_WINDOW: Duration = Duration::from_millis(900);
 
-/// After this long without a report an owner's rate is not known any more and is left out of the sum. Its share still
-/// counts, and bounds what it can admit.
-const RATE_VALIDITY: Duration = Duration::from_millis(2000);
+/// After this long without a report, an owner's rate is unknown and is left out of the sum. Its quota share still
+/// counts and bounds what it can admit.
+const RATE_EXPIRY: Duration = Duration::from_millis(2000);
 
-/// Incarnation of an owner that is known from the previous leaseholder's summary only: it has not reported here yet.
-const NOT_YET_REPORTED: u64 = 0;
+/// Incarnation of an owner that is known only from the previous leaseholder's summary and has not reported to this
+/// process yet.
+const UNKNOWN_INCARNATION: u64 = 0;
 
-/// One report of an owner's counters.
+/// The counters and quota shares from one report of an owner.
 #[derive(Clone, Debug)]
 pub(crate) struct CounterSnapshot {
-    /// Process start id of the owner.
+    /// Id of the owner's process, drawn at each start.
     pub(crate) incarnation: u64,
     /// Requests admitted since the process started, by tenant.
     pub(crate) admitted: BTreeMap<String, u64>,
     /// The owner's share of each tenant's quota, as a fraction of the quota.
     pub(crate) quota_shares: BTreeMap<String, f64>,
-    /// When the counters were read.
+    /// When the report was made.
     pub(crate) taken_at: Timestamp,
 }
 
-/// What one owner admits, and by which shares of the quotas.
+/// The admission rates of one owner, and its latest report.
 #[derive(Clone, Debug)]
 pub(crate) struct AdmissionRates {
     latest: CounterSnapshot,
-    /// The counters that the next rates are measured from, and when they were read.
+    /// The earlier counters that the next rates are computed against, and the time of their report.
     baseline: BTreeMap<String, u64>,
     baseline_at: Timestamp,
     /// Requests per second, by tenant.
@@ -53,10 +54,10 @@
         }
     }
 
-    /// An owner that others knew of and that has not reported here: its shares are not known.
+    /// Creates the state of an owner that has not reported to this process. Its quota shares are unknown.
     pub(crate) fn not_yet_reported(now: Timestamp) -> AdmissionRates {
         AdmissionRates::new(CounterSnapshot {
-            incarnation: NOT_YET_REPORTED,
+            incarnation: UNKNOWN_INCARNATION,
             admitted: BTreeMap::new(),
             quota_shares: BTreeMap::new(),
             taken_at: now,
@@ -68,20 +69,20 @@
     }
 
     pub(crate) fn has_reported(&self) -> bool {
-        self.latest.incarnation != NOT_YET_REPORTED
+        self.latest.incarnation != UNKNOWN_INCARNATION
     }
 
-    /// Age of the newest report.
+    /// Returns the age of the latest report.
     pub(crate) fn age(&self, now: Timestamp) -> Duration {
         now.since(self.latest.taken_at)
     }
 
-    /// Whether a snapshot says more than the newest one here: reports come by several ways, and late.
+    /// Returns whether a snapshot supersedes the latest one. Reports arrive over several paths, possibly late.
     pub(crate) fn is_superseded_by(&self, incarnation: u64, taken_at: Timestamp) -> bool {
         taken_at > self.latest.taken_at || self.latest.incarnation != incarnation
     }
 
-    /// Takes a snapshot in; one that is no newer than the latest is dropped.
+    /// Records a snapshot, unless it is no newer than the latest one. A new incarnation resets the rates.
     pub(crate) fn record(&mut self, snapshot: CounterSnapshot) {
         if snapshot.incarnation != self.latest.incarnation {
             *self = AdmissionRates::new(snapshot);
@@ -93,23 +94,23 @@
         self.latest = snapshot;
         let window = self.latest.taken_at.since(self.baseline_at);
         if window >= MIN_RATE_WINDOW {
-            self.measure(window);
+            self.update_rates(window);
         }
     }
 
-    fn measure(&mut self, window: Duration) {
+    fn update_rates(&mut self, window: Duration) {
         let rate = |(tenant, count): (&String, &u64)| {
-            let before = self.baseline.get(tenant).copied().unwrap_or(0);
-            (tenant.clone(), count.saturating_sub(before) as f64 / window.as_secs_f64())
+            let previous = self.baseline.get(tenant).copied().unwrap_or(0);
+            (tenant.clone(), count.saturating_sub(previous) as f64 / window.as_secs_f64())
         };
         self.rates = self.latest.admitted.iter().map(rate).collect();
         self.baseline = self.latest.admitted.clone();
         self.baseline_at = self.latest.taken_at;
     }
 
-    /// Requests of a tenant admitted per second; zero where the last report is too old to tell.
+    /// Returns the requests of a tenant admitted per second; zero if the latest report is older than [`RATE_EXPIRY`].
     fn current_rate(&self, tenant: &str, now: Timestamp) -> f64 {
-        if self.age(now) > RATE_VALIDITY {
+        if self.age(now) > RATE_EXPIRY {
             return 0.0;
         }
         self.rates.get(tenant).copied().unwrap_or(0.0)
@@ -118,8 +119,9 @@
 
 /// Sums each tenant's admission rate (requests per second) and quota shares over all owners.
 ///
-/// `owner_count` is how many owners quotas are divided by; it may be more than have reported. The sum of shares errs
-/// upwards, since shares grow only into what the sum leaves of the quota.
+/// `owner_count` is the number of owners that quotas are divided by; it may exceed the number that have reported. The
+/// sum of the shares errs on the high side: owners may grow their shares only into the part of the quota that the sum
+/// leaves free, so too low a sum would let them exceed the quota together.
 pub(crate) fn sum_usage<'a>(
     owners: impl Iterator<Item = &'a AdmissionRates> + Clone,
     owner_count: usize,
@@ -135,15 +137,15 @@
         }
     }
     for (tenant, sum) in &mut tenants {
-        // An owner without a bucket for the tenant may create one at any moment, at the even share.
+        // An owner without a bucket for the tenant may create one at any time, with an equal share of the quota.
         let with_bucket =
             owners.clone().filter(|owner| owner.latest.quota_shares.contains_key(tenant)).count();
         sum.quota_shares += owner_count.saturating_sub(with_bucket) as f64 / owner_count as f64;
-        // An owner that has not reported may hold all that the others do not.
+        // An owner that has not reported may hold the whole rest of the quota.
         if owner_count > reported {
             sum.quota_shares = sum.quota_shares.max(1.0);
         }
-        // Rounded to keep the summary short: it is sent to all proxies.
+        // Rounding keeps the summary small, as it is sent to all proxies.
         sum.requests_per_s = (sum.requests_per_s * 100.0).round() / 100.0;
         sum.quota_shares = (sum.quota_shares * 1000.0).round() / 1000.0;
     }
--- a/crates/discovery/src/aggregator.rs
+++ b/crates/discovery/src/aggregator.rs
@@ -1,9 +1,9 @@
-//! Aggregation of the proxies' reports into the fleet summary, from which each process derives its share of what the
-//! fleet may do together.
+//! Aggregation of proxy reports into the fleet summary, from which each process derives its share of fleet-wide limits.
 //!
-//! Each controller records the reports that reach it; the leaseholder, to which the others forward theirs, publishes the
-//! summary. A proxy that stops reporting is soon not named to clients any more, but is counted until its shares of the
-//! quotas have shrunk to their floor: it may be cut off from the control plane only, and still admit requests.
+//! Each controller records the reports that reach it and forwards them to the leaseholder, which publishes the
+//! summary. A proxy that stops reporting is soon no longer listed as ready, but it still counts towards the quota
+//! divisor until its quota shares have shrunk to their floor: it may be cut off only from the control plane and still
+//! admit requests.
 
 use crate::admission_rates::{AdmissionRates, CounterSnapshot, sum_usage};
 use std::collections::{BTreeMap, BTreeSet};
@@ -16,33 +16,36 @@
     Version,
 };
 
-/// A proxy is named to clients for this long after its last report; it reports with each pull, which waits for 300 ms.
-const LIVE_FOR: Duration = Duration::from_millis(1000);
+/// A proxy is live, and returned to clients, for this long after its last report. It reports with each pull, which
+/// waits up to 300 ms.
+const PROXY_LIVENESS_TIMEOUT: Duration = Duration::from_millis(1000);
 
-/// An owner of shares counts for this long after its last report. By then its shares have shrunk to their floor. Of a
-/// proxy that died a part of each quota stays unused meanwhile, which tenants well below their quotas do not notice.
-const COUNTED_FOR: Duration = Duration::from_secs(60);
+/// An owner of quota shares is counted for this long after its last report; by then its shares have shrunk to their
+/// floor. The shares of a failed proxy stay unused during this time, which does not affect tenants well below their
+/// quotas.
+const OWNER_EXPIRY: Duration = Duration::from_secs(60);
 
-/// A controller is listed for this long after it last pulled from the leaseholder.
-const CONTROLLER_LISTED_FOR: Duration = Duration::from_secs(12);
+/// A controller stays in the summary for this long after its last pull from the leaseholder.
+const CONTROLLER_EXPIRY: Duration = Duration::from_secs(12);
 
-/// With more than this fraction of a host's requests on routes with home regions, its clients are sent to a home region
-/// directly, which saves the hop between regions.
-const HOMED_FRACTION: f64 = 0.6;
+/// If more than this fraction of a host's requests are on routes with home regions, its clients are sent directly to a
+/// home region, which saves the hop between regions.
+const HOMED_HOST_THRESHOLD: f64 = 0.6;
 
-/// Requests beyond the quotas that one proxy may admit. With less, a share either admits nothing or, by the debts of all
-/// proxies together, too much: then the controllers hold the shares and lease tokens.
+/// Smallest number of requests beyond the quotas that each proxy must be allowed for proxies to hold quota shares. With
+/// less, a share either admits nothing or, through the token debts of all proxies together, too much; controllers then
+/// hold the shares and lease tokens to proxies.
 const MIN_ALLOWANCE_PER_PROXY: f64 = 1.5;
 
-/// How long proxies may report before the first summary, where nobody remembers how many there are: the first one to
-/// report must not be told that it is the only one.
-const INITIAL_GATHERING: Duration = Duration::from_millis(250);
+/// How long reports are gathered before the first summary if no proxy or voter knows the number of proxies: the first
+/// proxy to report must not be told that it is the only one.
+const INITIAL_GATHERING_PERIOD: Duration = Duration::from_millis(250);
 
-/// A proxy, by its newest report.
+/// The state of a proxy, as of its latest report.
 #[derive(Clone, Debug)]
 struct KnownProxy {
     entry: ProxyEntry,
-    /// By how many proxies it was last told that quotas are divided; 0: it does not know.
+    /// The last quota divisor that the proxy received; 0 if it has received none.
     acknowledged_divisor: u32,
     rates: AdmissionRates,
     hosts: BTreeMap<String, HostCounts>,
@@ -50,7 +53,7 @@
 }
 
 impl KnownProxy {
-    /// One that only the previous leaseholder's summary names.
+    /// Creates the state of a proxy that is known only from the previous leaseholder's summary.
     fn inherited(entry: &ProxyEntry, now: Timestamp) -> KnownProxy {
         KnownProxy {
             entry: ProxyEntry { ready: false, ..entry.clone() },
@@ -62,7 +65,7 @@
     }
 
     fn is_live(&self, now: Timestamp) -> bool {
-        self.rates.age(now) < LIVE_FOR
+        self.rates.age(now) < PROXY_LIVENESS_TIMEOUT
     }
 
     fn to_report(&self, now: Timestamp) -> ProxyReport {
@@ -88,19 +91,20 @@
 #[derive(Clone, Debug, Default)]
 pub struct FleetAggregator {
     proxies: BTreeMap<String, KnownProxy>,
-    /// Controllers that lease tokens, where they hold the shares.
+    /// Controllers that hold quota shares and lease tokens, by IP address.
     lenders: BTreeMap<IpAddr, AdmissionRates>,
     outliers: OutlierDetector,
-    /// When this process became the one that publishes the summary.
+    /// When this process began to publish the summary.
     aggregating_since: Option<Timestamp>,
-    /// How many proxies there were by then, as far as any voter knew; 0: none did.
+    /// The quota divisor at that time, as known to voters; 0 if no voter knew it.
     remembered_divisor: u32,
     first_report_at: Option<Timestamp>,
+    /// Known controllers, with the time of their last pull.
     controllers: BTreeMap<ControllerEntry, Timestamp>,
 }
 
 impl FleetAggregator {
-    /// Records what a proxy reports of itself. Of several copies of one report only the first one counts.
+    /// Records a proxy's report. Later copies of the same report are ignored.
     pub fn record_report(&mut self, report: ProxyReport, now: Timestamp) {
         self.first_report_at.get_or_insert(now);
         let taken_at = now.before(Duration::from_millis(report.age_ms));
@@ -134,7 +138,7 @@
         }
     }
 
-    /// Records what a controller has leased, and by which shares.
+    /// Records a controller's report of the tokens it has leased and the quota shares it holds.
     pub fn record_lease_report(&mut self, report: TokenLeaseReport, now: Timestamp) {
         let TokenLeaseReport { ip, incarnation, admitted, quota_shares } = report;
         let snapshot = CounterSnapshot { incarnation, admitted, quota_shares, taken_at: now };
@@ -146,20 +150,20 @@
         }
     }
 
-    /// Records that a controller is there.
+    /// Records that a controller is alive.
     pub fn record_controller(&mut self, controller: ControllerEntry, now: Timestamp) {
         self.controllers.insert(controller, now);
     }
 
-    /// This process publishes the summary from now on. `remembered_divisor` is the number of proxies that quotas were
-    /// divided by, as far as any voter knows; 0: none does.
+    /// Marks this process as the publisher of the summary from now on. `remembered_divisor` is the last quota divisor
+    /// known to voters; 0 if no voter knows it.
     pub fn start_aggregating(&mut self, remembered_divisor: u32, now: Timestamp) {
         self.aggregating_since = Some(now);
         self.remembered_divisor = remembered_divisor;
     }
 
-    /// Takes over from the previous leaseholder's summary: proxies that it names count here too, although they have not
-    /// reported here yet.
+    /// Takes over proxies, unhealthy backends and token lenders from the previous leaseholder's summary. Proxies and
+    /// lenders count although they have not reported to this process yet.
     pub fn inherit_summary(&mut self, summary: &FleetSummary, now: Timestamp) {
         for entry in &summary.proxies {
             let inherited = || KnownProxy::inherited(entry, now);
@@ -174,32 +178,33 @@
         }
     }
 
-    /// The largest number of proxies that any proxy or voter has known quotas to be divided by.
+    /// Returns the largest quota divisor known to any proxy or voter.
     fn acknowledged_divisor(&self) -> usize {
         let reported = self.proxies.values().map(|proxy| proxy.acknowledged_divisor).max().unwrap_or(0);
         reported.max(self.remembered_divisor) as usize
     }
 
-    /// Whether a summary may be published: quotas must not be divided by too few, as they would be before any proxy has
-    /// reported, or by the first to report after all have lost the count.
+    /// Returns whether a summary may be published. Quotas must not be divided by too small a number: neither before any
+    /// proxy has reported, nor at the first report after all processes have lost the number of proxies.
     pub fn is_ready(&self, now: Timestamp) -> bool {
-        let gathered = self.first_report_at.is_some_and(|first| now.since(first) >= INITIAL_GATHERING);
+        let gathered = self.first_report_at.is_some_and(|first| now.since(first) >= INITIAL_GATHERING_PERIOD);
         let inherited = self.proxies.values().any(|proxy| !proxy.rates.has_reported());
         !self.proxies.is_empty() && (gathered || inherited || self.acknowledged_divisor() > 0)
     }
 
-    /// The proxies whose reports reach this process itself, as they are now.
+    /// Returns the proxies whose reports have recently reached this process.
     pub fn live_proxies(&self, now: Timestamp) -> impl Iterator<Item = &ProxyEntry> {
         self.proxies.values().filter(move |proxy| proxy.is_live(now)).map(|proxy| &proxy.entry)
     }
 
-    /// The reports of live proxies, to be forwarded to the leaseholder.
+    /// Returns the latest reports of live proxies, to be forwarded to the leaseholder.
     pub fn recent_reports(&self, now: Timestamp) -> Vec<ProxyReport> {
         let live = self.proxies.values().filter(|proxy| proxy.is_live(now));
         live.map(|proxy| proxy.to_report(now)).collect()
     }
 
-    /// The summary as of now. `allowance` is the number of requests beyond the quotas that the whole fleet may admit.
+    /// Builds the current summary. `allowance` is the number of requests beyond the quotas that the whole fleet may
+    /// admit.
     pub fn summarize(&mut self, version: Version, allowance: f64, now: Timestamp) -> FleetSummary {
         self.drop_expired(now);
         let quota_divisor = self.quota_divisor(now);
@@ -223,26 +228,28 @@
     }
 
     fn drop_expired(&mut self, now: Timestamp) {
-        self.proxies.retain(|_, proxy| proxy.rates.age(now) < COUNTED_FOR);
-        self.controllers.retain(|_, last_contact| now.since(*last_contact) < CONTROLLER_LISTED_FOR);
-        self.lenders.retain(|_, lender| lender.age(now) < COUNTED_FOR);
+        self.proxies.retain(|_, proxy| proxy.rates.age(now) < OWNER_EXPIRY);
+        self.controllers.retain(|_, last_contact| now.since(*last_contact) < CONTROLLER_EXPIRY);
+        self.lenders.retain(|_, lender| lender.age(now) < OWNER_EXPIRY);
     }
 
-    /// By how many proxies quotas are divided. For some time after this process began to publish, proxies that have never
-    /// reported here may still admit by their shares, so that as many count as were acknowledged before.
+    /// Returns the number of proxies that quotas are divided by. For [`OWNER_EXPIRY`] after this process began to
+    /// publish, it is at least the divisor acknowledged before, since proxies that have never reported to this
+    /// process may still admit requests by their shares.
     fn quota_divisor(&self, now: Timestamp) -> usize {
         let known = self.proxies.len();
-        let recent = self.aggregating_since.is_some_and(|since| now.since(since) < COUNTED_FOR);
+        let recent = self.aggregating_since.is_some_and(|since| now.since(since) < OWNER_EXPIRY);
         if recent { known.max(self.acknowledged_divisor()) } else { known }
     }
 
-    /// By how many controllers quotas are divided, where proxies are too many to hold a share each.
+    /// Returns the number of controllers that quotas are divided by, if there are too many proxies for each to hold a
+    /// share.
     fn lender_count(&self, quota_divisor: usize, allowance: f64) -> Option<u32> {
         let too_many_proxies = allowance / (quota_divisor as f64) < MIN_ALLOWANCE_PER_PROXY;
         (too_many_proxies && !self.lenders.is_empty()).then_some(self.lenders.len() as u32)
     }
 
-    /// Hosts whose requests are mostly on routes with home regions.
+    /// Returns the hosts whose requests are mostly on routes with home regions.
     fn homed_hosts(&self) -> BTreeSet<String> {
         let mut hosts: BTreeMap<&String, HostCounts> = BTreeMap::new();
         for (host, counts) in self.proxies.values().flat_map(|proxy| &proxy.hosts) {
@@ -250,12 +257,12 @@
             sum.requests += counts.requests;
             sum.homed += counts.homed;
         }
-        let mostly_homed = |sum: &HostCounts| sum.homed as f64 > HOMED_FRACTION * sum.requests as f64;
+        let mostly_homed = |sum: &HostCounts| sum.homed as f64 > HOMED_HOST_THRESHOLD * sum.requests as f64;
         hosts.into_iter().filter(|(_, sum)| mostly_homed(sum)).map(|(host, _)| host.clone()).collect()
     }
 }
 
-/// The part of a summary that proxies use; the rest is for controllers, and would cost each proxy bandwidth.
+/// Reduces a summary to what proxies use. The rest is for controllers and would only cost each proxy bandwidth.
 pub fn summary_for_proxies(summary: FleetSummary) -> FleetSummary {
     let tenants = if summary.token_lenders.is_some() { BTreeMap::new() } else { summary.tenants };
     FleetSummary { proxies: Vec::new(), homed_hosts: BTreeSet::new(), tenants, ..summary }
--- a/crates/discovery/src/aggregator/tests.rs
+++ b/crates/discovery/src/aggregator/tests.rs
@@ -27,13 +27,13 @@
 }
 
 #[test]
-fn usage_is_summed_over_proxies_and_an_unresponsive_one_stays_counted_for_a_while() {
+fn usage_is_summed_over_proxies_including_recently_silent_ones() {
     let mut aggregator = FleetAggregator::default();
     let at = |ms| START.after(Duration::from_millis(ms));
     for second in 0..4u64 {
         aggregator.record_report(report("a", 1, 0, second * 10), at(second * 1000));
         aggregator.record_report(report("b", 1, 0, second * 5), at(second * 1000));
-        // The same report again, late: nothing is counted twice.
+        // A delayed copy of the same report is ignored.
         aggregator.record_report(report("b", 1, 400, second * 5), at(second * 1000 + 100));
     }
     let summary = aggregator.summarize(Version::default(), 20.0, at(3000));
@@ -43,10 +43,10 @@
     assert_eq!(
         (summary.quota_divisor, summary.proxies[1].ready),
         (2, false),
-        "b is counted but not named to clients"
+        "b is counted, but is not ready"
     );
     let remaining = TenantUsage { requests_per_s: 17.5, quota_shares: 1.0 };
-    assert_eq!(summary.tenants["t"], remaining, "b's share is counted, its last rate is not");
+    assert_eq!(summary.tenants["t"], remaining, "b's share is counted, but its expired rate is not");
     let proxies: Vec<_> = summary.proxies.iter().collect();
     assert_eq!(proxies_for_client(&proxies, "r", None, 64).len(), 1);
     assert_eq!(aggregator.recent_reports(at(7000)).len(), 1);
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn usage_is_summed_over_lenders_when_proxies_are_too_many_for_a_share_each() {
+fn usage_is_summed_over_lenders_when_proxies_are_too_many_to_hold_shares() {
     let mut aggregator = FleetAggregator::default();
     let lease_report = |ip: u8, admitted, share| {
         let (admitted, quota_shares) =
@@ -79,7 +79,7 @@
         aggregator.record_lease_report(lease_report(1, second * 8, 0.4), now);
         aggregator.record_lease_report(lease_report(2, second * 4, 0.5), now);
         (0..20).for_each(|proxy| {
-            aggregator.record_report(report(&format!("d{proxy}"), 1, 0, second * 100), now)
+            aggregator.record_report(report(&format!("p{proxy}"), 1, 0, second * 100), now)
         });
     }
     let summary = aggregator.summarize(Version::default(), 20.0, START.after(Duration::from_secs(2)));
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn a_leaseholder_without_the_count_divides_by_what_proxies_acknowledged() {
+fn a_leaseholder_without_the_divisor_uses_the_one_that_proxies_acknowledged() {
     let mut aggregator = FleetAggregator::default();
     aggregator.start_aggregating(0, START);
     aggregator.record_report(ProxyReport { quota_divisor: 9, ..report("a", 1, 0, 10) }, START);
@@ -100,9 +100,9 @@
     assert_eq!(
         (summary.quota_divisor, summary.tenants["t"].quota_shares),
         (9, 1.389),
-        "eight have not reported yet, each at the even share"
+        "eight proxies have not reported yet and count with an equal share each"
     );
-    let later = START.after(COUNTED_FOR);
+    let later = START.after(OWNER_EXPIRY);
     aggregator.record_report(ProxyReport { quota_divisor: 9, ..report("a", 1, 0, 10) }, later);
     assert_eq!(
         aggregator.summarize(Version::default(), 20.0, later).quota_divisor,
@@ -111,40 +111,41 @@
     );
 }
 
-/// Found by `vanewharf lab system`, seed 46: every proxy took itself for the only one after the core was killed.
+/// Guards against a summary that tells each proxy that it is the only one, published after the control plane was killed
+/// and no process knew the quota divisor any more (`vanewharf lab system`, seed 46).
 #[test]
-fn no_summary_is_ready_before_a_proxy_reports_nor_at_the_first_report_when_all_lost_the_count() {
+fn no_summary_is_ready_before_the_gathering_period_when_the_divisor_is_unknown() {
     let mut aggregator = FleetAggregator::default();
     aggregator.start_aggregating(0, START);
-    assert!(!aggregator.is_ready(START.after(INITIAL_GATHERING)));
+    assert!(!aggregator.is_ready(START.after(INITIAL_GATHERING_PERIOD)));
     aggregator.record_report(report("a", 1, 0, 10), START);
-    assert!(!aggregator.is_ready(START.after(INITIAL_GATHERING / 2)), "others may still report");
-    assert!(aggregator.is_ready(START.after(INITIAL_GATHERING)));
-    let mut remembering = aggregator.clone();
-    remembering.start_aggregating(9, START);
+    assert!(!aggregator.is_ready(START.after(INITIAL_GATHERING_PERIOD / 2)), "others may still report");
+    assert!(aggregator.is_ready(START.after(INITIAL_GATHERING_PERIOD)));
+    let mut with_divisor = aggregator.clone();
+    with_divisor.start_aggregating(9, START);
     assert!(
-        remembering.is_ready(START)
-            && remembering.summarize(Version::default(), 20.0, START).quota_divisor == 9
+        with_divisor.is_ready(START)
+            && with_divisor.summarize(Version::default(), 20.0, START).quota_divisor == 9
     );
     aggregator.record_report(ProxyReport { quota_divisor: 9, ..report("b", 1, 0, 10) }, START);
-    assert!(aggregator.is_ready(START), "this proxy knows the count");
+    assert!(aggregator.is_ready(START), "proxy b knows the divisor");
 }
 
 #[test]
-fn the_share_of_a_proxy_that_has_not_reported_is_not_given_to_others() {
+fn the_share_of_an_inherited_proxy_is_reserved_until_it_reports() {
     let mut aggregator = FleetAggregator::default();
     aggregator.start_aggregating(0, START);
     let previous = FleetSummary {
-        proxies: vec![report("cut", 1, 0, 0).proxy, report("a", 1, 0, 0).proxy],
+        proxies: vec![report("isolated", 1, 0, 0).proxy, report("a", 1, 0, 0).proxy],
         ..FleetSummary::default()
     };
     aggregator.inherit_summary(&previous, START);
     let shares = [("t".to_owned(), 0.1)];
     aggregator.record_report(ProxyReport { quota_shares: shares.into(), ..report("a", 7, 0, 10) }, START);
     assert_eq!(aggregator.summarize(Version::default(), 20.0, START).tenants["t"].quota_shares, 1.0);
-    let report_of_cut =
-        ProxyReport { quota_shares: [("t".to_owned(), 0.2)].into(), ..report("cut", 8, 0, 10) };
-    aggregator.record_report(report_of_cut, START);
+    let isolated_report =
+        ProxyReport { quota_shares: [("t".to_owned(), 0.2)].into(), ..report("isolated", 8, 0, 10) };
+    aggregator.record_report(isolated_report, START);
     let shares = aggregator.summarize(Version::default(), 20.0, START).tenants["t"].quota_shares;
     assert!((shares - 0.3).abs() < 1e-9, "{shares}");
 }
--- a/crates/discovery/src/client_resolution.rs
+++ b/crates/discovery/src/client_resolution.rs
@@ -1,15 +1,18 @@
-//! The registry's answer: the proxies to which a client is sent, by its region and by the home regions of the host it
-//! asks for.
+//! Resolution of a host for a client: the registry chooses proxies by the client's region and the host's home regions.
 
 use std::collections::{BTreeMap, BTreeSet};
 use vanewharf_config::configuration::Config;
 use vanewharf_protocol::messages::ProxyEntry;
 
-/// The proxies that a client is sent to, at most `max`, in the order given.
+/// Chooses at most `max` proxies to return to a client, in the given order.
 ///
-/// Ready proxies in the client's region, where that is a home region of its host (`home_regions`; none: any region is);
-/// else ready ones in any home region; else any that are ready; else all, since a proxy that last reported itself not
-/// ready may be by now.
+/// `home_regions` holds the home regions of the host; with `None`, every region counts as one. The first non-empty
+/// group is returned:
+///
+/// 1. ready proxies in the client's region, if that is a home region;
+/// 2. ready proxies in any home region;
+/// 3. all ready proxies;
+/// 4. all proxies, since one that last reported that it was not ready may be ready by now.
 pub fn proxies_for_client<'a>(
     proxies: &[&'a ProxyEntry],
     region: &str,
@@ -32,9 +35,10 @@
     chosen
 }
 
-/// For each host with routes that have home regions, the regions in which all of its routes may be served.
+/// Returns, for each host that has routes with home regions, the home regions that all of these routes have in common.
 ///
-/// A host whose routes have no region in common is left out: its clients go to their own region, and proxies forward.
+/// A host whose routes have no common home region is left out: its clients connect to their own region, and proxies
+/// there forward the requests.
 pub fn home_regions_by_host(config: &Config) -> BTreeMap<String, BTreeSet<String>> {
     let mut hosts: BTreeMap<String, BTreeSet<String>> = BTreeMap::new();
     for route in config.routes.values().filter(|route| !route.home_regions.is_empty()) {
--- a/crates/discovery/src/client_resolution/tests.rs
+++ b/crates/discovery/src/client_resolution/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn clients_of_a_host_with_home_regions_are_sent_there() {
+fn clients_of_a_host_with_home_regions_are_sent_to_these_regions() {
     let entry = |name: &str, region: &str, ready| ProxyEntry {
         name: name.to_owned(),
         address: "10.0.0.1:80".parse().expect("an address"),
@@ -23,5 +23,5 @@
         (names("r", &[]), names("r", &["s"]), names("s", &["s", "r"])),
         ("a".into(), "b".into(), "b".into())
     );
-    assert_eq!(names("r", &["t"]), "ab", "no proxy is in a home region: any ready one");
+    assert_eq!(names("r", &["t"]), "ab", "without a proxy in a home region, all ready proxies are returned");
 }
--- a/crates/discovery/src/lib.rs
+++ b/crates/discovery/src/lib.rs
@@ -1,7 +1,7 @@
-//! What a machine knows of the others: its peers, the sources of control-plane updates, and the aggregation of the
-//! proxies' reports into the fleet summary.
+//! Knowledge about other nodes: the gossip peers of a proxy, the selection of a source of control-plane updates, and
+//! the aggregation of proxy reports into the fleet summary.
 //!
-//! Nothing here does input or output; callers pass the current time.
+//! This crate performs no I/O; callers pass the current time.
 
 #![forbid(unsafe_code)]
 
--- a/crates/discovery/src/peer_view.rs
+++ b/crates/discovery/src/peer_view.rs
@@ -1,8 +1,9 @@
-//! A partial view of the other proxies: a few peers, exchanged and shuffled between them, so that no proxy has to know
-//! or count all. A proxy that reaches no controller receives updates through one of these peers.
+//! Gossip membership: each proxy keeps a partial view of a few peers and exchanges samples of it with them, so that no
+//! proxy has to know or count all others. A proxy that cannot reach any controller receives updates through one of its
+//! peers.
 //!
-//! Invariants after each merge: at most `MAX_PEERS` peers, of them at most `MAX_REMOTE_PEERS` of other regions, none
-//! that nobody has been in contact with for `PEER_EXPIRY`, and never the proxy itself.
+//! After each merge, a view holds at most `MAX_PEERS` peers, at most `MAX_REMOTE_PEERS` of them from other regions. It
+//! holds no peer whose last known contact is older than `PEER_EXPIRY`, and never the proxy itself.
 
 use std::collections::BTreeMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -11,16 +12,19 @@
 use vanewharf_clock::Timestamp;
 use vanewharf_protocol::messages::PeerEntry;
 
-/// Peers in a view. With 8, the views of 400 proxies stay connected, and those of 92 of which 30 die (see the tests).
+/// Maximum number of peers in a view. With 8, the views of 400 proxies stay connected, and so do those of 92 proxies
+/// after 30 of them fail (see the tests).
 const MAX_PEERS: usize = 8;
 
-/// Peers of other regions in a view: enough to connect the regions, few enough that most contacts stay within one.
+/// Maximum number of peers from other regions in a view: enough to connect the regions, few enough that most contacts
+/// stay within one region.
 const MAX_REMOTE_PEERS: usize = 3;
 
-/// Peers sent in one shuffle, besides the sender itself.
-const SHUFFLE_SAMPLE: usize = 4;
+/// Number of peers sent in one shuffle, in addition to the sender itself.
+const SHUFFLE_SAMPLE_SIZE: usize = 4;
 
-/// A peer that nobody has been in contact with for this long is dropped: many shuffles of about 2 s each.
+/// A peer is dropped when its last known contact with any proxy is this old. Shuffles take place about every 2 s, so a
+/// live peer is contacted many times within this period.
 const PEER_EXPIRY: Duration = Duration::from_secs(30);
 
 #[derive(Clone, Debug)]
@@ -29,7 +33,7 @@
     last_contact: Timestamp,
 }
 
-/// The peers that one proxy knows.
+/// The peers that one proxy knows, with the time of the last known contact of each.
 #[derive(Clone, Debug)]
 pub struct PeerView {
     own_ip: IpAddr,
@@ -38,25 +42,25 @@
 }
 
 impl PeerView {
-    /// The view of a proxy that knows no peer yet.
+    /// Creates the view of a proxy that knows no peers yet.
     pub fn new(own_ip: IpAddr, own_region: &str) -> PeerView {
         PeerView { own_ip, own_region: own_region.to_owned(), peers: BTreeMap::new() }
     }
 
-    /// Number of peers.
+    /// Returns the number of known peers.
     pub fn len(&self) -> usize {
         self.peers.len()
     }
 
-    /// Whether no peer is known.
+    /// Returns whether no peer is known.
     pub fn is_empty(&self) -> bool {
         self.peers.is_empty()
     }
 
-    /// Takes in what another proxy knows. For each peer the latest contact counts.
+    /// Merges entries received from another proxy, keeping the latest contact time of each peer.
     ///
-    /// Where there are too many peers, a random one goes. If it were the one with the oldest contact, proxies would all
-    /// come to know the same few, and the network of views would fall apart.
+    /// Random peers are evicted while the view is over its limits. If the peer with the oldest contact were evicted
+    /// instead, all proxies would converge on the same few peers, and the network would become partitioned.
     pub fn merge(&mut self, received: &[PeerEntry], now: Timestamp) {
         for entry in received.iter().filter(|entry| entry.ip != self.own_ip) {
             let last_contact = now.before(Duration::from_millis(entry.last_contact_ms));
@@ -66,10 +70,10 @@
         }
         self.peers.retain(|_, peer| now.since(peer.last_contact) < PEER_EXPIRY);
         while self.peers.values().filter(|peer| self.is_remote(peer)).count() > MAX_REMOTE_PEERS {
-            self.drop_random(now, |view, peer| view.is_remote(peer));
+            self.evict_random(now, |view, peer| view.is_remote(peer));
         }
         while self.peers.len() > MAX_PEERS {
-            self.drop_random(now, |_, _| true);
+            self.evict_random(now, |_, _| true);
         }
     }
 
@@ -77,16 +81,17 @@
         peer.region != self.own_region
     }
 
-    /// Drops one of the eligible peers by a hash, which each proxy computes differently at each instant.
-    fn drop_random(&mut self, now: Timestamp, is_eligible: impl Fn(&PeerView, &Peer) -> bool) {
-        let draw = |ip: &IpAddr| {
+    /// Evicts one eligible peer, chosen by a hash of this proxy's address, the peer's address and the time, so that
+    /// each proxy chooses differently each time.
+    fn evict_random(&mut self, now: Timestamp, is_eligible: impl Fn(&PeerView, &Peer) -> bool) {
+        let hash = |ip: &IpAddr| {
             let mut hasher = DefaultHasher::new();
             (self.own_ip, ip, now.0).hash(&mut hasher);
             hasher.finish()
         };
         let eligible = self.peers.iter().filter(|(_, peer)| is_eligible(self, peer));
-        let dropped = eligible.min_by_key(|(ip, _)| draw(ip)).map(|(ip, _)| *ip);
-        if let Some(ip) = dropped {
+        let evicted = eligible.min_by_key(|(ip, _)| hash(ip)).map(|(ip, _)| *ip);
+        if let Some(ip) = evicted {
             self.peers.remove(&ip);
         }
     }
@@ -96,11 +101,12 @@
         self.peers.remove(&ip);
     }
 
-    /// What is sent in a shuffle: some of the peers, from a random offset on, and this proxy itself.
+    /// Returns the entries to send in a shuffle: some of the peers, starting at a random `offset`, and this proxy
+    /// itself.
     pub fn sample(&self, offset: usize, now: Timestamp) -> Vec<PeerEntry> {
         let own_entry = PeerEntry { ip: self.own_ip, region: self.own_region.clone(), last_contact_ms: 0 };
         let first = offset % self.peers.len().max(1);
-        let count = SHUFFLE_SAMPLE.min(self.peers.len());
+        let count = SHUFFLE_SAMPLE_SIZE.min(self.peers.len());
         let sampled = self.peers.iter().cycle().skip(first).take(count);
         let sampled = sampled.map(|(ip, peer)| PeerEntry {
             ip: *ip,
@@ -110,7 +116,8 @@
         sampled.chain(std::iter::once(own_entry)).collect()
     }
 
-    /// All peers in the order in which to contact them: those of this proxy's region first, from a random offset on.
+    /// Returns all peers in the order in which to contact them: rotated by a random `offset`, with the peers in this
+    /// proxy's region first.
     pub fn contact_order(&self, offset: usize) -> Vec<IpAddr> {
         let mut ordered: Vec<_> = self.peers.iter().collect();
         let first = offset % ordered.len().max(1);
--- a/crates/discovery/src/peer_view/tests.rs
+++ b/crates/discovery/src/peer_view/tests.rs
@@ -3,63 +3,63 @@
 
 const START: Timestamp = Timestamp(1_000_000_000);
 
-fn ip(no: usize) -> IpAddr {
-    IpAddr::from([10, 0, (no / 250) as u8, (no % 250) as u8 + 1])
+fn ip(index: usize) -> IpAddr {
+    IpAddr::from([10, 0, (index / 250) as u8, (index % 250) as u8 + 1])
 }
 
-fn region(no: usize) -> &'static str {
-    if no.is_multiple_of(2) { "r" } else { "s" }
+fn region(index: usize) -> &'static str {
+    if index.is_multiple_of(2) { "r" } else { "s" }
 }
 
-/// The views of so many proxies after shuffles: each first knows only the one before it, and contacts one peer each second.
-/// The first `dead` of them die in the middle.
-fn shuffled_views(proxies: usize, seconds: u64, dead: usize) -> Vec<PeerView> {
-    let mut views: Vec<_> = (0..proxies).map(|no| PeerView::new(ip(no), region(no))).collect();
-    for (no, view) in views.iter_mut().enumerate() {
-        let before = (no + proxies - 1) % proxies;
-        view.merge(
-            &[PeerEntry { ip: ip(before), region: region(before).to_owned(), last_contact_ms: 0 }],
-            START,
-        );
+/// Simulates shuffles and returns the resulting views. Each proxy initially knows only its predecessor and contacts one
+/// peer per second. The first `failed` proxies stop halfway through.
+fn shuffled_views(proxies: usize, seconds: u64, failed: usize) -> Vec<PeerView> {
+    let mut views: Vec<_> = (0..proxies).map(|index| PeerView::new(ip(index), region(index))).collect();
+    for (index, view) in views.iter_mut().enumerate() {
+        let predecessor = (index + proxies - 1) % proxies;
+        let region = region(predecessor).to_owned();
+        view.merge(&[PeerEntry { ip: ip(predecessor), region, last_contact_ms: 0 }], START);
     }
-    let mut draw = 12345usize;
+    let mut random = 12345usize;
     for second in 1..=seconds {
         let now = START.after(Duration::from_secs(second));
-        for no in 0..proxies {
-            draw = draw.wrapping_mul(6364136223846793005).wrapping_add(1442695040888963407);
-            if no < dead && second > seconds / 2 {
+        for index in 0..proxies {
+            random = random.wrapping_mul(6364136223846793005).wrapping_add(1442695040888963407);
+            if index < failed && second > seconds / 2 {
                 continue;
             }
-            let Some(to) =
-                views[no].contact_order(draw >> 33).get((draw >> 40) % views[no].len().max(1)).copied()
-            else {
+            let peers = views[index].contact_order(random >> 33);
+            let Some(peer_ip) = peers.get((random >> 40) % views[index].len().max(1)).copied() else {
                 continue;
             };
-            let at = (0..proxies).find(|at| ip(*at) == to).expect("a known address");
-            if at < dead && second > seconds / 2 {
-                views[no].remove(to);
+            let peer = (0..proxies).find(|other| ip(*other) == peer_ip).expect("a known address");
+            if peer < failed && second > seconds / 2 {
+                views[index].remove(peer_ip);
                 continue;
             }
-            let (mine, theirs) = (views[no].sample(draw >> 35, now), views[at].sample(draw >> 37, now));
-            views[at].merge(&mine, now);
-            views[no].merge(&theirs, now);
+            let sent = views[index].sample(random >> 35, now);
+            let received = views[peer].sample(random >> 37, now);
+            views[peer].merge(&sent, now);
+            views[index].merge(&received, now);
         }
     }
     views
 }
 
-/// How many proxies are connected with one, whichever of two knows the other: a shuffle informs both.
-fn connected_with(views: &[PeerView], from: usize) -> usize {
-    let (mut seen, mut next) = (BTreeSet::from([ip(from)]), vec![ip(from)]);
-    while let Some(at) = next.pop() {
+/// Counts the proxies connected with the one at `start`. Links count in both directions, because a shuffle informs both
+/// sides.
+fn connected_with(views: &[PeerView], start: usize) -> usize {
+    let (mut visited, mut pending) = (BTreeSet::from([ip(start)]), vec![ip(start)]);
+    while let Some(current) = pending.pop() {
         for view in views {
-            let knows = view.own_ip == at || view.peers.contains_key(&at);
-            let ends = view.peers.keys().chain(std::iter::once(&view.own_ip)).filter(|_| view.own_ip == at);
-            let ends = ends.chain(std::iter::once(&view.own_ip).filter(|_| knows));
-            next.extend(ends.filter(|ip| seen.insert(**ip)));
+            let is_linked = view.own_ip == current || view.peers.contains_key(&current);
+            let own_links =
+                view.peers.keys().chain(std::iter::once(&view.own_ip)).filter(|_| view.own_ip == current);
+            let links = own_links.chain(std::iter::once(&view.own_ip).filter(|_| is_linked));
+            pending.extend(links.filter(|ip| visited.insert(**ip)));
         }
     }
-    seen.len()
+    visited.len()
 }
 
 #[test]
@@ -67,23 +67,23 @@
     for proxies in [2, 9, 92, 400] {
         let views = shuffled_views(proxies, 40, 0);
         assert!(views.iter().all(|view| (1..=MAX_PEERS).contains(&view.len())));
-        assert_eq!(connected_with(&views, 0), proxies, "of {proxies}");
+        assert_eq!(connected_with(&views, 0), proxies, "with {proxies} proxies");
     }
 }
 
 #[test]
-fn dead_peers_are_dropped_and_the_others_stay_connected() {
-    let (proxies, dead) = (92, 30);
-    let views = shuffled_views(proxies, 120, dead);
-    let dead_ips: BTreeSet<_> = (0..dead).map(ip).collect();
-    for view in &views[dead..] {
-        assert!(view.peers.keys().all(|ip| !dead_ips.contains(ip)), "{view:?}");
+fn failed_peers_are_dropped_and_the_others_stay_connected() {
+    let (proxies, failed) = (92, 30);
+    let views = shuffled_views(proxies, 120, failed);
+    let failed_ips: BTreeSet<_> = (0..failed).map(ip).collect();
+    for view in &views[failed..] {
+        assert!(view.peers.keys().all(|ip| !failed_ips.contains(ip)), "{view:?}");
     }
-    assert_eq!(connected_with(&views[dead..], dead), proxies - dead);
+    assert_eq!(connected_with(&views[failed..], failed), proxies - failed);
 }
 
 #[test]
-fn a_view_holds_its_own_region_and_some_of_the_others() {
+fn a_view_holds_local_peers_and_a_limited_number_of_remote_ones() {
     for view in shuffled_views(92, 40, 0) {
         let remote = view.peers.values().filter(|peer| peer.region != view.own_region).count();
         assert!(remote <= MAX_REMOTE_PEERS && view.len() > remote, "{view:?}");
--- a/crates/discovery/src/source_selector.rs
+++ b/crates/discovery/src/source_selector.rs
@@ -1,31 +1,32 @@
-//! Choice of the source from which a proxy pulls control-plane updates: a controller or, where no controller is up to
+//! Selection of the source from which a proxy pulls control-plane updates: a controller or, if no controller is up to
 //! date, a peer.
 //!
-//! A source that is cut off from the others goes on answering with what it has. So each answer says when all that it
-//! contains was attested to be the newest, and a source whose own attestation is too old is left for another one, however
-//! new the proxy's own copy is. Sources that fail or lag are avoided for a time that doubles, the backoff: each attempt
-//! at one of them is time in which the proxy receives nothing. Probes, which
-//! bring no update, go on alongside the pulls: a source that has failed is turned to again once a probe has found it up to
-//! date; and while a pull is overdue the next sources are probed, so that those which would not answer either are avoided by
-//! the time that it fails.
+//! A source that is cut off from the others keeps answering with what it has. Each answer therefore states when its
+//! content was last attested to be the newest, and the proxy switches away from a source whose attestation is too old,
+//! however new the proxy's own copy is.
+//!
+//! Sources that fail or lag are avoided for a backoff that doubles with each repetition, since the proxy receives
+//! nothing while it tries one of them. Probes, which carry no update, run alongside the pulls for two purposes: a
+//! failed source is used again only after a probe has found it up to date, and while a pull is overdue the next
+//! sources are probed, so that those that would not answer either are already being avoided when the pull fails.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Duration;
 use vanewharf_clock::Timestamp;
 
-/// How long a pull waits at the source for an update.
+/// How long a source may hold back the answer to a pull until it has an update.
 const PULL_WAIT: Duration = Duration::from_millis(300);
 
-/// How long a pull waits at a lagging source, where no better one is left: an update from it is unlikely, and the other
-/// lagging ones are to be tried soon.
+/// The same for a lagging source, used if no better one is left. An update from it is unlikely, and the other lagging
+/// sources have to be tried soon.
 const LAGGING_PULL_WAIT: Duration = Duration::from_millis(100);
 
-/// A source whose attestation is older than this is left for another one. A lease that passes from one leaseholder to
-/// the next leaves all of them behind for about as long.
+/// A source whose attestation is older than this is lagging. When the lease passes to another leaseholder, all sources
+/// lag for about this long.
 const MAX_ATTESTATION_AGE: Duration = Duration::from_millis(2000);
 
-/// For how long a source is avoided at first, and at most.
+/// Duration of the first backoff of a source, and the limit up to which it doubles.
 const INITIAL_BACKOFF: Duration = Duration::from_secs(3);
 const MAX_BACKOFF: Duration = Duration::from_secs(12);
 
@@ -36,10 +37,11 @@
     Failed,
     /// Its attestation is too old.
     Lagging,
-    /// It has had no contact with a leaseholder since it started.
+    /// It has not been in contact with a leaseholder since it started.
     NeverAttested,
 }
 
+/// A period in which a source is avoided.
 #[derive(Clone, Copy, Debug)]
 struct Backoff {
     fault: Fault,
@@ -53,49 +55,54 @@
     }
 }
 
-/// The source of the next pull, and how long it may hold its answer back for an update.
+/// The source of the next pull, and how long it may hold back its answer until it has an update.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SourceChoice {
     /// Address to pull from.
     pub source: SocketAddr,
-    /// How long the source may hold the answer back; zero: it answers at once with what it has.
+    /// How long the source may hold back the answer; with zero, it answers immediately with what it has.
     pub wait: Duration,
 }
 
-/// How a pull that is under way is going.
+/// Whether the answer to the pull in progress is late.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PullProgress {
-    /// Its answer is not due yet.
+    /// The answer is not due yet.
     Ordinary,
-    /// Its answer should have come.
+    /// The answer should have arrived.
     Overdue,
 }
 
-/// Chooses sources by the answers that earlier pulls had.
+/// Chooses sources by the results of earlier pulls and probes.
 ///
-/// The caller pulls from the source that [`choose_next`](Self::choose_next) gives, and then calls
+/// The caller pulls from the source that [`choose_next`](Self::choose_next) returns and then calls
 /// [`record_answer`](Self::record_answer) or [`record_failure`](Self::record_failure).
 #[derive(Clone, Debug, Default)]
 pub struct SourceSelector {
-    /// Sources that are avoided, or were before: the next backoff depends on the one before.
+    /// Current and expired backoffs; the duration of the next backoff depends on the previous one.
     backoffs: BTreeMap<SocketAddr, Backoff>,
     /// When each source was last pulled from.
     last_pulls: BTreeMap<SocketAddr, Timestamp>,
-    /// Where the last pull went; none where it failed.
+    /// The source of the last pull, if that did not fail.
     last_source: Option<SocketAddr>,
     /// Whether the last pull went to a peer that failed or lagged.
-    peer_was_useless: bool,
+    last_peer_was_unusable: bool,
 }
 
 impl SourceSelector {
-    /// The source of the next pull; none where each has failed lately (all may then be tried again). `probed` is a source
-    /// whose probe is under way: it is not waited for twice.
+    /// Chooses the source of the next pull. Returns `None` if every source has recently failed; all of them may then be
+    /// tried again.
+    ///
+    /// `controllers` are ordered by distance, nearest first. `probed` is a source whose probe is in progress;
+    /// steps 1 and 2 skip it, so that it is not waited for twice. The order of preference is:
+    ///
+    /// 1. the first controller that has not failed or lagged, then the first such peer;
+    /// 2. the first controller whose backoff has expired, then the first such peer;
+    /// 3. of the controllers that answer, the one whose last pull is the longest ago: it may be up to date by now, and it
+    ///    tells the registry about this proxy.
     ///
-    /// It is the first controller (`controllers` come nearest first) that has not failed or lagged; else the first such
-    /// peer; else, in the same order, the first one that is not avoided any more; else, of the controllers that answer, the
-    /// one that was pulled from longest ago: one of them may be up to date by now, and clients are told of this proxy through
-    /// it. So a source that has failed is turned to again only after a probe has found it up to date, as long as there is
-    /// another one.
+    /// A source that has failed is thus used again only after a probe has found it up to date, as long as there is
+    /// another.
     pub fn choose_next(
         &mut self,
         controllers: &[SocketAddr],
@@ -103,40 +110,40 @@
         probed: Option<SocketAddr>,
         now: Timestamp,
     ) -> Option<SourceChoice> {
-        self.forget_all_but(controllers, peers);
-        // After a useless peer comes a controller that answers, if one is left: the registry must not lose this proxy.
-        let try_peers = !std::mem::take(&mut self.peer_was_useless);
+        self.forget_unlisted(controllers, peers);
+        // After an unusable peer, a controller that answers is tried, so that the registry does not lose this proxy.
+        let try_peers = !std::mem::take(&mut self.last_peer_was_unusable);
         let backoff = |source: &SocketAddr| self.active_backoff(source, now);
         let has_not_failed =
             |source: &&SocketAddr| !self.backoffs.contains_key(source) && probed != Some(**source);
         let is_usable = |source: &&SocketAddr| backoff(source).is_none() && probed != Some(**source);
-        let tried_peers = || peers.iter().filter(|_| try_peers);
+        let eligible_peers = || peers.iter().filter(|_| try_peers);
         let preferred = controllers
             .iter()
             .find(has_not_failed)
-            .or_else(|| tried_peers().find(has_not_failed))
+            .or_else(|| eligible_peers().find(has_not_failed))
             .or_else(|| controllers.iter().find(is_usable))
-            .or_else(|| tried_peers().find(is_usable));
+            .or_else(|| eligible_peers().find(is_usable));
 
         let answers =
             |source: &&SocketAddr| backoff(source).is_none_or(|backoff| backoff.fault != Fault::Failed);
         let never_attested = |source: &SocketAddr| {
             backoff(source).is_some_and(|backoff| backoff.fault == Fault::NeverAttested)
         };
-        // While the system starts no controller has anything yet, and the nearest is as good as any.
-        let system_starts = controllers.iter().filter(answers).all(never_attested);
+        // While the system starts, no controller has any state yet, and the nearest one is as good as any other.
+        let is_system_start = controllers.iter().filter(answers).all(never_attested);
         let fallback = || {
-            let last_pull = |source: &&SocketAddr| self.last_pulls.get(*source).filter(|_| !system_starts);
+            let last_pull = |source: &&SocketAddr| self.last_pulls.get(*source).filter(|_| !is_system_start);
             controllers.iter().filter(answers).min_by_key(last_pull)
         };
         let Some(source) = preferred.or_else(fallback).copied() else {
             self.backoffs.retain(|_, backoff| backoff.fault != Fault::Failed);
             return None;
         };
-        // A source that is newly turned to answers at once: while it waited, nothing would come from any other.
+        // A newly selected source answers immediately: while it waited, no update would arrive from any other source.
         let wait = match preferred {
             Some(_) if self.last_source != Some(source) => Duration::ZERO,
-            None if !system_starts => LAGGING_PULL_WAIT,
+            None if !is_system_start => LAGGING_PULL_WAIT,
             _ => PULL_WAIT,
         };
         self.last_source = Some(source);
@@ -144,9 +151,9 @@
         Some(SourceChoice { source, wait })
     }
 
-    /// The source to probe during a pull from `pulled_from`. In an ordinary one, that is the first source before it that had
-    /// failed and is not avoided any more: it is turned to again if it is up to date. While the pull is overdue, it is the
-    /// first other one that is not avoided.
+    /// Chooses the source to probe during a pull from `pulled_from`, if any. Before the pull is overdue, this is the
+    /// first source ahead of `pulled_from` that had failed and whose backoff has expired; it is used again if it is
+    /// up to date. While the pull is overdue, it is the first other source that is not avoided.
     pub fn choose_probe(
         &self,
         controllers: &[SocketAddr],
@@ -165,8 +172,9 @@
         }
     }
 
-    /// Records what a probe found: by when the source's copy was attested to be the newest, or the outer `None` where it
-    /// did not answer. Returns whether the source is up to date; one that is not is avoided from now on.
+    /// Records the result of a probe and returns whether the source is up to date; if it is not, it is avoided from
+    /// now on. `answer` is `None` if the source did not answer, otherwise the time at which its copy was last
+    /// attested to be the newest, if it ever was.
     pub fn record_probe(
         &mut self,
         source: SocketAddr,
@@ -185,15 +193,15 @@
         self.backoffs.get(source).filter(|backoff| backoff.is_active(now))
     }
 
-    /// Drops what is known of sources that are not there any more.
-    fn forget_all_but(&mut self, controllers: &[SocketAddr], peers: &[SocketAddr]) {
+    /// Drops the state of sources that are no longer listed.
+    fn forget_unlisted(&mut self, controllers: &[SocketAddr], peers: &[SocketAddr]) {
         let is_known = |source: &SocketAddr| controllers.contains(source) || peers.contains(source);
         self.backoffs.retain(|source, _| is_known(source));
         self.last_pulls.retain(|source, _| is_known(source));
     }
 
-    /// Records an answer, by when the source's copy was attested to be the newest (none: never). Returns whether the
-    /// source is up to date; one that is not is avoided from now on.
+    /// Records an answer to a pull and returns whether the source is up to date; if it is not, it is avoided from now
+    /// on. `attested_at` is the time at which the source's copy was last attested to be the newest, if it ever was.
     pub fn record_answer(
         &mut self,
         source: SocketAddr,
@@ -205,23 +213,23 @@
             self.backoffs.remove(&source);
             return true;
         };
-        self.peer_was_useless = peers.contains(&source);
+        self.last_peer_was_unusable = peers.contains(&source);
         self.back_off(source, fault, now);
         false
     }
 
-    /// Records that a source did not answer.
+    /// Records that a source did not answer a pull.
     pub fn record_failure(&mut self, source: SocketAddr, peers: &[SocketAddr], now: Timestamp) {
         self.last_source = None;
-        self.peer_was_useless = peers.contains(&source);
+        self.last_peer_was_unusable = peers.contains(&source);
         self.back_off(source, Fault::Failed, now);
     }
 
-    /// Avoids a source: twice as long as before, where it shows the same fault again.
+    /// Starts a backoff of a source: twice as long as the previous one if that was for the same fault.
     fn back_off(&mut self, source: SocketAddr, fault: Fault, now: Timestamp) {
         let previous = self.backoffs.get(&source).filter(|previous| previous.fault == fault);
         let duration = match previous {
-            // Pulled from for want of a better one: the attempt says nothing new.
+            // The source was used because no better one was left; the attempt tells nothing new about it.
             Some(previous) if previous.is_active(now) => return,
             Some(previous) => (previous.duration * 2).min(MAX_BACKOFF),
             None => INITIAL_BACKOFF,
@@ -230,7 +238,8 @@
     }
 }
 
-/// What is wrong with a source by when its copy was attested to be the newest (none: never).
+/// Judges a source by the time at which its copy was last attested to be the newest; returns `None` if it is up to
+/// date.
 fn fault_of(attested_at: Option<Timestamp>, now: Timestamp) -> Option<Fault> {
     match attested_at {
         Some(attested_at) if now.since(attested_at) <= MAX_ATTESTATION_AGE => None,
--- a/crates/discovery/src/source_selector/tests.rs
+++ b/crates/discovery/src/source_selector/tests.rs
@@ -7,28 +7,28 @@
     Duration::from_millis(ms)
 }
 
-fn address(no: u8) -> SocketAddr {
-    SocketAddr::from(([10, 0, 0, no], 7600))
+fn address(number: u8) -> SocketAddr {
+    SocketAddr::from(([10, 0, 0, number], 7600))
 }
 
-/// Controllers, the nearest first, some of which are cut off or unresponsive, and what is received through them. Besides them
-/// there are peers, from the address 100 on.
+/// A simulated network of sources and one proxy that pulls from them. Controllers come nearest first; some of them
+/// may be partitioned or unresponsive. Peers have addresses from 100 on.
 struct Network {
     selector: SourceSelector,
     controllers: Vec<SocketAddr>,
     peers: Vec<SocketAddr>,
     now: Timestamp,
-    /// When a source that is cut off was last attested (none: never); one that is not in the map is up to date.
+    /// Time of the last attestation, if any, of sources that are cut off; all other sources are up to date.
     partitioned: BTreeMap<SocketAddr, Option<Timestamp>>,
     unresponsive: Vec<SocketAddr>,
-    /// When the proxy last received what was the newest within a quarter of a second.
+    /// When the proxy last received content that had been the newest within the last quarter of a second.
     last_update: Timestamp,
     longest_gap: Duration,
-    /// The probe that is under way, and when it ends.
+    /// The source of the probe in progress, and when the probe ends.
     probe: Option<(SocketAddr, Timestamp)>,
-    /// Whom pulls and probes went to, in their order.
+    /// Sources of pulls and probes, in order.
     contacted: Vec<SocketAddr>,
-    /// Whom pulls went to.
+    /// Sources of pulls, in order.
     pulled_from: Vec<SocketAddr>,
 }
 
@@ -49,7 +49,7 @@
         }
     }
 
-    /// What a source answers, and how long it takes, where it holds a pull back for `wait`.
+    /// Returns a source's answer and how long it takes, if the source may hold it back for `wait`.
     fn answer(&self, source: SocketAddr, wait: Duration) -> (Option<Option<Timestamp>>, Duration) {
         if self.unresponsive.contains(&source) {
             return (None, ms(400));
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Probes sources during a pull that ends at `end`.
+    /// Probes sources during a pull that ends at `end`, as the agent does.
     fn probe_until(&mut self, pulled_from: SocketAddr, overdue_at: Timestamp, end: Timestamp) {
         let mut at = self.now;
         while at < end {
@@ -93,8 +93,8 @@
         }
     }
 
-    /// One pull, or the pause where no source is left. A source that is up to date has an update at once: the worst is the
-    /// time that the others take.
+    /// Runs one pull, or one pause if no source is left. Sources that are up to date always have an update, so the gaps
+    /// between updates are only the time spent on other sources.
     fn step(&mut self) {
         let probed = self.probe.map(|(source, _)| source);
         let choice = self.selector.choose_next(&self.controllers, &self.peers, probed, self.now);
@@ -130,8 +130,8 @@
     }
 }
 
-/// How long a proxy is without an update in twenty seconds in which some of the nearest sources are cut off or
-/// unresponsive: at first, and from 4 s after the fault began. Without probes the second was 0.2 to 2.95 s.
+/// Bounds the time without an update while some of the nearest sources are cut off or unresponsive, separately for the
+/// first 4 s of the fault and for the 19 s after that. Without probes the latter was 0.2 to 2.95 s.
 #[parameterized(
     one_of_three_lagging = { 3, 1, 0, 2250 },
     two_of_five_lagging = { 5, 2, 0, 2400 },
@@ -141,28 +141,28 @@
     one_lagging_and_one_unresponsive = { 5, 1, 1, 2700 },
     six_of_thirteen_unresponsive = { 13, 0, 6, 2050 },
 )]
-fn sources_cut_off_nearby_delay_updates_for_no_longer(
+fn faulty_nearby_sources_delay_updates_for_a_limited_time(
     controllers: u8,
     partitioned: u8,
     unresponsive: u8,
-    max_first_ms: u64,
+    max_initial_gap_ms: u64,
 ) {
-    const MAX_LATER: Duration = Duration::from_millis(150);
+    const MAX_LATER_GAP: Duration = Duration::from_millis(150);
     let mut network = Network::new(controllers, 3);
     network.steps_until(ms(1000));
-    let since = network.now;
-    network.partitioned.extend((1..=partitioned).map(|no| (address(no), Some(since))));
+    let fault_start = network.now;
+    network.partitioned.extend((1..=partitioned).map(|number| (address(number), Some(fault_start))));
     network.unresponsive.extend((partitioned + 1..=partitioned + unresponsive).map(address));
     network.steps_until(ms(5000));
-    assert!(network.longest_gap <= ms(max_first_ms), "at first {:?}", network.longest_gap);
+    assert!(network.longest_gap <= ms(max_initial_gap_ms), "initial gap {:?}", network.longest_gap);
     network.longest_gap = Duration::ZERO;
     network.contacted.clear();
     network.steps_until(ms(24_000));
     network.longest_gap = network.longest_gap.max(network.now.since(network.last_update));
-    assert!(network.longest_gap <= MAX_LATER, "later {:?}", network.longest_gap);
-    // Each of them is tried again, as it may have recovered, and less and less often.
+    assert!(network.longest_gap <= MAX_LATER_GAP, "later gap {:?}", network.longest_gap);
+    // The nearest source is retried, as it may have recovered, but less and less often.
     let attempts = network.contacted.iter().filter(|source| **source == address(1)).count();
-    assert!((1..=3).contains(&attempts), "{attempts}");
+    assert!((1..=3).contains(&attempts), "{attempts} attempts");
 }
 
 #[test]
@@ -175,24 +175,24 @@
     assert_eq!(network.contacted.last(), Some(&address(1)));
 }
 
-/// Lagging sources are contacted in turn, so that the first one to be up to date again is found.
+/// With only lagging sources left, each has to be tried, so that the first one to recover is found.
 #[test]
 fn lagging_sources_are_contacted_in_turn() {
     let mut network = Network::new(3, 0);
     network.steps_until(ms(500));
-    network.partitioned.extend((1..=3).map(|no| (address(no), Some(START))));
+    network.partitioned.extend((1..=3).map(|number| (address(number), Some(START))));
     network.steps_until(ms(9000));
     network.partitioned.remove(&address(3));
-    let since = network.now;
+    let recovered_at = network.now;
     network.steps_until(ms(10_000));
-    assert!(network.last_update.since(since) > ms(0), "the third is found");
+    assert!(network.last_update.since(recovered_at) > ms(0), "no update from the recovered source");
     assert!(network.longest_gap < ms(9500), "{:?}", network.longest_gap);
 }
 
 #[test]
-fn while_the_system_starts_the_nearest_controller_is_waited_for() {
+fn the_nearest_controller_is_used_while_the_system_starts() {
     let mut network = Network::new(3, 0);
-    network.partitioned.extend((1..=3).map(|no| (address(no), None)));
+    network.partitioned.extend((1..=3).map(|number| (address(number), None)));
     network.steps_until(ms(2000));
     assert_eq!(network.contacted.iter().skip(3).find(|source| **source != address(1)), None);
 }
@@ -200,7 +200,7 @@
 #[test]
 fn updates_come_through_a_peer_while_controllers_still_receive_reports() {
     let mut network = Network::new(3, 2);
-    network.partitioned.extend((1..=3).map(|no| (address(no), Some(START))));
+    network.partitioned.extend((1..=3).map(|number| (address(number), Some(START))));
     network.partitioned.insert(address(100), Some(START));
     network.steps_until(ms(3500));
     network.longest_gap = Duration::ZERO;
@@ -208,11 +208,11 @@
     network.steps_until(ms(20_000));
     assert!(network.longest_gap < ms(900), "{:?}", network.longest_gap);
     assert!(network.contacted.contains(&address(101)) && network.contacted.contains(&address(1)));
-    // Where all peers are useless too, controllers are contacted between them.
+    // If all peers are unusable too, controllers are contacted between them.
     network.unresponsive = vec![address(100), address(101)];
     network.pulled_from.clear();
     network.steps_until(ms(30_000));
-    let two_peers_in_a_row =
-        network.pulled_from.windows(2).find(|two| two.iter().all(|source| network.peers.contains(source)));
-    assert_eq!(two_peers_in_a_row, None);
+    let is_peer = |source: &SocketAddr| network.peers.contains(source);
+    let consecutive_peers = network.pulled_from.windows(2).find(|pair| pair.iter().all(is_peer));
+    assert_eq!(consecutive_peers, None);
 }
