--- a/crates/health/src/key_authorization.rs
+++ b/crates/health/src/key_authorization.rs
@@ -1,24 +1,26 @@
-//! How long a client's key may admit requests at a proxy that may have missed the key's revocation.
+//! Expiry of access key authorizations at a proxy that may have missed a revocation.
 
 use std::time::Duration;
 use vanewharf_clock::Timestamp;
 
-/// How much earlier than the rule says an authorization lapses: a request that is admitted just before still has to be
-/// forwarded.
-const SAFETY_MARGIN: Duration = Duration::from_millis(600);
+/// An authorization lapses this long before the revocation deadline, because a request that is admitted just before
+/// still has to be forwarded.
+const FORWARDING_MARGIN: Duration = Duration::from_millis(600);
 
-/// Whether keys may no longer admit requests, since a revocation may have been acknowledged without reaching this proxy.
+/// Returns whether access keys must no longer admit requests, because a revocation may have been acknowledged without
+/// reaching this proxy.
 ///
-/// `binds_all_proxies`: a revocation must hold `revocation_deadline` after it was acknowledged also at proxies that are
-/// cut off; otherwise only at those in contact with the control plane, where nothing lapses. `attested_at`: when the
-/// register here was last attested to be the newest; none: never.
+/// A revocation takes effect at most `revocation_deadline` after it was acknowledged. If `binds_all_proxies` is set,
+/// this includes proxies that are cut off from the control plane; otherwise it holds only for proxies in contact with
+/// it, and authorizations never lapse. `attested_at` is the time at which the register of this proxy was last
+/// attested to be the newest, if it ever was.
 pub fn key_authorization_lapsed(
     binds_all_proxies: bool,
     revocation_deadline: Duration,
     attested_at: Option<Timestamp>,
     now: Timestamp,
 ) -> bool {
-    let too_old = |attested_at| now.since(attested_at) + SAFETY_MARGIN >= revocation_deadline;
+    let too_old = |attested_at| now.since(attested_at) + FORWARDING_MARGIN >= revocation_deadline;
     binds_all_proxies && attested_at.is_none_or(too_old)
 }
 
--- a/crates/health/src/lib.rs
+++ b/crates/health/src/lib.rs
@@ -1,9 +1,9 @@
-//! What a proxy does to protect backends, and what all proxies together know of the backends' health.
+//! Protection of backends by proxies, and detection of unhealthy backends from the reports of all proxies.
 //!
-//! Limits that hold for all proxies together are divided among them in advance (slow start, retries): each proxy keeps
-//! to its part without asking anybody, so that the sum holds whichever of them are cut off.
+//! Fleet-wide limits (slow start, retries) are divided among the proxies in advance. Each proxy keeps to its part
+//! without asking anyone, so the total holds even if some proxies are cut off.
 //!
-//! Nothing here does input or output; callers pass the current time and random numbers.
+//! This crate performs no I/O; callers pass the current time and random numbers.
 
 #![forbid(unsafe_code)]
 
--- a/crates/health/src/outlier.rs
+++ b/crates/health/src/outlier.rs
@@ -1,38 +1,40 @@
-//! Detection of unhealthy backends from what many proxies saw of them.
+//! Outlier detection: finds unhealthy backends from the attempts that all proxies report.
 //!
-//! A proxy that sends a backend one request in a few seconds cannot tell one that fails a part of them from chance; all
-//! proxies together can. The result lowers a backend's odds of being chosen, never excludes it, and decays.
+//! A proxy that sends a backend one request every few seconds cannot tell partial failure from chance; all proxies
+//! together can. The result lowers a backend's weight in load balancing, never excludes the backend, and decays over
+//! time.
 
 use std::collections::BTreeMap;
 use vanewharf_clock::Timestamp;
 use vanewharf_protocol::messages::AttemptCounts;
 
-/// Attempts over all proxies without which a backend is not judged: of fewer, a quarter fails by chance too often.
+/// Minimum number of reported attempts, over all proxies, for a backend to be judged. Among fewer, a quarter fails by
+/// chance too often.
 const MIN_ATTEMPTS: u32 = 6;
 
-/// Proxies that must have seen a backend fail, so that no single proxy's own fault is taken for the backend's. With fewer
-/// than twice as many proxies, half of them.
+/// Minimum number of proxies that must have seen a backend fail, so that one proxy's own fault is not attributed to the
+/// backend. If there are fewer than twice as many proxies, half of them suffice.
 const MIN_FAILING_PROXIES: usize = 3;
 
-/// A backend is unhealthy when it fails more than this fraction of the attempts that proxies report. Only proxies that
-/// saw it fail report any, so that the fraction is above the real one.
+/// A backend is unhealthy if it fails more than this fraction of the reported attempts. The fraction is higher than the
+/// real one, because only proxies that saw the backend fail report attempts at it.
 const UNHEALTHY_FAILURE_SHARE: f64 = 0.25;
 
-/// Half-life, in seconds, of a failure share that no new report confirms.
-const HALF_LIFE: f64 = 3.0;
+/// Half-life of a failure share that no new report confirms.
+const HALF_LIFE_S: f64 = 3.0;
 
-/// A failure share below this is dropped.
+/// A backend whose failure share decays below this is no longer tracked.
 const MIN_FAILURE_SHARE: f64 = 0.1;
 
-/// The least weight of an unhealthy backend: it must go on getting some requests, to be seen to have recovered.
+/// Minimum weight of an unhealthy backend: it must keep receiving some requests, so that its recovery is detected.
 const MIN_WEIGHT: f64 = 0.04;
 
-/// What all proxies together report of one backend.
+/// The sum of the reports of all proxies about one backend.
 #[derive(Clone, Copy, Debug, Default)]
 struct BackendReports {
     attempts: u32,
     failed: u32,
-    /// Proxies that saw it fail.
+    /// Number of proxies that saw it fail.
     failing_proxies: usize,
 }
 
@@ -54,24 +56,25 @@
     }
 }
 
-/// The unhealthy backends, as the leaseholder judges them by all proxies' reports.
+/// Tracks unhealthy backends on the leaseholder, from the reports of all proxies.
 #[derive(Clone, Debug, Default)]
 pub struct OutlierDetector {
-    /// The fraction of attempts that fail, by the backend's id.
+    /// Fraction of attempts that fail, by backend id.
     failure_shares: BTreeMap<String, f64>,
     updated_at: Timestamp,
 }
 
 impl OutlierDetector {
-    /// Takes over what the previous leaseholder published.
+    /// Takes over the failure shares that the previous leaseholder published.
     pub fn inherit(&mut self, failure_shares: &BTreeMap<String, f64>, now: Timestamp) {
         self.failure_shares = failure_shares.clone();
         self.updated_at = now;
     }
 
-    /// Judges backends by the proxies' current reports, each of which names only backends that failed there.
+    /// Updates the failure shares from the current reports of the proxies. Each report contains only the backends of
+    /// which that proxy saw failures.
     ///
-    /// Returns the unhealthy ones by id, each with the fraction of attempts that fail, rounded to hundredths.
+    /// Returns the unhealthy backends by id, each with the fraction of attempts that fail, rounded to hundredths.
     pub fn update<'a>(
         &mut self,
         reports: impl Iterator<Item = &'a BTreeMap<String, AttemptCounts>>,
@@ -86,8 +89,8 @@
         let min_failing_proxies = MIN_FAILING_PROXIES.min(proxies.div_ceil(2)).max(1);
         backends.retain(|_, reports| reports.is_unhealthy(min_failing_proxies));
         for (backend, reports) in backends {
-            let known = self.failure_shares.entry(backend.clone()).or_default();
-            *known = known.max(reports.failure_share());
+            let share = self.failure_shares.entry(backend.clone()).or_default();
+            *share = share.max(reports.failure_share());
         }
         self.failure_shares.retain(|_, share| *share >= MIN_FAILURE_SHARE);
         let rounded = |share: &f64| (share * 100.0).round() / 100.0;
@@ -95,19 +98,19 @@
     }
 
     fn decay(&mut self, now: Timestamp) {
-        let factor = 0.5_f64.powf(now.since(self.updated_at).as_secs_f64() / HALF_LIFE);
+        let factor = 0.5_f64.powf(now.since(self.updated_at).as_secs_f64() / HALF_LIFE_S);
         self.updated_at = now;
         self.failure_shares.values_mut().for_each(|share| *share *= factor);
     }
 }
 
-/// The factor by which a backend's size counts that fails this fraction of its attempts, from 0.04 to 1.
+/// Returns the load-balancing weight factor, from 0.04 to 1, of a backend that fails this fraction of its attempts.
 pub fn weight_for_failure_share(failure_share: f64) -> f64 {
     (1.0 - failure_share.clamp(0.0, 1.0)).powi(2).max(MIN_WEIGHT)
 }
 
-/// Whether so many of a service's backends are unhealthy that the cause is likely to be shared: then none is avoided, as
-/// the others would be overloaded for nothing.
+/// Returns whether more than half of a service's backends are unhealthy, so that they probably have a common cause.
+/// Callers then do not lower any weights, as this would only overload the remaining backends.
 pub fn is_shared_cause(unhealthy: usize, all: usize) -> bool {
     unhealthy * 2 > all
 }
--- a/crates/health/src/retry_budget/tests.rs
+++ b/crates/health/src/retry_budget/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn retries_of_all_proxies_together_keep_the_rule() {
+fn retries_of_all_proxies_together_stay_within_the_limit() {
     let policy = RetryPolicy { ratio: 0.2, allowance: 56.0, proxies: 8.0 };
     let mut budgets = vec![RetryBudget::full(&policy); 8];
     let mut retries = 0;
--- a/crates/health/src/slow_start.rs
+++ b/crates/health/src/slow_start.rs
@@ -1,44 +1,46 @@
-//! Slow start: how much a backend that is warming up gets, over all proxies.
+//! Slow start: limits the attempts that all proxies together send to a backend that is warming up.
 //!
-//! The rule bounds the attempts in any one second over all proxies. In any second a bucket of depth `d` and rate `r`
-//! passes at most `d + r`, so that the limits of all proxies are chosen to have `proxies × (depth + rate)` within it.
+//! The policy bounds the attempts of all proxies in any one second. A token bucket of depth `d` and rate `r` passes
+//! at most `d + r` attempts in a second, so the per-proxy limit is chosen to keep `proxies × (depth + rate)` within
+//! the bound.
 
 use vanewharf_clock::Timestamp;
 
-/// The fraction of the rule's bound that is used; rounding and the differences between clocks have the rest.
-const USED_FRACTION: f64 = 0.95;
+/// Fraction of the policy's bound that is used. The rest covers rounding and differences between clocks.
+const UTILIZATION: f64 = 0.95;
 
-/// The deepest bucket, in attempts: with deeper ones, few proxies would send a backend all that it bears at once.
+/// Maximum depth of a bucket, in attempts. With deeper buckets, a few proxies could send a backend the attempts of a
+/// whole second at once.
 const MAX_DEPTH: f64 = 2.0;
 
-/// The rule for a backend that is warming up.
+/// The limit on attempts at a backend that is warming up, over all proxies.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SlowStartPolicy {
-    /// Attempts per second that it bears for long, over all proxies.
+    /// Sustained rate of attempts per second, over all proxies.
     pub rate_per_s: f64,
-    /// The factor by which one second may exceed that rate.
+    /// Factor by which the attempts in any single second may exceed that rate.
     pub overshoot: f64,
-    /// Attempts that may come on top in any second.
+    /// Additional attempts allowed in any single second.
     pub allowance: f64,
-    /// Proxies that the limit is divided by.
+    /// Number of proxies that the limit is divided by.
     pub proxies: f64,
 }
 
-/// One proxy's part of the limit for one backend.
+/// One proxy's part of the limit on one backend.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SlowStartLimit {
     /// Attempts per second.
     rate_per_s: f64,
-    /// Attempts at once.
+    /// Maximum burst of attempts.
     depth: f64,
 }
 
 impl SlowStartLimit {
-    /// The part of one of the policy's proxies.
+    /// Computes the part of the limit that each proxy may use.
     pub fn per_proxy(policy: SlowStartPolicy) -> SlowStartLimit {
         let SlowStartPolicy { rate_per_s, overshoot, allowance, proxies } = policy;
-        let per_second = USED_FRACTION * (rate_per_s * overshoot + allowance) / proxies;
-        // A bucket less than one attempt deep would never pass any, so the rate has what is left beyond one.
+        let per_second = UTILIZATION * (rate_per_s * overshoot + allowance) / proxies;
+        // A bucket less than one attempt deep would never pass any, so the rate only gets what exceeds one attempt.
         let rate = (rate_per_s / proxies).min((per_second - 1.0).max(0.0));
         SlowStartLimit { rate_per_s: rate, depth: (per_second - rate).min(MAX_DEPTH) }
     }
@@ -52,13 +54,13 @@
 }
 
 impl SlowStart {
-    /// A full bucket.
+    /// Creates a full bucket.
     pub fn new(limit: SlowStartLimit, now: Timestamp) -> SlowStart {
         SlowStart { tokens: limit.depth, refilled_at: now }
     }
 
-    /// Takes the token for one attempt; false where there is none. The limit may change between calls, as the number of
-    /// proxies does.
+    /// Takes the token for one attempt; returns false if there is none. The limit may differ between calls, as the
+    /// number of proxies changes.
     pub fn try_spend(&mut self, limit: SlowStartLimit, now: Timestamp) -> bool {
         let elapsed = now.since(self.refilled_at).as_secs_f64();
         self.tokens = (self.tokens + limit.rate_per_s * elapsed).min(limit.depth);
--- a/crates/health/src/weighted_choice.rs
+++ b/crates/health/src/weighted_choice.rs
@@ -1,8 +1,8 @@
-//! Choice among weighted alternatives by a random number.
+//! Weighted random selection.
 
-/// The index on which `draw`, a random number from 0 to 1, falls, with odds in proportion to the weights.
+/// Picks an index with a probability proportional to its weight, where `draw` is a random number from 0 to 1.
 ///
-/// Weights of zero or less are never chosen; if none is above zero, the index is 0.
+/// Weights of zero or less are never chosen. If no weight is above zero, the result is 0.
 pub fn pick_weighted(weights: impl Iterator<Item = f64> + Clone, draw: f64) -> usize {
     let mut remaining = draw * weights.clone().sum::<f64>();
     let mut chosen = 0;
