--- a/crates/maintenance/src/contract.rs
+++ b/crates/maintenance/src/contract.rs
@@ -1,4 +1,4 @@
-//! One contract: which nodes it covers, and when it allows them to be drained.
+//! A single contract: the nodes that it covers, and the windows in which it allows them to be drained.
 
 use crate::windows::{Window, WindowSet, WindowState, find_state};
 use jiff::civil::{Date, DateTime, Time, Weekday};
@@ -6,7 +6,7 @@
 use jiff::{Timestamp, ToSpan};
 use std::time::Duration;
 
-/// Which nodes a contract covers; an empty list covers all of its kind.
+/// Selects the nodes that a contract covers. An empty list matches all names of its kind.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct CoveredNodes {
     /// Names of zones.
@@ -17,18 +17,18 @@
     pub backends: Vec<String>,
 }
 
-/// What becomes of a drain that is under way when its window ends.
+/// What happens to a drain that is in progress when its window ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WindowEndPolicy {
-    /// It goes on until it is complete.
+    /// The drain continues until it is complete.
     Finish,
-    /// It pauses until the next window.
+    /// The drain pauses until the next window.
     Hold,
-    /// It is cancelled, and the node serves again.
+    /// The drain is cancelled, and the node returns to service.
     ReturnToService,
 }
 
-/// Hours of some days of each week, by civil time. An end that is not after the start is on the next day.
+/// Hours on certain weekdays, in civil time. An end that is not after the start is on the next day.
 #[derive(Clone, Debug)]
 pub(crate) struct WeeklyHours {
     pub(crate) days: Vec<Weekday>,
@@ -36,7 +36,7 @@
     pub(crate) to: Time,
 }
 
-/// A further window on one date.
+/// An extra window on a single date.
 #[derive(Clone, Debug)]
 pub(crate) struct ExtraWindow {
     pub(crate) date: Date,
@@ -44,7 +44,7 @@
     pub(crate) to: Time,
 }
 
-/// Dates on which nothing is allowed, the last one included.
+/// A range of dates, including the last one, on which no drains are allowed.
 #[derive(Clone, Debug)]
 pub(crate) struct ClosedDates {
     pub(crate) first: Date,
@@ -55,36 +55,36 @@
 /// A contract that allows nodes to be drained in certain windows.
 #[derive(Clone, Debug)]
 pub struct Contract {
-    /// The nodes that it covers.
+    /// The nodes that the contract covers.
     pub nodes: CoveredNodes,
     pub(crate) time_zone: TimeZone,
     pub(crate) weekly_hours: Vec<WeeklyHours>,
     pub(crate) extra_windows: Vec<ExtraWindow>,
     pub(crate) closed_dates: Vec<ClosedDates>,
-    /// The longest that a drain of one node may take.
+    /// Maximum duration of the drain of one node.
     pub max_drain_duration: Duration,
-    /// The most covered nodes that may be out of service at once; at least 1.
+    /// Maximum number of covered nodes that may be out of service at once; at least 1.
     pub max_nodes_out: u64,
-    /// What becomes of a drain when its window ends.
+    /// What happens to a drain when its window ends.
     pub on_window_end: WindowEndPolicy,
-    /// By how much the clock that judges may be off.
+    /// Maximum error of the clock that windows are checked against.
     pub clock_margin: Duration,
 }
 
 impl Contract {
-    /// Whether this contract allows draining now.
+    /// Returns whether this contract allows draining now, and when that changes.
     pub fn window_state(&self, now: Timestamp) -> WindowState {
         find_state(|horizon_days| self.windows(now, horizon_days), now)
     }
 
-    /// Why today, by the contract's time zone, is closed; none where it is not.
+    /// Returns why today, in the contract's time zone, is a closed date; `None` if it is not.
     pub fn closure_reason(&self, now: Timestamp) -> Option<&str> {
         let today = self.date_of(now);
         let closed = self.closed_dates.iter().find(|closed| (closed.first..=closed.last).contains(&today));
         closed.map(|closed| closed.reason.as_str())
     }
 
-    /// The windows from yesterday, whose hours may reach into today, to so many days ahead.
+    /// Computes the windows from yesterday, whose hours may extend into today, to `horizon_days` ahead.
     pub(crate) fn windows(&self, now: Timestamp, horizon_days: i64) -> WindowSet {
         let weekly = self.weekly_windows(self.date_of(now), horizon_days);
         let extra = self.extra_windows.iter();
@@ -92,7 +92,7 @@
         let allowed = WindowSet::union(weekly.into_iter().chain(extra).collect());
         let closed = self.closed_dates.iter().filter_map(|closed| self.closed_window(closed));
         let open = closed.fold(allowed, WindowSet::without);
-        open.filter_map(|window| self.shortened(window))
+        open.filter_map(|window| self.without_clock_margin(window))
     }
 
     fn date_of(&self, now: Timestamp) -> Date {
@@ -108,31 +108,36 @@
         dates.flat_map(windows_of).collect()
     }
 
-    /// The window from one civil time to another. An end that is not after the start is on the next day.
+    /// Converts a window from civil time. An end that is not after the start is on the next day.
     fn window(&self, date: Date, from: Time, to: Time) -> Option<Window> {
         let end_date = if to <= from { date.tomorrow().ok()? } else { date };
-        Window::new(self.latest(date.to_datetime(from))?, self.earliest(end_date.to_datetime(to))?)
+        Window::new(
+            self.latest_instant(date.to_datetime(from))?,
+            self.earliest_instant(end_date.to_datetime(to))?,
+        )
     }
 
-    /// All of the closed dates, from midnight to midnight, and what is in doubt at both ends.
+    /// Converts closed dates, from midnight to midnight, including any ambiguous time at both ends.
     fn closed_window(&self, closed: &ClosedDates) -> Option<Window> {
         let midnight = |date: Date| date.to_datetime(Time::midnight());
         let day_after = closed.last.tomorrow().ok()?;
-        Window::new(self.earliest(midnight(closed.first))?, self.latest(midnight(day_after))?)
+        Window::new(self.earliest_instant(midnight(closed.first))?, self.latest_instant(midnight(day_after))?)
     }
 
-    /// The instant of a civil time; of two, where daylight saving skips or repeats it, the later one.
-    fn latest(&self, civil: DateTime) -> Option<Timestamp> {
+    /// Converts a civil time to an instant. If daylight saving skips or repeats the time, the later instant is
+    /// returned.
+    fn latest_instant(&self, civil: DateTime) -> Option<Timestamp> {
         self.time_zone.to_ambiguous_timestamp(civil).later().ok()
     }
 
-    /// The instant of a civil time; of two, where daylight saving skips or repeats it, the earlier one.
-    fn earliest(&self, civil: DateTime) -> Option<Timestamp> {
+    /// Converts a civil time to an instant. If daylight saving skips or repeats the time, the earlier instant is
+    /// returned.
+    fn earliest_instant(&self, civil: DateTime) -> Option<Timestamp> {
         self.time_zone.to_ambiguous_timestamp(civil).earlier().ok()
     }
 
-    /// A window without the time by which the clock may be off.
-    fn shortened(&self, window: Window) -> Option<Window> {
+    /// Shortens a window by the clock margin at both ends; returns `None` if nothing is left.
+    fn without_clock_margin(&self, window: Window) -> Option<Window> {
         let start = window.start.checked_add(self.clock_margin).ok()?;
         let end = window.end.checked_sub(self.clock_margin).ok()?;
         Window::new(start, end)
--- a/crates/maintenance/src/lib.rs
+++ b/crates/maintenance/src/lib.rs
@@ -1,8 +1,8 @@
-//! Maintenance windows: the hours in which contracts allow nodes to be drained, as an operator's file states them.
+//! Maintenance windows in which contracts allow nodes to be drained, as specified in an operator's file.
 //!
-//! A contract has weekly hours by the civil time of a time zone, dates that are closed, and further windows on single
-//! dates. What is in doubt counts as closed: an hour that daylight saving skips or repeats, and the time by which the
-//! judging clock may be off, at both ends of each window.
+//! A contract consists of weekly hours in the civil time of a time zone, closed dates, and extra windows on single
+//! dates. Ambiguous times count as closed: an hour that a daylight saving transition skips or repeats, and the margin
+//! of error of the local clock at both ends of each window.
 
 #![forbid(unsafe_code)]
 
--- a/crates/maintenance/src/schedule.rs
+++ b/crates/maintenance/src/schedule.rs
@@ -1,32 +1,33 @@
-//! All contracts of a file, and what they allow together.
+//! The contracts of a file, and the combined window state of a backend.
 
 use crate::contract::{Contract, CoveredNodes};
 use crate::windows::{WindowState, find_state};
 use jiff::Timestamp;
 use std::collections::BTreeMap;
 
-/// A backend, by what a contract may name.
+/// The properties of a backend that contracts select by.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BackendNode<'a> {
-    /// Name of the zone that it runs in.
+    /// Name of the zone in which it runs.
     pub zone: &'a str,
-    /// Name of the service that it serves.
+    /// Name of the service to which it belongs.
     pub service: &'a str,
-    /// Its id.
+    /// Id of the backend.
     pub id: &'a str,
 }
 
 impl CoveredNodes {
-    /// Whether a backend is among them.
+    /// Returns whether a backend is covered.
     pub fn contains(&self, node: BackendNode<'_>) -> bool {
-        let matches = |names: &[String], name: &str| names.is_empty() || names.iter().any(|one| one == name);
+        let matches =
+            |names: &[String], name: &str| names.is_empty() || names.iter().any(|covered| covered == name);
         matches(&self.zones, node.zone)
             && matches(&self.services, node.service)
             && matches(&self.backends, node.id)
     }
 }
 
-/// All contracts, by name.
+/// All contracts of an operator's file.
 #[derive(Clone, Debug)]
 pub struct MaintenanceSchedule {
     /// The contracts, by name.
@@ -34,7 +35,7 @@
 }
 
 impl MaintenanceSchedule {
-    /// The contracts that cover a backend, with their names: each of them must allow that it is drained.
+    /// Returns the contracts that cover a backend, with their names. All of them must allow a drain of the backend.
     pub fn contracts_covering<'a>(
         &'a self,
         node: BackendNode<'a>,
@@ -43,8 +44,8 @@
         covering.map(|(name, contract)| (name.as_str(), contract))
     }
 
-    /// Whether a backend may be drained now: where all contracts that cover it allow it. Where none covers it, nobody has
-    /// approved any window.
+    /// Returns whether a backend may be drained now, and when that changes. All contracts that cover the backend must
+    /// allow it. A backend that no contract covers has no approved window and is never open.
     pub fn window_state(&self, node: BackendNode<'_>, now: Timestamp) -> WindowState {
         let contracts: Vec<_> = self.contracts_covering(node).map(|(_, contract)| contract).collect();
         let Some((first, others)) = contracts.split_first() else {
--- a/crates/maintenance/src/windows.rs
+++ b/crates/maintenance/src/windows.rs
@@ -1,28 +1,28 @@
-//! Sets of windows on the absolute time line, and the search for the current or next one.
+//! Sets of windows in absolute time, and the search for the current or next window.
 
 use jiff::Timestamp;
 
-/// How far ahead windows are computed, in days. Most openings are near; beyond the second horizon, more than a year, the
-/// contract is taken to have none.
+/// How far ahead windows are computed, in days. The far horizon is used only if no window opens within the near one. A
+/// contract without a window within the far horizon, which is more than a year, is taken to have none.
 const NEAR_HORIZON_DAYS: i64 = 8;
 const FAR_HORIZON_DAYS: i64 = 400;
 
 /// Whether draining is allowed now, and when that changes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WindowState {
-    /// Allowed.
+    /// Draining is allowed.
     Open {
         /// When the window ends.
         until: Timestamp,
     },
-    /// Not allowed.
+    /// Draining is not allowed.
     Closed {
-        /// When the next window begins; none: there is none in sight.
+        /// When the next window begins; `None` if there is none within the far horizon.
         opens: Option<Timestamp>,
     },
 }
 
-/// A time span, its end excluded; it is never empty.
+/// A non-empty time interval; the end is exclusive.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct Window {
     pub(crate) start: Timestamp,
@@ -30,7 +30,7 @@
 }
 
 impl Window {
-    /// None where it would be empty.
+    /// Creates a window; returns `None` if it would be empty.
     pub(crate) fn new(start: Timestamp, end: Timestamp) -> Option<Window> {
         (start < end).then_some(Window { start, end })
     }
@@ -39,7 +39,7 @@
         Window::new(self.start.max(other.start), self.end.min(other.end))
     }
 
-    /// The parts of it before and after another one.
+    /// Returns the parts of the window before and after `closed`.
     fn without(self, closed: Window) -> impl Iterator<Item = Window> {
         let before = Window::new(self.start, self.end.min(closed.start));
         let after = Window::new(self.start.max(closed.end), self.end);
@@ -47,12 +47,12 @@
     }
 }
 
-/// Windows in order of time, which neither overlap nor touch.
+/// Windows in chronological order that neither overlap nor touch.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct WindowSet(Vec<Window>);
 
 impl WindowSet {
-    /// Merges windows that overlap or touch.
+    /// Creates a set from windows in any order, merging those that overlap or touch.
     pub(crate) fn union(mut windows: Vec<Window>) -> WindowSet {
         windows.sort_unstable();
         let mut merged: Vec<Window> = Vec::new();
@@ -65,18 +65,18 @@
         WindowSet(merged)
     }
 
-    /// What is in both sets.
+    /// Returns the intersection of both sets.
     pub(crate) fn intersection(&self, other: &WindowSet) -> WindowSet {
-        let pairs = self.0.iter().flat_map(|one| other.0.iter().map(move |two| one.intersection(*two)));
+        let pairs = self.0.iter().flat_map(|left| other.0.iter().map(move |right| left.intersection(*right)));
         WindowSet(pairs.flatten().collect())
     }
 
-    /// The set without a closed time.
+    /// Returns the set without the time in `closed`.
     pub(crate) fn without(self, closed: Window) -> WindowSet {
         WindowSet(self.0.into_iter().flat_map(|window| window.without(closed)).collect())
     }
 
-    /// Replaces each window, or drops it.
+    /// Replaces each window, or drops it if `replace` returns `None`.
     pub(crate) fn filter_map(self, replace: impl Fn(Window) -> Option<Window>) -> WindowSet {
         WindowSet(self.0.into_iter().filter_map(replace).collect())
     }
@@ -89,7 +89,7 @@
     }
 }
 
-/// The state now, where `windows` computes the windows up to so many days ahead.
+/// Finds the state at `now`, where `windows` computes the windows up to a given number of days ahead.
 pub(crate) fn find_state(windows: impl Fn(i64) -> WindowSet, now: Timestamp) -> WindowState {
     match windows(NEAR_HORIZON_DAYS).state_at(now) {
         WindowState::Closed { opens: None } => windows(FAR_HORIZON_DAYS).state_at(now),
