--- a/crates/http1/src/body.rs
+++ b/crates/http1/src/body.rs
@@ -1,25 +1,25 @@
-//! The body of a message, sized or chunked, as it is read piece by piece.
+//! Incremental reading of a message body, either with a known length or chunked.
 
 use crate::error::ReadError;
 use bytes::{Buf, BytesMut};
 use httparse::Status;
 
-/// A chunk's size line with its extensions, or all of a trailer.
-const MAX_CHUNK_OVERHEAD: usize = 4 * 1024;
+/// Maximum size of a chunk's size line with its extensions, and of a whole trailer section.
+const MAX_CHUNK_OVERHEAD_BYTES: usize = 4 * 1024;
 const CHUNK_END: &[u8] = b"\r\n";
 
-/// What of a body is still to be read.
+/// The part of a body that is read next.
 #[derive(Debug)]
 pub(crate) enum BodyState {
-    /// So many bytes.
+    /// The rest of a body with a known length, in bytes.
     Sized(usize),
-    /// A chunk's size line.
+    /// The size line of a chunk.
     ChunkSize,
-    /// So many bytes of a chunk.
+    /// The rest of a chunk, in bytes.
     Chunk(usize),
-    /// The line end after a chunk.
+    /// The line break after a chunk.
     ChunkEnd,
-    /// The trailer, of which so many bytes were read.
+    /// The trailer section, with the number of its bytes that were already read.
     Trailer(usize),
 }
 
@@ -27,7 +27,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Step {
     Advanced,
-    /// The body is complete, or more bytes are needed.
+    /// The body is complete, or more input is needed.
     Stopped,
 }
 
@@ -38,12 +38,12 @@
         matches!(self, BodyState::Sized(0))
     }
 
-    /// How many bytes are known to be still to be read.
+    /// Returns the number of remaining bytes, as far as it is known; 0 for a chunked body.
     pub(crate) fn known_length(&self) -> usize {
         if let BodyState::Sized(length) = self { *length } else { 0 }
     }
 
-    /// Moves what `src` has of the body to the end of `text`, where the body starts at `body_start`.
+    /// Moves the available part of the body from `src` to the end of `text`, in which the body starts at `body_start`.
     pub(crate) fn read(
         &mut self,
         src: &mut BytesMut,
@@ -65,13 +65,13 @@
     }
 
     fn read_bytes(&mut self, src: &mut BytesMut, text: &mut Vec<u8>) -> Step {
-        let (BodyState::Sized(missing) | BodyState::Chunk(missing)) = self else {
+        let (BodyState::Sized(remaining) | BodyState::Chunk(remaining)) = self else {
             return Step::Stopped;
         };
-        let available = src.len().min(*missing);
+        let available = src.len().min(*remaining);
         text.extend_from_slice(&src[..available]);
         src.advance(available);
-        *missing -= available;
+        *remaining -= available;
         if let BodyState::Chunk(0) = self {
             *self = BodyState::ChunkEnd;
             return Step::Advanced;
@@ -89,7 +89,7 @@
                 *self = if size == 0 { BodyState::Trailer(0) } else { BodyState::Chunk(size as usize) };
                 Ok(Step::Advanced)
             }
-            Ok(Status::Partial) if src.len() <= MAX_CHUNK_OVERHEAD => Ok(Step::Stopped),
+            Ok(Status::Partial) if src.len() <= MAX_CHUNK_OVERHEAD_BYTES => Ok(Step::Stopped),
             _ => Err(ReadError::Malformed("a chunk's size cannot be read")),
         }
     }
@@ -106,13 +106,13 @@
         Ok(Step::Advanced)
     }
 
-    /// Drops one line of the trailer; the body is complete with an empty one.
+    /// Discards one line of the trailer section; an empty line completes the body.
     fn read_trailer_line(&mut self, src: &mut BytesMut) -> Result<Step, ReadError> {
         let BodyState::Trailer(read) = self else {
             return Ok(Step::Stopped);
         };
         let line_end = src.iter().position(|&byte| byte == b'\n');
-        if *read + line_end.unwrap_or(src.len()) > MAX_CHUNK_OVERHEAD {
+        if *read + line_end.unwrap_or(src.len()) > MAX_CHUNK_OVERHEAD_BYTES {
             return Err(ReadError::Malformed("the trailer is too large"));
         }
         let Some(line_end) = line_end else {
--- a/crates/http1/src/codec.rs
+++ b/crates/http1/src/codec.rs
@@ -1,4 +1,4 @@
-//! The two codecs, as decoders. What they encode is in `encode`.
+//! The two codecs and their decoders. The encoders are in [`encode`](crate::encode).
 
 use crate::error::ReadError;
 use crate::message::{Reply, Request, RequestLine, StatusLine};
@@ -6,28 +6,28 @@
 use bytes::BytesMut;
 use tokio_util::codec::Decoder;
 
-/// Reads requests and writes replies.
+/// Decodes requests and encodes replies.
 #[derive(Default)]
 pub struct ServerCodec(MessageReader<RequestLine>);
 
-/// Writes requests and reads replies.
+/// Encodes requests and decodes replies.
 #[derive(Default)]
 pub struct ClientCodec(MessageReader<StatusLine>);
 
 macro_rules! impl_decoder {
     ($codec:ident, $message:ident) => {
         impl $codec {
-            /// A codec that reads bodies of up to `max_body` bytes.
+            /// Creates a codec that accepts bodies of up to `max_body` bytes.
             pub fn with_max_body(max_body: usize) -> $codec {
                 $codec(MessageReader::with_max_body(max_body))
             }
 
-            /// How many bytes of an incomplete message were received that are no longer in the connection's buffer.
+            /// Returns the number of bytes of an incomplete message that were moved out of the connection's buffer.
             pub fn received_bytes(&self) -> usize {
                 self.0.received_bytes()
             }
 
-            /// The memory that an incomplete message takes, alongside the connection's buffer.
+            /// Returns the memory that an incomplete message uses in addition to the connection's buffer.
             pub fn buffered_bytes(&self) -> usize {
                 self.0.buffered_bytes()
             }
--- a/crates/http1/src/encode.rs
+++ b/crates/http1/src/encode.rs
@@ -1,4 +1,5 @@
-//! Writes messages. Fields that belong to one connection, and those that a peer ties to its connection, are not forwarded.
+//! Encoders of messages. Hop-by-hop fields, and the fields that the `Connection` field of a message names, are not
+//! forwarded.
 
 use crate::codec::{ClientCodec, ServerCodec};
 use crate::message::{Message, Reply, Request};
@@ -6,43 +7,42 @@
 use std::io::{self, Write};
 use tokio_util::codec::Encoder;
 
-/// A request as it was received, but for what belongs to one connection and the fields set or removed here.
+/// A received request to be forwarded, without its hop-by-hop fields and with the changes given here.
 pub struct ForwardedRequest<'a> {
     /// The request that was received.
     pub request: &'a Request,
-    /// Fields to be set, in place of those of the same name.
+    /// Fields to set, replacing received fields of the same name.
     pub set_headers: &'a [(&'a str, &'a str)],
-    /// Fields to be removed.
+    /// Fields to remove.
     pub removed_headers: &'a [&'a str],
 }
 
-/// A reply's status, fields and body as they were received, but for what belongs to one connection and the fields
-/// removed here.
+/// A received reply to be forwarded, without its hop-by-hop fields and without the fields removed here.
 pub struct ForwardedReply<'a> {
     /// The reply that was received.
     pub reply: &'a Reply,
-    /// Fields to be removed.
+    /// Fields to remove.
     pub removed_headers: &'a [&'a str],
-    /// Whether the connection ends with it.
+    /// Whether to close the connection after the reply.
     pub close: bool,
 }
 
-/// A reply of this process's own.
+/// A reply that this process generates itself.
 pub struct PlainReply<'a> {
     /// The status code.
     pub status: u16,
-    /// Fields alongside those that frame the body.
+    /// Fields in addition to those that frame the body.
     pub fields: &'a [(&'a str, &'a str)],
     /// The body.
     pub body: &'a [u8],
-    /// Whether the connection ends with it.
+    /// Whether to close the connection after the reply.
     pub close: bool,
 }
 
-/// Room for the first line and the fields that frame the body.
-const FIRST_LINE_BYTES: usize = 128;
+/// Space reserved for the first line and the fields that frame the body.
+const FRAMING_BYTES: usize = 128;
 
-/// Fields that are meant for the connection that they were received on.
+/// Fields that apply only to the connection on which they were received, in lower case.
 const HOP_BY_HOP_FIELDS: [&str; 9] = [
     "connection",
     "content-length",
@@ -55,7 +55,7 @@
     "upgrade",
 ];
 
-fn reason(status: u16) -> &'static str {
+fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
         307 => "Temporary Redirect",
@@ -81,19 +81,19 @@
     }
 }
 
-/// The digits of the largest 64-bit number.
+/// Number of decimal digits of the largest 64-bit number.
 const MAX_DIGITS: usize = 20;
 
 fn put_number(dst: &mut BytesMut, number: usize) {
     let mut digits = [0; MAX_DIGITS];
     let mut rest = &mut digits[..];
-    // Cannot fail: the digits of any number fit.
+    // Writing cannot fail, as the buffer holds the digits of any number.
     let _ = write!(rest, "{number}");
-    let free = rest.len();
-    dst.extend_from_slice(&digits[..MAX_DIGITS - free]);
+    let unused = rest.len();
+    dst.extend_from_slice(&digits[..MAX_DIGITS - unused]);
 }
 
-/// Writes the body, with its length where `with_length` is set.
+/// Writes the end of the head and the body, preceded by `Content-Length` if `with_length` is set.
 fn put_body(dst: &mut BytesMut, body: &[u8], with_length: bool) {
     if with_length {
         dst.extend_from_slice(b"Content-Length: ");
@@ -104,24 +104,27 @@
     dst.extend_from_slice(body);
 }
 
-/// Writes all fields that are not meant for one connection, without those of `removed`.
+/// Writes all fields except hop-by-hop fields and those in `removed`.
 fn put_forwarded_fields<'a, L>(
     dst: &mut BytesMut,
     message: &Message<L>,
     removed: impl Iterator<Item = &'a str> + Clone,
 ) {
-    let is_named = |name: &[u8], other: &str| name.eq_ignore_ascii_case(other.as_bytes());
-    // A peer may tie further fields to its connection by naming them there.
-    let connection_values: Vec<_> =
-        message.fields().filter(|(name, _)| is_named(name, "connection")).map(|(_, value)| value).collect();
-    let is_tied = |name: &[u8]| {
+    let is_same_name = |name: &[u8], other: &str| name.eq_ignore_ascii_case(other.as_bytes());
+    // The `Connection` field may name further hop-by-hop fields.
+    let connection_values: Vec<_> = message
+        .fields()
+        .filter(|(name, _)| is_same_name(name, "connection"))
+        .map(|(_, value)| value)
+        .collect();
+    let is_connection_option = |name: &[u8]| {
         let mut tokens = connection_values.iter().flat_map(|value| value.split(|&byte| byte == b','));
         tokens.any(|token| token.trim_ascii().eq_ignore_ascii_case(name))
     };
     for (name, value) in message.fields() {
         let is_removed =
-            HOP_BY_HOP_FIELDS.iter().copied().chain(removed.clone()).any(|other| is_named(name, other));
-        if !is_removed && !is_tied(name) {
+            HOP_BY_HOP_FIELDS.iter().copied().chain(removed.clone()).any(|other| is_same_name(name, other));
+        if !is_removed && !is_connection_option(name) {
             put_field(dst, name, value);
         }
     }
@@ -131,7 +134,7 @@
     dst.extend_from_slice(b"HTTP/1.1 ");
     put_number(dst, status.into());
     dst.extend_from_slice(b" ");
-    dst.extend_from_slice(reason(status).as_bytes());
+    dst.extend_from_slice(reason_phrase(status).as_bytes());
     dst.extend_from_slice(b"\r\n");
     if close {
         dst.extend_from_slice(b"Connection: close\r\n");
@@ -143,7 +146,7 @@
 
     fn encode(&mut self, item: ForwardedRequest<'_>, dst: &mut BytesMut) -> io::Result<()> {
         let message = item.request;
-        dst.reserve(message.text.len() + FIRST_LINE_BYTES);
+        dst.reserve(message.text.len() + FRAMING_BYTES);
         dst.extend_from_slice(&message.text[message.line.method.range()]);
         dst.extend_from_slice(b" ");
         dst.extend_from_slice(&message.text[message.line.target.range()]);
@@ -163,7 +166,7 @@
 
     fn encode(&mut self, item: ForwardedReply<'_>, dst: &mut BytesMut) -> io::Result<()> {
         let message = item.reply;
-        dst.reserve(message.text.len() + FIRST_LINE_BYTES);
+        dst.reserve(message.text.len() + FRAMING_BYTES);
         put_status(dst, message.line.status, item.close);
         put_forwarded_fields(dst, message, item.removed_headers.iter().copied());
         put_body(dst, message.body(), true);
--- a/crates/http1/src/head.rs
+++ b/crates/http1/src/head.rs
@@ -1,4 +1,4 @@
-//! The head of a message: its first line, its fields, and how they frame the body and the connection.
+//! Parsing of a message head: the first line, the fields, and how these frame the body and the connection.
 
 use crate::body::BodyState;
 use crate::error::ReadError;
@@ -7,36 +7,37 @@
 use httparse::{Header, Status};
 use std::mem::MaybeUninit;
 
+/// Maximum size of a head, with the empty line after it.
 pub(crate) const MAX_HEAD_BYTES: usize = 64 * 1024;
 const MAX_FIELDS: usize = 64;
 
-/// A complete head, and how it frames the rest.
+/// A complete head, with the framing of the rest of the message.
 pub(crate) struct Head<L> {
     pub(crate) line: L,
-    /// In bytes, with the empty line after it.
+    /// Length of the head in bytes, including the empty line after it.
     pub(crate) length: usize,
     pub(crate) fields: Vec<Field>,
     pub(crate) body: BodyState,
-    /// Whether the connection ends with the message.
+    /// Whether the connection ends after the message.
     pub(crate) closes_connection: bool,
 }
 
-/// A first line and the head that belongs to it: a request's or a reply's.
+/// The first line of a request or reply, which determines how the head is parsed.
 pub(crate) trait FirstLine: Sized {
-    /// Parses a head; none where it is not complete yet.
+    /// Parses a head; returns `None` if it is not complete yet.
     fn parse(src: &BytesMut, max_body: usize) -> Result<Option<Head<Self>>, ReadError>;
 
-    /// Whether another head follows in its place.
+    /// Returns whether this is an interim reply, which is followed by another head.
     fn is_interim(&self) -> bool;
 }
 
-/// How the fields frame the body and the connection.
+/// The framing of the body and the connection, as given by the fields.
 #[derive(Default)]
 struct Framing {
     length: Option<usize>,
     chunked: bool,
     close: bool,
-    hosts: usize,
+    host_count: usize,
 }
 
 impl Framing {
@@ -48,7 +49,7 @@
         if framing.chunked && framing.length.is_some() {
             return Err(ReadError::Malformed("the body has both a length and a transfer coding"));
         }
-        if framing.hosts > 1 {
+        if framing.host_count > 1 {
             return Err(ReadError::Malformed("there is more than one host"));
         }
         Ok(framing)
@@ -61,7 +62,7 @@
             if !is_number || self.length.is_some() {
                 return Err(ReadError::Malformed("the length of the body is not one number"));
             }
-            // A number that cannot be parsed is too large.
+            // A value of digits only that cannot be parsed exceeds the range of the type.
             self.length = Some(length.ok_or(ReadError::BodyTooLarge)?);
         } else if name.eq_ignore_ascii_case("transfer-encoding") {
             if self.chunked || !value.eq_ignore_ascii_case(b"chunked") {
@@ -72,12 +73,13 @@
             let mut tokens = value.split(|&byte| byte == b',').map(<[u8]>::trim_ascii);
             self.close |= tokens.any(|token| token.eq_ignore_ascii_case(b"close"));
         } else if name.eq_ignore_ascii_case("host") {
-            self.hosts += 1;
+            self.host_count += 1;
         }
         Ok(())
     }
 
-    /// Version 0 is HTTP/1.0, whose connections end unless both sides say otherwise.
+    /// Returns whether the connection ends after the message. Minor version 0 is HTTP/1.0, in which connections are not
+    /// persistent by default.
     fn closes_connection(&self, version: u8) -> bool {
         self.close || version == 0
     }
@@ -124,7 +126,7 @@
             _ if line.is_interim() || matches!(line.status, 204 | 304) => BodyState::COMPLETE,
             _ if framing.chunked => BodyState::ChunkSize,
             Some(length) => sized_body(length, max_body)?,
-            // A body that ends with its connection cannot be told from one that was cut short.
+            // A body delimited by the end of the connection cannot be distinguished from a truncated one.
             None => return Err(ReadError::Malformed("the body's end is not told")),
         };
         Ok(Some(Head { line, length, fields: fields(parsed.headers, src), body, closes_connection }))
@@ -135,7 +137,7 @@
     }
 }
 
-/// The head's length where it is complete; an error where it is no head or too large.
+/// Returns the length of the head if it is complete, or an error if it is malformed or too large.
 fn head_length(parsed: httparse::Result<usize>, src: &BytesMut) -> Result<Option<usize>, ReadError> {
     match parsed {
         Ok(Status::Complete(length)) if length <= MAX_HEAD_BYTES => Ok(Some(length)),
--- a/crates/http1/src/lib.rs
+++ b/crates/http1/src/lib.rs
@@ -1,8 +1,8 @@
-//! HTTP/1.1 messages as frames: one codec for the side that clients connect to ([`ServerCodec`]), one for the side that
-//! connects to servers ([`ClientCodec`]). A frame is a complete message; nothing here knows what it is about.
+//! HTTP/1.1 codecs: [`ServerCodec`] for connections that clients open, [`ClientCodec`] for connections to servers. Each
+//! frame is a complete message; this crate does not interpret its meaning.
 //!
-//! The connection's one buffer is that of [`tokio_util::codec::Framed`]. A codec copies each frame out of it and advances
-//! it, so that the buffer is never shared and is compacted in place.
+//! The only buffer of a connection is that of [`tokio_util::codec::Framed`]. A codec copies each frame out of the
+//! buffer and advances it, so the buffer is never shared and can be compacted in place.
 
 #![forbid(unsafe_code)]
 
--- a/crates/http1/src/message.rs
+++ b/crates/http1/src/message.rs
@@ -1,13 +1,14 @@
-//! Complete messages, each in memory of its own.
+//! Complete messages, each of which owns its memory.
 
 use std::ops::Range;
 
-/// A range of a message's text. Offsets fit 32 bits, as the sizes of head and body are bounded.
+/// A range of a message's text. Offsets fit into 32 bits, because the sizes of head and body are bounded.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Span(u32, u32);
 
 impl Span {
-    /// Where `part` is in `text`. An empty part may point elsewhere: httparse returns a static slice for it.
+    /// Computes the position of `part` within `text`. An empty part may point elsewhere, because httparse returns a
+    /// static slice for it.
     pub(crate) fn of(part: &[u8], text: &[u8]) -> Span {
         if part.is_empty() {
             return Span(0, 0);
@@ -21,7 +22,7 @@
     }
 }
 
-/// A field's name and value.
+/// The positions of a field's name and value.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Field {
     pub(crate) name: Span,
@@ -41,7 +42,7 @@
     pub(crate) status: u16,
 }
 
-/// A first line, its fields and its body.
+/// A message with a first line of type `L`, fields and a body.
 #[derive(Debug, Default)]
 pub struct Message<L> {
     pub(crate) line: L,
@@ -57,41 +58,42 @@
 pub type Reply = Message<StatusLine>;
 
 impl<L> Message<L> {
-    /// Names and values of all fields, in their order.
+    /// Returns the names and values of all fields, in the order received.
     pub(crate) fn fields(&self) -> impl Iterator<Item = (&[u8], &[u8])> {
         self.fields.iter().map(|field| (&self.text[field.name.range()], &self.text[field.value.range()]))
     }
 
-    /// The first field of that name, if it is text.
+    /// Returns the value of the first field with this name, if the value is valid UTF-8.
     pub fn field(&self, name: &str) -> Option<&str> {
         let found = self.fields().find(|(known, _)| known.eq_ignore_ascii_case(name.as_bytes()));
         found.and_then(|(_, value)| std::str::from_utf8(value).ok())
     }
 
-    /// The field of that name where there is exactly one: of two, another reader may use the other.
+    /// Returns the value of the field with this name if there is exactly one. Of two fields, another parser might use
+    /// the other one.
     pub fn unique_field(&self, name: &str) -> Option<&str> {
         let found = self.fields().filter(|(known, _)| known.eq_ignore_ascii_case(name.as_bytes()));
         if found.count() == 1 { self.field(name) } else { None }
     }
 
-    /// The body; empty where there is none.
+    /// Returns the body, which may be empty.
     pub fn body(&self) -> &[u8] {
         &self.text[self.body_start..]
     }
 
-    /// Whether the connection carries nothing after this message.
+    /// Returns whether the connection ends after this message.
     pub fn closes_connection(&self) -> bool {
         self.closes_connection
     }
 
-    /// The memory that the message takes.
+    /// Returns the memory used by the message's text.
     pub fn memory_bytes(&self) -> usize {
         self.text.capacity()
     }
 }
 
 impl Request {
-    /// A GET request with a `Host` field and no body.
+    /// Creates a GET request with a `Host` field and no body.
     pub fn get(host: &str, target: &str) -> Request {
         let mut text = Vec::new();
         let mut append = |part: &str| {
@@ -104,19 +106,19 @@
         Message { line, text, fields, body_start, closes_connection: false }
     }
 
-    /// The method; empty where it is no text.
+    /// Returns the method; empty if it is not valid UTF-8.
     pub fn method(&self) -> &str {
         std::str::from_utf8(&self.text[self.line.method.range()]).unwrap_or_default()
     }
 
-    /// Path and query as they were received; empty where they are no text.
+    /// Returns the path and query as received; empty if they are not valid UTF-8.
     pub fn target(&self) -> &str {
         std::str::from_utf8(&self.text[self.line.target.range()]).unwrap_or_default()
     }
 }
 
 impl Reply {
-    /// The status code.
+    /// Returns the status code.
     pub fn status(&self) -> u16 {
         self.line.status
     }
