--- a/crates/gateway-settings/src/balancer_config.rs
+++ b/crates/gateway-settings/src/balancer_config.rs
@@ -1,4 +1,4 @@
-//! The configuration of the balancing policy, and the names that the settings give to what the policy numbers.
+//! Conversion of settings into the configuration of the balancing policy, which refers to plans and products by number.
 
 use crate::limits::idle_reuse_limit;
 use crate::options::{Options, UnreadableOption};
@@ -7,33 +7,33 @@
     AllowedActions, BalancerConfig, GatewayId, Idempotency, Plan, PlanId, Product, ProductId, Ticks, WarmUp,
 };
 
-/// The names that the settings give to what the policy numbers.
+/// Maps the names in the settings to the identifiers that the policy uses.
 #[derive(Debug, Default)]
 pub struct SettingNames {
-    /// The plan of each name.
+    /// Plan ids by name.
     pub plans: HashMap<String, PlanId>,
-    /// The product of each name.
+    /// Product ids by name.
     pub products: HashMap<String, ProductId>,
-    /// Where this gateway stands; backends with the same locality are near.
+    /// The locality of this gateway. Backends with the same locality are near.
     pub locality: String,
 }
 
-/// Reads the configuration of one gateway's policy, which starts at `at`.
+/// Converts the settings into the policy configuration of one gateway, which starts at `started_at`.
 ///
 /// # Errors
 ///
-/// Where an option cannot be read.
+/// Returns the first setting that cannot be parsed.
 pub fn balancer_config(
     options: &Options,
     seed: u64,
-    at: Ticks,
+    started_at: Ticks,
 ) -> Result<(BalancerConfig, SettingNames), UnreadableOption> {
     let mut names = SettingNames { locality: options.text("locality").to_owned(), ..SettingNames::default() };
     let products = products(options, &mut names)?;
     let plans = plans(options, &mut names)?;
     let config = BalancerConfig {
         seed,
-        started_at: at,
+        started_at,
         gateway: GatewayId(options.optional("me")?.unwrap_or_default()),
         gateway_count: options.optional("balancers")?.unwrap_or(1).max(1),
         products,
@@ -41,13 +41,13 @@
         allowed: allowed_actions(options)?,
         warm_up: WarmUp {
             initial_capacity: options.number("rules.cold_from")?,
-            ramp_time: options.time("rules.ramp_time")?,
+            ramp_time: options.duration("rules.ramp_time")?,
         },
-        idle_timeout: idle_reuse_limit(options.time("allowed.conn_idle")?),
-        meter_period: options.time("family_info.use_period")?,
+        idle_timeout: idle_reuse_limit(options.duration("allowed.conn_idle")?),
+        meter_period: options.duration("family_info.use_period")?,
         counter_timeout: options
             .flag("family_info.shared_counter")?
-            .then_some(options.time("family_info.count_wait")?),
+            .then_some(options.duration("family_info.count_wait")?),
         peer_messages: options.flag("allowed.peer_messages")?,
         max_cost: options.number("family_info.most_units")?,
     };
@@ -58,16 +58,16 @@
     let mut products = Vec::new();
     for item in 0..options.count("classes.count")? {
         let key = |name: &str| format!("classes.{item}.{name}");
-        let window = options.time(&key("window"))?;
+        let window = options.duration(&key("window"))?;
         let idempotency = match options.text(&key("idempotency")) {
             "retryable" => Idempotency::Idempotent,
-            // Where only some of the backends deduplicate, nothing is retried.
+            // Requests are retried only if all backends deduplicate them.
             "dedup" if options.text(&key("group")) == "all" => Idempotency::Deduplicated { window },
             _ => Idempotency::NonIdempotent,
         };
         names.products.insert(options.text(&key("name")).to_owned(), ProductId(item));
         products.push(Product {
-            sla_time: options.time(&key("aim"))?,
+            sla_time: options.duration(&key("aim"))?,
             value: options.number(&key("gain"))?,
             idempotency,
         });
@@ -98,7 +98,7 @@
         cancel: options.flag("allowed.cancel")?,
         hedging: options.flag("allowed.second_copies")?,
         retry_after: options.flag("allowed.retry_after")?,
-        max_retry_after: options.time("allowed.max_retry_after")?,
+        max_retry_after: options.duration("allowed.max_retry_after")?,
         max_attempts: options.count("allowed.most_tries")?,
     })
 }
--- a/crates/gateway-settings/src/check.rs
+++ b/crates/gateway-settings/src/check.rs
@@ -1,25 +1,25 @@
-//! What a configuration must satisfy before a gateway starts with it: each setting that the policy reads is a number in
-//! its range or a flag, and the settings together describe one shape of deployment. Settings that are not known here are
-//! the platform's own concern.
+//! Validation of settings before a gateway starts with them. Each setting that the policy uses must be a number
+//! within its range or a flag, and all settings together must describe one way of sharing quotas between gateways.
+//! Unknown settings are ignored, as they belong to the platform.
 
 use crate::options::Options;
 use thiserror::Error;
 
-/// The setting that is refused, and why.
+/// A setting that fails validation.
 #[derive(Debug, Error, PartialEq)]
-#[error("{key} is refused: {reason}")]
+#[error("invalid setting {key}: {reason}")]
 pub struct InvalidSetting {
-    /// The setting's dotted path.
+    /// Dotted path of the setting.
     pub key: String,
-    /// Why it is refused.
+    /// Why the setting is invalid.
     pub reason: String,
 }
 
-/// Settings that are whole numbers; `#` stands for an index.
+/// Settings that are integers. In all paths, `#` stands for a list index.
 const INTEGERS: &[&str] =
     &["balancers", "me", "allowed.most_tries", "classes.count", "tiers_of_service.count"];
 
-/// Settings that are true or false.
+/// Settings that are booleans.
 const FLAGS: &[&str] = &[
     "allowed.cancel",
     "allowed.second_copies",
@@ -30,22 +30,22 @@
     "family_info.trued_up",
 ];
 
-/// Settings that are numbers from 0 on, with the greatest value of each.
+/// Settings that are non-negative numbers, with their maximum values.
 const NUMBERS: &[(&str, f64)] = &[
-    ("allowed.max_retry_after", MAX_SPAN_MS),
-    ("allowed.conn_idle", MAX_SPAN_MS),
-    ("allowed.dial_timeout", MAX_SPAN_MS),
-    ("classes.#.aim", MAX_SPAN_MS),
+    ("allowed.max_retry_after", MAX_DURATION_MS),
+    ("allowed.conn_idle", MAX_DURATION_MS),
+    ("allowed.dial_timeout", MAX_DURATION_MS),
+    ("classes.#.aim", MAX_DURATION_MS),
     ("classes.#.gain", MAX_AMOUNT),
-    ("classes.#.hard_limit", MAX_SPAN_MS),
-    ("classes.#.window", MAX_SPAN_MS),
-    ("family_info.count_wait", MAX_SPAN_MS),
+    ("classes.#.hard_limit", MAX_DURATION_MS),
+    ("classes.#.window", MAX_DURATION_MS),
+    ("family_info.count_wait", MAX_DURATION_MS),
     ("family_info.most_units", MAX_AMOUNT),
     ("family_info.peer_in_per_s", MAX_AMOUNT),
-    ("family_info.use_period", MAX_SPAN_MS),
-    ("rules.ask_within", MAX_SPAN_MS),
+    ("family_info.use_period", MAX_DURATION_MS),
+    ("rules.ask_within", MAX_DURATION_MS),
     ("rules.cold_from", 1.0),
-    ("rules.ramp_time", MAX_SPAN_MS),
+    ("rules.ramp_time", MAX_DURATION_MS),
     ("tiers_of_service.#.at_once", MAX_AMOUNT),
     ("tiers_of_service.#.ceiling_rate", MAX_AMOUNT),
     ("tiers_of_service.#.excess_cost", MAX_AMOUNT),
@@ -56,40 +56,41 @@
     ("tiers_of_service.#.value_factor", MAX_AMOUNT),
 ];
 
-/// A day in milliseconds.
-const MAX_SPAN_MS: f64 = 86_400_000.0;
+/// Maximum of a duration: one day.
+const MAX_DURATION_MS: f64 = 86_400_000.0;
+/// Maximum of any other number.
 const MAX_AMOUNT: f64 = 1e9;
 
-/// Checks all options. `peer_addresses` is the number of gateways in the operator's list, where there is one.
+/// Validates all settings. `peer_addresses` is the number of gateways in the operator's list of peers, if it has one.
 ///
 /// # Errors
 ///
-/// The first setting that is refused: single values come first, in the order of their paths, then what settings mean
-/// together.
+/// Returns the first invalid setting. Single values are checked first, in the order of their paths, and combinations of
+/// settings after that.
 pub fn check(options: &Options, peer_addresses: Option<usize>) -> Result<(), InvalidSetting> {
     for (key, value) in options.sorted() {
         check_value(key, value)?;
     }
     check_lists(options)?;
-    check_numbering(options)?;
+    check_gateway_number(options)?;
     check_shared_counter(options)?;
-    check_peers(options, peer_addresses)
+    check_quota_sharing(options, peer_addresses)
 }
 
 fn invalid(key: &str, reason: &str) -> Result<(), InvalidSetting> {
     Err(InvalidSetting { key: key.to_owned(), reason: reason.to_owned() })
 }
 
-/// A path with `#` in place of each index.
-fn without_indexes(key: &str) -> String {
+/// Replaces each list index in a path by `#`.
+fn replace_indexes(key: &str) -> String {
     let part = |part: &str| if part.parse::<usize>().is_ok() { "#".to_owned() } else { part.to_owned() };
     key.split('.').map(part).collect::<Vec<_>>().join(".")
 }
 
 fn check_value(key: &str, value: &str) -> Result<(), InvalidSetting> {
-    let path = without_indexes(key);
+    let path = replace_indexes(key);
     if INTEGERS.contains(&path.as_str()) && value.parse::<u32>().is_err() {
-        return invalid(key, &format!("'{value}' is no whole number"));
+        return invalid(key, &format!("'{value}' is not a non-negative integer"));
     }
     if FLAGS.contains(&path.as_str()) && value.parse::<bool>().is_err() {
         return invalid(key, &format!("'{value}' is neither true nor false"));
@@ -97,12 +98,12 @@
     if let Some((_, max)) = NUMBERS.iter().find(|(known, _)| *known == path) {
         check_range(key, value, *max)?;
     }
-    // A feature that this build does not implement must not be taken for one that is in force.
+    // Features that are not implemented are rejected, so that operators do not assume that they are in effect.
     if path == "tiers_of_service.#.at_once" && value.parse() != Ok(0.0) {
-        return invalid(key, "caps on submissions open at once are not held");
+        return invalid(key, "limits on concurrent submissions are not supported");
     }
     if path == "classes.#.stream" && value == "true" {
-        return invalid(key, "streamed answers are not passed on");
+        return invalid(key, "streamed responses are not supported");
     }
     Ok(())
 }
@@ -110,8 +111,8 @@
 fn check_range(key: &str, value: &str, max: f64) -> Result<(), InvalidSetting> {
     match value.parse::<f64>() {
         Ok(number) if (0.0..=max).contains(&number) => Ok(()),
-        Ok(number) if number.is_finite() => invalid(key, &format!("{value} is not from 0 to {max}")),
-        _ => invalid(key, &format!("'{value}' is no number")),
+        Ok(number) if number.is_finite() => invalid(key, &format!("{value} is not between 0 and {max}")),
+        _ => invalid(key, &format!("'{value}' is not a finite number")),
     }
 }
 
@@ -132,53 +133,55 @@
     options.required(key).unwrap_or_default()
 }
 
-fn gateways(options: &Options) -> u32 {
+fn gateway_count(options: &Options) -> u32 {
     options.required("balancers").unwrap_or(1)
 }
 
-fn check_numbering(options: &Options) -> Result<(), InvalidSetting> {
+fn check_gateway_number(options: &Options) -> Result<(), InvalidSetting> {
     let own_number: u32 = options.required("me").unwrap_or_default();
-    if own_number >= gateways(options).max(1) {
-        return invalid("me", "not below balancers");
+    if own_number >= gateway_count(options).max(1) {
+        return invalid("me", "must be less than balancers");
     }
     Ok(())
 }
 
 fn check_shared_counter(options: &Options) -> Result<(), InvalidSetting> {
     if flag(options, "family_info.shared_counter") && number(options, "family_info.count_wait") <= 0.0 {
-        return invalid("family_info.count_wait", "missing, though family_info.shared_counter is true");
+        return invalid("family_info.count_wait", "required if family_info.shared_counter is true");
     }
     Ok(())
 }
 
-/// Gateways either share quotas through messages to each other, or through the shared counter, or not at all.
-fn check_peers(options: &Options, peer_addresses: Option<usize>) -> Result<(), InvalidSetting> {
-    let listed = match (flag(options, "allowed.peer_messages"), peer_addresses) {
+/// Checks that gateways share quotas either through peer messages, or through the shared counter, or not at all.
+fn check_quota_sharing(options: &Options, peer_addresses: Option<usize>) -> Result<(), InvalidSetting> {
+    let peer_count = match (flag(options, "allowed.peer_messages"), peer_addresses) {
         (false, None) => return Ok(()),
-        (true, None) => return invalid("peers.doors", "missing, though allowed.peer_messages is true"),
-        (false, Some(_)) => return invalid("allowed.peer_messages", "not true, though peers.doors is given"),
-        (true, Some(listed)) => listed,
+        (true, None) => return invalid("peers.doors", "required if allowed.peer_messages is true"),
+        (false, Some(_)) => return invalid("allowed.peer_messages", "must be true if peers.doors is given"),
+        (true, Some(peer_count)) => peer_count,
     };
     if flag(options, "family_info.shared_counter") {
-        let reason = "true beside allowed.peer_messages: one keeps the quotas";
+        let reason = "cannot be combined with allowed.peer_messages, which also enforces the quotas";
         return invalid("family_info.shared_counter", reason);
     }
     if flag(options, "family_info.trued_up") {
-        let reason = "true beside allowed.peer_messages: keepers hear no true units";
+        let reason =
+            "cannot be combined with allowed.peer_messages: quota owners do not learn the actual units";
         return invalid("family_info.trued_up", reason);
     }
-    let gateways = gateways(options);
-    if listed != gateways as usize {
-        return invalid("peers.doors", &format!("{listed} addresses for {gateways} balancers"));
+    let gateway_count = gateway_count(options);
+    if peer_count != gateway_count as usize {
+        let reason = format!("has {peer_count} addresses, but balancers is {gateway_count}");
+        return invalid("peers.doors", &reason);
     }
     if options.required::<u32>("me").is_err() {
         return invalid("me", "missing");
     }
     if number(options, "family_info.most_units") <= 0.0 {
-        return invalid("family_info.most_units", "missing, though allowed.peer_messages is true");
+        return invalid("family_info.most_units", "required if allowed.peer_messages is true");
     }
     if number(options, "family_info.peer_in_per_s") < 1.0 {
-        let reason = "missing or below 1, though allowed.peer_messages is true";
+        let reason = "must be at least 1 if allowed.peer_messages is true";
         return invalid("family_info.peer_in_per_s", reason);
     }
     Ok(())
--- a/crates/gateway-settings/src/check/tests.rs
+++ b/crates/gateway-settings/src/check/tests.rs
@@ -1,7 +1,8 @@
 use super::*;
 use serde_json::{Value, json};
 
-/// Checks valid settings after changes: (path, value), where null removes a setting.
+/// Validates settings that are valid except for the given changes. A change is a JSON pointer and a value; null removes
+/// the setting.
 fn check_changed(changes: &[(&str, Value)], peers: Option<usize>) -> Result<(), String> {
     let mut settings = json!({
         "balancers": 3, "me": 1,
@@ -16,21 +17,21 @@
         "odd": {"key": "-1"}
     });
     for (path, value) in changes {
-        *settings.pointer_mut(path).expect("a setting of these") = value.clone();
+        *settings.pointer_mut(path).expect("an existing setting") = value.clone();
     }
-    check(&Options::nested(&settings), peers).map_err(|refused| refused.to_string())
+    check(&Options::nested(&settings), peers).map_err(|error| error.to_string())
 }
 
 #[test]
-fn accepts_either_shape_by_itself() {
+fn accepts_either_way_of_sharing_quotas() {
     assert_eq!(check_changed(&[], None), Ok(()));
     assert_eq!(check_changed(&[], Some(3)), Ok(()));
-    // As a platform that names neither doors nor numbers has it.
+    // Settings of a platform that gives neither the number of gateways nor this gateway's own number.
     assert_eq!(check_changed(&[("/me", json!(null)), ("/balancers", json!(null))], None), Ok(()));
 }
 
 #[test]
-fn names_the_setting_that_is_invalid() {
+fn an_error_names_the_invalid_setting() {
     let cases = [
         ("/me", json!(3), "me"),
         ("/me", json!(-1), "me"),
@@ -51,14 +52,14 @@
         ("/family_info/count_wait", json!(null), "family_info.count_wait"),
     ];
     for (path, value, key) in cases {
-        let refused = check_changed(&[(path, value.clone())], None).expect_err(path);
-        assert!(refused.starts_with(&format!("{key} is refused: ")), "{path} {value}: {refused}");
-        assert!(!refused.contains('\n'));
+        let error = check_changed(&[(path, value.clone())], None).expect_err(path);
+        assert!(error.starts_with(&format!("invalid setting {key}: ")), "{path} {value}: {error}");
+        assert!(!error.contains('\n'));
     }
 }
 
 #[test]
-fn names_the_setting_that_mixes_the_shapes() {
+fn an_error_names_the_setting_that_conflicts_with_others() {
     let cases = [
         ("/allowed/peer_messages", json!(true), None, "peers.doors"),
         ("/allowed/peer_messages", json!(false), Some(3), "allowed.peer_messages"),
@@ -70,7 +71,7 @@
         ("/family_info/peer_in_per_s", json!(0), Some(3), "family_info.peer_in_per_s"),
     ];
     for (path, value, peers, key) in cases {
-        let refused = check_changed(&[(path, value)], peers).expect_err(path);
-        assert!(refused.starts_with(&format!("{key} is refused: ")), "{path}: {refused}");
+        let error = check_changed(&[(path, value)], peers).expect_err(path);
+        assert!(error.starts_with(&format!("invalid setting {key}: ")), "{path}: {error}");
     }
 }
--- a/crates/gateway-settings/src/lib.rs
+++ b/crates/gateway-settings/src/lib.rs
@@ -1,8 +1,8 @@
-//! Reads the settings of a gateway.
+//! Parsing and validation of gateway settings.
 //!
-//! Settings come in one of two forms: the simulator's flat options, or the nested JSON of a deployment. Both are read
-//! into [`Options`]; the functions of this crate make of them the configuration of the policy and of the gateway's stages. No
-//! other crate knows the names that the settings use.
+//! Settings come in one of two forms: the flat options of the simulator, or the nested JSON of a deployment. Both are
+//! read into [`Options`], which the functions of this crate convert into the configuration of the balancing policy
+//! and of the gateway's components. No other crate uses the names of the settings.
 
 #![forbid(unsafe_code)]
 
--- a/crates/gateway-settings/src/limits.rs
+++ b/crates/gateway-settings/src/limits.rs
@@ -1,29 +1,29 @@
-//! The limits and intervals that the gateway's stages keep to.
+//! Conversion of settings into limits and intervals of the gateway's components.
 
 use crate::options::{Options, UnreadableOption, ticks_from_ms};
 use vanewharf_policy::interface::Ticks;
 
-/// The part of a backend's own idle timeout for which an idle connection is reused.
-const REUSED_PART_OF_IDLE_TIMEOUT: f64 = 0.25;
-/// For how long an idle connection is reused where the backends' idle timeout is not known.
+/// Fraction of a backend's own idle timeout for which an idle connection is reused.
+const IDLE_REUSE_FRACTION: f64 = 0.25;
+/// How long an idle connection is reused if the idle timeout of the backends is not known.
 const DEFAULT_IDLE_REUSE: Ticks = Ticks::SECOND;
 
-/// The greatest values that a request may state. A bound that the settings do not give is the type's greatest value.
+/// Maximum values in a request. A bound that the settings do not specify is the maximum of its type.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RequestBounds {
-    /// The most units that one request may cost.
+    /// Maximum cost of one request, in units.
     pub max_cost: f64,
-    /// The number of gateways.
+    /// Number of gateways.
     pub gateways: u32,
-    /// The longest expiry of each product, rounded up to the whole milliseconds that a request can state.
+    /// Maximum expiry of each product, rounded up because requests state whole milliseconds.
     pub max_expiries: Vec<Ticks>,
 }
 
-/// Reads the bounds of requests.
+/// Converts the bounds of requests.
 ///
 /// # Errors
 ///
-/// Where an option cannot be read.
+/// Returns the first setting that cannot be parsed.
 pub fn request_bounds(options: &Options) -> Result<RequestBounds, UnreadableOption> {
     let products = 0..options.count("classes.count")?;
     let expiry = |item| options.number(&format!("classes.{item}.hard_limit"));
@@ -38,50 +38,52 @@
     })
 }
 
-/// How long connections to backends may take to open, and stay idle.
+/// Timeouts of connections to backends.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ConnectionTimeouts {
-    /// A backend closes a connection that has been idle for so long, at the latest. Zero: not known.
+    /// Time after which a backend closes an idle connection at the latest; zero if it is not known.
     pub idle: Ticks,
-    /// A connection that is not established by then never will be. Zero: not known.
+    /// Time after which a connection that is not established never will be; zero if it is not known.
     pub dial: Ticks,
 }
 
-/// Reads the timeouts of backend connections.
+/// Converts the timeouts of backend connections.
 ///
 /// # Errors
 ///
-/// Where an option cannot be read.
+/// Returns the first setting that cannot be parsed.
 pub fn connection_timeouts(options: &Options) -> Result<ConnectionTimeouts, UnreadableOption> {
-    let (idle, dial) = (options.time("allowed.conn_idle")?, options.time("allowed.dial_timeout")?);
+    let (idle, dial) = (options.duration("allowed.conn_idle")?, options.duration("allowed.dial_timeout")?);
     Ok(ConnectionTimeouts { idle, dial })
 }
 
-/// For how long an idle connection is reused, where backends close theirs after `backend_idle_timeout` at the latest. It
-/// is much shorter: a request that crosses with the close may have run, and a new connection costs little.
+/// Returns how long an idle connection is reused if backends close theirs after `backend_idle_timeout` at the latest.
+///
+/// The limit is much shorter than that timeout: a request that is sent while the backend closes the connection may have
+/// run, whereas opening a new connection is cheap.
 pub fn idle_reuse_limit(backend_idle_timeout: Ticks) -> Ticks {
     if backend_idle_timeout.0 > 0 {
-        backend_idle_timeout.times(REUSED_PART_OF_IDLE_TIMEOUT)
+        backend_idle_timeout.times(IDLE_REUSE_FRACTION)
     } else {
         DEFAULT_IDLE_REUSE
     }
 }
 
-/// How often a gateway must call discovery, where lists come only on request.
+/// Returns the maximum interval between calls to discovery, if it sends backend lists only on request.
 ///
 /// # Errors
 ///
-/// Where an option cannot be read.
+/// Returns an error if the interval cannot be parsed.
 pub fn discovery_poll_interval(options: &Options) -> Result<Option<Ticks>, UnreadableOption> {
     let on_request = options.text("membership_mode") == "on_request";
-    Ok(on_request.then_some(options.time("rules.ask_within")?))
+    Ok(on_request.then_some(options.duration("rules.ask_within")?))
 }
 
-/// How many messages of other gateways are accepted in a second.
+/// Returns how many messages of other gateways are accepted per second.
 ///
 /// # Errors
 ///
-/// Where the option cannot be read.
+/// Returns an error if the setting cannot be parsed.
 pub fn peer_messages_per_s(options: &Options) -> Result<f64, UnreadableOption> {
     options.number("family_info.peer_in_per_s")
 }
--- a/crates/gateway-settings/src/options.rs
+++ b/crates/gateway-settings/src/options.rs
@@ -1,4 +1,4 @@
-//! The settings as text, each under its dotted path, and how single values are read from it.
+//! Settings as text values by dotted path, and typed access to single values.
 
 use crate::check::InvalidSetting;
 use serde_json::Value;
@@ -7,17 +7,17 @@
 use thiserror::Error;
 use vanewharf_policy::interface::Ticks;
 
-/// An option that is missing or cannot be read, and what was found there.
+/// A setting that is missing or cannot be parsed.
 #[derive(Debug, Error)]
-#[error("option {option} cannot be read: '{value}'")]
+#[error("setting {option} is missing or invalid: '{value}'")]
 pub struct UnreadableOption {
-    /// The option's dotted path.
+    /// Dotted path of the setting.
     pub option: String,
-    /// Its value; empty where it is missing.
+    /// Its value; empty if it is missing.
     pub value: String,
 }
 
-/// All options, each under its dotted path. Items of a list have their index in the path, and the list's length is at
+/// All settings, by dotted path. The path of a list item contains its index, and the length of a list is stored at
 /// `LIST.count`.
 #[derive(Default)]
 pub struct Options {
@@ -25,29 +25,29 @@
 }
 
 impl Options {
-    /// Options from pairs of path and value.
+    /// Creates options from pairs of a path and a value.
     pub fn flat<'a>(pairs: impl IntoIterator<Item = (&'a str, &'a str)>) -> Options {
         let owned = |(path, value): (&str, &str)| (path.to_owned(), value.to_owned());
         Options { values: pairs.into_iter().map(owned).collect() }
     }
 
-    /// Options from nested JSON.
+    /// Creates options from nested JSON.
     pub fn nested(value: &Value) -> Options {
         let mut options = Options::default();
         options.flatten(String::new(), value);
         options
     }
 
-    /// These options, and those of `other` that are not stated here.
+    /// Combines the settings of both sources.
     ///
     /// # Errors
     ///
-    /// Where both state an option with different values.
+    /// Returns a setting that has different values in the two sources.
     pub fn merged_with(mut self, other: Options) -> Result<Options, InvalidSetting> {
         for (key, value) in other.values {
             match self.values.get(&key) {
-                Some(stated) if *stated != value => {
-                    let reason = format!("'{value}' in one place, '{stated}' in the other");
+                Some(own_value) if *own_value != value => {
+                    let reason = format!("conflicting values '{value}' and '{own_value}'");
                     return Err(InvalidSetting { key, reason });
                 }
                 _ => drop(self.values.insert(key, value)),
@@ -56,24 +56,24 @@
         Ok(self)
     }
 
-    /// Reads an option that must be stated.
+    /// Parses a required setting.
     ///
     /// # Errors
     ///
-    /// Where it is missing or cannot be parsed.
+    /// Returns an error if the setting is missing or cannot be parsed.
     pub fn required<T: FromStr>(&self, option: &str) -> Result<T, UnreadableOption> {
         let missing = || UnreadableOption { option: option.to_owned(), value: String::new() };
         self.optional(option)?.ok_or_else(missing)
     }
 
-    /// All options, sorted by path.
+    /// Returns all settings as pairs of path and value, sorted by path.
     pub(crate) fn sorted(&self) -> Vec<(&str, &str)> {
         let mut all: Vec<_> = self.values.iter().map(|(key, value)| (key.as_str(), value.as_str())).collect();
         all.sort_unstable();
         all
     }
 
-    /// The option's value, if it is stated.
+    /// Parses an optional setting; returns `None` if it is missing.
     pub(crate) fn optional<T: FromStr>(&self, option: &str) -> Result<Option<T>, UnreadableOption> {
         let Some(value) = self.values.get(option) else {
             return Ok(None);
@@ -82,7 +82,7 @@
         value.parse().map(Some).map_err(unreadable)
     }
 
-    /// A finite number; zero where it is not stated.
+    /// Parses a finite number; returns zero if the setting is missing.
     pub(crate) fn number(&self, option: &str) -> Result<f64, UnreadableOption> {
         let number: f64 = self.optional(option)?.unwrap_or_default();
         if number.is_finite() {
@@ -91,38 +91,40 @@
         Err(UnreadableOption { option: option.to_owned(), value: number.to_string() })
     }
 
-    /// A number of things; zero where it is not stated.
+    /// Parses a count; returns zero if the setting is missing.
     pub(crate) fn count(&self, option: &str) -> Result<usize, UnreadableOption> {
         Ok(self.optional(option)?.unwrap_or_default())
     }
 
-    /// A flag; false where it is not stated.
+    /// Parses a flag; returns false if the setting is missing.
     pub(crate) fn flag(&self, option: &str) -> Result<bool, UnreadableOption> {
         Ok(self.optional(option)?.unwrap_or_default())
     }
 
-    /// A span stated in milliseconds; zero where it is not stated.
-    pub(crate) fn time(&self, option: &str) -> Result<Ticks, UnreadableOption> {
+    /// Parses a duration in milliseconds; returns zero if the setting is missing.
+    pub(crate) fn duration(&self, option: &str) -> Result<Ticks, UnreadableOption> {
         Ok(ticks_from_ms(self.number(option)?))
     }
 
-    /// The text as it stands; empty where it is not stated.
+    /// Returns the text of a setting; empty if it is missing.
     pub(crate) fn text(&self, option: &str) -> &str {
         self.values.get(option).map(String::as_str).unwrap_or_default()
     }
 
+    /// Adds the values below `value`, whose own path is `path`. Null values are ignored.
     fn flatten(&mut self, path: String, value: &Value) {
-        let below = |name: &str| if path.is_empty() { name.to_owned() } else { format!("{path}.{name}") };
+        let child_path =
+            |name: &str| if path.is_empty() { name.to_owned() } else { format!("{path}.{name}") };
         match value {
             Value::Object(fields) => {
                 for (name, value) in fields {
-                    self.flatten(below(name), value);
+                    self.flatten(child_path(name), value);
                 }
             }
             Value::Array(items) => {
-                self.values.insert(below("count"), items.len().to_string());
-                for (item, value) in items.iter().enumerate() {
-                    self.flatten(below(&item.to_string()), value);
+                self.values.insert(child_path("count"), items.len().to_string());
+                for (index, value) in items.iter().enumerate() {
+                    self.flatten(child_path(&index.to_string()), value);
                 }
             }
             Value::Null => {}
@@ -132,9 +134,9 @@
     }
 }
 
-/// Converts milliseconds, rounded down so that an expiry is never taken for later than it is.
+/// Converts milliseconds to ticks, rounding down so that an expiry is never extended.
 pub fn ticks_from_ms(milliseconds: f64) -> Ticks {
-    // Against a decimal fraction that is represented as slightly less than the tick that it stands for.
-    const ROUNDING_TOLERANCE: f64 = 1e-6;
-    Ticks((milliseconds * 10.0 + ROUNDING_TOLERANCE).floor() as i64)
+    // Compensates for decimal fractions whose floating-point value is slightly below the tick that they denote.
+    const ROUNDING_TOLERANCE_TICKS: f64 = 1e-6;
+    Ticks((milliseconds * 10.0 + ROUNDING_TOLERANCE_TICKS).floor() as i64)
 }
--- a/crates/gateway-settings/src/tests.rs
+++ b/crates/gateway-settings/src/tests.rs
@@ -21,24 +21,24 @@
         tiers_of_service.0.store_size=16 tiers_of_service.1.name=gold";
     let flat = Options::flat(flat.split(' ').filter_map(|pair| pair.split_once('=')));
     let nested = Options::nested(&nested);
-    let (one, names) = balancer_config(&flat, 7, Ticks(5)).expect("readable");
-    let (other, _) = balancer_config(&nested, 7, Ticks(5)).expect("readable");
-    assert_eq!(one, other);
+    let (from_flat, names) = balancer_config(&flat, 7, Ticks(5)).expect("valid");
+    let (from_nested, _) = balancer_config(&nested, 7, Ticks(5)).expect("valid");
+    assert_eq!(from_flat, from_nested);
     assert_eq!(names.plans["gold"], PlanId(1));
-    let repeat = Idempotency::Deduplicated { window: Ticks(50_002) };
-    assert_eq!((one.products[0].idempotency, one.plans[0].rate), (repeat, 2.0));
+    let idempotency = Idempotency::Deduplicated { window: Ticks(50_002) };
+    assert_eq!((from_flat.products[0].idempotency, from_flat.plans[0].rate), (idempotency, 2.0));
     let expected = ConnectionTimeouts { idle: Ticks(150_000), dial: Ticks(2_500) };
-    assert_eq!(connection_timeouts(&nested).expect("readable"), expected);
-    assert_eq!(connection_timeouts(&flat).expect("readable"), expected);
+    assert_eq!(connection_timeouts(&nested).expect("valid"), expected);
+    assert_eq!(connection_timeouts(&flat).expect("valid"), expected);
     let expected = RequestBounds { max_cost: 8.0, gateways: 3, max_expiries: vec![Ticks(15_010)] };
-    assert_eq!(request_bounds(&nested).expect("readable"), expected);
-    assert_eq!(request_bounds(&flat).expect("readable"), expected);
+    assert_eq!(request_bounds(&nested).expect("valid"), expected);
+    assert_eq!(request_bounds(&flat).expect("valid"), expected);
 }
 
 #[test]
-fn names_the_option_that_cannot_be_read() {
-    let unreadable = Options::nested(&json!({"classes": [{"gain": "much"}]}));
-    let error = balancer_config(&unreadable, 7, Ticks(5)).expect_err("no number");
-    assert_eq!(error.to_string(), "option classes.0.gain cannot be read: 'much'");
+fn an_error_names_the_setting_that_cannot_be_parsed() {
+    let invalid = Options::nested(&json!({"classes": [{"gain": "much"}]}));
+    let error = balancer_config(&invalid, 7, Ticks(5)).expect_err("not a number");
+    assert_eq!(error.to_string(), "setting classes.0.gain is missing or invalid: 'much'");
     assert!(balancer_config(&Options::flat([("rules.cold_from", "inf")]), 7, Ticks(5)).is_err());
 }
