--- a/crates/gateway-settings/src/balancer_config.rs
+++ b/crates/gateway-settings/src/balancer_config.rs
@@ -9,7 +9,7 @@
 
 /// Maps the names in the settings to the identifiers that the policy uses.
 #[derive(Debug, Default)]
-pub struct SettingNames {
+pub struct PolicyNames {
     /// Plan ids by name.
     pub plans: HashMap<String, PlanId>,
     /// Product ids by name.
@@ -27,8 +27,8 @@
     options: &Options,
     seed: u64,
     started_at: Ticks,
-) -> Result<(BalancerConfig, SettingNames), UnreadableOption> {
-    let mut names = SettingNames { locality: options.text("locality").to_owned(), ..SettingNames::default() };
+) -> Result<(BalancerConfig, PolicyNames), UnreadableOption> {
+    let mut names = PolicyNames { locality: options.text("locality").to_owned(), ..PolicyNames::default() };
     let products = products(options, &mut names)?;
     let plans = plans(options, &mut names)?;
     let config = BalancerConfig {
@@ -54,7 +54,7 @@
     Ok((config, names))
 }
 
-fn products(options: &Options, names: &mut SettingNames) -> Result<Vec<Product>, UnreadableOption> {
+fn products(options: &Options, names: &mut PolicyNames) -> Result<Vec<Product>, UnreadableOption> {
     let mut products = Vec::new();
     for item in 0..options.count("classes.count")? {
         let key = |name: &str| format!("classes.{item}.{name}");
@@ -75,7 +75,7 @@
     Ok(products)
 }
 
-fn plans(options: &Options, names: &mut SettingNames) -> Result<Vec<Plan>, UnreadableOption> {
+fn plans(options: &Options, names: &mut PolicyNames) -> Result<Vec<Plan>, UnreadableOption> {
     let mut plans = Vec::new();
     for item in 0..options.count("tiers_of_service.count")? {
         let key = |name: &str| format!("tiers_of_service.{item}.{name}");
--- a/crates/gateway-settings/src/lib.rs
+++ b/crates/gateway-settings/src/lib.rs
@@ -11,7 +11,7 @@
 mod limits;
 mod options;
 
-pub use balancer_config::{SettingNames, balancer_config};
+pub use balancer_config::{PolicyNames, balancer_config};
 pub use check::{InvalidSetting, check};
 pub use limits::{
     ConnectionTimeouts, RequestBounds, connection_timeouts, discovery_poll_interval, idle_reuse_limit,
--- a/programs/gateway/src/config.rs
+++ b/programs/gateway/src/config.rs
@@ -6,7 +6,7 @@
 use std::path::Path;
 use thiserror::Error;
 use vanewharf_gateway_settings::{
-    ConnectionTimeouts, Options, RequestBounds, SettingNames, UnreadableOption, balancer_config,
+    ConnectionTimeouts, Options, PolicyNames, RequestBounds, UnreadableOption, balancer_config,
     connection_timeouts, discovery_poll_interval, peer_messages_per_s, request_bounds,
 };
 use vanewharf_policy::interface::{BalancerConfig, Ticks};
@@ -40,7 +40,7 @@
     /// What the routing policy starts from.
     pub balancer: BalancerConfig,
     /// The names of plans and products.
-    pub names: SettingNames,
+    pub names: PolicyNames,
     /// The timeouts of backend connections.
     pub timeouts: ConnectionTimeouts,
     /// How often discovery must be called, where lists come only on request.
--- a/programs/gateway/src/platform_dialect.rs
+++ b/programs/gateway/src/platform_dialect.rs
@@ -3,7 +3,7 @@
 
 use crate::dialect::{Admission, ForwardingOptions, HttpDialect, ReplyMatch, ReportedUsage};
 use std::time::Duration;
-use vanewharf_gateway_settings::{RequestBounds, SettingNames};
+use vanewharf_gateway_settings::{PolicyNames, RequestBounds};
 use vanewharf_http1::{Reply, Request};
 use vanewharf_policy::interface::{
     Arrival, CustomerId, Outcome, PlanId, ProductId, QuotaClaim, Ticks, TxnId,
@@ -37,7 +37,7 @@
 /// The platform's dialect, with the settings that requests are checked against.
 pub struct PlatformDialect {
     /// The plans and products by name.
-    pub names: SettingNames,
+    pub names: PolicyNames,
     /// What a request may state.
     pub bounds: RequestBounds,
 }
--- a/programs/gateway/src/platform_dialect/tests.rs
+++ b/programs/gateway/src/platform_dialect/tests.rs
@@ -5,7 +5,7 @@
 use vanewharf_http1::ServerCodec;
 
 fn dialect() -> PlatformDialect {
-    let names = SettingNames {
+    let names = PolicyNames {
         plans: HashMap::from([("free".to_owned(), PlanId(0)), ("team".to_owned(), PlanId(1))]),
         products: HashMap::from([("look".to_owned(), ProductId(0))]),
         locality: String::new(),
--- a/programs/simulator-adapter/src/gateway.rs
+++ b/programs/simulator-adapter/src/gateway.rs
@@ -6,7 +6,7 @@
 use std::collections::hash_map::DefaultHasher;
 use std::fmt::{self, Write};
 use std::hash::{Hash, Hasher};
-use vanewharf_gateway_settings::SettingNames;
+use vanewharf_gateway_settings::PolicyNames;
 use vanewharf_policy::codec;
 use vanewharf_policy::decide::Balancer;
 use vanewharf_policy::interface::{
@@ -46,13 +46,13 @@
 pub struct SimulatedGateway {
     balancer: Balancer,
     pending_events: Vec<Event>,
-    names: SettingNames,
+    names: PolicyNames,
     backends: BackendNames,
 }
 
 impl SimulatedGateway {
     /// A gateway at its start; `names` are those of its settings.
-    pub fn new(balancer: Balancer, names: SettingNames) -> SimulatedGateway {
+    pub fn new(balancer: Balancer, names: PolicyNames) -> SimulatedGateway {
         SimulatedGateway { balancer, names, pending_events: Vec::new(), backends: BackendNames::default() }
     }
 
