--- a/crates/http1/src/encode.rs
+++ b/crates/http1/src/encode.rs
@@ -28,7 +28,7 @@
 }
 
 /// A reply that this process generates itself.
-pub struct PlainReply<'a> {
+pub struct LocalReply<'a> {
     /// The status code.
     pub status: u16,
     /// Fields in addition to those that frame the body.
@@ -174,10 +174,10 @@
     }
 }
 
-impl Encoder<PlainReply<'_>> for ServerCodec {
+impl Encoder<LocalReply<'_>> for ServerCodec {
     type Error = io::Error;
 
-    fn encode(&mut self, item: PlainReply<'_>, dst: &mut BytesMut) -> io::Result<()> {
+    fn encode(&mut self, item: LocalReply<'_>, dst: &mut BytesMut) -> io::Result<()> {
         put_status(dst, item.status, item.close);
         for (name, value) in item.fields {
             put_field(dst, name.as_bytes(), value.as_bytes());
--- a/crates/http1/src/lib.rs
+++ b/crates/http1/src/lib.rs
@@ -15,7 +15,7 @@
 mod reader;
 
 pub use codec::{ClientCodec, ServerCodec};
-pub use encode::{ForwardedReply, ForwardedRequest, PlainReply};
+pub use encode::{ForwardedReply, ForwardedRequest, LocalReply};
 pub use error::ReadError;
 pub use message::{Message, Reply, Request, RequestLine, StatusLine};
 
--- a/crates/rpc/src/client/tests.rs
+++ b/crates/rpc/src/client/tests.rs
@@ -5,7 +5,7 @@
 use tokio::io::duplex;
 use tokio::sync::mpsc;
 use tokio::task::LocalSet;
-use vanewharf_http1::{PlainReply, ServerCodec};
+use vanewharf_http1::{LocalReply, ServerCodec};
 use vanewharf_runtime::environment::{BoxFuture, Listener};
 use yare::parameterized;
 
@@ -65,7 +65,7 @@
 
     async fn respond(&mut self, id: Option<&str>, body: &str) {
         let fields: Vec<_> = id.map(|id| (CALL_ID, id)).into_iter().collect();
-        let reply = PlainReply { status: 200, fields: &fields, body: body.as_bytes(), close: false };
+        let reply = LocalReply { status: 200, fields: &fields, body: body.as_bytes(), close: false };
         self.0.send(reply).await.expect("it is connected");
     }
 }
--- a/crates/rpc/src/server/connection.rs
+++ b/crates/rpc/src/server/connection.rs
@@ -12,7 +12,7 @@
 use tokio::io::AsyncWriteExt;
 use tokio::time::timeout;
 use tokio_util::codec::Framed;
-use vanewharf_http1::{PlainReply, ReadError, Request, ServerCodec};
+use vanewharf_http1::{LocalReply, ReadError, Request, ServerCodec};
 use vanewharf_protocol::endpoints::CALL_ID;
 use vanewharf_runtime::environment::Stream;
 
@@ -139,7 +139,7 @@
         fields.push(("Content-Type", "application/json"));
         fields.extend(call_id.map(|id| (CALL_ID, id)));
         let reply =
-            PlainReply { status: response.status, fields: &fields, body: &response.body, close: closes };
+            LocalReply { status: response.status, fields: &fields, body: &response.body, close: closes };
         let is_written = matches!(timeout(RESPONSE_TIMEOUT, self.framed.send(reply)).await, Ok(Ok(())));
         if !is_written || closes {
             let _ = timeout(REQUEST_TIMEOUT, self.framed.get_mut().shutdown()).await;
--- a/programs/gateway/src/answer.rs
+++ b/programs/gateway/src/answer.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 use tokio::net::TcpStream;
 use tokio_util::codec::Framed;
-use vanewharf_http1::{ForwardedReply, PlainReply, Reply, ServerCodec};
+use vanewharf_http1::{ForwardedReply, LocalReply, Reply, ServerCodec};
 use vanewharf_policy::interface::Ticks;
 
 /// A client that accepts no bytes for so long is disconnected.
@@ -69,7 +69,7 @@
     };
     let seconds = retry_after.map(decimal_seconds);
     let fields: Vec<_> = seconds.iter().map(|seconds| ("Retry-After", seconds.as_str())).collect();
-    completes_in_time(client.send(PlainReply { status, fields: &fields, body: body.as_bytes(), close })).await
+    completes_in_time(client.send(LocalReply { status, fields: &fields, body: body.as_bytes(), close })).await
 }
 
 /// Writes an answer in which neither a backend nor a decision had a part.
@@ -79,7 +79,7 @@
     body: &str,
     close: bool,
 ) -> bool {
-    completes_in_time(client.send(PlainReply { status, fields: &[], body: body.as_bytes(), close })).await
+    completes_in_time(client.send(LocalReply { status, fields: &[], body: body.as_bytes(), close })).await
 }
 
 /// A span in seconds with four decimals; zero where it is negative.
