--- a/crates/discovery/src/source_selector.rs
+++ b/crates/discovery/src/source_selector.rs
@@ -68,7 +68,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PullProgress {
     /// The answer is not due yet.
-    Ordinary,
+    OnTime,
     /// The answer should have arrived.
     Overdue,
 }
@@ -166,7 +166,7 @@
         let is_usable = |source: &SocketAddr| self.active_backoff(source, now).is_none();
         match progress {
             PullProgress::Overdue => sources.find(|source| *source != pulled_from && is_usable(source)),
-            PullProgress::Ordinary => sources
+            PullProgress::OnTime => sources
                 .take_while(|source| *source != pulled_from)
                 .find(|source| self.backoffs.contains_key(source) && is_usable(source)),
         }
--- a/crates/discovery/src/source_selector/tests.rs
+++ b/crates/discovery/src/source_selector/tests.rs
@@ -64,7 +64,7 @@
     fn probe_until(&mut self, pulled_from: SocketAddr, overdue_at: Timestamp, end: Timestamp) {
         let mut at = self.now;
         while at < end {
-            let progress = if at >= overdue_at { PullProgress::Overdue } else { PullProgress::Ordinary };
+            let progress = if at >= overdue_at { PullProgress::Overdue } else { PullProgress::OnTime };
             let (source, ends_at) = match self.probe.take() {
                 Some(probe) => probe,
                 None => {
--- a/programs/agent/src/source_probe.rs
+++ b/programs/agent/src/source_probe.rs
@@ -58,11 +58,11 @@
         let overdue_at = Instant::now() + wait + OVERDUE;
         loop {
             let is_overdue = Instant::now() >= overdue_at;
-            let progress = if is_overdue { PullProgress::Overdue } else { PullProgress::Ordinary };
+            let progress = if is_overdue { PullProgress::Overdue } else { PullProgress::OnTime };
             let Some(probe) = self.under_way_or_next(selector, sources, pulled_from, progress) else {
                 match progress {
                     PullProgress::Overdue => return pending().await,
-                    PullProgress::Ordinary => sleep_until(overdue_at).await,
+                    PullProgress::OnTime => sleep_until(overdue_at).await,
                 }
                 continue;
             };
