--- a/crates/discovery/src/admission_rates.rs
+++ b/crates/discovery/src/admission_rates.rs
@@ -29,7 +29,7 @@
     pub(crate) admitted: BTreeMap<String, u64>,
     /// The owner's share of each tenant's quota, as a fraction of the quota.
     pub(crate) quota_shares: BTreeMap<String, f64>,
-    /// When the report was made.
+    /// When the counters were read.
     pub(crate) taken_at: Timestamp,
 }
 
@@ -37,7 +37,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct AdmissionRates {
     latest: CounterSnapshot,
-    /// The earlier counters that the next rates are computed against, and the time of their report.
+    /// The earlier counters that the next rates are computed against, and when these were read.
     baseline: BTreeMap<String, u64>,
     baseline_at: Timestamp,
     /// Requests per second, by tenant.
--- a/crates/discovery/src/aggregator.rs
+++ b/crates/discovery/src/aggregator.rs
@@ -1,9 +1,9 @@
 //! Aggregation of proxy reports into the fleet summary, from which each process derives its share of fleet-wide limits.
 //!
-//! Each controller records the reports that reach it and forwards them to the leaseholder, which publishes the
-//! summary. A proxy that stops reporting is soon no longer listed as ready, but it still counts towards the quota
-//! divisor until its quota shares have shrunk to their floor: it may be cut off only from the control plane and still
-//! admit requests.
+//! Each controller records the reports that reach it; the leaseholder, to which the other controllers forward theirs,
+//! publishes the summary. A proxy that stops reporting is soon no longer listed as ready, but it still counts towards
+//! the quota divisor until its quota shares have shrunk to their floor: it may be cut off only from the control plane
+//! and still admit requests.
 
 use crate::admission_rates::{AdmissionRates, CounterSnapshot, sum_usage};
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/discovery/src/source_selector.rs
+++ b/crates/discovery/src/source_selector.rs
@@ -18,16 +18,18 @@
 /// How long a source may hold back the answer to a pull until it has an update.
 const PULL_WAIT: Duration = Duration::from_millis(300);
 
-/// The same for a lagging source, used if no better one is left. An update from it is unlikely, and the other lagging
-/// sources have to be tried soon.
+/// How long a lagging source may hold back the answer to a pull, if no better source is left. An update from it is
+/// unlikely, and the other lagging sources have to be tried soon.
 const LAGGING_PULL_WAIT: Duration = Duration::from_millis(100);
 
 /// A source whose attestation is older than this is lagging. When the lease passes to another leaseholder, all sources
 /// lag for about this long.
 const MAX_ATTESTATION_AGE: Duration = Duration::from_millis(2000);
 
-/// Duration of the first backoff of a source, and the limit up to which it doubles.
+/// Duration of the first backoff of a source.
 const INITIAL_BACKOFF: Duration = Duration::from_secs(3);
+
+/// Maximum duration of a backoff, which doubles each time that the source shows the same fault again.
 const MAX_BACKOFF: Duration = Duration::from_secs(12);
 
 /// Why a source is avoided.
--- a/crates/health/src/retry_budget.rs
+++ b/crates/health/src/retry_budget.rs
@@ -5,7 +5,7 @@
 
 /// Fraction of the policy's bound that is used. The rest covers rounding, differences between clocks, and windows that
 /// begin at other times.
-const UTILIZATION: f64 = 0.9 * 0.8;
+const LIMIT_UTILIZATION: f64 = 0.9 * 0.8;
 
 /// The limit on retries to a service, over all proxies.
 #[derive(Clone, Copy, Debug)]
@@ -22,7 +22,7 @@
     /// Returns the maximum number of tokens that one proxy may accumulate.
     fn max_tokens(&self) -> f64 {
         // A proxy whose part is below one retry accumulates tokens for a whole one.
-        (UTILIZATION * self.allowance / self.proxies).max(1.0)
+        (LIMIT_UTILIZATION * self.allowance / self.proxies).max(1.0)
     }
 }
 
@@ -45,7 +45,7 @@
 
     /// Adds the part of a token that one request earns.
     pub fn record_request(&mut self, policy: &RetryPolicy) {
-        let earned = UTILIZATION * policy.ratio;
+        let earned = LIMIT_UTILIZATION * policy.ratio;
         self.tokens = (self.tokens + earned).min(policy.max_tokens());
     }
 
--- a/crates/health/src/slow_start.rs
+++ b/crates/health/src/slow_start.rs
@@ -7,11 +7,11 @@
 use vanewharf_clock::Timestamp;
 
 /// Fraction of the policy's bound that is used. The rest covers rounding and differences between clocks.
-const UTILIZATION: f64 = 0.95;
+const LIMIT_UTILIZATION: f64 = 0.95;
 
-/// Maximum depth of a bucket, in attempts. With deeper buckets, a few proxies could send a backend the attempts of a
+/// Maximum depth of a bucket. With deeper buckets, a few proxies could send a backend the attempts of a
 /// whole second at once.
-const MAX_DEPTH: f64 = 2.0;
+const MAX_DEPTH_ATTEMPTS: f64 = 2.0;
 
 /// The limit on attempts at a backend that is warming up, over all proxies.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -39,10 +39,10 @@
     /// Computes the part of the limit that each proxy may use.
     pub fn per_proxy(policy: SlowStartPolicy) -> SlowStartLimit {
         let SlowStartPolicy { rate_per_s, overshoot, allowance, proxies } = policy;
-        let per_second = UTILIZATION * (rate_per_s * overshoot + allowance) / proxies;
+        let per_second = LIMIT_UTILIZATION * (rate_per_s * overshoot + allowance) / proxies;
         // A bucket less than one attempt deep would never pass any, so the rate only gets what exceeds one attempt.
         let rate = (rate_per_s / proxies).min((per_second - 1.0).max(0.0));
-        SlowStartLimit { rate_per_s: rate, depth: (per_second - rate).min(MAX_DEPTH) }
+        SlowStartLimit { rate_per_s: rate, depth: (per_second - rate).min(MAX_DEPTH_ATTEMPTS) }
     }
 }
 
--- a/crates/http1/src/tests.rs
+++ b/crates/http1/src/tests.rs
@@ -52,6 +52,7 @@
         assert_eq!((received, error), (expected, None), "in segments of {segment_size}");
     }
     let truncated = Some("the connection ended in mid-message".to_owned());
+    // The first 46 bytes end with the reply of status 204, which is complete.
     for length in (bytes.len() - 40..bytes.len()).filter(|&length| length != 46) {
         assert_eq!(
             decode_all(&bytes[..length], 7, ClientCodec::default()).1,
--- a/crates/maintenance/src/windows.rs
+++ b/crates/maintenance/src/windows.rs
@@ -2,9 +2,11 @@
 
 use jiff::Timestamp;
 
-/// How far ahead windows are computed, in days. The far horizon is used only if no window opens within the near one. A
-/// contract without a window within the far horizon, which is more than a year, is taken to have none.
+/// How far ahead windows are computed at first; most windows open within this time.
 const NEAR_HORIZON_DAYS: i64 = 8;
+
+/// How far ahead windows are computed if none opens within the near horizon. A contract without a window within this
+/// time, which is more than a year, is taken to have none.
 const FAR_HORIZON_DAYS: i64 = 400;
 
 /// Whether draining is allowed now, and when that changes.
--- a/crates/maintenance/tests/windows.rs
+++ b/crates/maintenance/tests/windows.rs
@@ -50,8 +50,8 @@
     assert_eq!(schedule.contracts["c"].window_state(at(now)), expected);
 }
 
-/// Checks every five minutes around a daylight saving transition. In the nights next to it, a window must not be open
-/// outside its hours by the wall clock; at other times it is open exactly within its hours.
+/// Checks every five minutes around a daylight saving transition. On the transition date and the day before, a window
+/// must not be open outside its hours by the wall clock; on other days it must be open exactly within its hours.
 #[parameterized(
     spring = { "2027-03-26T12:00:00Z", "2027-03-28" },
     autumn = { "2026-10-23T12:00:00Z", "2026-10-25" },
