--- a/programs/gateway/tests/discovery.rs
+++ b/programs/gateway/tests/discovery.rs
@@ -1,4 +1,4 @@
-//! How the program follows the list of backends, over loopback with stand-ins on its other sides.
+//! Tests of the gateway's discovery, over loopback with stand-ins for clients, backends and the discovery agent.
 
 mod support;
 
@@ -13,21 +13,21 @@
     let mut client = gateway.client();
     assert_eq!(gateway.agent.next_call(), "GET /v1/servers?index=4&wait=2000 HTTP/1.1");
     assert_eq!(client.request(&look_request()).body, b"old");
-    let give = |text: String| gateway.agent.lists.send(text).expect("the agent runs");
-    give(list(5, false, &[old.entry("DRAINING"), new.entry("SERVING")]));
+    let publish = |text: String| gateway.agent.lists.send(text).expect("the agent runs");
+    publish(list(5, false, &[old.entry("DRAINING"), new.entry("SERVING")]));
     assert_eq!(gateway.agent.next_call(), "GET /v1/servers?index=5&wait=2000 HTTP/1.1");
     assert_eq!(client.request(&look_request()).body, b"new");
-    // Odd, broken off, silent: each time the whole list is read.
+    // After an invalid list, a closed connection and a missing reply, the complete list is requested.
     for fault in ["{\"index\": \"six\"}", CLOSE, UNRESPONSIVE] {
-        give(fault.to_owned());
-        give(list(6, true, &[new.entry("SERVING")]));
+        publish(fault.to_owned());
+        publish(list(6, true, &[new.entry("SERVING")]));
         assert_eq!(gateway.agent.next_call(), "GET /v1/servers HTTP/1.1");
         assert_eq!(gateway.agent.next_call(), "GET /v1/servers?index=6&wait=2000 HTTP/1.1");
     }
     assert_eq!(client.request(&look_request()).body, b"new");
-    give(list(9, true, &[]));
+    publish(list(9, true, &[]));
     assert_eq!(gateway.agent.next_call(), "GET /v1/servers?index=9&wait=2000 HTTP/1.1");
-    assert_eq!(client.request(&look_request()).status(), 503, "an empty list leaves nobody to send to");
+    assert_eq!(client.request(&look_request()).status(), 503, "no backend is left");
 }
 
 #[test]
@@ -38,10 +38,14 @@
     assert_eq!(gateway.agent.next_call(), "GET /v1/servers?index=4&wait=2000 HTTP/1.1");
     let ((), took) = timed(|| {
         gateway.agent.lists.send(REFUSE.to_owned()).expect("the agent runs");
-        assert_eq!(gateway.agent.next_call(), "GET /v1/servers?index=4&wait=2000 HTTP/1.1", "no whole list");
+        assert_eq!(
+            gateway.agent.next_call(),
+            "GET /v1/servers?index=4&wait=2000 HTTP/1.1",
+            "not the complete list"
+        );
     });
-    assert!(took >= Duration::from_millis(400), "asked again after {took:?}");
-    assert_eq!(client.request(&look_request()).body, b"old", "the list it has stays in force");
+    assert!(took >= Duration::from_millis(400), "called again after {took:?}");
+    assert_eq!(client.request(&look_request()).body, b"old", "the current list stays in effect");
     gateway
         .agent
         .lists
@@ -57,37 +61,45 @@
         (Backend::new("a", vec![Reaction::Unresponsive]), Backend::new("b", vec![ok("", "new")]));
     let mut gateway = Gateway::start(&[&old]);
     let mut open = gateway.client();
-    open.send(&txn("POST", "book", "gold", 1500, "x"));
+    open.send(&request_text("POST", "book", "gold", 1500, "x"));
     old.next_request();
     gateway.reload(None);
     gateway.wait_for_log("what was read before stays in force");
     assert_eq!(gateway.agent.next_call(), "GET /v1/servers?index=4&wait=2000 HTTP/1.1");
     let agent = Agent::new();
     gateway.reload(Some(agent.address));
-    assert_eq!(agent.next_call(), "GET /v1/servers HTTP/1.1", "at once, though a call to the first is out");
+    assert_eq!(
+        agent.next_call(),
+        "GET /v1/servers HTTP/1.1",
+        "at once, although a call to the first agent is pending"
+    );
     agent.lists.send(list(7, true, &[new.entry("SERVING")])).expect("the agent runs");
     assert_eq!(agent.next_call(), "GET /v1/servers?index=7&wait=2000 HTTP/1.1");
     assert_eq!(gateway.client().request(&with_other_id(look_request())).body, b"new");
-    assert_eq!(open.read_answer().status(), 502, "what was open has its answer in its own time");
+    assert_eq!(open.read_answer().status(), 502, "the open request is answered by its own expiry");
     assert_eq!((gateway.counter("reloads"), gateway.counter("reload_failures")), (1, 1));
 }
 
 #[test]
-fn a_new_name_at_an_address_reuses_nothing_of_the_old() {
+fn a_new_backend_at_the_same_address_gets_new_connections() {
     let (first, other) =
         (Backend::new("a", vec![ok("", "seen")]), Backend::new("b", vec![Reaction::Unresponsive]));
     let gateway = Gateway::start(&[&first]);
     let mut client = gateway.client();
     assert_eq!(client.request(&look_request()).status(), 200);
     assert_eq!(gateway.agent.next_call(), "GET /v1/servers?index=4&wait=2000 HTTP/1.1");
-    let give = |text: String| gateway.agent.lists.send(text).expect("the agent runs");
+    let publish = |text: String| gateway.agent.lists.send(text).expect("the agent runs");
     let mut renamed = first.entry("SERVING");
     renamed["name"] = "c".into();
-    give(list(5, false, &[renamed]));
+    publish(list(5, false, &[renamed]));
     assert_eq!(gateway.agent.next_call(), "GET /v1/servers?index=5&wait=2000 HTTP/1.1");
-    // Told late, the old name's end must not touch the new one.
-    give(list(6, false, &[first.entry("DELETED"), other.entry("DRAINING")]));
+    // The late removal of the old name must not affect the new one.
+    publish(list(6, false, &[first.entry("DELETED"), other.entry("DRAINING")]));
     assert_eq!(gateway.agent.next_call(), "GET /v1/servers?index=6&wait=2000 HTTP/1.1");
     assert_eq!(client.request(&look_request()).status(), 200);
-    assert_eq!(first.connections.load(Ordering::SeqCst), 2, "a connection to the old name is not kept");
+    assert_eq!(
+        first.connections.load(Ordering::SeqCst),
+        2,
+        "the connection to the old backend is not reused"
+    );
 }
--- a/programs/gateway/tests/lifecycle.rs
+++ b/programs/gateway/tests/lifecycle.rs
@@ -1,4 +1,4 @@
-//! How the program starts and ends, over loopback with stand-ins on its other sides.
+//! Tests of the gateway's start and shutdown, over loopback with stand-ins for clients and backends.
 
 mod support;
 
@@ -13,13 +13,17 @@
     let mut gateway = Gateway::start(&[&backend]);
     let (mut idle, mut busy) = (gateway.client(), gateway.client());
     assert_eq!(idle.request(&look_request()).status(), 200);
-    busy.send(&txn("POST", "book", "gold", 1500, "x"));
+    busy.send(&request_text("POST", "book", "gold", 1500, "x"));
     backend.next_request();
     backend.next_request();
     gateway.signal("-TERM");
     gateway.wait_for_log("ending");
     let mut late = gateway.client();
-    assert_eq!(late.request(&with_other_id(look_request())).body, b"after", "clients still come for a while");
+    assert_eq!(
+        late.request(&with_other_id(look_request())).body,
+        b"after",
+        "clients are accepted for a while after SIGTERM"
+    );
     assert!(idle.is_closed_by_gateway());
     let answer = busy.read_answer();
     assert_eq!((answer.status(), answer.field("Connection")), (502, Some("close")));
@@ -33,14 +37,14 @@
 fn waits_longer_for_a_started_request_while_draining() {
     let backend = Backend::new("a", vec![ok("", "seen")]);
     let mut gateway = Gateway::start(&[&backend]);
-    let begun = book_request();
+    let request = book_request();
     let mut client = gateway.client();
-    client.send(&begun[..begun.len() - 1]);
+    client.send(&request[..request.len() - 1]);
     let ((), took) = timed(|| {
         gateway.signal("-TERM");
         assert!(client.is_closed_by_gateway());
     });
-    // Half a second of accepting and twice 200 ms; being late here can only add to it.
+    // 500 ms of accepting clients and twice 200 ms of waiting; a busy machine can only add to this.
     assert!(took >= Duration::from_millis(850), "{took:?}");
     assert!(gateway.wait_for_exit().success());
 }
@@ -54,7 +58,7 @@
     let (mut idle, mut client) = (gateway.client(), gateway.client());
     client.send(started);
     gateway.signal("-TERM");
-    assert!(idle.is_closed_by_gateway(), "draining has begun");
+    assert!(idle.is_closed_by_gateway(), "the gateway is draining");
     client.send(&format!("{rest}{}", with_other_id(look_request())));
     assert_eq!(client.read_answer().status(), 400);
     assert_eq!(client.read_answer().body, b"behind");
@@ -62,9 +66,9 @@
     assert!(gateway.wait_for_exit().success());
 }
 
-/// Without it the process would end when the request's own time is over, which may be after it is killed.
+/// The request would otherwise be answered at its own expiry, which may be after the process is killed.
 #[test]
-fn answers_what_is_open_shortly_before_it_is_killed() {
+fn answers_open_requests_shortly_before_it_is_killed() {
     let backend = Backend::new("a", vec![Reaction::Unresponsive]);
     let change = |config: &mut Value| {
         config["operator"] = "kill_after_s = 1.5".into();
@@ -72,13 +76,13 @@
     };
     let mut gateway = Gateway::with_config(&[&backend], 1024, 64, 1024, change);
     let mut client = gateway.client();
-    client.send(&txn("POST", "book", "gold", 50_000, "x"));
+    client.send(&request_text("POST", "book", "gold", 50_000, "x"));
     backend.next_request();
     let (answer, took) = timed(|| {
         gateway.signal("-TERM");
         client.read_answer()
     });
-    // 0.95 of the time; being late here can only add to it.
+    // 0.95 of the time until the kill; a busy machine can only add to this.
     assert!(took >= Duration::from_millis(1400), "{took:?}");
     assert_eq!(
         (answer.status(), answer.field("Connection")),
@@ -110,8 +114,8 @@
     ] {
         let (mut command, path): (Command, _) = program(config, 64);
         let output = command.output().expect("the program runs");
-        let said = String::from_utf8_lossy(&output.stderr);
-        assert!(said.contains(reason) && !said.contains("panicked"), "{said}");
+        let log = String::from_utf8_lossy(&output.stderr);
+        assert!(log.contains(reason) && !log.contains("panicked"), "{log}");
         assert_eq!(output.status.code(), Some(1));
         let _ = std::fs::remove_file(path);
     }
--- a/programs/gateway/tests/quota_counter.rs
+++ b/programs/gateway/tests/quota_counter.rs
@@ -1,6 +1,6 @@
-//! The program with a stand-in for the shared quota counter over loopback: one that answers, one that is always
-//! busy, and one that is unresponsive. Each request gets one final answer in time whatever the counter does, and a
-//! request that must run once only reaches the backend at most once.
+//! Tests of the gateway with a shared quota counter, over loopback with a stand-in that answers, is always busy or is
+//! unresponsive. Whatever the counter does, each request gets one final answer in time, and a request that must run at
+//! most once reaches the backend at most once.
 
 mod support;
 
@@ -21,16 +21,16 @@
     Unresponsive,
 }
 
-/// The calls it took, as (key, amount).
 struct CounterStandIn {
     address: SocketAddr,
+    /// The calls that it received, as (key, amount).
     calls: Receiver<(String, f64)>,
 }
 
 impl CounterStandIn {
     fn new(behavior: CounterBehavior) -> CounterStandIn {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
-        let address = listener.local_addr().expect("its address");
+        let address = listener.local_addr().expect("an address");
         let (call_sender, calls) = channel();
         thread::spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
@@ -43,18 +43,20 @@
                         bytes.extend_from_slice(&buffer[..read]);
                         while let Ok(Some((frame, used))) = decode(&bytes) {
                             bytes.drain(..used);
-                            let OwnedFrame::Array(words) = frame else { return };
-                            let word = |at: usize| match words.get(at) {
-                                Some(OwnedFrame::BulkString(word)) => {
-                                    String::from_utf8_lossy(word).into_owned()
+                            let OwnedFrame::Array(arguments) = frame else { return };
+                            let argument = |index: usize| match arguments.get(index) {
+                                Some(OwnedFrame::BulkString(text)) => {
+                                    String::from_utf8_lossy(text).into_owned()
                                 }
                                 _ => String::new(),
                             };
-                            assert_eq!(word(0), "ADDGET");
-                            let (key, amount) = (word(1), word(2).parse::<f64>().expect("a number"));
-                            assert!(word(3).parse::<u64>().is_ok_and(|life| (1..=60_000).contains(&life)));
+                            assert_eq!(argument(0), "ADDGET");
+                            let (key, amount) = (argument(1), argument(2).parse::<f64>().expect("a number"));
+                            assert!(
+                                argument(3).parse::<u64>().is_ok_and(|ttl_ms| (1..=60_000).contains(&ttl_ms))
+                            );
                             let _ = call_sender.send((key.clone(), amount));
-                            let answer = match behavior {
+                            let reply = match behavior {
                                 CounterBehavior::Answers => {
                                     let total = totals.entry(key).or_default();
                                     *total += amount;
@@ -64,7 +66,7 @@
                                 CounterBehavior::Busy => "-BUSY\r\n".to_owned(),
                                 CounterBehavior::Unresponsive => continue,
                             };
-                            if stream.write_all(answer.as_bytes()).is_err() {
+                            if stream.write_all(reply.as_bytes()).is_err() {
                                 return;
                             }
                         }
@@ -76,11 +78,11 @@
     }
 }
 
-/// A plan of 0.1 units a second and a burst of 2: the counter's window of 20 s holds 2 units. The customer
-/// comes through eight doors, so that a slice holds a quarter of a unit.
+/// A request on a plan of 0.1 units per second and a burst of 2, so that the counter's window of 20 s holds 2 units.
+/// The customer uses eight gateways, so that one gateway's quota share holds a quarter of a unit.
 fn basic_request(product: &str) -> String {
     let method = if product == "look" { "GET" } else { "POST" };
-    let text = txn(method, product, "basic", 3000, if method == "GET" { "" } else { "x" });
+    let text = request_text(method, product, "basic", 3000, if method == "GET" { "" } else { "x" });
     text.replace("spread=1,", "spread=8,")
 }
 
@@ -101,7 +103,7 @@
     assert_eq!(
         calls.len(),
         2,
-        "none for the third, as the second reply showed that the window is full: {calls:?}"
+        "the second reply showed that the window is full, so the third request needs no call: {calls:?}"
     );
     assert!(calls.iter().all(|(key, amount)| *key == calls[0].0 && *amount == 1.0), "{calls:?}");
     assert_eq!(gateway.counter("counter_totals"), 2);
@@ -120,15 +122,15 @@
             let (answer, took) = timed(|| client.request(&basic_request("book")));
             assert!([200, 429].contains(&answer.status()), "{answer:?}");
             sent += usize::from(answer.status() == 200);
-            // The counter's wait, and no more, is all a txn may lose to it.
+            // The counter delays a request by its timeout of 80 ms at most.
             assert!(took < Duration::from_millis(80 + 250), "{took:?}");
         }
         for _ in 0..sent {
             backend.next_request();
         }
-        assert!(backend.seen.recv_timeout(Duration::from_millis(200)).is_err(), "nothing is sent twice");
+        assert!(backend.seen.recv_timeout(Duration::from_millis(200)).is_err(), "no request is sent twice");
         assert!(counter.calls.try_iter().count() >= 1, "the counter was called");
         let failed = gateway.counter("counter_not_added") + gateway.counter("counter_unknown");
-        assert!(failed >= 1, "its failures are counted");
+        assert!(failed >= 1, "failed calls are counted");
     }
 }
--- a/programs/gateway/tests/support/agent.rs
+++ b/programs/gateway/tests/support/agent.rs
@@ -1,4 +1,4 @@
-//! A discovery agent whose lists a test chooses.
+//! A stand-in for the discovery agent, with lists from the test.
 
 use super::{Message, TEST_TIMEOUT};
 use serde_json::{Value, json};
@@ -7,7 +7,8 @@
 use std::sync::mpsc::{Receiver, Sender, channel};
 use std::thread;
 
-/// In place of a list: the agent closes its connection, waits until the gateway does, or refuses the call.
+/// Sent in place of a list, these make the agent close the connection, wait until the gateway closes it, or refuse the
+/// call.
 pub const CLOSE: &str = "close";
 pub const UNRESPONSIVE: &str = "silence";
 pub const REFUSE: &str = "away";
@@ -23,11 +24,11 @@
     pub fn new() -> Agent {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
         let address = listener.local_addr().expect("an address");
-        let (lists, given_lists) = channel::<String>();
+        let (lists, received_lists) = channel::<String>();
         let (call_sender, calls) = channel();
         thread::spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
-                Agent::serve(&stream, &given_lists, &call_sender);
+                Agent::serve(&stream, &received_lists, &call_sender);
             }
         });
         Agent { address, lists, calls }
@@ -35,14 +36,14 @@
 
     fn serve(
         mut stream: &TcpStream,
-        given_lists: &Receiver<String>,
+        received_lists: &Receiver<String>,
         call_sender: &Sender<String>,
     ) -> Option<()> {
         let mut reader = BufReader::new(stream);
         loop {
             let message = Message::read(&mut reader)?;
-            call_sender.send(message.first).ok()?;
-            let body = given_lists.recv().ok()?;
+            call_sender.send(message.start_line).ok()?;
+            let body = received_lists.recv().ok()?;
             match body.as_str() {
                 CLOSE => return None,
                 UNRESPONSIVE => return reader.read_to_end(&mut Vec::new()).ok().map(drop),
@@ -55,10 +56,10 @@
     }
 
     pub fn next_call(&self) -> String {
-        self.calls.recv_timeout(TEST_TIMEOUT).expect("discovery is called")
+        self.calls.recv_timeout(TEST_TIMEOUT).expect("a call to the discovery agent")
     }
 }
 
-pub fn list(index: u64, whole: bool, endpoints: &[Value]) -> String {
-    json!({"index": index, "snapshot": whole, "endpoints": endpoints}).to_string()
+pub fn list(index: u64, snapshot: bool, endpoints: &[Value]) -> String {
+    json!({"index": index, "snapshot": snapshot, "endpoints": endpoints}).to_string()
 }
--- a/programs/gateway/tests/support/backend.rs
+++ b/programs/gateway/tests/support/backend.rs
@@ -1,4 +1,4 @@
-//! A backend whose reactions a test chooses.
+//! A stand-in for a backend, with reactions to requests from the test.
 
 use super::{Message, TEST_TIMEOUT};
 use serde_json::{Value, json};
@@ -10,7 +10,6 @@
 use std::sync::{Arc, Mutex};
 use std::thread;
 
-/// A good reply.
 pub fn ok(fields: &str, body: &str) -> Reaction {
     Reaction::Reply(format!("HTTP/1.1 200 OK\r\n{fields}Content-Length: {}\r\n\r\n{body}", body.len()))
 }
@@ -19,31 +18,31 @@
     Reaction::Reply("HTTP/1.1 503 Full\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n".to_owned())
 }
 
-/// What a backend does with a request.
+/// A backend's reaction to a request.
 #[derive(Clone, Debug)]
 pub enum Reaction {
-    /// Writes this reply.
+    /// Writes this reply and keeps the connection open.
     Reply(String),
     /// Writes this reply and closes the connection.
     ReplyAndClose(String),
     /// Closes the connection.
     Close,
-    /// Writes nothing, and reports once the gateway has closed the connection.
+    /// Writes nothing, and reports [`Seen::Abandoned`] once the gateway closes the connection.
     Unresponsive,
 }
 
-/// What a backend saw.
+/// An event that a backend observed.
 #[derive(Debug, PartialEq)]
 pub enum Seen {
-    /// A request.
+    /// It received a request.
     Requested(Message),
     /// The gateway closed a connection with a request in flight.
     Abandoned,
-    /// The backend closed a connection.
+    /// The backend closed a connection after its reply.
     Closed,
 }
 
-/// A backend that performs its reactions in order, the last one again and again.
+/// A backend that performs its reactions in order and repeats the last one.
 pub struct Backend {
     pub name: String,
     pub address: SocketAddr,
@@ -74,7 +73,7 @@
         let mut writer = stream;
         loop {
             let message = Message::read(&mut reader)?;
-            // Before the reaction, so that a test that has the answer finds what led to it.
+            // Reported before the reaction, so that a test that has the answer finds its request here.
             events.send(Seen::Requested(message)).ok()?;
             let reaction = {
                 let mut reactions = reactions.lock().expect("no panic under the lock");
@@ -84,10 +83,10 @@
                 Reaction::Reply(text) => writer.write_all(text.as_bytes()).ok()?,
                 Reaction::ReplyAndClose(text) => {
                     writer.write_all(text.as_bytes()).ok()?;
-                    Backend::end(&writer)?;
+                    Backend::shut_down(&writer)?;
                     return events.send(Seen::Closed).ok();
                 }
-                Reaction::Close => return Backend::end(&writer),
+                Reaction::Close => return Backend::shut_down(&writer),
                 Reaction::Unresponsive => {
                     let _ = reader.read_to_end(&mut Vec::new());
                     return events.send(Seen::Abandoned).ok();
@@ -96,8 +95,9 @@
         }
     }
 
-    /// Shut down, not dropped: another test's process may hold a copy until it has started.
-    fn end(stream: &TcpStream) -> Option<()> {
+    /// Shuts the connection down. Dropping it is not enough: a process that another test is starting may hold a copy of
+    /// the descriptor until it executes its program.
+    fn shut_down(stream: &TcpStream) -> Option<()> {
         stream.shutdown(Shutdown::Both).ok()
     }
 
@@ -107,13 +107,13 @@
     }
 
     pub fn next_seen(&self) -> Seen {
-        self.seen.recv_timeout(TEST_TIMEOUT).expect("the backend sees something")
+        self.seen.recv_timeout(TEST_TIMEOUT).expect("an event at the backend")
     }
 
     pub fn next_request(&self) -> Message {
         match self.next_seen() {
             Seen::Requested(message) => message,
-            other => panic!("{other:?}"),
+            other => panic!("expected a request: {other:?}"),
         }
     }
 }
--- a/programs/gateway/tests/support/client.rs
+++ b/programs/gateway/tests/support/client.rs
@@ -1,4 +1,4 @@
-//! A client of the gateway and its requests.
+//! A client of the gateway, and the text of its requests.
 
 use super::{Message, TEST_TIMEOUT};
 use std::io::{BufReader, ErrorKind, Read, Write};
@@ -9,8 +9,8 @@
     reader: BufReader<TcpStream>,
 }
 
-/// A request of one unit, for a customer of one gateway.
-pub fn txn(method: &str, product: &str, plan: &str, left_ms: u32, body: &str) -> String {
+/// The text of a request that costs one unit, from a customer that uses one gateway only.
+pub fn request_text(method: &str, product: &str, plan: &str, left_ms: u32, body: &str) -> String {
     let length = if method == "GET" { String::new() } else { format!("Content-Length: {}\r\n", body.len()) };
     format!(
         "{method} /{product}?key=00000000b4d65521 HTTP/1.1\r\nHost: backend.local\r\n\
@@ -20,27 +20,27 @@
 }
 
 pub fn look_request() -> String {
-    txn("GET", "look", "gold", 3000, "")
+    request_text("GET", "look", "gold", 3000, "")
 }
 
 pub fn book_request() -> String {
-    txn("POST", "book", "gold", 3000, "two seats")
+    request_text("POST", "book", "gold", 3000, "two seats")
 }
 
-/// Under another id, for while the first is in flight.
-pub fn with_other_id(txn: String) -> String {
-    txn.replace("9b1f03aa5c7e2d41", "1c7e2d419b1f03aa")
+/// The same request with another id, which may be sent while the first is in flight.
+pub fn with_other_id(request: String) -> String {
+    request.replace("9b1f03aa5c7e2d41", "1c7e2d419b1f03aa")
 }
 
 impl Client {
     pub fn connect(address: SocketAddr) -> Client {
-        let stream = TcpStream::connect(address).expect("the gateway accepts");
-        stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("a time-out");
+        let stream = TcpStream::connect(address).expect("the gateway accepts the connection");
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("a read timeout");
         Client { reader: BufReader::new(stream) }
     }
 
     pub fn send(&mut self, text: &str) {
-        self.try_send(text).expect("the gateway reads");
+        self.try_send(text).expect("the gateway reads the request");
     }
 
     pub fn try_send(&mut self, text: &str) -> std::io::Result<()> {
@@ -60,8 +60,8 @@
     pub fn is_closed_by_gateway(&mut self) -> bool {
         let read = loop {
             match self.reader.read(&mut [0]) {
-                // A read with a time-out ends with EINTR where the process is stopped and continued: it says nothing of
-                // the connection.
+                // A read with a timeout fails with EINTR if the process is stopped and continued, whatever the state
+                // of the connection.
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
                 read => break read,
             }
--- a/programs/gateway/tests/support/gateway.rs
+++ b/programs/gateway/tests/support/gateway.rs
@@ -1,4 +1,4 @@
-//! The gateway's process.
+//! The gateway's process and its configuration files.
 
 use super::{Agent, Backend, Client, TEST_TIMEOUT};
 use serde_json::{Value, json};
@@ -14,7 +14,7 @@
     TcpListener::bind("127.0.0.1:0").and_then(|free| free.local_addr()).expect("a free port")
 }
 
-/// The program as a process; its files are removed when it ends.
+/// A running gateway; dropping it kills the process and removes its files.
 pub struct Gateway {
     child: Child,
     pub address: SocketAddr,
@@ -26,7 +26,7 @@
 
 static GATEWAYS: AtomicU32 = AtomicU32::new(0);
 
-/// The program with a descriptor limit, whatever its configuration permits.
+/// A command that runs the program with this limit on file descriptors, and the path of its configuration file.
 pub fn program(config: Option<&str>, descriptors: usize) -> (Command, PathBuf) {
     let number = GATEWAYS.fetch_add(1, Ordering::SeqCst);
     let path = std::env::temp_dir().join(format!("vanewharf-gateway-{}-{number}.json", std::process::id()));
@@ -39,19 +39,20 @@
         .stdout(Stdio::null())
         .stderr(Stdio::piped());
     if let Some(text) = config {
-        std::fs::write(&path, text).expect("a file of our own");
+        std::fs::write(&path, text).expect("a temporary file");
         command.env("ROUTER_CONFIG", &path);
     }
     (command, path)
 }
 
 impl Gateway {
-    /// `look` may run again, `book` must not; the plan `basic` lets two units through at once.
+    /// Requests for `look` may run more than once, those for `book` must not. The plan `basic` has a burst of two
+    /// units.
     pub fn start(backends: &[&Backend]) -> Gateway {
         Gateway::with_limits(backends, 1024, 64, 1024)
     }
 
-    /// With the shared quota counter at `counter`, 80 ms for a call, and eight gateways.
+    /// A gateway of a fleet of eight, with the shared quota counter at `counter` and a timeout of 80 ms for its calls.
     pub fn with_counter(backends: &[&Backend], counter: SocketAddr) -> Gateway {
         let change = |config: &mut Value| {
             config["counter"] = json!(counter.to_string());
@@ -99,31 +100,31 @@
             }
         });
         change(&mut config);
-        // Beside the platform's settings, not among them: the operator's file.
+        // The operator's file is separate from the platform's.
         let operator = config.as_object_mut().and_then(|fields| fields.remove("operator"));
-        // The port was free a moment ago; where another process has taken it since, the program says so and ends.
+        // Another process may have taken the port in the meantime; the program then logs this and exits.
         for _ in 0..5 {
             let (mut command, path) = program(Some(&config.to_string()), descriptors);
             if let Some(Value::String(text)) = &operator {
                 let file = path.with_extension("toml");
-                std::fs::write(&file, text).expect("a file of our own");
+                std::fs::write(&file, text).expect("a temporary file");
                 command.env("VANEWHARF_OPERATOR", &file);
             }
             let mut child = command.spawn().expect("the program starts");
             let (lines_sender, log) = channel();
-            let lines = BufReader::new(child.stderr.take().expect("its log")).lines();
+            let lines = BufReader::new(child.stderr.take().expect("standard error")).lines();
             thread::spawn(move || lines.map_while(Result::ok).try_for_each(|line| lines_sender.send(line)));
             if log.iter().any(|line| line.contains("serving")) {
                 return Gateway { child, address: free, agent, log, path, config };
             }
-            child.wait().expect("it has ended");
+            child.wait().expect("the process has exited");
             free = free_port();
             config["listen"] = json!(free.to_string());
         }
-        panic!("no port stays free");
+        panic!("no free port in five tries");
     }
 
-    /// Waits for a line of the log.
+    /// Waits for a log line that contains `text`.
     pub fn wait_for_log(&self, text: &str) -> String {
         loop {
             let line =
@@ -134,7 +135,7 @@
         }
     }
 
-    /// One of the counters, printed on request.
+    /// The value of a counter, which the gateway logs on SIGUSR1.
     pub fn counter(&self, name: &str) -> u64 {
         self.signal("-USR1");
         let line = self.wait_for_log("counters");
@@ -143,35 +144,36 @@
         count.unwrap_or_else(|| panic!("{name} is not counted: {line}"))
     }
 
-    /// Replaces the platform's file and signals so; without an address, by one that cannot be read.
+    /// Replaces the platform's file and sends SIGHUP. Without an address, the new file is invalid.
     pub fn reload(&mut self, discovery: Option<SocketAddr>) {
         let text = discovery.map_or("{".to_owned(), |address| {
             self.config["discovery"] = json!(address.to_string());
             self.config.to_string()
         });
-        std::fs::write(&self.path, text).expect("a file of our own");
+        std::fs::write(&self.path, text).expect("a temporary file");
         self.signal("-HUP");
     }
 
-    /// Closes the log's pipe at the next line.
+    /// Closes the log's pipe once the gateway has written another line.
     pub fn close_log(&mut self) {
         self.log = channel().1;
     }
 
-    /// Memory in use, in KiB.
-    pub fn memory(&self) -> u64 {
-        let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).expect("it runs");
-        let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:")).expect("a size");
+    /// The process's resident memory in KiB.
+    pub fn memory_kib(&self) -> u64 {
+        let status =
+            std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).expect("the process runs");
+        let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:")).expect("a VmRSS line");
         line.trim().trim_end_matches(" kB").parse().expect("a number")
     }
 
     pub fn signal(&self, name: &str) {
-        let done = Command::new("kill").args([name, &self.child.id().to_string()]).status();
-        assert!(done.expect("kill runs").success());
+        let status = Command::new("kill").args([name, &self.child.id().to_string()]).status();
+        assert!(status.expect("kill runs").success());
     }
 
     pub fn wait_for_exit(&mut self) -> ExitStatus {
-        self.child.wait().expect("it is our own child")
+        self.child.wait().expect("a child process")
     }
 
     pub fn client(&self) -> Client {
--- a/programs/gateway/tests/support/message.rs
+++ b/programs/gateway/tests/support/message.rs
@@ -1,11 +1,11 @@
-//! HTTP messages as a test reads them.
+//! A simple reader of HTTP messages.
 
 use std::io::BufRead;
 
-/// One message as it was received.
+/// A received message.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Message {
-    pub first: String,
+    pub start_line: String,
     pub fields: Vec<(String, String)>,
     pub body: Vec<u8>,
 }
@@ -17,17 +17,17 @@
     }
 
     pub fn status(&self) -> u16 {
-        self.first.split(' ').nth(1).and_then(|code| code.parse().ok()).unwrap_or_default()
+        self.start_line.split(' ').nth(1).and_then(|code| code.parse().ok()).unwrap_or_default()
     }
 
-    /// None where the connection ends first.
-    pub fn read(from: &mut impl BufRead) -> Option<Message> {
+    /// Reads a message; returns `None` if the connection ends first.
+    pub fn read(reader: &mut impl BufRead) -> Option<Message> {
         let mut line = || {
             let mut text = String::new();
-            let read = from.read_line(&mut text).ok()?;
+            let read = reader.read_line(&mut text).ok()?;
             (read > 0).then(|| text.trim_end().to_owned())
         };
-        let mut message = Message { first: line()?, ..Message::default() };
+        let mut message = Message { start_line: line()?, ..Message::default() };
         loop {
             let text = line()?;
             let Some((name, value)) = text.split_once(": ") else {
@@ -37,7 +37,7 @@
         }
         let length = message.field("Content-Length").and_then(|text| text.parse().ok()).unwrap_or(0);
         message.body = vec![0; length];
-        from.read_exact(&mut message.body).ok()?;
+        reader.read_exact(&mut message.body).ok()?;
         Some(message)
     }
 }
--- a/programs/gateway/tests/support/mod.rs
+++ b/programs/gateway/tests/support/mod.rs
@@ -1,5 +1,5 @@
-//! The program under test and small stand-ins for everything that it talks to.
-// Shared by several test files, each of which uses a part of it.
+//! The program under test, and stand-ins for its clients, backends and discovery agent.
+// Each test file uses only a part of this module.
 #![allow(dead_code)]
 
 mod agent;
@@ -16,12 +16,12 @@
 
 use std::time::{Duration, Instant};
 
-/// Longer than anything here takes; a test that waits so long has failed.
+/// Longer than any step of a test takes; a wait that reaches it fails the test.
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// The result of the work, and how long it took.
-pub fn timed<T>(work: impl FnOnce() -> T) -> (T, Duration) {
-    let begun = Instant::now();
-    let result = work();
-    (result, begun.elapsed())
+/// Runs a closure; returns its result and how long it took.
+pub fn timed<T>(run: impl FnOnce() -> T) -> (T, Duration) {
+    let started = Instant::now();
+    let result = run();
+    (result, started.elapsed())
 }
