--- a/programs/gateway/src/config.rs
+++ b/programs/gateway/src/config.rs
@@ -1,4 +1,4 @@
-//! All that a gateway starts from: both files, and what their settings mean.
+//! The gateway's startup configuration: the platform's file, the operator's file and their parsed settings.
 
 use crate::clock::Clock;
 use crate::operator_config::{OperatorConfig, OperatorConfigError};
@@ -17,50 +17,51 @@
     /// The platform's file cannot be used.
     #[error(transparent)]
     Platform(#[from] PlatformConfigError),
-    /// The operator's file, or the settings of both, cannot be used.
+    /// The operator's file, or the merged settings of both files, cannot be used.
     #[error(transparent)]
     Operator(#[from] OperatorConfigError),
-    /// A setting cannot be read.
+    /// A setting has the wrong type or cannot be parsed.
     #[error(transparent)]
     UnreadableOption(#[from] UnreadableOption),
 }
 
 /// The configuration of one gateway.
 pub struct GatewayConfig {
-    /// The platform's file; its settings are merged into `settings`.
+    /// The platform's file; its options have been moved into `settings`.
     pub platform: PlatformConfig,
     /// The operator's file.
     pub operator: OperatorConfig,
-    /// The settings of both files.
+    /// The merged settings of both files.
     pub settings: Settings,
 }
 
-/// What the settings mean.
+/// The settings of both files, parsed.
 pub struct Settings {
-    /// What the routing policy starts from.
+    /// The routing policy's configuration.
     pub balancer: BalancerConfig,
-    /// The names of plans and products.
+    /// The names of plans and products, and this gateway's locality.
     pub names: SettingNames,
     /// The timeouts of backend connections.
     pub timeouts: ConnectionTimeouts,
-    /// How often discovery must be called, where lists come only on request.
+    /// How often discovery must be called, if it sends lists on request only.
     pub discovery_poll_interval: Option<Ticks>,
-    /// What a request may state.
+    /// The bounds that request fields are validated against.
     pub bounds: RequestBounds,
-    /// How many messages of other gateways are accepted in a second.
+    /// The rate limit for messages from other gateways, in messages per second.
     pub peer_messages_per_s: f64,
 }
 
 impl GatewayConfig {
-    /// Reads and checks the platform's file and the operator's, if one is named. The policy starts at the clock's time.
+    /// Reads and validates the platform's file and, if a path is given, the operator's file. The policy starts at the
+    /// clock's current time.
     ///
     /// # Errors
     ///
-    /// Where a file cannot be read or a setting is refused.
+    /// If a file cannot be read or a setting is invalid.
     pub fn read(operator_path: Option<&Path>, clock: &Clock) -> Result<GatewayConfig, ConfigError> {
         let mut platform = PlatformConfig::read()?;
         let operator = OperatorConfig::read(operator_path)?;
-        let options = operator.complete(std::mem::take(&mut platform.options))?;
+        let options = operator.merge_options(std::mem::take(&mut platform.options))?;
         let settings = Settings::read(&options, platform.seed, clock.now())?;
         Ok(GatewayConfig { platform, operator, settings })
     }
--- a/programs/gateway/src/lib.rs
+++ b/programs/gateway/src/lib.rs
@@ -1,11 +1,12 @@
-//! The data plane on sockets: the stages that a request passes between its client and a backend.
+//! The data plane: the tasks that carry a request from its client to a backend and the answer back.
 //!
-//! - [`listener`] accepts clients; each client connection reads requests and writes answers;
-//! - [`router`] owns the routing policy, which alone decides;
-//! - backend connections make the attempts that the policy orders.
+//! - [`listener`] accepts clients, and one task for each client connection reads requests and writes answers;
+//! - [`router`] owns the routing policy, which makes all routing decisions;
+//! - one task for each backend connection makes the attempts that the policy decides on.
 //!
-//! `vanewharf-gateway` is made of these stages, and so is `vanewharf-proxy`. What differs between the two stands behind
-//! [`dialect::HttpDialect`] and [`router::RoutingPolicy`]. All stages run on one thread and share [`shared::Shared`].
+//! Both `vanewharf-gateway` and `vanewharf-proxy` are built from these tasks. The two programs differ in their
+//! implementations of [`dialect::HttpDialect`] and [`router::RoutingPolicy`]. All tasks run on one thread and share
+//! [`shared::Shared`].
 
 #![forbid(unsafe_code)]
 
--- a/programs/gateway/src/main.rs
+++ b/programs/gateway/src/main.rs
@@ -1,4 +1,4 @@
-//! The gateway's program: reads the command line, sets the log up and runs the server.
+//! The `vanewharf-gateway` program: parses the command line, initializes logging and runs the server.
 
 #![forbid(unsafe_code)]
 
@@ -11,17 +11,17 @@
 use vanewharf_gateway::config::{ConfigError, GatewayConfig};
 use vanewharf_gateway::server::{ServeError, Server, Signals};
 
-/// One front door; the platform's file is named by ROUTER_CONFIG.
+/// HTTP gateway; ROUTER_CONFIG names the platform's configuration file.
 #[derive(Parser)]
 #[command(version)]
 struct Arguments {
-    /// The operator's own file; without one the door is as the platform's file alone says.
+    /// The operator's configuration file; if omitted, only the platform's file applies.
     #[arg(long, env = "VANEWHARF_OPERATOR")]
     operator: Option<PathBuf>,
-    /// How the log is written to standard error.
+    /// Format of the log on standard error.
     #[arg(long, env = "VANEWHARF_LOG_FORMAT", value_enum, default_value = "text")]
     log_format: LogFormat,
-    /// Only tell whether a door would start by these files.
+    /// Check the configuration files and exit.
     #[arg(long)]
     check: bool,
 }
@@ -32,10 +32,10 @@
     Json,
 }
 
-/// Why the program ends with a failure.
+/// Why the program exits with a failure status.
 #[derive(Debug, Error)]
 enum RunError {
-    #[error("no runtime: {0}")]
+    #[error("cannot start the async runtime: {0}")]
     Runtime(#[source] std::io::Error),
     #[error(transparent)]
     Config(#[from] ConfigError),
@@ -60,7 +60,7 @@
     let log = tracing_subscriber::fmt()
         .with_max_level(level.unwrap_or(tracing::Level::INFO))
         .with_writer(std::io::stderr)
-        // Reports of a closed standard error would go to the same closed pipe, and panic.
+        // The logger would report a failed write to standard error on the same closed pipe and panic.
         .log_internal_errors(false);
     match format {
         LogFormat::Text => log.init(),
@@ -74,7 +74,7 @@
 }
 
 async fn serve(arguments: &Arguments) -> Result<(), RunError> {
-    // First, as a signal without a handler ends the process.
+    // Registered first, because a signal without a handler terminates the process.
     let signals = Signals::register()?;
     let clock = Clock::start();
     let config = GatewayConfig::read(arguments.operator.as_deref(), &clock)?;
@@ -84,7 +84,7 @@
             name,
             peers = balancer.peer_messages,
             counter = balancer.counter_timeout.is_some(),
-            "a door would start"
+            "the configuration is valid"
         );
         return Ok(());
     }
--- a/programs/gateway/src/operator_config.rs
+++ b/programs/gateway/src/operator_config.rs
@@ -1,5 +1,5 @@
-//! The operator's own file: settings that the platform's file does not state, and where the other gateways receive
-//! messages. It is read once, at the start.
+//! The operator's configuration file: settings that the platform's file lacks, and the addresses at which gateways
+//! receive messages from each other. It is read once, at startup.
 
 use serde::Deserialize;
 use serde_json::Value;
@@ -9,42 +9,42 @@
 use thiserror::Error;
 use vanewharf_gateway_settings::{InvalidSetting, Options, UnreadableOption};
 
-/// Why the operator's file, or the settings of both files together, cannot be used.
+/// Why the operator's file, or the merged settings of both files, cannot be used.
 #[derive(Debug, Error)]
 pub enum OperatorConfigError {
-    /// The file cannot be read, or is not in the expected form. The reason is one line, so that a log's reader finds the
-    /// key next to it.
+    /// The file cannot be read or parsed. The reason is a single line, so that the log shows it next to the key at
+    /// fault.
     #[error("cannot read {}: {reason}", path.display())]
     Unreadable {
         /// The file's path.
         path: PathBuf,
-        /// What the system or the parser reports.
+        /// The operating system's or the parser's error.
         reason: String,
     },
-    /// A setting is refused.
+    /// A setting is invalid.
     #[error(transparent)]
     InvalidSetting(#[from] InvalidSetting),
-    /// A setting cannot be read.
+    /// A setting has the wrong type or cannot be parsed.
     #[error(transparent)]
     UnreadableOption(#[from] UnreadableOption),
-    /// The time until a kill is out of range.
-    #[error("kill_after_s is refused: {seconds}; from {MIN_KILL_AFTER_S} to {MAX_KILL_AFTER_S} it may be")]
+    /// `kill_after_s` is out of range.
+    #[error("kill_after_s is refused: {seconds} is not between {MIN_KILL_AFTER_S} and {MAX_KILL_AFTER_S}")]
     KillAfter {
-        /// What the file states.
+        /// The value in the file.
         seconds: f64,
     },
-    /// Two gateways are listed at one address.
-    #[error("peers.doors is refused: an address stands there twice")]
+    /// `peers.doors` lists an address twice.
+    #[error("peers.doors is refused: it lists an address twice")]
     DuplicatePeer,
-    /// The list names another address for this gateway's number than it listens on.
-    #[error("peers.listen is refused: not the address of door {own_number} in peers.doors")]
+    /// `peers.doors` has another address for this gateway than `peers.listen`.
+    #[error("peers.listen is refused: it is not the address of gateway {own_number} in peers.doors")]
     OwnAddressMismatch {
-        /// This gateway's number.
+        /// This gateway's number, its index in `peers.doors`.
         own_number: usize,
     },
 }
 
-/// What the operator's file states.
+/// The contents of the operator's file.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct OperatorConfig {
@@ -52,14 +52,15 @@
     settings: Value,
     #[serde(default)]
     kill_after_s: Option<f64>,
-    /// How long after SIGTERM whoever stops the process kills it. What is open shortly before that is answered as it stands.
+    /// How long after SIGTERM the supervisor kills this process. Requests that are still open shortly before then are
+    /// answered with the outcome known so far.
     #[serde(skip, default = "default_kill_after")]
     pub kill_after: Duration,
-    /// Where the gateways exchange messages, if they do.
+    /// The addresses at which gateways exchange messages, if they do.
     pub peers: Option<PeerAddresses>,
 }
 
-/// Where nothing is stated: longer than any request of the users lasts, so that the process ends by itself in the end.
+/// Longer than any client request lasts, so that by default the process has ended by itself before it is killed.
 const DEFAULT_KILL_AFTER: Duration = Duration::from_secs(60);
 const MIN_KILL_AFTER_S: f64 = 1.0;
 const MAX_KILL_AFTER_S: f64 = 3600.0;
@@ -75,23 +76,23 @@
     }
 }
 
-/// Where gateways exchange messages. The file's key for the list keeps its old name.
+/// The addresses at which gateways exchange messages. The list keeps its original key in the file.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PeerAddresses {
-    /// Where this gateway receives messages.
+    /// The address at which this gateway receives messages.
     pub listen: SocketAddr,
-    /// Every gateway by its number, including this one.
+    /// The addresses of all gateways, including this one, indexed by gateway number.
     #[serde(rename = "doors")]
     pub gateways: Vec<SocketAddr>,
 }
 
 impl OperatorConfig {
-    /// Reads the file; nothing is set where none is named.
+    /// Reads the file; returns the defaults if `path` is `None`.
     ///
     /// # Errors
     ///
-    /// Where the file cannot be read, or a value is out of range.
+    /// If the file cannot be read or parsed, or a value is out of range.
     pub fn read(path: Option<&Path>) -> Result<OperatorConfig, OperatorConfigError> {
         let Some(path) = path else {
             return Ok(OperatorConfig::default());
@@ -99,20 +100,20 @@
         let text = std::fs::read_to_string(path).map_err(|error| unreadable(path, &error))?;
         let mut config: OperatorConfig = toml::from_str(&text).map_err(|error| unreadable(path, &error))?;
         if let Some(seconds) = config.kill_after_s {
-            config.kill_after = checked_kill_after(seconds)?;
+            config.kill_after = parse_kill_after(seconds)?;
         }
         Ok(config)
     }
 
-    /// The platform's settings together with those of this file, checked.
+    /// Merges the platform's options with those of this file and validates the result.
     ///
     /// # Errors
     ///
-    /// Where the files contradict each other or a setting is refused.
-    pub fn complete(&self, platform: Options) -> Result<Options, OperatorConfigError> {
+    /// If the files contradict each other or a setting is invalid.
+    pub fn merge_options(&self, platform: Options) -> Result<Options, OperatorConfigError> {
         let options = platform.merged_with(Options::nested(&self.settings))?;
-        let addresses = self.peers.as_ref().map(|peers| peers.gateways.len());
-        vanewharf_gateway_settings::check(&options, addresses)?;
+        let peer_count = self.peers.as_ref().map(|peers| peers.gateways.len());
+        vanewharf_gateway_settings::check(&options, peer_count)?;
         if let Some(peers) = &self.peers {
             peers.check(options.required("me"))?;
         }
@@ -120,7 +121,7 @@
     }
 }
 
-fn checked_kill_after(seconds: f64) -> Result<Duration, OperatorConfigError> {
+fn parse_kill_after(seconds: f64) -> Result<Duration, OperatorConfigError> {
     let in_range = (MIN_KILL_AFTER_S..=MAX_KILL_AFTER_S).contains(&seconds);
     in_range.then(|| Duration::from_secs_f64(seconds)).ok_or(OperatorConfigError::KillAfter { seconds })
 }
--- a/programs/gateway/src/platform_config.rs
+++ b/programs/gateway/src/platform_config.rs
@@ -1,5 +1,5 @@
-//! The platform's own file, which names this gateway, its addresses and limits, and the settings. It is read at the start
-//! and at each reload; a reload changes the discovery agent's address only.
+//! The platform's configuration file: this gateway's name, addresses, limits and settings. It is read at startup and at
+//! each reload; a reload applies only the discovery agent's address.
 
 use crate::discovery::PublishedList;
 use serde::Deserialize;
@@ -8,13 +8,13 @@
 use thiserror::Error;
 use vanewharf_gateway_settings::Options;
 
-/// The environment variable that names the file.
-const PATH_VARIABLE: &str = "ROUTER_CONFIG";
+/// The environment variable that holds the file's path.
+const CONFIG_PATH_VARIABLE: &str = "ROUTER_CONFIG";
 
 /// Why the platform's file cannot be used.
 #[derive(Debug, Error)]
 pub enum PlatformConfigError {
-    /// No file is named.
+    /// `ROUTER_CONFIG` is not set.
     #[error("ROUTER_CONFIG is not set")]
     NotNamed,
     /// The file cannot be read.
@@ -22,28 +22,28 @@
     Unreadable {
         /// The file's path.
         path: String,
-        /// What the system reports.
+        /// The operating system's error.
         #[source]
         error: std::io::Error,
     },
-    /// The file is not in the expected form.
+    /// The file's JSON cannot be parsed.
     #[error("cannot read {path}: {error}")]
     Malformed {
         /// The file's path.
         path: String,
-        /// What does not fit.
+        /// The parser's error.
         #[source]
         error: serde_json::Error,
     },
-    /// The seed is no hexadecimal number.
-    #[error("seed is not hex: '{seed}'")]
+    /// The seed is not a hexadecimal number.
+    #[error("seed is not a hexadecimal number: '{seed}'")]
     InvalidSeed {
-        /// The seed as it stands in the file.
+        /// The value in the file.
         seed: String,
     },
 }
 
-/// The file's form.
+/// The file's JSON document.
 #[derive(Deserialize)]
 struct PlatformFile {
     name: String,
@@ -57,52 +57,61 @@
     settings: Value,
 }
 
-/// What the process may use of its machine.
+/// The limits on the process's use of its machine.
 #[derive(Deserialize)]
 pub struct MachineLimits {
     /// Memory, in MiB.
     pub memory_mb: usize,
-    /// Descriptors of any kind.
+    /// File descriptors of any kind.
     pub sockets: usize,
 }
 
-/// What the platform's file states.
+/// The contents of the platform's file.
 pub struct PlatformConfig {
     /// The gateway's name in the log.
     pub name: String,
-    /// Where it listens for clients.
+    /// The address on which it accepts clients.
     pub listen: SocketAddr,
-    /// Where the discovery agent listens.
+    /// The discovery agent's address.
     pub discovery: SocketAddr,
-    /// The seed of all random choices.
+    /// The seed of all random number generators.
     pub seed: u64,
-    /// What the process may use.
+    /// The limits on memory and sockets.
     pub limits: MachineLimits,
-    /// The backends known so far.
-    pub known: PublishedList,
-    /// The shared quota counter, where there is one.
+    /// The backends to start with.
+    pub initial_backends: PublishedList,
+    /// The address of the shared quota counter, if there is one.
     pub counter: Option<SocketAddr>,
-    /// The settings.
+    /// The settings, not yet parsed.
     pub options: Options,
 }
 
 impl PlatformConfig {
-    /// Reads the file that the environment names.
+    /// Reads the file that `ROUTER_CONFIG` names.
     ///
     /// # Errors
     ///
-    /// Where no file is named, or it cannot be read.
+    /// If `ROUTER_CONFIG` is not set, or the file cannot be read or parsed.
     pub fn read() -> Result<PlatformConfig, PlatformConfigError> {
-        let path = std::env::var(PATH_VARIABLE).map_err(|_| PlatformConfigError::NotNamed)?;
-        let text = match std::fs::read(&path) {
-            Ok(text) => text,
+        let path = std::env::var(CONFIG_PATH_VARIABLE).map_err(|_| PlatformConfigError::NotNamed)?;
+        let bytes = match std::fs::read(&path) {
+            Ok(bytes) => bytes,
             Err(error) => return Err(PlatformConfigError::Unreadable { path, error }),
         };
         let file: PlatformFile =
-            serde_json::from_slice(&text).map_err(|error| PlatformConfigError::Malformed { path, error })?;
+            serde_json::from_slice(&bytes).map_err(|error| PlatformConfigError::Malformed { path, error })?;
         let PlatformFile { name, listen, discovery, seed, limits, known, counter, settings } = file;
         let seed = u64::from_str_radix(&seed, 16).map_err(|_| PlatformConfigError::InvalidSeed { seed })?;
         let options = Options::nested(&settings);
-        Ok(PlatformConfig { name, listen, discovery, seed, limits, known, counter, options })
+        Ok(PlatformConfig {
+            name,
+            listen,
+            discovery,
+            seed,
+            limits,
+            initial_backends: known,
+            counter,
+            options,
+        })
     }
 }
--- a/programs/gateway/src/server.rs
+++ b/programs/gateway/src/server.rs
@@ -1,4 +1,4 @@
-//! Starts the stages of the gateway, reacts to signals while they run, and ends them in order.
+//! Starts the gateway's tasks, handles signals while they run, and shuts them down in order.
 
 use crate::clock::Clock;
 use crate::config::{GatewayConfig, Settings};
@@ -26,91 +26,93 @@
 use vanewharf_policy::decide::Balancer;
 use vanewharf_policy::interface::{GatewayId, Ticks};
 
-/// New clients keep coming for a while after the balancer in front was notified that this gateway ends.
-const ACCEPT_WHILE_ENDING: Duration = Duration::from_millis(500);
-/// How many clients the system queues until they are accepted.
-const BACKLOG: u32 = 1024;
+/// How long clients are accepted after SIGTERM. The load balancer in front keeps sending new ones for a while after
+/// it was notified of the shutdown.
+const ACCEPT_DURING_SHUTDOWN: Duration = Duration::from_millis(500);
+/// Length of the operating system's queue of connections that are not yet accepted.
+const LISTEN_BACKLOG: u32 = 1024;
 
 /// Why the gateway cannot serve.
 #[derive(Debug, Error)]
 pub enum ServeError {
-    /// Signals cannot be received.
-    #[error("no signals: {0}")]
+    /// The signal handlers cannot be registered.
+    #[error("cannot register signal handlers: {0}")]
     Signals(#[source] std::io::Error),
-    /// The address for clients cannot be listened on.
+    /// The listening socket for clients cannot be opened.
     #[error("cannot listen on {address}: {error}")]
     Listen {
         /// The address.
         address: SocketAddr,
-        /// What the system reports.
+        /// The operating system's error.
         #[source]
         error: std::io::Error,
     },
-    /// The address for messages of other gateways cannot be bound.
-    #[error("cannot hear at {address}: {error}")]
+    /// The socket for messages from other gateways cannot be bound.
+    #[error("cannot receive peer messages on {address}: {error}")]
     BindPeers {
         /// The address.
         address: SocketAddr,
-        /// What the system reports.
+        /// The operating system's error.
         #[source]
         error: std::io::Error,
     },
-    /// The router ended: requests would wait for ever.
-    #[error("route ended: {0:?}")]
+    /// The router task ended; requests would wait forever.
+    #[error("the router task ended: {0:?}")]
     RouterEnded(Result<(), JoinError>),
-    /// Discovery ended: the list of backends would never change again.
-    #[error("discovery ended: {0:?}")]
+    /// The discovery task ended; the list of backends would never change again.
+    #[error("the discovery task ended: {0:?}")]
     DiscoveryEnded(Result<(), JoinError>),
 }
 
-/// The signals that operators send.
+/// The signals that the gateway handles.
 pub struct Signals {
-    /// SIGHUP: the platform's file is read again.
+    /// SIGHUP: reload the platform's file.
     reload: Signal,
-    /// SIGTERM: the gateway ends.
+    /// SIGTERM: shut down.
     terminate: Signal,
-    /// SIGUSR1: the counters are logged.
-    print: Signal,
+    /// SIGUSR1: log the counters.
+    log_counters: Signal,
 }
 
 impl Signals {
-    /// Registers the handlers. Until then, each of these signals ends the process.
+    /// Registers the handlers. Before this, each of these signals terminates the process.
     ///
     /// # Errors
     ///
-    /// Where the system refuses.
+    /// If the operating system refuses to register a handler.
     pub fn register() -> Result<Signals, ServeError> {
         let register = |kind| signal(kind).map_err(ServeError::Signals);
         Ok(Signals {
             reload: register(SignalKind::hangup())?,
             terminate: register(SignalKind::terminate())?,
-            print: register(SignalKind::user_defined1())?,
+            log_counters: register(SignalKind::user_defined1())?,
         })
     }
 }
 
-/// A gateway whose stages run.
+/// A running gateway.
 pub struct Server {
     shared: Rc<Shared>,
     router: JoinHandle<()>,
     discovery: JoinHandle<()>,
-    accepting: JoinHandle<()>,
+    listener: JoinHandle<()>,
     stop_accepting: Rc<Notify>,
-    /// Takes the discovery agent's address after a reload.
-    agent: watch::Sender<SocketAddr>,
-    /// How long after SIGTERM the process is killed.
+    /// Sends the discovery agent's address to the discovery task after a reload.
+    agent_address: watch::Sender<SocketAddr>,
+    /// How long after SIGTERM the supervisor kills the process.
     kill_after: Duration,
 }
 
 impl Server {
-    /// Starts all stages on the current thread's runtime.
+    /// Starts all tasks on the current thread's runtime.
     ///
     /// # Errors
     ///
-    /// Where an address cannot be listened on.
+    /// If a socket cannot be bound.
     pub async fn start(config: GatewayConfig, clock: Clock) -> Result<Server, ServeError> {
         let GatewayConfig { platform, operator, settings } = config;
-        let PlatformConfig { name, listen, discovery, seed, limits, known, counter, .. } = platform;
+        let PlatformConfig { name, listen, discovery, seed, limits, initial_backends, counter, .. } =
+            platform;
         let Settings { mut balancer, names, timeouts, discovery_poll_interval, bounds, peer_messages_per_s } =
             settings;
         let resources = Rc::new(Resources::new(ResourceLimits::within(limits.sockets, limits.memory_mb)));
@@ -120,10 +122,11 @@
         let shared = Rc::new(Shared::new(clock, resources, dialect, timeouts, router_messages));
         let listener = listen_on(listen).map_err(|error| ServeError::Listen { address: listen, error })?;
 
-        let (agent, agent_changes) = watch::channel(discovery);
+        let (agent_address, agent_changes) = watch::channel(discovery);
         let pacing = DiscoveryPacing::new(discovery_poll_interval, seed);
-        let (discovery, known) = Discovery::start(agent_changes, Rc::clone(&shared), locality, known, pacing);
-        // The policy calls the counter only where the settings permit it and the platform names one.
+        let (discovery, initial_update) =
+            Discovery::start(agent_changes, Rc::clone(&shared), locality, initial_backends, pacing);
+        // The policy calls the quota counter only if the settings allow it and the platform's file names one.
         balancer.counter_timeout = balancer.counter_timeout.filter(|_| counter.is_some());
         let quota_calls = counter
             .zip(balancer.counter_timeout)
@@ -136,31 +139,32 @@
         };
         let idempotency = balancer.products.iter().map(|product| product.idempotency).collect();
         let policy = PlatformPolicy { balancer: Balancer::new(balancer), idempotency };
-        let router = Router::new(Rc::clone(&shared), policy, known, quota_calls, peers);
+        let router = Router::new(Rc::clone(&shared), policy, initial_update, quota_calls, peers);
 
-        // This policy gets no updates: their queue is closed from the beginning.
+        // The platform policy has no updates, so their queue is closed from the start.
         let (_, no_updates) = mpsc::unbounded_channel();
         let router = spawn_local(router.run(received_messages, no_updates));
         let discovery = spawn_local(discovery.run());
         let stop_accepting = Rc::new(Notify::new());
-        let accepting = spawn_local(accept_clients(listener, Rc::clone(&shared), Rc::clone(&stop_accepting)));
+        let listener = spawn_local(accept_clients(listener, Rc::clone(&shared), Rc::clone(&stop_accepting)));
         tracing::info!(name, %listen, "serving");
         let kill_after = operator.kill_after;
-        Ok(Server { shared, router, discovery, accepting, stop_accepting, agent, kill_after })
+        Ok(Server { shared, router, discovery, listener, stop_accepting, agent_address, kill_after })
     }
 
-    /// Serves until SIGTERM, and then until the last client is answered, or until shortly before the process is killed.
+    /// Serves until SIGTERM, and then until the last client is answered or shortly before the supervisor kills the
+    /// process.
     ///
     /// # Errors
     ///
-    /// Where a stage that must not end has ended.
+    /// If the router or the discovery task ends.
     pub async fn run(mut self, mut signals: Signals) -> Result<(), ServeError> {
         loop {
-            // Cancel safe: signals stay queued until they are received, and the tasks' handles are polled by reference.
+            // Cancel safe: signals stay queued until they are received, and the join handles are polled by reference.
             tokio::select! {
                 _ = signals.terminate.recv() => break,
                 _ = signals.reload.recv() => self.reload(),
-                _ = signals.print.recv() => self.log_counters(),
+                _ = signals.log_counters.recv() => self.log_counters(),
                 ended = &mut self.router => return Err(ServeError::RouterEnded(ended)),
                 ended = &mut self.discovery => return Err(ServeError::DiscoveryEnded(ended)),
             }
@@ -169,19 +173,22 @@
         Ok(())
     }
 
-    /// Reads the platform's file again and applies the discovery agent's address.
+    /// Reloads the platform's file and applies the discovery agent's address.
     fn reload(&self) {
         let resources = &self.shared.resources;
         match PlatformConfig::read() {
             Ok(config) => {
                 resources.count(Counter::Reloads);
-                tracing::info!(discovery = %config.discovery, "read anew");
-                self.agent.send_replace(config.discovery);
+                tracing::info!(discovery = %config.discovery, "reloaded the platform's configuration file");
+                self.agent_address.send_replace(config.discovery);
             }
             Err(error) => {
                 resources.count(Counter::ReloadFailures);
                 let reason = error.to_string();
-                tracing::warn!(reason, "what was read before stays in force");
+                tracing::warn!(
+                    reason,
+                    "cannot reload the platform's configuration file; the previous configuration stays in effect"
+                );
             }
         }
     }
@@ -190,13 +197,13 @@
         tracing::info!("counters {}", self.shared.resources);
     }
 
-    /// Accepts clients for a while longer, then waits until all clients are answered.
+    /// Accepts clients for [`ACCEPT_DURING_SHUTDOWN`], then waits until all clients are answered.
     async fn shut_down(&mut self) {
         tracing::info!("ending");
         let deadlines = DrainDeadlines::within(Instant::now(), self.kill_after);
-        tokio::time::sleep(ACCEPT_WHILE_ENDING).await;
+        tokio::time::sleep(ACCEPT_DURING_SHUTDOWN).await;
         self.stop_accepting.notify_one();
-        let _ = (&mut self.accepting).await;
+        let _ = (&mut self.listener).await;
         self.shared.resources.begin_drain();
         answer_clients(&self.shared, deadlines).await;
         self.log_counters();
@@ -207,7 +214,7 @@
     let socket = if address.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() }?;
     socket.set_reuseaddr(true)?;
     socket.bind(address)?;
-    socket.listen(BACKLOG)
+    socket.listen(LISTEN_BACKLOG)
 }
 
 fn spawn_quota_counter(
--- a/programs/gateway/tests/command_line.rs
+++ b/programs/gateway/tests/command_line.rs
@@ -1,4 +1,5 @@
-//! The program as a user starts it: what it prints and refuses, byte for byte but for its name, paths and the time.
+//! The program's command line: its output and error messages, compared exactly except for program name, paths and
+//! timestamps.
 
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
@@ -10,45 +11,45 @@
     "settings": {"balancers": 2, "classes": [{"name": "look", "aim": 400.0, "gain": 1.0,
     "idempotency": "retryable", "hard_limit": 3000}], "family_info": {"most_units": 8},
     "tiers_of_service": [{"name": "basic", "rate": 1.0, "store_size": 2.0}]}}"#;
-const HELP: &str = "One front door; the platform's file is named by ROUTER_CONFIG
+const HELP: &str = "HTTP gateway; ROUTER_CONFIG names the platform's configuration file
 
 Usage: <program> [OPTIONS]
 
 Options:
-      --operator <OPERATOR>      The operator's own file; without one the door is as the platform's file alone says [env: VANEWHARF_OPERATOR=]
-      --log-format <LOG_FORMAT>  How the log is written to standard error [env: VANEWHARF_LOG_FORMAT=] [default: text] [possible values: text, json]
-      --check                    Only tell whether a door would start by these files
+      --operator <OPERATOR>      The operator's configuration file; if omitted, only the platform's file applies [env: VANEWHARF_OPERATOR=]
+      --log-format <LOG_FORMAT>  Format of the log on standard error [env: VANEWHARF_LOG_FORMAT=] [default: text] [possible values: text, json]
+      --check                    Check the configuration files and exit
   -h, --help                     Print help
   -V, --version                  Print version
 ";
 
-/// With this file in place of the platform's, where one is given.
-fn run(words: &[&str], platform: Option<&Path>) -> Output {
+/// Runs the program with these arguments and, if given, this platform file.
+fn run(arguments: &[&str], platform: Option<&Path>) -> Output {
     let mut command = Command::new(PROGRAM);
     for name in ["ROUTER_CONFIG", "VANEWHARF_OPERATOR", "VANEWHARF_LOG_FORMAT", "VANEWHARF_LOG"] {
         command.env_remove(name);
     }
     command.envs(platform.map(|path| ("ROUTER_CONFIG", path)));
-    command.args(words).output().expect("the program runs")
+    command.args(arguments).output().expect("the program runs")
 }
 
-fn file(name: &str, text: &str) -> PathBuf {
+fn write_file(name: &str, text: &str) -> PathBuf {
     let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
-    std::fs::write(&path, text).expect("a file of our own");
+    std::fs::write(&path, text).expect("a file in the test's directory");
     path
 }
 
-/// With the program's name replaced.
-fn printed(output: &Output) -> String {
-    let name = Path::new(PROGRAM).file_name().and_then(|name| name.to_str()).expect("a name");
-    String::from_utf8(output.stdout.clone()).expect("text").replace(name, "<program>")
+/// Standard output with the program's name replaced.
+fn normalized_stdout(output: &Output) -> String {
+    let name = Path::new(PROGRAM).file_name().and_then(|name| name.to_str()).expect("a file name");
+    String::from_utf8(output.stdout.clone()).expect("UTF-8").replace(name, "<program>")
 }
 
-/// The only line of the log: its level and its words, without the time and the module.
+/// The level and message of the only log line, without its timestamp and module.
 fn logged(output: &Output) -> (String, String) {
-    let text = String::from_utf8(output.stderr.clone()).expect("text");
+    let text = String::from_utf8(output.stderr.clone()).expect("UTF-8");
     assert_eq!(text.lines().count(), 1, "{text}");
-    let mut words = text.trim_end().split_once("Z ").expect("a time first").1.trim_start().splitn(3, ' ');
+    let mut words = text.trim_end().split_once("Z ").expect("a timestamp").1.trim_start().splitn(3, ' ');
     let mut word = || words.next().expect("a level, a module and a message").to_owned();
     let (level, module, message) = (word(), word(), word());
     assert!(module.ends_with(':'), "{text}");
@@ -57,34 +58,34 @@
 
 #[test]
 fn help_and_version() {
-    assert_eq!(printed(&run(&["--help"], None)), HELP);
+    assert_eq!(normalized_stdout(&run(&["--help"], None)), HELP);
     let version = format!("<program> {}\n", env!("CARGO_PKG_VERSION"));
-    assert_eq!(printed(&run(&["--version"], None)), version);
+    assert_eq!(normalized_stdout(&run(&["--version"], None)), version);
     assert_eq!(run(&["--unknown"], None).status.code(), Some(2));
 }
 
 #[test]
 fn check() {
-    let path = file("door-valid.json", VALID);
+    let path = write_file("door-valid.json", VALID);
     let output = run(&["--check"], Some(&path));
-    assert_eq!((printed(&output).as_str(), output.status.code()), ("", Some(0)));
-    let told = "a door would start name=\"n0\" peers=false counter=false";
-    assert_eq!(logged(&output), ("INFO".to_owned(), told.to_owned()));
+    assert_eq!((normalized_stdout(&output).as_str(), output.status.code()), ("", Some(0)));
+    let message = "the configuration is valid name=\"n0\" peers=false counter=false";
+    assert_eq!(logged(&output), ("INFO".to_owned(), message.to_owned()));
 }
 
 #[test]
 fn refusals() {
-    let refused = |platform: Option<&Path>, why: &str| {
+    let refused = |platform: Option<&Path>, reason: &str| {
         let output = run(&["--check"], platform);
-        assert_eq!((printed(&output).as_str(), output.status.code()), ("", Some(1)));
-        assert_eq!(logged(&output), ("ERROR".to_owned(), format!("cannot serve: {why}")));
+        assert_eq!((normalized_stdout(&output).as_str(), output.status.code()), ("", Some(1)));
+        assert_eq!(logged(&output), ("ERROR".to_owned(), format!("cannot serve: {reason}")));
     };
     refused(None, "ROUTER_CONFIG is not set");
     let absent = "cannot read /nowhere/at-all.json: No such file or directory (os error 2)";
     refused(Some(Path::new("/nowhere/at-all.json")), absent);
-    let path = file("door-seed.json", &VALID.replace("8c1f", "seed"));
-    refused(Some(&path), "seed is not hex: 'seed'");
-    let path = file("door-text.json", "{");
-    let why = format!("cannot read {}: EOF while parsing an object at line 1 column 1", path.display());
-    refused(Some(&path), &why);
+    let path = write_file("door-seed.json", &VALID.replace("8c1f", "seed"));
+    refused(Some(&path), "seed is not a hexadecimal number: 'seed'");
+    let path = write_file("door-text.json", "{");
+    let reason = format!("cannot read {}: EOF while parsing an object at line 1 column 1", path.display());
+    refused(Some(&path), &reason);
 }
--- a/programs/gateway/tests/discovery.rs
+++ b/programs/gateway/tests/discovery.rs
@@ -64,7 +64,9 @@
     open.send(&request_text("POST", "book", "gold", 1500, "x"));
     old.next_request();
     gateway.reload(None);
-    gateway.wait_for_log("what was read before stays in force");
+    gateway.wait_for_log(
+        "cannot reload the platform's configuration file; the previous configuration stays in effect",
+    );
     assert_eq!(gateway.agent.next_call(), "GET /v1/servers?index=4&wait=2000 HTTP/1.1");
     let agent = Agent::new();
     gateway.reload(Some(agent.address));
