--- a/programs/gateway/src/answer.rs
+++ b/programs/gateway/src/answer.rs
@@ -1,4 +1,4 @@
-//! The one final answer of a request, and how it is written to the client.
+//! The final answer to a request, and writing it to the client.
 
 use crate::dialect::ForwardingOptions;
 use futures_util::SinkExt;
@@ -8,24 +8,24 @@
 use vanewharf_http1::{ForwardedReply, PlainReply, Reply, ServerCodec};
 use vanewharf_policy::interface::Ticks;
 
-/// A client that accepts no bytes for so long is disconnected.
+/// How long writing one answer may take before the client is disconnected.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
 
-const NOT_ACCEPTED: &str = "not taken on now; trying again is harmless\n";
+const NOT_ACCEPTED_BODY: &str = "not taken on now; trying again is harmless\n";
 
-/// What a client is answered.
+/// The final answer to a request.
 #[derive(Debug)]
 pub enum FinalAnswer {
     /// A backend's reply.
     Forwarded(Reply),
-    /// The policy declined the request and nothing has run.
+    /// The policy declined the request; it has not run.
     Declined {
-        /// Where a quota was exceeded: when the client may come back. None where capacity was short.
+        /// If a quota was exceeded, when the client may retry; `None` if capacity was short.
         retry_after: Option<Ticks>,
     },
-    /// The request cannot be served now and nothing has run.
+    /// The request cannot be served now; it has not run.
     Busy {
-        /// When the client may come back.
+        /// When the client may retry.
         retry_after: Ticks,
     },
     /// The request is invalid; it was rejected before any routing decision.
@@ -40,14 +40,14 @@
 }
 
 impl FinalAnswer {
-    /// The memory that the answer takes, in bytes.
+    /// The memory used by the answer, in bytes.
     pub fn memory_bytes(&self) -> usize {
         if let FinalAnswer::Forwarded(reply) = self { reply.memory_bytes() } else { 0 }
     }
 }
 
-/// Writes a request's final answer; `close` announces that the connection ends with it. Returns whether it was written
-/// completely.
+/// Writes a request's final answer. With `close`, the answer announces that the connection closes after it. Returns
+/// whether the answer was written completely.
 pub async fn write_answer(
     client: &mut Framed<TcpStream, ServerCodec>,
     answer: &FinalAnswer,
@@ -60,8 +60,8 @@
             return completes_in_time(client.send(ForwardedReply { reply, removed_headers, close })).await;
         }
         FinalAnswer::Declined { retry_after: Some(wait) } => (429, Some(*wait), "beyond the quota\n"),
-        FinalAnswer::Declined { retry_after: None } => (503, options.busy_retry_after, NOT_ACCEPTED),
-        FinalAnswer::Busy { retry_after } => (503, Some(*retry_after), NOT_ACCEPTED),
+        FinalAnswer::Declined { retry_after: None } => (503, options.busy_retry_after, NOT_ACCEPTED_BODY),
+        FinalAnswer::Busy { retry_after } => (503, Some(*retry_after), NOT_ACCEPTED_BODY),
         FinalAnswer::OutcomeUnknown => (502, None, "the outcome is not known\n"),
         FinalAnswer::Rejected { status, reason } => {
             return write_plain(client, *status, &format!("{reason}\n"), close).await;
@@ -72,7 +72,7 @@
     completes_in_time(client.send(PlainReply { status, fields: &fields, body: body.as_bytes(), close })).await
 }
 
-/// Writes an answer in which neither a backend nor a decision had a part.
+/// Writes an answer that the gateway gives by itself, such as a rejection or the health status.
 pub async fn write_plain(
     client: &mut Framed<TcpStream, ServerCodec>,
     status: u16,
@@ -82,14 +82,14 @@
     completes_in_time(client.send(PlainReply { status, fields: &[], body: body.as_bytes(), close })).await
 }
 
-/// A span in seconds with four decimals; zero where it is negative.
+/// Formats a span in seconds with four decimals; a negative span counts as zero.
 fn decimal_seconds(span: Ticks) -> String {
     let (second, span) = (Ticks::SECOND.0, span.0.max(0));
     format!("{}.{:04}", span / second, span % second)
 }
 
-/// Whether everything was written within [`WRITE_TIMEOUT`]. When the time is over, the write is dropped with an unknown
-/// part of it sent: the connection must be closed then.
+/// Whether the write completed within [`WRITE_TIMEOUT`]. If not, it is dropped after an unknown part was sent, so the
+/// connection must be closed.
 async fn completes_in_time(write: impl Future<Output = std::io::Result<()>>) -> bool {
     tokio::select! {
         biased;
--- a/programs/gateway/src/clock.rs
+++ b/programs/gateway/src/clock.rs
@@ -1,10 +1,10 @@
-//! Monotonic time, anchored once to Unix time so that it can be compared with what other machines report of theirs.
+//! Monotonic time that starts at the current Unix time, so that it can be compared with other machines' timestamps.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
 use vanewharf_policy::interface::Ticks;
 
-/// A clock that never goes back, also where the system's clock is set.
+/// A clock that never goes back, even if the system's clock is set.
 #[derive(Clone, Copy)]
 pub struct Clock {
     origin: Instant,
@@ -12,7 +12,7 @@
 }
 
 impl Clock {
-    /// A clock that shows the system's Unix time now and goes on monotonically.
+    /// Creates a clock that starts at the system's Unix time and advances monotonically.
     pub fn start() -> Clock {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         Clock { origin: Instant::now(), unix_origin: to_ticks(unix) }
@@ -23,7 +23,7 @@
         self.unix_origin + to_ticks(self.origin.elapsed())
     }
 
-    /// The runtime's instant for a time of this clock.
+    /// Converts a time of this clock to the runtime's instant.
     pub fn instant(&self, at: Ticks) -> Instant {
         self.origin + to_duration(at - self.unix_origin)
     }
@@ -33,7 +33,7 @@
     Ticks((duration.as_micros() / 100) as i64)
 }
 
-/// The duration of a span; zero where the span is negative.
+/// Converts ticks to a duration; negative ticks give zero.
 pub fn to_duration(ticks: Ticks) -> Duration {
     Duration::from_micros(ticks.0.clamp(0, i64::MAX / 100) as u64 * 100)
 }
--- a/programs/gateway/src/connection_pool.rs
+++ b/programs/gateway/src/connection_pool.rs
@@ -1,7 +1,7 @@
 //! The backends' addresses and the idle connections to them.
 //!
-//! An idle connection is reused for a limited time only, so that a request rarely crosses with the backend's closing of
-//! it. The limit is lowered when a reused connection is lost all the same, and raised again by and by.
+//! An idle connection is reused for a limited time only, so that a request is rarely written while the backend closes
+//! the connection. The limit is lowered when a reused connection is lost, and raised again at each sweep.
 
 use crate::messages::IdleConnection;
 use std::collections::{BTreeMap, VecDeque};
@@ -9,38 +9,40 @@
 use vanewharf_gateway_settings::idle_reuse_limit;
 use vanewharf_policy::interface::{BackendId, BackendInfo, BackendStatus, Ticks};
 
-/// From this limit on doubling raises it again, where a loss had lowered it to next to nothing.
-const MIN_RAISED_LIMIT: Ticks = Ticks(5);
-const LIMIT_AFTER_LOSS: f64 = 0.5;
-const LIMIT_GROWTH: f64 = 2.0;
+/// Raising starts at this limit at least, because doubling a limit close to zero would take too long.
+const MIN_RAISE_START: Ticks = Ticks(5);
+/// After a loss, the limit is at most this share of the time for which the lost connection had been idle.
+const LIMIT_SHARE_AFTER_LOSS: f64 = 0.5;
+/// Each sweep multiplies a lowered limit by this factor.
+const LIMIT_GROWTH_FACTOR: f64 = 2.0;
 
 #[derive(Default)]
 struct PooledBackend {
     address: Option<SocketAddr>,
     ready: bool,
     started_at: Option<Ticks>,
-    /// Newest last: the newest is the least likely to have been closed by the backend.
+    /// Ordered by idle time, newest last. The newest is taken first: it is the least likely to have been closed.
     idle: VecDeque<IdleConnection>,
 }
 
-/// The connections that can be reused, by backend.
+/// Addresses and reusable connections, by backend.
 pub struct ConnectionPool {
     backends: BTreeMap<BackendId, PooledBackend>,
-    /// For how long an idle connection is reused now.
+    /// How long a connection may have been idle to be reused, at present.
     idle_limit: Ticks,
-    /// The limit where no connection was lost.
+    /// The limit as long as no reused connection is lost.
     configured_limit: Ticks,
 }
 
 impl ConnectionPool {
-    /// An empty pool for backends that close idle connections after `backend_idle_timeout` at the latest.
+    /// Creates an empty pool. Backends close an idle connection after `backend_idle_timeout` at the
+    /// latest.
     pub fn new(backend_idle_timeout: Ticks) -> ConnectionPool {
         let idle_limit = idle_reuse_limit(backend_idle_timeout);
         ConnectionPool { backends: BTreeMap::new(), idle_limit, configured_limit: idle_limit }
     }
 
-    /// Takes in what was published of a backend. Its idle connections are closed where they lead to a process that is
-    /// gone or accepts no more requests.
+    /// Applies a backend's published state. Closes its idle connections if it moved, restarted or is not ready.
     pub fn update_backend(&mut self, entry: &BackendInfo, address: Option<SocketAddr>) {
         if entry.status == BackendStatus::Gone {
             self.backends.remove(&entry.backend);
@@ -56,7 +58,7 @@
         backend.ready = entry.status == BackendStatus::Ready;
     }
 
-    /// Removes the backends that are not listed any more.
+    /// Removes the backends that are no longer listed.
     pub fn retain(&mut self, is_listed: impl Fn(BackendId) -> bool) {
         self.backends.retain(|id, _| is_listed(*id));
     }
@@ -66,19 +68,19 @@
         self.backends.get(&id).is_some_and(|backend| backend.ready)
     }
 
-    /// Where the backend listens, if it is known.
+    /// The backend's address, if it is known.
     pub fn address(&self, id: BackendId) -> Option<SocketAddr> {
         self.backends.get(&id)?.address
     }
 
-    /// Adds a connection that has become idle; it is closed where the backend is not ready.
+    /// Adds a connection that has become idle; closes it if the backend is not ready.
     pub fn add_idle(&mut self, id: BackendId, connection: IdleConnection) {
         if let Some(backend) = self.backends.get_mut(&id).filter(|backend| backend.ready) {
             backend.idle.push_back(connection);
         }
     }
 
-    /// Takes the connection that has become idle last, unless that is too long ago.
+    /// Takes the connection that became idle last, unless it has been idle for too long.
     pub fn take_idle(&mut self, id: BackendId, now: Ticks) -> Option<IdleConnection> {
         let idle = &mut self.backends.get_mut(&id)?.idle;
         while let Some(connection) = idle.pop_back() {
@@ -94,23 +96,24 @@
         None
     }
 
-    /// Lowers the limit after a reused connection was lost that had been idle for `idle`: its request may have run.
+    /// Lowers the limit after a reused connection that had been idle for `idle` was lost, because its request may have
+    /// run.
     pub fn record_idle_loss(&mut self, idle: Ticks) {
-        self.idle_limit = self.idle_limit.min(idle.times(LIMIT_AFTER_LOSS));
+        self.idle_limit = self.idle_limit.min(idle.times(LIMIT_SHARE_AFTER_LOSS));
     }
 
-    /// Raises the limit, then closes the connections beyond it and forgets those that have ended; returns how many.
+    /// Raises the limit, then removes the connections beyond it and those that have ended. Returns how many it removed.
     pub fn sweep(&mut self, now: Ticks) -> usize {
-        let raised = self.idle_limit.max(MIN_RAISED_LIMIT).times(LIMIT_GROWTH);
+        let raised = self.idle_limit.max(MIN_RAISE_START).times(LIMIT_GROWTH_FACTOR);
         self.idle_limit = raised.min(self.configured_limit);
-        let mut dropped = 0;
+        let mut removed = 0;
         for backend in self.backends.values_mut() {
             let before = backend.idle.len();
             let limit = self.idle_limit;
             backend.idle.retain(|idle| !idle.next.is_closed() && now - idle.since <= limit);
-            dropped += before - backend.idle.len();
+            removed += before - backend.idle.len();
         }
-        dropped
+        removed
     }
 
     /// Closes the connection that has been idle longest.
--- a/programs/gateway/src/discovery/backend_table.rs
+++ b/programs/gateway/src/discovery/backend_table.rs
@@ -1,4 +1,4 @@
-//! The backends as discovery has published them, by name, and the ids under which the rest of the process knows them.
+//! The published backends by name, and the ids that this process assigns to them.
 
 use crate::messages::{BackendEntry, BackendUpdate};
 use serde::Deserialize;
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 use vanewharf_policy::interface::{BackendId, BackendInfo, BackendStatus, Ticks};
 
-/// A list of backends or a change of it, as it is published.
+/// A list of backends or a change to it, as the discovery agent publishes it.
 #[derive(Debug, Deserialize)]
 pub struct PublishedList {
     index: u64,
@@ -42,14 +42,14 @@
         match self.status.as_str() {
             "SERVING" if self.address().is_some() => BackendStatus::Ready,
             "DELETED" => BackendStatus::Gone,
-            // A backend in an unknown state gets no new requests.
+            // A backend with an unknown status gets no new requests.
             _ => BackendStatus::Draining,
         }
     }
 }
 
-/// A backend that is listed.
-struct KnownBackend {
+/// A listed backend.
+struct ListedBackend {
     id: BackendId,
     address: Option<SocketAddr>,
     started_at: Option<Ticks>,
@@ -57,11 +57,11 @@
 
 /// All listed backends.
 pub(super) struct BackendTable {
-    /// Where this gateway stands.
+    /// This gateway's locality; backends in this zone are local.
     locality: String,
     version: u64,
-    backends: BTreeMap<String, KnownBackend>,
-    /// Each id is assigned once, so that a late report of a backend that is gone is never taken for another's.
+    backends: BTreeMap<String, ListedBackend>,
+    /// Ids are never reused, so that a late report on a removed backend is not attributed to another one.
     next_id: u32,
 }
 
@@ -70,12 +70,12 @@
         BackendTable { locality, version: 0, backends: BTreeMap::new(), next_id: 0 }
     }
 
-    /// The version of the last list or change.
+    /// The version of the last list or change that was applied.
     pub(super) fn version(&self) -> u64 {
         self.version
     }
 
-    /// Takes in what was published.
+    /// Applies a published list or change.
     pub(super) fn apply(&mut self, published: PublishedList) -> BackendUpdate {
         let PublishedList { index, snapshot, endpoints } = published;
         self.version = index;
@@ -117,19 +117,20 @@
         entries.push(BackendEntry { listed, address });
     }
 
-    /// An address belongs to one process: where another name has a later start at it, this one is gone, listed or not.
+    /// Whether a backend with another name has started later at the same address. An address belongs to one process, so
+    /// the endpoint is then gone even if it is still listed.
     fn is_superseded(&self, endpoint: &Endpoint) -> bool {
         let (address, started_at) = (endpoint.address(), endpoint.started_at());
         let mut others = self.backends.iter().filter(|(name, _)| **name != endpoint.name);
         others.any(|(_, other)| other.address == address && other.started_at > started_at)
     }
 
-    /// Removes the backends that another name had listed at the same address.
+    /// Removes the backends that are listed under other names at the same address.
     fn remove_predecessors(&mut self, endpoint: &Endpoint, local: bool, entries: &mut Vec<BackendEntry>) {
         let address = endpoint.address();
         self.backends.retain(|name, known| {
-            let stays = *name == endpoint.name || known.address != address;
-            if !stays {
+            let keep = *name == endpoint.name || known.address != address;
+            if !keep {
                 let listed = BackendInfo {
                     backend: known.id,
                     status: BackendStatus::Gone,
@@ -139,14 +140,14 @@
                 };
                 entries.push(BackendEntry { listed, address: None });
             }
-            stays
+            keep
         });
     }
 
     fn insert(&mut self, name: &str, address: Option<SocketAddr>, started_at: Option<Ticks>) -> BackendId {
         let id = BackendId(self.next_id);
         self.next_id += 1;
-        self.backends.insert(name.to_owned(), KnownBackend { id, address, started_at });
+        self.backends.insert(name.to_owned(), ListedBackend { id, address, started_at });
         id
     }
 }
--- a/programs/gateway/src/drain.rs
+++ b/programs/gateway/src/drain.rs
@@ -1,4 +1,4 @@
-//! The end of a process that serves clients: what is open is answered before the process is killed.
+//! Draining at shutdown: open requests are answered before the supervisor kills the process.
 
 use crate::messages::RouterMessage;
 use crate::resources::Resources;
@@ -6,22 +6,22 @@
 use std::time::Duration;
 use tokio::time::{Instant, timeout_at};
 
-/// Share of the time until the kill by which requests have to be over; what is still in flight then is answered as it stands.
+/// Share of the time until the kill after which requests still in flight are answered with the outcome known so far.
 pub const FINISH_SHARE: f64 = 0.95;
-/// Share of that time after which the process ends even if clients have not received their answers.
+/// Share of the time until the kill after which the process exits even if clients have not received their answers.
 const EXIT_SHARE: f64 = 0.98;
 
-/// By when a process that was asked to end has done what.
+/// The deadlines of a shutdown.
 #[derive(Clone, Copy, Debug)]
 pub struct DrainDeadlines {
-    /// Requests that are not over are answered as they stand.
+    /// Requests still in flight are answered with the outcome known so far.
     pub finish_at: Instant,
-    /// The process ends.
+    /// The process exits.
     pub exit_at: Instant,
 }
 
 impl DrainDeadlines {
-    /// Of a process that is killed so long after it was asked to end.
+    /// The deadlines if the process is asked to terminate at `asked_at` and killed `kill_after` later.
     pub fn within(asked_at: Instant, kill_after: Duration) -> DrainDeadlines {
         DrainDeadlines {
             finish_at: asked_at + kill_after.mul_f64(FINISH_SHARE),
@@ -30,8 +30,9 @@
     }
 }
 
-/// Waits until all clients are answered and their connections closed. What is open at `finish_at` is answered by what is
-/// known of it: 503 where it was sent nowhere, 502 where a backend may have run it. Returns at `exit_at` at the latest.
+/// Waits until all clients are answered and their connections closed. Requests still open at `finish_at` are answered
+/// with the outcome known so far: 503 if they were sent nowhere, 502 if a backend may have run them. Returns at
+/// `exit_at` at the latest.
 pub async fn answer_clients(shared: &Shared, deadlines: DrainDeadlines) {
     if timeout_at(deadlines.finish_at, all_clients_closed(&shared.resources)).await.is_ok() {
         return;
--- a/programs/gateway/src/open_ids.rs
+++ b/programs/gateway/src/open_ids.rs
@@ -1,4 +1,4 @@
-//! The ids of the requests in flight: a backend must not get a second request under an id that is still open.
+//! The ids of the requests in flight. A backend must not receive a second request with an id that is still open.
 
 use std::cell::RefCell;
 use std::collections::HashSet;
@@ -8,16 +8,16 @@
 #[derive(Clone, Default)]
 pub struct OpenIds(Rc<RefCell<HashSet<Box<str>>>>);
 
-/// A request's id, which is open until this is dropped.
+/// A request's id, which stays open until this is dropped.
 pub struct OpenId {
     id: Box<str>,
     ids: OpenIds,
 }
 
 impl OpenIds {
-    /// Opens an id; none where another request has it open.
+    /// Opens an id; returns `None` if another request has it open.
     pub fn try_open(&self, id: &str) -> Option<OpenId> {
-        // A backend that reads ids as hexadecimal numbers cannot tell upper case from lower.
+        // Backends may parse ids as hexadecimal numbers, which are not case-sensitive.
         let id: Box<str> = id.to_ascii_lowercase().into();
         let inserted = self.0.borrow_mut().insert(id.clone());
         inserted.then(|| OpenId { id, ids: self.clone() })
--- a/programs/gateway/src/open_requests.rs
+++ b/programs/gateway/src/open_requests.rs
@@ -1,28 +1,28 @@
-//! The requests that were read from clients and whose final answer is not written yet.
+//! The requests that were read from clients and whose final answer is not yet written.
 //!
-//! Each holds an [`OpenRequest`] from the moment at which its last byte was read, so the set here is that of the requests
-//! that would be lost if the process ended now.
+//! Each request holds an [`OpenRequest`] from the moment its last byte was read. The set here is therefore that of the
+//! requests that would be lost if the process ended now.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use vanewharf_policy::interface::Ticks;
 
-/// How far a request has come.
+/// The stage of an open request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestStage {
-    /// It was read, and waits for its turn on its connection or for the router's decision.
+    /// The request is queued behind another one on its connection, or waits for the router's decision.
     Undecided,
-    /// Its final answer is known and is being written.
+    /// The request's final answer is being written.
     Answering,
 }
 
-/// A request that has no answer yet, for the log.
+/// The state of an open request, for the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct OpenRequestState {
-    /// When its last byte was read.
+    /// When the request's last byte was read.
     pub read_at: Ticks,
-    /// How far it has come.
+    /// The request's stage.
     pub stage: RequestStage,
 }
 
@@ -36,14 +36,14 @@
 #[derive(Clone, Default)]
 pub struct OpenRequests(Rc<Inner>);
 
-/// A request that counts as open until this is dropped.
+/// Keeps a request in the set of open requests until dropped.
 pub struct OpenRequest {
     number: u64,
     requests: OpenRequests,
 }
 
 impl OpenRequests {
-    /// Adds a request that was read at that time.
+    /// Adds a request whose last byte was read at `read_at`.
     pub fn open(&self, read_at: Ticks) -> OpenRequest {
         let number = self.0.last_number.get() + 1;
         self.0.last_number.set(number);
@@ -52,7 +52,7 @@
         OpenRequest { number, requests: self.clone() }
     }
 
-    /// All requests that are open, in the order in which they were read.
+    /// The states of all open requests, in the order in which they were read.
     pub fn states(&self) -> Vec<OpenRequestState> {
         self.0.open.borrow().values().copied().collect()
     }
--- a/programs/gateway/src/open_requests/tests.rs
+++ b/programs/gateway/src/open_requests/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_request_is_open_from_its_reading_until_its_guard_is_dropped() {
+fn a_request_is_open_until_its_guard_is_dropped() {
     let requests = OpenRequests::default();
     let first = requests.open(Ticks(10));
     let second = requests.open(Ticks(20));
--- a/programs/gateway/src/platform_dialect.rs
+++ b/programs/gateway/src/platform_dialect.rs
@@ -1,5 +1,5 @@
-//! How the gateway on the platform speaks HTTP: the header fields and the query that a request must carry, and what
-//! backends report in their replies.
+//! The stand-alone gateway's [`HttpDialect`]: the header fields and the query key that a request must have, and the
+//! header fields of backends' replies.
 
 use crate::dialect::{Admission, ForwardingOptions, HttpDialect, ReplyMatch, ReportedUsage};
 use std::time::Duration;
@@ -9,36 +9,38 @@
     Arrival, CustomerId, Outcome, PlanId, ProductId, QuotaClaim, Ticks, TxnId,
 };
 
-const REQUEST_ID: &str = "X-Correlation-Id";
-const REPEAT_MARK: &str = "X-Repeat";
-const TIME_LEFT: &str = "X-Time-Left-Ms";
-const PRODUCT: &str = "X-Service-Class";
-const PLAN: &str = "X-Plan";
-const QUOTA: &str = "X-Quota";
-const QUOTA_USED: &str = "X-Quota-Used";
-const UNITS_CHARGED: &str = "X-Units-Charged";
-const BACKEND_LOAD: &str = "X-Backend-Load";
-const UNPROCESSED: &str = "X-Unprocessed";
+const REQUEST_ID_HEADER: &str = "X-Correlation-Id";
+const RETRY_HEADER: &str = "X-Repeat";
+const TIME_LEFT_HEADER: &str = "X-Time-Left-Ms";
+const PRODUCT_HEADER: &str = "X-Service-Class";
+const PLAN_HEADER: &str = "X-Plan";
+const QUOTA_HEADER: &str = "X-Quota";
+const QUOTA_USED_HEADER: &str = "X-Quota-Used";
+const UNITS_CHARGED_HEADER: &str = "X-Units-Charged";
+const BACKEND_LOAD_HEADER: &str = "X-Backend-Load";
+const UNPROCESSED_HEADER: &str = "X-Unprocessed";
 
 const HEALTH_PATH: &str = "/healthz";
-/// Ids are held in memory while their requests are in flight.
-const MAX_ID_BYTES: usize = 64;
-/// The hexadecimal digits of a customer's key.
-const KEY_DIGITS: usize = 16;
-/// Customers are numbered below this.
+/// Limits the memory for the ids of requests in flight.
+const MAX_REQUEST_ID_BYTES: usize = 64;
+/// The number of hexadecimal digits in a customer's key.
+const CUSTOMER_KEY_DIGITS: usize = 16;
+/// Customer numbers are below this limit.
 const CUSTOMER_LIMIT: u64 = 1 << 33;
 
-/// Against clients that send nothing or never complete a request. Usual ones write a request at once.
+/// Bounds the time of clients that send nothing or never complete a request. Well-behaved clients write a request at
+/// once.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(2500);
-/// Against clients that stay connected after one request: if they took up the sockets, usual clients would lose their
-/// connections sooner than this. Closing a usual client's connection costs it a new one.
+/// Bounds the time of clients that stay connected after a request. If they used up the sockets, well-behaved clients
+/// would lose their connections sooner than after this timeout. A well-behaved client whose connection is closed must
+/// open a new one.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// The platform's dialect, with the settings that requests are checked against.
+/// The stand-alone gateway's dialect, with the settings that requests are validated against.
 pub struct PlatformDialect {
     /// The plans and products by name.
     pub names: SettingNames,
-    /// What a request may state.
+    /// The bounds that request fields are validated against.
     pub bounds: RequestBounds,
 }
 
@@ -57,7 +59,7 @@
 }
 
 impl InvalidRequest {
-    /// The text that the client is answered.
+    /// The body of the answer to the client.
     fn reason(self) -> &'static str {
         match self {
             InvalidRequest::ProductMismatch => "path and X-Service-Class differ",
@@ -73,10 +75,11 @@
     }
 }
 
-/// The field that states what a request takes of its customer's quota.
+/// The contents of the `X-Quota` field: a request's use of its customer's quota.
 struct QuotaField {
+    /// In units.
     cost: f64,
-    /// How many gateways the customer's requests are spread over.
+    /// The number of gateways that the customer's requests are spread over.
     subset_size: u32,
     /// The number of the first of these gateways.
     subset_start: u32,
@@ -93,7 +96,7 @@
                 _ => {}
             }
         }
-        // A cost beyond any quota would keep the customer's bucket in debt for good.
+        // A cost beyond any quota would keep the customer's bucket in debt forever.
         let cost = cost.filter(|cost| *cost > 0.0 && *cost <= bounds.max_cost)?;
         let subset_size = size.filter(|size| (1..=bounds.gateways).contains(size))?;
         let subset_start = start.filter(|start| *start < bounds.gateways)?;
@@ -104,13 +107,13 @@
 fn parse_customer(query: &str) -> Option<CustomerId> {
     let mut keys = query.split('&').filter_map(|pair| pair.strip_prefix("key="));
     let key = keys.next().filter(|_| keys.next().is_none())?;
-    let is_key = key.len() == KEY_DIGITS && key.bytes().all(|digit| digit.is_ascii_hexdigit());
+    let is_key = key.len() == CUSTOMER_KEY_DIGITS && key.bytes().all(|digit| digit.is_ascii_hexdigit());
     let number = is_key.then(|| u64::from_str_radix(key, 16).ok())?;
     number.filter(|&number| number < CUSTOMER_LIMIT).map(CustomerId)
 }
 
 fn request_id(request: &Request) -> Option<&str> {
-    request.unique_field(REQUEST_ID).filter(|id| (1..=MAX_ID_BYTES).contains(&id.len()))
+    request.unique_field(REQUEST_ID_HEADER).filter(|id| (1..=MAX_REQUEST_ID_BYTES).contains(&id.len()))
 }
 
 impl PlatformDialect {
@@ -118,16 +121,16 @@
         let PlatformDialect { names, bounds } = self;
         let (path, query) = request.target().split_once('?').unwrap_or((request.target(), ""));
         let product = path.split('/').nth(1).unwrap_or_default();
-        if request.unique_field(PRODUCT) != Some(product) {
+        if request.unique_field(PRODUCT_HEADER) != Some(product) {
             return Err(InvalidRequest::ProductMismatch);
         }
         let product: ProductId = *names.products.get(product).ok_or(InvalidRequest::UnknownProduct)?;
-        let plan = request.unique_field(PLAN).ok_or(InvalidRequest::NoPlan)?;
+        let plan = request.unique_field(PLAN_HEADER).ok_or(InvalidRequest::NoPlan)?;
         let plan: PlanId = *names.plans.get(plan).ok_or(InvalidRequest::UnknownPlan)?;
         let customer = parse_customer(query).ok_or(InvalidRequest::InvalidKey)?;
-        let quota = request.unique_field(QUOTA).and_then(|field| QuotaField::parse(field, bounds));
+        let quota = request.unique_field(QUOTA_HEADER).and_then(|field| QuotaField::parse(field, bounds));
         let QuotaField { cost, subset_size, subset_start } = quota.ok_or(InvalidRequest::InvalidQuota)?;
-        let ms_left: Option<u32> = request.unique_field(TIME_LEFT).and_then(|text| text.parse().ok());
+        let ms_left: Option<u32> = request.unique_field(TIME_LEFT_HEADER).and_then(|text| text.parse().ok());
         let left = Ticks(i64::from(ms_left.ok_or(InvalidRequest::InvalidTimeLeft)?) * 10);
         if left > bounds.max_expiries[product.0] {
             return Err(InvalidRequest::TooMuchTimeLeft);
@@ -135,7 +138,7 @@
         if request_id(request).is_none() {
             return Err(InvalidRequest::InvalidId);
         }
-        let retry = request.field(REPEAT_MARK) == Some("1");
+        let retry = request.field(RETRY_HEADER) == Some("1");
         let claim = QuotaClaim { customer, plan, subset_start, subset_size, cost, retry };
         Ok(Arrival { txn, product, claim, deadline: now + left })
     }
@@ -144,9 +147,14 @@
 impl HttpDialect for PlatformDialect {
     fn forwarding_options(&self) -> ForwardingOptions {
         ForwardingOptions {
-            time_left_header: TIME_LEFT,
+            time_left_header: TIME_LEFT_HEADER,
             request_headers_removed: &[],
-            response_headers_removed: &[QUOTA_USED, UNITS_CHARGED, BACKEND_LOAD, UNPROCESSED],
+            response_headers_removed: &[
+                QUOTA_USED_HEADER,
+                UNITS_CHARGED_HEADER,
+                BACKEND_LOAD_HEADER,
+                UNPROCESSED_HEADER,
+            ],
             busy_retry_after: None,
             request_timeout: REQUEST_TIMEOUT,
             idle_timeout: IDLE_TIMEOUT,
@@ -171,19 +179,20 @@
     fn match_reply(&self, _: &Request, reply: &Reply) -> ReplyMatch {
         ReplyMatch::Current(match reply.status() {
             200 => Outcome::Succeeded,
-            503 | 504 if reply.field(UNPROCESSED) == Some("1") => Outcome::Rejected,
+            503 | 504 if reply.field(UNPROCESSED_HEADER) == Some("1") => Outcome::Rejected,
             _ => Outcome::Error,
         })
     }
 
     fn reported_usage(&self, reply: &Reply) -> ReportedUsage {
-        let figure = |name| {
+        let number = |name| {
             let text = reply.field(name)?;
-            text.trim().parse::<f64>().ok().filter(|figure| figure.is_finite())
+            text.trim().parse::<f64>().ok().filter(|number| number.is_finite())
         };
         let metered_usage =
-            figure(QUOTA_USED).filter(|&percent| percent >= 0.0).map(|percent| percent / 100.0);
-        let actual_cost = figure(UNITS_CHARGED).filter(|&cost| cost > 0.0 && cost <= self.bounds.max_cost);
+            number(QUOTA_USED_HEADER).filter(|&percent| percent >= 0.0).map(|percent| percent / 100.0);
+        let actual_cost =
+            number(UNITS_CHARGED_HEADER).filter(|&cost| cost > 0.0 && cost <= self.bounds.max_cost);
         ReportedUsage { metered_usage, actual_cost }
     }
 }
--- a/programs/gateway/src/platform_dialect/tests.rs
+++ b/programs/gateway/src/platform_dialect/tests.rs
@@ -14,23 +14,25 @@
     PlatformDialect { names, bounds }
 }
 
-/// The arrival of a request with a further header line. All names are the wire's and must stay as they are.
+/// The arrival event of a request with an additional header line. The header names are fixed by the platform.
 fn arrival_with(line: &str) -> Arrival {
     let head = format!(
         "GET /look/x?key=00000000000000ff HTTP/1.1\r\nHost: h\r\nX-Service-Class: look\r\nX-Plan: team\r\n\
          X-Quota: units=2.5,spread=4,first=3\r\nX-Time-Left-Ms: 700\r\nX-Correlation-Id: 9b1f\r\n{line}\r\n"
     );
     let mut bytes = BytesMut::from(head.as_bytes());
-    let request =
-        ServerCodec::with_max_body(1 << 16).decode(&mut bytes).expect("it can be read").expect("complete");
+    let request = ServerCodec::with_max_body(1 << 16)
+        .decode(&mut bytes)
+        .expect("a valid request")
+        .expect("a complete request");
     match dialect().admit(&request, Ticks(1000), TxnId(7)) {
         Admission::Txn(arrival) => arrival,
-        _ => panic!("the request is refused"),
+        _ => panic!("the request was not admitted"),
     }
 }
 
 #[test]
-fn reads_what_a_request_states_from_the_fields_of_the_wire() {
+fn parses_the_header_fields_of_a_request() {
     let arrival = arrival_with("");
     let claim = arrival.claim;
     assert_eq!((arrival.txn, arrival.product, arrival.deadline), (TxnId(7), ProductId(0), Ticks(8000)));
@@ -39,7 +41,7 @@
 }
 
 #[test]
-fn a_client_marks_its_retries_by_x_repeat() {
+fn x_repeat_marks_a_request_as_a_retry() {
     assert!(!arrival_with("").claim.retry);
     assert!(arrival_with("X-Repeat: 1\r\n").claim.retry);
     assert!(!arrival_with("X-Repeat: 0\r\n").claim.retry);
--- a/programs/gateway/src/quota_counter.rs
+++ b/programs/gateway/src/quota_counter.rs
@@ -1,8 +1,9 @@
-//! The shared quota counter, over RESP2: `ADDGET NAME STEP LIFE` on one connection, the calls written one after another
-//! and answered in their order. Whether to call is decided by the policy.
+//! The client of the shared quota counter, over RESP2. It pipelines `ADDGET KEY AMOUNT TTL_MS` calls on one connection,
+//! and replies arrive in the order of the calls. The policy decides when to call.
 //!
-//! A call left unanswered past the configured time is reported as unknown (it may have been executed, or may yet be), and
-//! its reply, when it arrives, is read and dropped. When the connection ends, all calls unanswered on it are unknown.
+//! A call that is not answered within the configured timeout is reported as unknown, because it may have been
+//! executed or may yet be; its late reply is discarded. When the connection ends, all unanswered calls on it are
+//! unknown.
 
 use crate::clock::to_duration;
 use crate::messages::RouterMessage;
@@ -22,31 +23,31 @@
 use tokio_util::codec::{FramedRead, FramedWrite};
 use vanewharf_policy::interface::{CounterKey, CounterReply, Ticks};
 
-/// How long the counter may keep a key, in milliseconds.
-const LIFE_MS: std::ops::RangeInclusive<i64> = 1..=60_000;
+/// The time to live that the counter accepts for a key, in milliseconds.
+const KEY_TTL_MS: std::ops::RangeInclusive<i64> = 1..=60_000;
 
-/// One call, as the policy makes it.
+/// A call to the counter.
 pub struct Call {
-    /// The key that is counted under.
+    /// The key to add to.
     pub key: CounterKey,
-    /// What is added; taken off where it is negative.
+    /// The amount to add; negative to subtract.
     pub amount: f64,
-    /// How long the counter keeps a new key; it accepts 1 ms to 60 s.
+    /// The time to live of a new key, clamped to the 1 ms to 60 s that the counter accepts.
     pub expire_after: Ticks,
 }
 
 impl Call {
     fn to_frame(&self) -> BytesFrame {
-        let life = (self.expire_after.0 / 10).clamp(*LIFE_MS.start(), *LIFE_MS.end());
+        let ttl_ms = (self.expire_after.0 / 10).clamp(*KEY_TTL_MS.start(), *KEY_TTL_MS.end());
         let arguments =
-            ["ADDGET".to_owned(), self.key.0.to_string(), self.amount.to_string(), life.to_string()];
+            ["ADDGET".to_owned(), self.key.0.to_string(), self.amount.to_string(), ttl_ms.to_string()];
         BytesFrame::Array(
             arguments.into_iter().map(|argument| BytesFrame::BulkString(argument.into())).collect(),
         )
     }
 }
 
-/// Makes calls until their sender is gone, and reports each call's result to the router.
+/// Makes calls until the sender of `calls` is dropped, and reports each call's result to the router.
 pub async fn run(
     address: SocketAddr,
     call_timeout: Ticks,
@@ -84,11 +85,11 @@
     }
 }
 
-/// A call whose reply has not arrived.
+/// A call that was written and whose reply has not arrived.
 struct PendingCall {
     key: CounterKey,
     deadline: Instant,
-    /// Its time is over and it was reported as unknown; its reply is to be dropped.
+    /// Whether the call was reported as unknown after its timeout; its reply is then discarded.
     timed_out: bool,
 }
 
@@ -99,7 +100,7 @@
     call_timeout: Duration,
     report: Report,
     connection: Option<CounterConnection>,
-    /// The calls written on the connection, in their order.
+    /// The calls written on the connection that await a reply, in order.
     pending: VecDeque<PendingCall>,
 }
 
@@ -112,7 +113,7 @@
     async fn run(mut self, mut calls: mpsc::UnboundedReceiver<Call>) {
         loop {
             let deadline = self.pending.iter().filter(|call| !call.timed_out).map(|call| call.deadline).min();
-            // Cancel safe: the channel loses no call, and what was read of a reply stays in the reader.
+            // Cancel safe: the channel loses no call, and the bytes of an incomplete reply stay in the reader.
             tokio::select! {
                 call = calls.recv() => match call {
                     Some(call) => self.make_call(call, &mut calls).await,
@@ -132,7 +133,7 @@
                 Ok(Ok(stream)) => self.connection = Some(CounterConnection::new(stream)),
                 _ => {
                     (self.report)(call.key, CounterReply::NotAdded);
-                    // Those made meanwhile have waited as long: dialling again for each would delay their requests one
+                    // Calls queued in the meantime fail too. Connecting again for each would delay their requests one
                     // after the other.
                     while let Ok(call) = calls.try_recv() {
                         (self.report)(call.key, CounterReply::NotAdded);
@@ -159,7 +160,7 @@
                     (self.report)(call.key, parse_reply(reply));
                 }
             }
-            // The connection's end, an unreadable reply, or a reply to no call: nothing more on it can be trusted.
+            // The connection ended, a reply is malformed or there is no call for it: no further reply can be matched.
             _ => self.close(),
         }
     }
@@ -172,7 +173,7 @@
         }
     }
 
-    /// Closes the connection; all calls unanswered on it are unknown.
+    /// Closes the connection and reports all unanswered calls on it as unknown.
     fn close(&mut self) {
         self.connection = None;
         for call in self.pending.drain(..).filter(|call| !call.timed_out) {
@@ -181,7 +182,7 @@
     }
 }
 
-/// Waits for ever where there is no connection.
+/// Reads the next reply; never completes if there is no connection.
 async fn next_reply(connection: Option<&mut CounterConnection>) -> ReplyFrame {
     match connection {
         Some(connection) => connection.reader.next().await,
@@ -189,7 +190,7 @@
     }
 }
 
-/// A total is a bulk string; `-BUSY` and `-ERR` added nothing.
+/// Parses a reply. A total is a string or an integer; errors such as `-BUSY` and `-ERR` mean that nothing was added.
 fn parse_reply(reply: BytesFrame) -> CounterReply {
     let total = match reply {
         BytesFrame::BulkString(text) | BytesFrame::SimpleString(text) => {
--- a/programs/gateway/src/router/policy.rs
+++ b/programs/gateway/src/router/policy.rs
@@ -1,4 +1,4 @@
-//! What the router requires of a routing policy, and the policy of the gateway on the platform.
+//! The router's interface to a routing policy, and the stand-alone gateway's implementation of it.
 
 use crate::answer::FinalAnswer;
 use crate::messages::BackendUpdate;
@@ -7,36 +7,36 @@
 use vanewharf_policy::decide::Balancer;
 use vanewharf_policy::interface::{Action, Arrival, BackendId, Event, Idempotency, Ticks, TxnId};
 
-/// Decides where requests go. The router calls it from one task only.
+/// Decides where requests are sent. Only the router task calls it.
 pub trait RoutingPolicy {
-    /// What the policy learns through a queue of its own, alongside events.
+    /// Updates that reach the policy through a separate queue, besides events.
     type Update;
 
-    /// Decides on a batch of events; the actions are carried out in order.
+    /// Decides on a batch of events; the router executes the returned actions in order.
     fn decide(&mut self, now: Ticks, events: Vec<Event>) -> Vec<Action>;
 
     /// Whether the request may run more than once.
     fn idempotency(&self, arrival: &Arrival) -> Idempotency;
 
-    /// Takes an update in; returns the backends by which the connection pool is to be changed, if any.
+    /// Applies an update; returns the changes to apply to the connection pool, if any.
     fn apply_update(&mut self, now: Ticks, update: Self::Update) -> Option<BackendUpdate>;
 
-    /// Header fields for this backend alongside those of the client.
+    /// Header fields to add to the client's for this backend.
     fn extra_headers(&self, _txn: TxnId, _backend: BackendId) -> Vec<(&'static str, String)> {
         Vec::new()
     }
 
-    /// The answer that a request ends with; `failure` is the last backend's reply that was an error.
-    fn final_answer(&self, _txn: TxnId, answer: FinalAnswer, _failure: Option<Reply>) -> FinalAnswer {
+    /// The final answer to a request; `error_reply` is the last error reply of a backend.
+    fn final_answer(&self, _txn: TxnId, answer: FinalAnswer, _error_reply: Option<Reply>) -> FinalAnswer {
         answer
     }
 }
 
-/// The policy as it was configured at the start; it gets no updates.
+/// The stand-alone gateway's policy. It is configured at startup and has no updates.
 pub struct PlatformPolicy {
-    /// All decisions.
+    /// The balancer, which makes all decisions.
     pub balancer: Balancer,
-    /// Whether requests for each product may run more than once, by the product's number.
+    /// Whether requests for a product may run more than once, indexed by product number.
     pub idempotency: Vec<Idempotency>,
 }
 
--- a/programs/gateway/src/router/timers.rs
+++ b/programs/gateway/src/router/timers.rs
@@ -1,25 +1,25 @@
-//! The router's timers, ordered by when they are due and then by when they were set.
+//! The router's timers, ordered by due time and then by the order in which they were set.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 use vanewharf_policy::interface::{AttemptNumber, Ticks, TimerId, TxnId};
 
-/// What happens when a timer is due.
+/// What a timer triggers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Timer {
-    /// The policy set it.
+    /// A timer that the policy set.
     PolicyWake(TimerId),
-    /// A request's time is over.
+    /// A request expires.
     Expiry(TxnId),
-    /// A request's attempts were cancelled at its expiry and should have ended long ago.
+    /// A request whose attempts were cancelled at its expiry is answered if they still have not ended.
     Overdue(TxnId),
-    /// An attempt's own time is over.
+    /// An attempt times out.
     AttemptTimeout(TxnId, AttemptNumber),
-    /// Idle connections are checked for their age.
+    /// The pool is swept for connections that were idle too long.
     Sweep,
 }
 
-/// The derived order is that of the fields.
+/// The derived ordering compares the fields in their order here: due time, then sequence.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct TimerEntry {
     due: Ticks,
@@ -27,20 +27,20 @@
     timer: Timer,
 }
 
-/// All timers that are set.
+/// All pending timers.
 #[derive(Default)]
 pub(super) struct TimerQueue {
     entries: BinaryHeap<Reverse<TimerEntry>>,
-    set_so_far: u64,
+    last_sequence: u64,
 }
 
 impl TimerQueue {
     pub(super) fn set(&mut self, due: Ticks, timer: Timer) {
-        self.set_so_far += 1;
-        self.entries.push(Reverse(TimerEntry { due, sequence: self.set_so_far, timer }));
+        self.last_sequence += 1;
+        self.entries.push(Reverse(TimerEntry { due, sequence: self.last_sequence, timer }));
     }
 
-    /// When the first live timer is due; timers before it that are not live are dropped.
+    /// When the first live timer is due. Drops the timers before it that are not live.
     pub(super) fn next_due(&mut self, is_live: impl Fn(&Timer) -> bool) -> Option<Ticks> {
         while let Some(Reverse(entry)) = self.entries.peek() {
             if is_live(&entry.timer) {
@@ -51,7 +51,7 @@
         None
     }
 
-    /// Takes the first timer that is due at `now`.
+    /// Removes and returns the first timer, if it is due at `now`.
     pub(super) fn pop_due(&mut self, now: Ticks) -> Option<Timer> {
         let Reverse(entry) = self.entries.peek().filter(|Reverse(entry)| entry.due <= now)?;
         let timer = entry.timer;
--- a/programs/gateway/src/shared.rs
+++ b/programs/gateway/src/shared.rs
@@ -1,4 +1,4 @@
-//! What all stages of one process share.
+//! The context that all tasks of a process share.
 
 use crate::clock::Clock;
 use crate::dialect::HttpDialect;
@@ -12,26 +12,26 @@
 use vanewharf_gateway_settings::ConnectionTimeouts;
 use vanewharf_policy::interface::TxnId;
 
-/// The context that each stage holds a reference to.
+/// The shared context; every task holds a reference to it.
 pub struct Shared {
     /// The process's clock.
     pub clock: Clock,
     /// Sockets and memory in use, and the counters.
     pub resources: Rc<Resources>,
-    /// How this program speaks HTTP.
+    /// This program's HTTP header fields and admission rules.
     pub dialect: Box<dyn HttpDialect>,
     /// The timeouts of backend connections.
     pub timeouts: ConnectionTimeouts,
     /// The ids of the requests that are in flight.
     pub open_ids: OpenIds,
-    /// The requests that were read and have no answer yet.
+    /// The requests that were read and whose answer is not yet written.
     pub open_requests: OpenRequests,
     router: mpsc::UnboundedSender<RouterMessage>,
     last_txn: Cell<u64>,
 }
 
 impl Shared {
-    /// A context whose messages to the router go to `router`.
+    /// Creates a context that sends messages to the router through `router`.
     pub fn new(
         clock: Clock,
         resources: Rc<Resources>,
@@ -51,12 +51,12 @@
         }
     }
 
-    /// Queues a message for the router. The router ends with the process only, so a failure needs no handling.
+    /// Queues a message for the router. The router runs as long as the process, so a failure needs no handling.
     pub fn notify_router(&self, message: RouterMessage) {
         let _ = self.router.send(message);
     }
 
-    /// The id of the next request; ids are ascending from 1.
+    /// Assigns the id of the next request; ids ascend from 1.
     pub fn next_txn(&self) -> TxnId {
         self.last_txn.set(self.last_txn.get() + 1);
         TxnId(self.last_txn.get())
