--- a/programs/gateway/src/backend_connection.rs
+++ b/programs/gateway/src/backend_connection.rs
@@ -1,7 +1,7 @@
-//! One task for each connection to a backend. It makes one attempt at a time and reports to the router how each ended,
-//! by what can be proved of it.
+//! The task of a backend connection. It makes one attempt at a time and reports each attempt's outcome to the router.
 //!
-//! What each event on the connection proves is decided by [`ConnectionState`]; the task only brings the events about.
+//! [`ConnectionState`] derives the outcome from the events on the connection: whether they prove that the request has
+//! run, has not run, or may have run. The task performs the I/O that causes these events.
 
 mod connection;
 
@@ -15,7 +15,8 @@
 use vanewharf_exchange::{AttemptEffect, CancelReason, ConnectionEvent, ConnectionState};
 use vanewharf_policy::interface::{Outcome, Ticks};
 
-/// Makes an attempt on a new connection, and further ones that the router hands to it, until the connection ends.
+/// Makes an attempt on a new connection, and then the attempts that the router assigns to it, until the connection
+/// ends.
 pub async fn run(attempt: Attempt, address: SocketAddr, shared: Rc<Shared>) {
     let mut task = BackendTask { address, shared, state: ConnectionState::for_attempt(false) };
     let mut next = Some(NextAttempt { attempt, reused: None });
@@ -30,9 +31,9 @@
     state: ConnectionState,
 }
 
-/// An attempt and the connection that it is made on; none where one is to be opened.
 struct NextAttempt {
     attempt: Attempt,
+    /// The idle connection to make the attempt on; `None` if a new one must be opened.
     reused: Option<ReusedConnection>,
 }
 
@@ -48,7 +49,7 @@
         effect
     }
 
-    /// Makes one attempt and reports its end; returns the next one, once there is one.
+    /// Makes one attempt and reports its result. Returns the next attempt, or `None` once the connection has ended.
     async fn serve(&mut self, next: NextAttempt) -> Option<NextAttempt> {
         let NextAttempt { mut attempt, reused } = next;
         let (txn, number) = (attempt.txn, attempt.number);
@@ -71,10 +72,10 @@
                 return self.end(AttemptResult { idle_before_loss: idle_before, ..result(outcome) });
             }
             AttemptEffect::Redial => {
-                self.shared.resources.count(Counter::BackendsStale);
+                self.shared.resources.count(Counter::BackendConnectionsStale);
                 return Some(NextAttempt { attempt, reused: None });
             }
-            // An exchange causes neither.
+            // The events of an exchange cause neither.
             AttemptEffect::Pending | AttemptEffect::Unexpected => Outcome::ConnectionLost,
         };
         connection.release_write_buffer(&attempt);
@@ -85,9 +86,9 @@
         self.wait_for_next(connection, result).await
     }
 
-    /// Opens a connection; where that fails, returns what the failure proves of the attempt.
+    /// Opens a connection; if that fails, returns the attempt's outcome.
     async fn connect(&mut self, attempt: &mut Attempt) -> Result<Connection, Outcome> {
-        // Cancelling drops the socket that is being connected; nothing was written on it.
+        // Cancel safe: nothing was written to a socket that is dropped while connecting.
         let dialled = tokio::select! {
             biased;
             reason = &mut attempt.cancelled => {
@@ -107,7 +108,7 @@
         }
     }
 
-    /// Reports the attempt's result, offers the connection for reuse and waits for its next attempt.
+    /// Reports the attempt's result, offers the idle connection to the router and waits for the next attempt.
     async fn wait_for_next(
         &mut self,
         mut connection: Connection,
@@ -123,7 +124,7 @@
                 Some(NextAttempt { attempt, reused: Some(ReusedConnection { connection, idle_since }) })
             }
             IdleEnd::Lost(Some(attempt)) => {
-                self.shared.resources.count(Counter::BackendsStale);
+                self.shared.resources.count(Counter::BackendConnectionsStale);
                 self.state = ConnectionState::for_attempt(false);
                 Some(NextAttempt { attempt, reused: None })
             }
@@ -131,7 +132,7 @@
         }
     }
 
-    /// Reports the last attempt's result: there is no next one.
+    /// Reports the result of the connection's last attempt; always returns `None`.
     fn end(&self, result: AttemptResult) -> Option<NextAttempt> {
         self.report(result);
         None
--- a/programs/gateway/src/backend_connection/connection.rs
+++ b/programs/gateway/src/backend_connection/connection.rs
@@ -1,4 +1,4 @@
-//! The socket of one backend connection: opening it, one exchange of request and reply, and waiting while idle.
+//! The socket of a backend connection: connecting, exchanging a request and its reply, and waiting while idle.
 
 use crate::clock::to_duration;
 use crate::counters::Counter;
@@ -28,9 +28,9 @@
 pub(super) struct Exchange {
     /// Whether the request was written completely.
     pub(super) written: bool,
-    /// What ended it.
+    /// The event that ended the exchange.
     pub(super) event: ConnectionEvent,
-    /// The reply to the request, where there was one.
+    /// The reply to the request, if one was received.
     pub(super) reply: Option<Reply>,
 }
 
@@ -40,11 +40,11 @@
     }
 }
 
-/// How a connection ceased to be idle.
+/// How a connection's idle time ended.
 pub(super) enum IdleEnd {
-    /// It was handed an attempt and can carry it.
+    /// An attempt was assigned, and the connection can be used for it.
     Assigned(Attempt),
-    /// It is of no more use; the attempt was handed to it all the same.
+    /// The connection cannot be used any more; the attempt is one that was already assigned to it.
     Lost(Option<Attempt>),
 }
 
@@ -53,16 +53,16 @@
 }
 
 impl Connection {
-    /// Connects to a backend; where that fails, returns whether it was for want of a local socket.
+    /// Connects to a backend. The error tells a lack of local sockets from a failure to connect.
     pub(super) async fn dial(address: SocketAddr, shared: &Shared) -> Result<Connection, ConnectionEvent> {
         let resources = &shared.resources;
         if !resources.can_dial() {
-            resources.count(Counter::BackendsUndialled);
+            resources.count(Counter::BackendDialsWithoutSocket);
             return Err(ConnectionEvent::NoLocalSocket);
         }
         let guard = SocketGuard::new(resources, SocketKind::Upstream);
-        resources.count(Counter::BackendsDialled);
-        // Creating a socket fails only where the system has none left.
+        resources.count(Counter::BackendDials);
+        // Creating a socket fails only if the process or the system has no descriptor left.
         let socket = if address.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() };
         let connecting = socket.map_err(|_| ConnectionEvent::NoLocalSocket)?.connect(address);
         let connected = if shared.timeouts.dial.0 > 0 {
@@ -96,8 +96,8 @@
             set_headers: &set_headers,
             removed_headers: options.request_headers_removed,
         };
-        // Not cancel safe: a write that is dropped may have sent a part of the request. What is left in the write
-        // buffer tells whether all of it was sent.
+        // Not cancel safe: a dropped write may have sent a part of the request. The request was sent completely if the
+        // write buffer is empty.
         let event = tokio::select! {
             biased;
             sent = self.framed.send(request) => match sent {
@@ -110,10 +110,10 @@
     }
 
     async fn read_reply(&mut self, attempt: &mut Attempt, shared: &Shared) -> Exchange {
-        // Replies to other requests are skipped, and after them the connection is not reused.
+        // Replies to other requests are skipped; the connection is not reused after one.
         let mut skipped_any = false;
         loop {
-            // Cancel safe: what was read of a reply stays in the codec.
+            // Cancel safe: the bytes of an incomplete reply stay in the codec.
             let read = tokio::select! {
                 biased;
                 read = self.next_reply() => read,
@@ -153,27 +153,28 @@
         .await
     }
 
-    /// Frees the write buffer after a large request: it retains the capacity that it has grown to.
+    /// Frees the write buffer after a large request. The buffer never shrinks by itself.
     pub(super) fn release_write_buffer(&mut self, attempt: &Attempt) {
         if attempt.request.memory_bytes() > SMALL_BUFFER_BYTES {
             *self.framed.write_buffer_mut() = BytesMut::new();
         }
     }
 
-    /// Whether nothing was received since the last reply.
+    /// Whether the connection is open and nothing was received since the last reply.
     ///
-    /// The system is queried, as the runtime learns of received bytes only when it polls next. A request written after
-    /// the connection's end would count as one that may have run, and bytes that belong to no request would be taken for
-    /// its reply.
+    /// This peeks at the socket directly, because the runtime learns of received bytes only when it next polls for I/O.
+    /// Otherwise, a request written after the backend closed the connection would count as one that may have run, and
+    /// unsolicited bytes would be taken for the request's reply.
     fn is_quiet(&self) -> bool {
         let received = SockRef::from(self.framed.get_ref()).peek(&mut [MaybeUninit::uninit()]);
         self.framed.read_buffer().is_empty()
             && received.is_err_and(|error| error.kind() == ErrorKind::WouldBlock)
     }
 
-    /// Waits for the next attempt, unless the backend sends anything or closes the connection first.
+    /// Waits for the next attempt. The connection is lost if the backend sends anything or closes it first.
     pub(super) async fn idle(&mut self, next: &mut oneshot::Receiver<Attempt>) -> IdleEnd {
-        // Cancel safe: where bytes were received, the receiver is closed before a last attempt is taken from it.
+        // Cancel safe: if the read completes first, the receiver is closed before an attempt already sent is taken
+        // from it.
         tokio::select! {
             biased;
             _ = self.framed.next() => {
--- a/programs/gateway/src/backend_connection/connection/tests.rs
+++ b/programs/gateway/src/backend_connection/connection/tests.rs
@@ -8,17 +8,17 @@
 async fn detects_unsolicited_data_before_the_runtime_polls() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let resources = Rc::new(Resources::new(ResourceLimits::within(64, 64)));
-    for ends in [false, true] {
+    for closes in [false, true] {
         let address = listener.local_addr().expect("an address");
-        let stream = TcpStream::connect(address).await.expect("it listens");
-        let (mut other, _) = listener.accept().expect("it was connected");
+        let stream = TcpStream::connect(address).await.expect("a connection");
+        let (mut backend, _) = listener.accept().expect("an accepted connection");
         let guard = SocketGuard::new(&resources, SocketKind::Upstream);
         let connection = Connection { framed: Framed::new(stream, ClientCodec::default()), guard };
         assert!(connection.is_quiet());
-        if ends {
-            drop(other);
+        if closes {
+            drop(backend);
         } else {
-            other.write_all(b"H").expect("it is connected");
+            backend.write_all(b"H").expect("the byte is sent");
         }
         assert!(!connection.is_quiet());
     }
--- a/programs/gateway/src/client_connection.rs
+++ b/programs/gateway/src/client_connection.rs
@@ -1,7 +1,7 @@
-//! One task for each client connection: it reads requests, one at a time, has each admitted and routed, and writes the
-//! answer.
+//! The task of a client connection. It reads one request at a time, checks its admission, passes it to the router and
+//! writes the answer.
 //!
-//! While a request is being answered, the next one is read ahead, so that a client that closes its connection is noticed.
+//! While a request is in flight, the task reads ahead the next one, which also detects that the client disconnects.
 
 use crate::answer::{FinalAnswer, write_answer, write_plain};
 use crate::counters::{Counter, Invariant};
@@ -26,10 +26,11 @@
 use vanewharf_http1::{ReadError, Request, ServerCodec};
 use vanewharf_policy::interface::{Arrival, Ticks, TxnId};
 
-/// How long an idle connection stays open while the process shuts down, for a request that crosses with its end.
+/// How long an idle connection stays open during shutdown, for a request that is already on its way.
 const DRAIN_IDLE_TIMEOUT: Duration = Duration::from_millis(200);
-/// How long, and how much of, what a client still sends is read after its request was rejected, so that a reset does not
-/// overtake the answer. What is too large to be accepted is too expensive to be read.
+/// After an unreadable request was rejected, the client's further bytes are discarded for this long and up to
+/// [`MAX_DISCARDED_BYTES`]: closing with unread bytes would send a reset, which may overtake the answer. The size is
+/// bounded, as a request that is too large to accept is too expensive to read.
 const DISCARD_TIMEOUT: Duration = Duration::from_millis(500);
 const MAX_DISCARDED_BYTES: usize = 256 * 1024;
 
@@ -37,28 +38,28 @@
 pub(crate) struct ClientConnection {
     framed: Framed<TcpStream, ServerCodec>,
     guard: SocketGuard,
-    /// Bytes of the request or answer in hand, alongside those in the connection's buffers.
+    /// Size of the request or answer being handled, besides the connection's buffers.
     message_bytes: usize,
-    /// When the first request must be complete; none once it was.
+    /// When the first request must be complete; `None` once it was.
     first_request_deadline: Option<Instant>,
     shared: Rc<Shared>,
 }
 
-/// What was read, and when.
+/// The result of reading one request.
 struct ReadResult {
-    /// None where the client has closed the connection.
+    /// `None` if the client closed the connection.
     request: Option<Result<Request, ReadError>>,
-    at: Ticks,
-    /// Present where a whole request was read: it stays open until its answer is written.
-    open: Option<OpenRequest>,
+    read_at: Ticks,
+    /// Present if a complete request was read; it counts as open until its answer is written.
+    open_request: Option<OpenRequest>,
 }
 
 impl ReadResult {
-    /// What was read now.
+    /// A result read at the current time.
     fn new(request: Option<Result<Request, ReadError>>, shared: &Shared) -> ReadResult {
-        let at = shared.clock.now();
-        let open = matches!(request, Some(Ok(_))).then(|| shared.open_requests.open(at));
-        ReadResult { request, at, open }
+        let read_at = shared.clock.now();
+        let open_request = matches!(request, Some(Ok(_))).then(|| shared.open_requests.open(read_at));
+        ReadResult { request, read_at, open_request }
     }
 
     fn is_connection_lost(&self) -> bool {
@@ -66,26 +67,26 @@
     }
 }
 
-/// How the wait for a request ended.
-enum FirstByte {
-    /// Something was read completely.
+/// How the wait for the start of a request ended.
+enum RequestStart {
+    /// A request was read completely, or reading failed.
     Complete(ReadResult),
-    /// A request has begun.
-    Began,
-    /// The connection is to be closed.
+    /// A part of a request was read.
+    Partial,
+    /// The connection must be closed.
     Closed,
 }
 
-/// What becomes of a request that was read.
-enum Checked {
-    Health,
-    Refused(FinalAnswer),
+/// The result of checking whether a request is admitted.
+enum CheckedRequest {
+    HealthCheck,
+    Rejected(FinalAnswer),
     Admitted(Arrival, OpenId),
 }
 
 impl ClientConnection {
     pub(crate) fn new(stream: TcpStream, guard: SocketGuard, shared: Rc<Shared>) -> ClientConnection {
-        // Answers are written in one piece; waiting to fill a segment only delays them.
+        // Each answer is written at once, so that waiting to fill a segment would only delay it.
         let _ = stream.set_nodelay(true);
         let request_timeout = shared.dialect.forwarding_options().request_timeout;
         ClientConnection {
@@ -110,11 +111,11 @@
             };
             let request = match read.request {
                 None | Some(Err(ReadError::Io(_) | ReadError::UnexpectedEof)) => return,
-                Some(Err(error)) => return self.reject_unread(error).await,
+                Some(Err(error)) => return self.reject_unreadable(error).await,
                 Some(Ok(request)) => request,
             };
             self.first_request_deadline = None;
-            if !self.handle_request(request, read.at, read.open, &mut read_ahead).await {
+            if !self.handle_request(request, read.read_at, read.open_request, &mut read_ahead).await {
                 return;
             }
             self.release_write_buffer();
@@ -125,28 +126,28 @@
     async fn handle_request(
         &mut self,
         request: Request,
-        at: Ticks,
-        open: Option<OpenRequest>,
+        read_at: Ticks,
+        open_request: Option<OpenRequest>,
         read_ahead: &mut Option<ReadResult>,
     ) -> bool {
         let close = request.closes_connection();
         let txn = self.shared.next_txn();
-        match self.check(&request, at, txn) {
-            Checked::Health => {
+        match self.check(&request, read_at, txn) {
+            CheckedRequest::HealthCheck => {
                 let close = close || self.closes_for_drain(read_ahead);
                 write_plain(&mut self.framed, 200, "ok\n", close).await && !close
             }
-            Checked::Refused(answer) => {
+            CheckedRequest::Rejected(answer) => {
                 self.shared.resources.count(Counter::RequestsRejected);
                 let close = close || self.closes_for_drain(read_ahead);
                 self.write_answer(&answer, close).await
             }
-            Checked::Admitted(arrival, open_id) => {
+            CheckedRequest::Admitted(arrival, open_id) => {
                 self.shared.resources.count(Counter::RequestsAdmitted);
                 let Some(answer) = self.route(request, arrival, open_id, read_ahead).await else {
                     return false;
                 };
-                open.iter().for_each(OpenRequest::begin_answer);
+                open_request.iter().for_each(OpenRequest::begin_answer);
                 self.message_bytes = answer.memory_bytes();
                 let close = close || self.closes_for_drain(read_ahead);
                 self.write_answer(&answer, close).await
@@ -154,39 +155,41 @@
         }
     }
 
-    /// Whether the connection ends with the next answer because the process shuts down. A request that has arrived already is
-    /// read first: it is answered before the connection ends.
+    /// Whether the connection closes after the next answer because the process is shutting down. A request that has
+    /// already arrived is read first and answered before the connection closes.
     fn closes_for_drain(&mut self, read_ahead: &mut Option<ReadResult>) -> bool {
         if !self.shared.resources.is_draining() {
             return false;
         }
         if read_ahead.is_none() {
-            // Cancel safe: what was read of an incomplete request stays in the codec.
+            // Cancel safe: the bytes of an incomplete request stay in the codec.
             *read_ahead = self.read().now_or_never();
         }
         read_ahead.is_none()
     }
 
-    fn check(&self, request: &Request, at: Ticks, txn: TxnId) -> Checked {
+    fn check(&self, request: &Request, read_at: Ticks, txn: TxnId) -> CheckedRequest {
         let dialect = &self.shared.dialect;
-        let arrival = match dialect.admit(request, at, txn) {
-            Admission::Health => return Checked::Health,
+        let arrival = match dialect.admit(request, read_at, txn) {
+            Admission::Health => return CheckedRequest::HealthCheck,
             Admission::Reject { status, reason } => {
-                return Checked::Refused(FinalAnswer::Rejected { status, reason });
+                return CheckedRequest::Rejected(FinalAnswer::Rejected { status, reason });
+            }
+            Admission::RetryAfter(retry_after) => {
+                return CheckedRequest::Rejected(FinalAnswer::Busy { retry_after });
             }
-            Admission::RetryAfter(retry_after) => return Checked::Refused(FinalAnswer::Busy { retry_after }),
             Admission::Txn(arrival) => arrival,
         };
         match dialect.request_id(request).and_then(|id| self.shared.open_ids.try_open(id)) {
-            Some(open_id) => Checked::Admitted(arrival, open_id),
+            Some(open_id) => CheckedRequest::Admitted(arrival, open_id),
             None => {
                 let reason = "a request with this id is open";
-                Checked::Refused(FinalAnswer::Rejected { status: 409, reason })
+                CheckedRequest::Rejected(FinalAnswer::Rejected { status: 409, reason })
             }
         }
     }
 
-    /// Hands a request to the router and waits for its answer; none where the client has left.
+    /// Passes a request to the router and waits for its answer; returns `None` if the client disconnects.
     async fn route(
         &mut self,
         request: Request,
@@ -202,7 +205,7 @@
         self.wait_for_answer(txn, answered, read_ahead).await
     }
 
-    /// Waits for the answer or for the client to leave, whichever comes first.
+    /// Waits for the answer; returns `None` if the client disconnects first.
     async fn wait_for_answer(
         &mut self,
         txn: TxnId,
@@ -210,17 +213,17 @@
         read_ahead: &mut Option<ReadResult>,
     ) -> Option<FinalAnswer> {
         loop {
-            // Cancel safe: what was read of a request stays in the codec.
+            // Cancel safe: the bytes of an incomplete request stay in the codec.
             tokio::select! {
                 biased;
                 answer = &mut answered => {
-                    // The router must not drop a request that has no answer yet.
+                    // An error means that the router dropped a request without answering it.
                     self.shared.resources.check(answer.is_ok(), Invariant::AnsweredOnce);
                     return Some(answer.unwrap_or(FinalAnswer::OutcomeUnknown));
                 }
                 read = self.read(), if read_ahead.is_none() => {
                     if read.is_connection_lost() {
-                        self.shared.notify_router(RouterMessage::ClientLeft(txn));
+                        self.shared.notify_router(RouterMessage::ClientDisconnected(txn));
                         return None;
                     }
                     *read_ahead = Some(read);
@@ -235,8 +238,8 @@
         write_answer(&mut self.framed, answer, close, &options).await && !close
     }
 
-    /// Frees the write buffer after a large message: it retains the capacity that it has grown to, and a client may stay
-    /// for hours.
+    /// Frees the write buffer after a large message. The buffer never shrinks by itself, and a client may stay
+    /// connected for hours.
     fn release_write_buffer(&mut self) {
         if self.message_bytes > SMALL_BUFFER_BYTES {
             *self.framed.write_buffer_mut() = BytesMut::new();
@@ -244,7 +247,7 @@
         self.message_bytes = 0;
     }
 
-    /// Reads on and accounts for the buffers; an incomplete request is dropped when memory is short.
+    /// Polls for the next request and updates the memory accounting; fails an incomplete request when memory is short.
     fn poll_read(&mut self, cx: &mut Context<'_>) -> Poll<ReadResult> {
         let ClientConnection { framed, guard, message_bytes, shared, .. } = self;
         let read = framed.poll_next_unpin(cx);
@@ -261,29 +264,29 @@
         poll_fn(|cx| self.poll_read(cx)).await
     }
 
-    /// Waits until something was read completely or a request has begun.
-    async fn read_first_byte(&mut self) -> FirstByte {
+    /// Waits until a request was read, completely or in part, or reading failed.
+    async fn read_request_start(&mut self) -> RequestStart {
         poll_fn(|cx| match self.poll_read(cx) {
-            Poll::Ready(read) => Poll::Ready(FirstByte::Complete(read)),
-            // What the codec holds has left the connection's buffer.
+            Poll::Ready(read) => Poll::Ready(RequestStart::Complete(read)),
+            // The codec may hold bytes that it has already taken from the read buffer.
             Poll::Pending
                 if self.framed.read_buffer().is_empty() && self.framed.codec().buffered_bytes() == 0 =>
             {
                 Poll::Pending
             }
-            Poll::Pending => Poll::Ready(FirstByte::Began),
+            Poll::Pending => Poll::Ready(RequestStart::Partial),
         })
         .await
     }
 
-    /// The next request, unless the connection is closed while idle.
+    /// Reads the next request; returns `None` if the connection is to be closed.
     async fn next_request(&mut self) -> Option<ReadResult> {
         let shared = Rc::clone(&self.shared);
         let options = shared.dialect.forwarding_options();
-        match self.wait_for_first_byte(&shared, &options).await {
-            FirstByte::Complete(read) => return Some(read),
-            FirstByte::Began => {}
-            FirstByte::Closed => return None,
+        match self.wait_for_request_start(&shared, &options).await {
+            RequestStart::Complete(read) => return Some(read),
+            RequestStart::Partial => {}
+            RequestStart::Closed => return None,
         }
         let deadline = self.first_request_deadline.unwrap_or(Instant::now() + options.request_timeout);
         match timeout_at(deadline, self.read()).await {
@@ -293,44 +296,44 @@
         }
     }
 
-    async fn wait_for_first_byte(&mut self, shared: &Shared, options: &ForwardingOptions) -> FirstByte {
+    async fn wait_for_request_start(&mut self, shared: &Shared, options: &ForwardingOptions) -> RequestStart {
         let resources = &shared.resources;
         loop {
-            let _idle = resources.idle_client();
-            // While draining, a connection that the system has accepted may still carry a request that was not read yet.
+            let _idle = resources.track_idle_client();
+            // While draining, an accepted connection may still hold a request that was not read yet.
             let draining = resources.is_draining();
             let deadline = if draining {
                 Instant::now() + DRAIN_IDLE_TIMEOUT
             } else {
                 self.first_request_deadline.unwrap_or(Instant::now() + options.idle_timeout)
             };
-            // Cancel safe: what was read stays in the codec. Before draining, a woken connection either closes or, where
-            // draining has just begun, waits again with the shorter timeout.
+            // Cancel safe: the bytes that were read stay in the codec. A notified connection closes, except if draining
+            // has just begun: it then waits again, with the shorter timeout.
             tokio::select! {
                 biased;
-                first_byte = self.read_first_byte() => return first_byte,
+                start = self.read_request_start() => return start,
                 () = resources.close_idle_client.notified(), if !draining => {
                     if !resources.is_draining() {
                         resources.count(Counter::ClientsShed);
-                        return FirstByte::Closed;
+                        return RequestStart::Closed;
                     }
                 }
                 () = sleep_until(deadline) => {
                     resources.count(Counter::ClientsClosedIdle);
-                    return FirstByte::Closed;
+                    return RequestStart::Closed;
                 }
             }
         }
     }
 
-    /// Answers a request that cannot be read, and ends the connection.
-    async fn reject_unread(mut self, error: ReadError) {
+    /// Answers a request that could not be read, and closes the connection.
+    async fn reject_unreadable(mut self, error: ReadError) {
         self.shared.resources.count(Counter::RequestsRejected);
         let status = match error {
             ReadError::HeadTooLarge => 431,
             ReadError::BodyTooLarge => 413,
             ReadError::TimedOut => 408,
-            // Nothing of it was forwarded.
+            // The request was not forwarded, so the client may retry.
             ReadError::OutOfMemory => 503,
             _ => 400,
         };
@@ -344,7 +347,7 @@
     }
 }
 
-/// Reads and drops what the client still sends, up to [`MAX_DISCARDED_BYTES`].
+/// Reads and discards the client's further bytes, up to [`MAX_DISCARDED_BYTES`].
 async fn discard(stream: &TcpStream) {
     let (mut buffer, mut discarded) = ([0; 4096], 0);
     while discarded < MAX_DISCARDED_BYTES && stream.readable().await.is_ok() {
--- a/programs/gateway/src/counters.rs
+++ b/programs/gateway/src/counters.rs
@@ -1,11 +1,11 @@
-//! What the process has counted since its start, and the invariants that were found violated.
+//! Counters of events and of invariant violations since the process's start.
 //!
-//! The names that counters are printed under are read by operators and their tools; they outlive the names in the code.
+//! The printed names are read by operators and their tools, so they stay the same when a name in the code changes.
 
 use std::cell::Cell;
 use std::fmt;
 
-/// Declares an enum of things that are counted, with the name that each is printed under.
+/// Declares an enum of counters and the name under which each is printed.
 macro_rules! counted {
     ($(#[$doc:meta])* $kind:ident, $names:ident: $($(#[$variant_doc:meta])* $variant:ident $name:literal,)*) => {
         $(#[$doc])*
@@ -17,37 +17,37 @@
 }
 
 counted!(
-    /// An event that is counted.
+    /// A counted event.
     Counter, COUNTER_NAMES:
     /// A request was admitted.
     RequestsAdmitted "taken",
-    /// A request was rejected or declined before any routing decision.
+    /// A request was rejected or declined before it was routed.
     RequestsRejected "turned_back",
     /// A request was answered with a backend's reply.
     RequestsSucceeded "settled",
     /// A request was declined by the policy.
     RequestsDeclined "declined",
-    /// A request was answered without its outcome being known.
+    /// A request was answered with an unknown outcome.
     RequestsOutcomeUnknown "voided",
-    /// A client closed its connection before it was answered.
-    ClientsLeft "left",
+    /// A client closed its connection before its request was answered.
+    ClientsDisconnected "left",
     /// An attempt was made.
     Attempts "submissions",
-    /// An attempt ended with a good reply.
+    /// An attempt ended with a successful reply.
     AttemptsSucceeded "submissions_settled",
-    /// An attempt ended with a reply that is an error.
+    /// An attempt ended with an error reply.
     AttemptsError "submissions_error",
-    /// An attempt was refused by the backend before it ran.
+    /// An attempt was rejected by the backend, which did not run the request.
     AttemptsRejected "submissions_turned_away",
-    /// An attempt ran out of time.
+    /// An attempt timed out.
     AttemptsTimedOut "submissions_timed_out",
-    /// An attempt got no connection.
+    /// An attempt failed because no connection could be opened.
     AttemptsConnectFailed "submissions_no_connection",
-    /// An attempt's connection broke after the request was written.
+    /// An attempt's connection was lost after the request was written.
     AttemptsConnectionLost "submissions_broken",
     /// An attempt was cancelled by the policy.
     AttemptsCancelled "submissions_cancelled",
-    /// An attempt was not made: its request was over, or no socket was left.
+    /// An attempt was not made because its request had finished or no socket was left.
     AttemptsNotSent "submissions_moot",
     /// A client connection was accepted.
     ClientsAccepted "clients_accepted",
@@ -55,31 +55,31 @@
     ClientsShed "clients_shed",
     /// A client connection was closed after its idle timeout.
     ClientsClosedIdle "clients_closed_idle",
-    /// The system failed to accept a client.
+    /// Accepting a client failed.
     AcceptFailed "accept_failed",
-    /// A connection to a backend was begun.
-    BackendsDialled "backends_dialled",
-    /// A connection to a backend was not begun for want of a socket.
-    BackendsUndialled "backends_undialled",
+    /// Connecting to a backend was started.
+    BackendDials "backends_dialled",
+    /// No connection to a backend was opened because no socket was left.
+    BackendDialsWithoutSocket "backends_undialled",
     /// An idle backend connection was reused.
-    BackendsReused "backends_reused",
-    /// An idle backend connection proved to be closed when it was reused.
-    BackendsStale "backends_stale",
-    /// An idle backend connection was closed for its age.
-    BackendsDroppedIdle "backends_dropped_idle",
-    /// Discovery gave a list or a change.
-    Lists "lists",
-    /// A call to discovery failed.
-    ListFailures "list_failures",
+    BackendConnectionsReused "backends_reused",
+    /// An idle backend connection had been closed by the backend when it was to be reused.
+    BackendConnectionsStale "backends_stale",
+    /// An idle backend connection was closed after its idle limit, or had ended.
+    BackendConnectionsDroppedIdle "backends_dropped_idle",
+    /// The discovery agent returned a list or a change.
+    DiscoveryLists "lists",
+    /// A call to the discovery agent failed.
+    DiscoveryFailures "list_failures",
     /// The platform's file was reloaded.
     Reloads "reloads",
     /// The platform's file could not be reloaded.
     ReloadFailures "reload_failures",
     /// A call to the shared quota counter was made.
     QuotaCounterCalls "counter_calls",
-    /// The shared quota counter answered with a total.
+    /// The shared quota counter replied with a total.
     QuotaCounterTotals "counter_totals",
-    /// The shared quota counter was not reached or refused the call.
+    /// The shared quota counter was not reachable or refused the call.
     QuotaCounterNotAdded "counter_not_added",
     /// It is not known whether the shared quota counter executed the call.
     QuotaCounterUnknown "counter_unknown",
@@ -87,20 +87,20 @@
     PeerMessagesSent "peers_told",
     /// A message to another gateway could not be sent.
     PeerMessagesUnsent "peers_untold",
-    /// A message of another gateway was received.
+    /// A message from another gateway was received.
     PeerMessagesReceived "peers_heard",
     /// A datagram on the peer port was dropped.
     PeerMessagesDropped "peers_dropped",
 );
 
 counted!(
-    /// What must always hold.
+    /// A property that must always hold.
     Invariant, INVARIANT_NAMES:
     /// Each request has exactly one answer.
     AnsweredOnce "answered_once",
     /// Each request is answered by its expiry.
     AnsweredByExpiry "answered_by_expiry",
-    /// A request that must run once only is not run twice.
+    /// A request that must run at most once is not run twice.
     NoEffectTwice "no_effect_twice",
     /// Attempts go to listed backends only.
     OnlyToListed "only_to_listed",
@@ -131,21 +131,21 @@
         increment(&self.counts[counter as usize]);
     }
 
-    /// How often any invariant was found violated.
+    /// The number of violations of any invariant.
     pub fn violations(&self) -> u64 {
         self.violations.iter().map(Cell::get).sum()
     }
 
-    /// Counts and logs a violated invariant.
+    /// Counts and logs a violation of the invariant, unless it holds.
     ///
     /// # Panics
     ///
-    /// In debug builds, where the invariant does not hold.
+    /// In debug builds, if the invariant does not hold.
     pub fn check(&self, holds: bool, invariant: Invariant) {
-        debug_assert!(holds, "{invariant:?} does not hold");
+        debug_assert!(holds, "invariant {invariant:?} violated");
         if !holds {
             increment(&self.violations[invariant as usize]);
-            tracing::error!(?invariant, "does not hold");
+            tracing::error!(?invariant, "invariant violated");
         }
     }
 }
--- a/programs/gateway/src/discovery.rs
+++ b/programs/gateway/src/discovery.rs
@@ -1,7 +1,7 @@
-//! Watches the list of backends: starts from what was known, then calls the discovery agent again and again.
+//! Follows the list of backends: starts from the list in the platform's file, then long-polls the discovery agent.
 //!
-//! Each call states the version that this gateway has and waits for a newer one. After a call that failed, changes may
-//! have been missed, so the complete list is requested.
+//! Each call states this gateway's version of the list and waits for a newer one. After a failed call, changes may have
+//! been missed, so the complete list is requested.
 
 mod backend_table;
 mod pacing;
@@ -15,7 +15,7 @@
 use crate::shared::Shared;
 use backend_table::BackendTable;
 use futures_util::{SinkExt, StreamExt};
-use pacing::PAUSE;
+use pacing::RETRY_PAUSE;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
@@ -26,18 +26,18 @@
 use tokio_util::codec::Framed;
 use vanewharf_http1::{ClientCodec, ForwardedRequest, Reply, Request};
 
-/// For a reply that is due, and for connecting to the agent.
+/// How long to wait for a reply beyond the long poll's own duration, and for connecting to the agent.
 const REPLY_TIMEOUT: Duration = Duration::from_millis(500);
 const LIST_PATH: &str = "/v1/servers";
 const STATUS_OK: u16 = 200;
 
-/// Why a call gave no list.
+/// Why a call returned no list.
 #[derive(Debug, Error)]
 enum CallError {
-    /// A reply other than 200: discovery is reachable and refuses calls.
-    #[error("discovery takes no more calls")]
+    /// A reply other than 200: the agent is reachable but refuses calls.
+    #[error("the discovery agent refused the call")]
     Refused,
-    /// Changes may have been missed, so the complete list is to be requested.
+    /// The connection or the reply failed. Changes may have been missed, so the complete list must be requested.
     #[error("{0}")]
     Failed(&'static str),
 }
@@ -45,7 +45,7 @@
 /// What the next call requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Requested {
-    /// Whatever is newer than the version at hand, as soon as there is something.
+    /// Changes since this gateway's version, as soon as there are any.
     Changes,
     /// The complete list, at once.
     CompleteList,
@@ -53,14 +53,14 @@
 
 struct Connection {
     framed: Framed<TcpStream, ClientCodec>,
-    /// Counts the socket for as long as the connection is open.
+    /// Counts the socket while the connection is open.
     _guard: SocketGuard,
 }
 
-/// The state of the task that watches the list of backends.
+/// The state of the discovery task.
 pub struct Discovery {
-    /// Where the agent listens; a reload may change it.
-    agent: watch::Receiver<SocketAddr>,
+    /// The agent's address; a reload may change it.
+    agent_address: watch::Receiver<SocketAddr>,
     shared: Rc<Shared>,
     table: BackendTable,
     pacing: DiscoveryPacing,
@@ -69,29 +69,30 @@
 }
 
 impl Discovery {
-    /// A watch that starts from `known`, and the update that the router starts from. Backends in `locality` are near.
+    /// Creates the task's state from the `initial` list, and the router's initial update. Backends in `locality` are
+    /// local.
     pub fn start(
-        agent: watch::Receiver<SocketAddr>,
+        agent_address: watch::Receiver<SocketAddr>,
         shared: Rc<Shared>,
         locality: String,
-        known: PublishedList,
+        initial: PublishedList,
         pacing: DiscoveryPacing,
     ) -> (Discovery, BackendUpdate) {
         let mut table = BackendTable::new(locality);
-        let update = table.apply(known);
+        let update = table.apply(initial);
         let (connection, requested) = (None, Requested::Changes);
-        (Discovery { agent, shared, table, pacing, connection, requested }, update)
+        (Discovery { agent_address, shared, table, pacing, connection, requested }, update)
     }
 
-    /// Calls the agent for ever and passes what changes to the router.
+    /// Calls the agent repeatedly and passes changes to the router.
     pub async fn run(mut self) {
-        let mut agent = self.agent.clone();
+        let mut agent_address = self.agent_address.clone();
         loop {
-            // A call is dropped when the agent moves: its connection is replaced and the complete list requested, so
-            // nothing is missed.
+            // Cancel safe: a call is dropped only when the agent's address changes. The connection is then replaced and
+            // the complete list requested, so no change is missed.
             tokio::select! {
                 biased;
-                Ok(()) = agent.changed() => {
+                Ok(()) = agent_address.changed() => {
                     self.connection = None;
                     self.requested = Requested::CompleteList;
                 }
@@ -100,27 +101,27 @@
         }
     }
 
-    /// Makes one call, and pauses before the next where one is due.
+    /// Makes one call, and pauses after it if necessary.
     async fn poll_agent(&mut self) {
         let called = Instant::now();
         match self.call().await {
             Ok(published) => {
-                self.shared.resources.count(Counter::Lists);
+                self.shared.resources.count(Counter::DiscoveryLists);
                 self.pacing.record_success();
                 if self.requested == Requested::CompleteList {
                     self.requested = Requested::Changes;
-                    tracing::info!("discovery gives the whole list again");
+                    tracing::info!("received the complete list from the discovery agent again");
                 }
                 let update = self.table.apply(published);
                 if matches!(update, BackendUpdate::Snapshot(_)) || !update.entries().is_empty() {
                     self.shared.notify_router(RouterMessage::BackendsChanged(update));
-                } else if called.elapsed() < PAUSE {
-                    // Against an agent that replies without waiting for changes.
-                    tokio::time::sleep(PAUSE).await;
+                } else if called.elapsed() < RETRY_PAUSE {
+                    // Limits the rate of calls to an agent that replies without waiting for changes.
+                    tokio::time::sleep(RETRY_PAUSE).await;
                 }
             }
             Err(error) => {
-                self.shared.resources.count(Counter::ListFailures);
+                self.shared.resources.count(Counter::DiscoveryFailures);
                 let pause = self.pause_after(&error);
                 tokio::time::sleep(pause).await;
             }
@@ -129,25 +130,25 @@
 
     fn pause_after(&mut self, error: &CallError) -> Duration {
         match error {
-            // The next watch starts from the version at hand: nothing is missed.
+            // The next long poll starts from the same version, so no change is missed.
             CallError::Refused => {
                 tracing::debug!("{error}");
                 self.pacing.pause_after_refusal()
             }
             CallError::Failed(reason) => {
                 self.connection = None;
-                // Once for each outage: a log line for each call could fill the disk.
+                // Logged once per outage, because a line for each failed call could fill the disk.
                 if self.requested == Requested::Changes {
                     self.requested = Requested::CompleteList;
-                    tracing::info!(reason, "discovery gives no list");
+                    tracing::info!(reason, "cannot get the backend list from the discovery agent");
                 }
-                PAUSE
+                RETRY_PAUSE
             }
         }
     }
 
     async fn call(&mut self) -> Result<PublishedList, CallError> {
-        let address = *self.agent.borrow();
+        let address = *self.agent_address.borrow();
         let connection = match &mut self.connection {
             Some(connection) => connection,
             None => self.connection.insert(connect(address, &self.shared).await?),
@@ -155,35 +156,35 @@
         let (target, reply_timeout) = match self.requested {
             Requested::CompleteList => (LIST_PATH.to_owned(), REPLY_TIMEOUT),
             Requested::Changes => {
-                let wait = self.pacing.watch_duration();
+                let wait = self.pacing.long_poll_duration();
                 let (version, wait_ms) = (self.table.version(), wait.as_millis());
                 (format!("{LIST_PATH}?index={version}&wait={wait_ms}"), wait + REPLY_TIMEOUT)
             }
         };
         let request = Request::get(&address.to_string(), &target);
         let reply = timeout(reply_timeout, exchange(connection, &request)).await;
-        let reply = reply.map_err(|_| CallError::Failed("silent"))?;
-        let reply = reply.ok_or(CallError::Failed("connection broken"))?;
+        let reply = reply.map_err(|_| CallError::Failed("no reply in time"))?;
+        let reply = reply.ok_or(CallError::Failed("connection lost"))?;
         if reply.closes_connection() {
             self.connection = None;
         }
         if reply.status() != STATUS_OK {
             return Err(CallError::Refused);
         }
-        serde_json::from_slice(reply.body()).map_err(|_| CallError::Failed("a list that cannot be read"))
+        serde_json::from_slice(reply.body()).map_err(|_| CallError::Failed("invalid list"))
     }
 }
 
 async fn connect(address: SocketAddr, shared: &Shared) -> Result<Connection, CallError> {
     let stream = timeout(REPLY_TIMEOUT, TcpStream::connect(address)).await;
-    let stream = stream.map_err(|_| CallError::Failed("no connection in time"))?;
-    let stream = stream.map_err(|_| CallError::Failed("no connection"))?;
+    let stream = stream.map_err(|_| CallError::Failed("connecting timed out"))?;
+    let stream = stream.map_err(|_| CallError::Failed("cannot connect"))?;
     let _ = stream.set_nodelay(true);
     let guard = SocketGuard::new(&shared.resources, SocketKind::Upstream);
     Ok(Connection { framed: Framed::new(stream, ClientCodec::default()), _guard: guard })
 }
 
-/// The reply to a request; none where the connection broke.
+/// Sends a request and reads its reply; returns `None` if the connection is lost.
 async fn exchange(connection: &mut Connection, request: &Request) -> Option<Reply> {
     let forwarded = ForwardedRequest { request, set_headers: &[], removed_headers: &[] };
     connection.framed.send(forwarded).await.ok()?;
--- a/programs/gateway/src/discovery/pacing.rs
+++ b/programs/gateway/src/discovery/pacing.rs
@@ -1,8 +1,8 @@
-//! When discovery is called: how long a watch waits, and how long to pause after a call that failed.
+//! The timing of calls to discovery: the duration of long polls, and the pauses after failed calls.
 //!
-//! Gateways that start together must not stay synchronized. Where lists come only on request, the calls of all gateways
-//! at one moment are more than discovery can answer, and so they are again after each fixed pause. Waits and pauses
-//! therefore have a random part, and a call that was refused is repeated after ever longer pauses.
+//! Gateways that start together must not stay synchronized. If lists are sent on request only, simultaneous calls of
+//! all gateways exceed what discovery can answer, and would do so again after each fixed pause. Durations and pauses
+//! therefore have a random part, and the pauses after refused calls grow exponentially.
 
 use crate::clock::to_duration;
 use rand::rngs::SmallRng;
@@ -10,31 +10,33 @@
 use std::time::Duration;
 use vanewharf_policy::interface::Ticks;
 
-/// How long a watch waits where lists are pushed to the agent and cost nothing: short, so that an agent that has become
-/// unresponsive is soon called again.
-const PUSHED_WATCH: Duration = Duration::from_secs(2);
-/// The longest watch that an agent accepts.
-const MAX_WATCH: Duration = Duration::from_secs(60);
-/// Between two calls where the first failed or returned nothing at once; it is shorter than the time within which the
-/// next call must be made.
-pub(super) const PAUSE: Duration = Duration::from_millis(100);
-/// The first pause after a refused call, as a part of the interval at which a gateway must call.
-const FIRST_REFUSAL_PAUSE: f64 = 0.4;
-/// The longest such pause. A gateway whose call failed may take four intervals.
-const MAX_REFUSAL_PAUSE: f64 = 2.0;
-const MAX_DOUBLINGS: i32 = 16;
+/// The shortest long poll. It is used if lists are pushed to the agent, so that calls cost nothing: an agent that has
+/// become unresponsive is then soon called again.
+const MIN_LONG_POLL: Duration = Duration::from_secs(2);
+/// The longest long poll that an agent accepts.
+const MAX_LONG_POLL: Duration = Duration::from_secs(60);
+/// The pause after a call that failed or that returned nothing without waiting. It is shorter than the interval at
+/// which calls must be made.
+pub(super) const RETRY_PAUSE: Duration = Duration::from_millis(100);
+/// The first pause after a refused call, in poll intervals.
+const FIRST_REFUSAL_PAUSE_INTERVALS: f64 = 0.4;
+/// The longest pause after a refused call, in poll intervals. After a failed call, a gateway has four intervals for the
+/// next one.
+const MAX_REFUSAL_PAUSE_INTERVALS: f64 = 2.0;
+/// Bounds the exponent of the pause's growth.
+const MAX_PAUSE_DOUBLINGS: i32 = 16;
 
-/// The state that the waits and pauses of one gateway depend on.
+/// The state from which one gateway's long polls and pauses are derived.
 pub struct DiscoveryPacing {
-    /// Where lists come only on request: how often a gateway must call.
+    /// The interval at which a gateway must call, if lists are sent on request only.
     poll_interval: Option<Duration>,
-    /// Calls refused since the last that was answered.
+    /// The number of calls refused since the last answered one.
     refusals: i32,
     random: SmallRng,
 }
 
 impl DiscoveryPacing {
-    /// Pacing for lists that must be requested at `poll_interval`, or are pushed where there is none.
+    /// Creates the pacing for lists that must be requested at `poll_interval` or, if it is `None`, are pushed.
     pub fn new(poll_interval: Option<Ticks>, seed: u64) -> DiscoveryPacing {
         DiscoveryPacing {
             poll_interval: poll_interval.map(to_duration),
@@ -43,11 +45,11 @@
         }
     }
 
-    /// How long the next watch waits. Changes are returned at once, so a longer watch is only cheaper.
-    pub(super) fn watch_duration(&mut self) -> Duration {
-        let spread = 1.0 + self.random.random::<f64>();
+    /// The duration of the next long poll. Changes end it at once, so a longer one is cheaper and delays nothing.
+    pub(super) fn long_poll_duration(&mut self) -> Duration {
+        let jitter = 1.0 + self.random.random::<f64>();
         self.poll_interval
-            .map_or(PUSHED_WATCH, |interval| interval.mul_f64(spread).clamp(PUSHED_WATCH, MAX_WATCH))
+            .map_or(MIN_LONG_POLL, |interval| interval.mul_f64(jitter).clamp(MIN_LONG_POLL, MAX_LONG_POLL))
     }
 
     /// Records a call that was answered.
@@ -55,13 +57,13 @@
         self.refusals = 0;
     }
 
-    /// How long to pause after discovery, though reachable, refused a call.
+    /// The pause after a call that a reachable discovery agent refused.
     pub(super) fn pause_after_refusal(&mut self) -> Duration {
-        let doubled = FIRST_REFUSAL_PAUSE * 2f64.powi(self.refusals.min(MAX_DOUBLINGS));
+        let doubled = FIRST_REFUSAL_PAUSE_INTERVALS * 2f64.powi(self.refusals.min(MAX_PAUSE_DOUBLINGS));
         self.refusals += 1;
-        let spread = 0.5 + 0.5 * self.random.random::<f64>();
-        let interval = self.poll_interval.unwrap_or(PUSHED_WATCH);
-        interval.mul_f64(doubled.min(MAX_REFUSAL_PAUSE) * spread).clamp(PAUSE, MAX_WATCH)
+        let jitter = 0.5 + 0.5 * self.random.random::<f64>();
+        let interval = self.poll_interval.unwrap_or(MIN_LONG_POLL);
+        interval.mul_f64(doubled.min(MAX_REFUSAL_PAUSE_INTERVALS) * jitter).clamp(RETRY_PAUSE, MAX_LONG_POLL)
     }
 }
 
--- a/programs/gateway/src/listener.rs
+++ b/programs/gateway/src/listener.rs
@@ -1,4 +1,4 @@
-//! Accepts clients: one task for the listening socket, which spawns one for each client.
+//! The task of the listening socket, which accepts clients and spawns a task for each.
 
 use crate::client_connection::ClientConnection;
 use crate::counters::Counter;
@@ -11,10 +11,10 @@
 use tokio::sync::Notify;
 use tokio::time::timeout;
 
-/// How long a closed socket is waited for before accepting is tried again.
+/// How long to wait for a socket to close before trying to accept again.
 const SOCKET_WAIT: Duration = Duration::from_millis(50);
 
-/// Accepts clients until `stop` is notified, and then those that the system has accepted already.
+/// Accepts clients until `stop` is notified, and then those that are still in the listening socket's queue.
 pub async fn accept_clients(listener: TcpListener, shared: Rc<Shared>, stop: Rc<Notify>) {
     accept_until_stopped(&listener, &shared, &stop).await;
     accept_backlog(listener, &shared);
@@ -24,17 +24,17 @@
     let resources = &shared.resources;
     let mut failing = false;
     loop {
-        if resources.is_crowded() {
+        if resources.should_close_idle() {
             close_idle_connection(shared);
         }
-        if resources.is_full() {
-            // Cancel safe: a notification that is lost is made up for by the timeout.
+        if resources.is_accept_paused() {
+            // Cancel safe: if a notification is lost, the timeout ends the wait.
             tokio::select! {
                 _ = timeout(SOCKET_WAIT, resources.socket_closed.notified()) => continue,
                 () = stop.notified() => return,
             }
         }
-        // Cancel safe: accept takes no client from the system's queue unless it completes.
+        // Cancel safe: `accept` takes no client from the queue unless it completes.
         let accepted = tokio::select! {
             biased;
             accepted = listener.accept() => accepted,
@@ -47,9 +47,9 @@
             }
             Err(error) => {
                 resources.count(Counter::AcceptFailed);
-                // Once for each outage: a log line for each failure could fill the disk.
+                // Logged once per outage, because a line for each failure could fill the disk.
                 if !std::mem::replace(&mut failing, true) {
-                    tracing::warn!(%error, "no client accepted");
+                    tracing::warn!(%error, "cannot accept clients");
                 }
                 close_idle_connection(shared);
                 let _ = timeout(SOCKET_WAIT, resources.socket_closed.notified()).await;
@@ -58,7 +58,7 @@
     }
 }
 
-/// Takes the clients in the system's queue: they have connected, so their requests count as accepted.
+/// Accepts the clients in the listening socket's queue: they are connected and may have sent requests already.
 fn accept_backlog(listener: TcpListener, shared: &Rc<Shared>) {
     let Ok(listener) = listener.into_std() else {
         return;
@@ -66,12 +66,13 @@
     while let Ok((stream, _)) = listener.accept() {
         match stream.set_nonblocking(true).and_then(|()| TcpStream::from_std(stream)) {
             Ok(stream) => spawn_client(stream, shared),
-            Err(error) => tracing::warn!(%error, "an accepted client is lost"),
+            Err(error) => tracing::warn!(%error, "cannot register an accepted client's socket; closing it"),
         }
     }
 }
 
-/// Frees a socket. Idle clients go first: a connection to a backend is used for all clients and expensive to open.
+/// Frees a socket by closing an idle connection, a client's if possible: connections to backends serve all clients
+/// and are expensive to open.
 fn close_idle_connection(shared: &Shared) {
     if !shared.resources.close_longest_idle_client() {
         shared.notify_router(RouterMessage::CloseIdleConnection);
--- a/programs/gateway/src/messages.rs
+++ b/programs/gateway/src/messages.rs
@@ -1,5 +1,5 @@
-//! The messages that the stages exchange: what they report to the router, and what the router hands to a backend
-//! connection.
+//! The messages between tasks: those sent to the router, and the attempts that the router passes to backend
+//! connections.
 
 use crate::answer::FinalAnswer;
 use crate::open_ids::OpenId;
@@ -15,13 +15,13 @@
 
 /// An admitted request.
 pub struct NewRequest {
-    /// The event for the routing policy.
+    /// The arrival event for the routing policy.
     pub arrival: Arrival,
-    /// The request as it was read.
+    /// The request as the client sent it.
     pub request: Rc<Request>,
-    /// Keeps other requests with the same id out until this one is over.
+    /// Blocks other requests with the same id until this one has finished.
     pub open_id: OpenId,
-    /// Takes the final answer to the client's connection.
+    /// Sends the final answer to the client connection.
     pub answer: oneshot::Sender<FinalAnswer>,
 }
 
@@ -29,15 +29,15 @@
 pub struct AttemptResult {
     /// The request that the attempt was made for.
     pub txn: TxnId,
-    /// Which of the request's attempts it was.
+    /// The attempt's number within its request.
     pub number: AttemptNumber,
-    /// What is proved of it.
+    /// The outcome, as far as the events on the connection prove it.
     pub outcome: Outcome,
-    /// The backend's reply, where there was one.
+    /// The backend's reply, if one was received.
     pub reply: Option<Reply>,
-    /// The attempt's connection, where it can be reused.
+    /// The attempt's connection, if it can be reused.
     pub idle_connection: Option<IdleConnection>,
-    /// How long a reused connection had been idle that ended under the attempt without any reply.
+    /// How long the connection had been idle before this attempt, if it was reused and then lost without a reply.
     pub idle_before_loss: Option<Ticks>,
 }
 
@@ -48,46 +48,46 @@
     }
 }
 
-/// What the other stages report to the router.
+/// A message to the router from another task.
 pub enum RouterMessage {
     /// A request was admitted.
     NewRequest(NewRequest),
-    /// The client closed its connection before it was answered.
-    ClientLeft(TxnId),
+    /// The client closed its connection before its request was answered.
+    ClientDisconnected(TxnId),
     /// An attempt ended.
     AttemptEnded(AttemptResult),
-    /// Discovery has published backends.
+    /// Discovery published a backend list or changes to it.
     BackendsChanged(BackendUpdate),
-    /// Sockets are short: the backend connection that has been idle longest is to be closed.
+    /// Sockets are short: close the backend connection that has been idle longest.
     CloseIdleConnection,
     /// The shared quota counter's reply to one call.
     QuotaCounterReply(CounterKey, CounterReply),
-    /// The process is about to end: all requests are to be answered now, by what is known of them.
+    /// The process is about to exit: answer every open request now with the outcome known so far.
     AnswerAll,
-    /// A message of another gateway.
+    /// A message from another gateway.
     PeerMessage(GatewayId, PeerMessage),
 }
 
-/// One backend as the routing policy sees it, and where it listens.
+/// One backend: its state for the routing policy and its address.
 #[derive(Clone, Debug)]
 pub struct BackendEntry {
-    /// Its state, under the id that this process has assigned to its name.
+    /// The backend's state, under the id that this process assigned to its name.
     pub listed: BackendInfo,
-    /// Its address; none where the published one cannot be read or it is gone.
+    /// The backend's address; `None` if the published one cannot be parsed or the backend is gone.
     pub address: Option<SocketAddr>,
 }
 
-/// A list of backends or a change of it.
+/// A list of backends or a change to it.
 #[derive(Debug)]
 pub enum BackendUpdate {
-    /// The complete list: backends that it does not name are gone.
+    /// The complete list: backends that are not in it are gone.
     Snapshot(Vec<BackendEntry>),
-    /// Changes of single backends.
+    /// Changes to single backends.
     Changes(Vec<BackendEntry>),
 }
 
 impl BackendUpdate {
-    /// The backends named by the update.
+    /// The backends that the update contains.
     pub fn entries(&self) -> &[BackendEntry] {
         match self {
             BackendUpdate::Snapshot(entries) | BackendUpdate::Changes(entries) => entries,
@@ -95,26 +95,26 @@
     }
 }
 
-/// One attempt to have a request answered by a backend.
+/// One attempt to send a request to a backend.
 pub struct Attempt {
     /// The request's id in this process.
     pub txn: TxnId,
-    /// Which of the request's attempts it is.
+    /// The attempt's number within its request.
     pub number: AttemptNumber,
-    /// The request to be forwarded.
+    /// The request to forward.
     pub request: Rc<Request>,
-    /// When the reply is no longer waited for.
+    /// When the attempt times out.
     pub deadline: Ticks,
-    /// Completes when the router no longer waits for the reply.
+    /// Completes when the router cancels the attempt.
     pub cancelled: oneshot::Receiver<CancelReason>,
-    /// Header fields for this backend alongside those of the client.
+    /// Header fields to add for this backend.
     pub extra_headers: Vec<(&'static str, String)>,
 }
 
-/// A backend connection that waits for its next attempt; it closes when this is dropped.
+/// A handle to an idle backend connection; dropping it closes the connection.
 pub struct IdleConnection {
-    /// Hands the next attempt to the connection's task; closed once the connection has ended.
+    /// Sends the next attempt to the connection's task; closed once the connection has ended.
     pub next: oneshot::Sender<Attempt>,
-    /// Since when it has been idle.
+    /// When the connection became idle.
     pub since: Ticks,
 }
--- a/programs/gateway/src/resources.rs
+++ b/programs/gateway/src/resources.rs
@@ -1,6 +1,6 @@
-//! The sockets and the buffer memory that the process has in use, their limits, and the state of its shutdown.
+//! Accounting of the process's sockets and buffer memory, their limits, and the shutdown state.
 //!
-//! Each socket holds a [`SocketGuard`] for as long as it is open, so the totals here are those of the guards alive.
+//! Each open socket holds a [`SocketGuard`]; the totals here are the sums over all guards.
 
 use crate::counters::{Counter, Counters, Invariant};
 use std::cell::Cell;
@@ -8,46 +8,48 @@
 use std::rc::Rc;
 use tokio::sync::Notify;
 
-/// What a connection's buffers may retain while idle, and hold when memory is short, in bytes.
+/// The size up to which a connection's buffers are kept while it is idle, and up to which an incomplete request is kept
+/// when memory is short.
 pub const SMALL_BUFFER_BYTES: usize = 16 * 1024;
 
-/// Descriptors that the runtime and the log need.
+/// File descriptors reserved for the runtime and the log.
 const RESERVED_DESCRIPTORS: usize = 16;
 const MIN_USABLE_SOCKETS: usize = 8;
 const MIN_MEMORY_MB: usize = 8;
 const BYTES_PER_MB: usize = 1 << 20;
 
-/// What the process may use, with a reserve taken off each limit.
+/// The limits on the process's sockets and buffer memory, less a reserve.
 #[derive(Clone, Copy, Debug)]
 pub struct ResourceLimits {
-    /// Descriptors of any kind.
+    /// File descriptors of any kind.
     max_descriptors: usize,
-    /// Backends are dialled up to this number of sockets.
+    /// Number of sockets from which no connection to a backend is opened.
     dial_sockets: usize,
-    /// From this number of sockets on, idle connections are closed.
-    crowded_sockets: usize,
-    /// From this number of sockets on, no client is accepted.
-    full_sockets: usize,
-    /// Memory in connections' buffers.
+    /// Number of sockets from which idle connections are closed.
+    close_idle_sockets: usize,
+    /// Number of sockets from which no client is accepted.
+    pause_accept_sockets: usize,
+    /// Memory for connections' buffers, in bytes.
     buffer_bytes: usize,
 }
 
 impl ResourceLimits {
-    /// The limits within a number of descriptors and an amount of memory. Some descriptors are the runtime's own, and
-    /// dialling needs some when clients use all that they are allowed.
+    /// Derives the limits from the number of file descriptors and the memory that the process may use. Some
+    /// descriptors are reserved for the runtime, and some for connections to backends while clients use all of their
+    /// share.
     pub fn within(descriptors: usize, memory_mb: usize) -> ResourceLimits {
         let usable = descriptors.saturating_sub(RESERVED_DESCRIPTORS).max(MIN_USABLE_SOCKETS);
         ResourceLimits {
             max_descriptors: descriptors,
             dial_sockets: usable,
-            crowded_sockets: usable * 3 / 4,
-            full_sockets: usable * 7 / 8,
+            close_idle_sockets: usable * 3 / 4,
+            pause_accept_sockets: usable * 7 / 8,
             buffer_bytes: memory_mb.max(MIN_MEMORY_MB).saturating_mul(BYTES_PER_MB) / 2,
         }
     }
 }
 
-/// What is in use, and the process's counters.
+/// The resources in use, and the process's counters.
 pub struct Resources {
     counters: Counters,
     limits: ResourceLimits,
@@ -56,13 +58,13 @@
     clients: Cell<usize>,
     idle_clients: Cell<usize>,
     draining: Cell<bool>,
-    /// Notified whenever a socket was closed.
+    /// Notified whenever a socket is closed.
     pub socket_closed: Notify,
-    /// Wakes the client connection that has been idle longest; all of them when draining begins.
+    /// Notifies the client connection that has been idle longest, or all idle ones when draining begins.
     pub close_idle_client: Notify,
 }
 
-/// Counts a client connection as idle until this is dropped.
+/// Counts a client connection as idle until dropped.
 pub struct IdleClientGuard<'a>(&'a Cell<usize>);
 
 impl Drop for IdleClientGuard<'_> {
@@ -72,7 +74,7 @@
 }
 
 impl Resources {
-    /// Nothing in use yet.
+    /// Creates the accounting with nothing in use.
     pub fn new(limits: ResourceLimits) -> Resources {
         Resources {
             counters: Counters::default(),
@@ -92,36 +94,36 @@
         self.counters.increment(counter);
     }
 
-    /// How often any invariant was found violated since the start.
+    /// The number of violations of any invariant since the start.
     pub fn violations(&self) -> u64 {
         self.counters.violations()
     }
 
-    /// Counts and logs a violated invariant.
+    /// Counts and logs a violation of the invariant, unless it holds.
     ///
     /// # Panics
     ///
-    /// In debug builds, where the invariant does not hold.
+    /// In debug builds, if the invariant does not hold.
     pub fn check(&self, holds: bool, invariant: Invariant) {
         self.counters.check(holds, invariant);
     }
 
-    /// Whether idle connections are to be closed.
-    pub fn is_crowded(&self) -> bool {
-        self.sockets.get() >= self.limits.crowded_sockets || self.is_memory_short()
+    /// Whether sockets or memory are so short that idle connections must be closed.
+    pub fn should_close_idle(&self) -> bool {
+        self.sockets.get() >= self.limits.close_idle_sockets || self.is_memory_short()
     }
 
-    /// Whether no client is to be accepted.
-    pub fn is_full(&self) -> bool {
-        self.sockets.get() >= self.limits.full_sockets || self.is_memory_short()
+    /// Whether sockets or memory are so short that accepting clients must pause.
+    pub fn is_accept_paused(&self) -> bool {
+        self.sockets.get() >= self.limits.pause_accept_sockets || self.is_memory_short()
     }
 
-    /// Whether a socket is left to dial a backend with.
+    /// Whether there is a socket left for a connection to a backend.
     pub fn can_dial(&self) -> bool {
         self.sockets.get() < self.limits.dial_sockets
     }
 
-    /// Whether the buffers take as much memory as they may.
+    /// Whether the buffers have reached their memory limit.
     pub fn is_memory_short(&self) -> bool {
         self.buffer_bytes.get() >= self.limits.buffer_bytes
     }
@@ -131,13 +133,13 @@
         self.clients.get()
     }
 
-    /// Counts a client connection as idle for as long as the guard lives.
-    pub fn idle_client(&self) -> IdleClientGuard<'_> {
+    /// Counts a client connection as idle until the guard is dropped.
+    pub fn track_idle_client(&self) -> IdleClientGuard<'_> {
         self.idle_clients.set(self.idle_clients.get() + 1);
         IdleClientGuard(&self.idle_clients)
     }
 
-    /// Closes the client connection that has been idle longest; false where none is idle.
+    /// Closes the client connection that has been idle longest; returns false if none is idle.
     pub fn close_longest_idle_client(&self) -> bool {
         let any_idle = self.idle_clients.get() > 0;
         if any_idle {
@@ -146,12 +148,12 @@
         any_idle
     }
 
-    /// Whether the process is shutting down: each connection ends with its next answer.
+    /// Whether the process is shutting down; each client connection then closes after its next answer.
     pub fn is_draining(&self) -> bool {
         self.draining.get()
     }
 
-    /// Begins the shutdown and wakes all idle client connections.
+    /// Marks the process as shutting down and notifies all idle client connections.
     pub fn begin_drain(&self) {
         self.draining.set(true);
         self.close_idle_client.notify_waiters();
@@ -169,13 +171,13 @@
 /// Which side of the gateway a socket is on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SocketKind {
-    /// A client connected to it.
+    /// The socket is connected to a client.
     Client,
-    /// It is connected to a backend or to discovery.
+    /// The socket is connected to a backend or to the discovery agent.
     Upstream,
 }
 
-/// Counts one socket and the bytes of its buffers until this is dropped.
+/// Counts a socket and the bytes of its buffers until dropped.
 pub struct SocketGuard {
     resources: Rc<Resources>,
     buffer_bytes: usize,
@@ -183,7 +185,7 @@
 }
 
 impl SocketGuard {
-    /// Counts a socket that was opened or is about to be.
+    /// Counts a socket that is open or about to be opened.
     pub fn new(resources: &Rc<Resources>, kind: SocketKind) -> SocketGuard {
         resources.sockets.set(resources.sockets.get() + 1);
         resources
@@ -194,7 +196,7 @@
         SocketGuard { resources: Rc::clone(resources), buffer_bytes: 0, kind }
     }
 
-    /// Sets how many bytes the socket's buffers take now.
+    /// Sets the current size of the socket's buffers.
     pub fn set_buffer_bytes(&mut self, bytes: usize) {
         let total = &self.resources.buffer_bytes;
         total.set(total.get() - self.buffer_bytes + bytes);
--- a/programs/gateway/src/router.rs
+++ b/programs/gateway/src/router.rs
@@ -1,8 +1,8 @@
-//! The router: the one task that owns the routing policy, the requests in flight, the pool of backend connections and
+//! The router: the task that owns the routing policy, the requests in flight, the pool of idle backend connections and
 //! the timers.
 //!
-//! It gathers the messages of the other stages, has the policy decide on all of them at once, and carries the policy's
-//! actions out in order. No other task reads or changes this state, so decisions need no locks.
+//! It collects the messages of the other tasks into batches, passes each batch to the policy and executes the policy's
+//! actions in order. No other task accesses this state, so it needs no locks.
 
 mod actions;
 mod policy;
@@ -29,22 +29,22 @@
 use vanewharf_http1::{Reply, Request};
 use vanewharf_policy::interface::{AttemptNumber, AttemptReport, CounterReply, Event, Outcome, Ticks, TxnId};
 
-/// Taken off each request's time, for the answer's way back and one turn of the runtime's timers: the client counts
-/// from when it sent the request, the gateway from when it has read it.
+/// Subtracted from each request's deadline, for the answer's transmission and one tick of the runtime's timers: the
+/// client counts its time from sending the request, the gateway from having read it.
 const ANSWER_MARGIN: Ticks = Ticks(50);
-/// How long after its expiry a request whose attempts were cancelled is answered in any case.
+/// How long after its expiry a request is answered even if its cancelled attempts have not ended.
 const OVERDUE_MARGIN: Ticks = Ticks(1_000);
-/// How often idle connections are checked for their age.
+/// How often the pool is swept for connections that were idle too long.
 const SWEEP_INTERVAL: Ticks = Ticks::SECOND;
-/// How many messages are decided on at once.
-const MAX_BATCH: usize = 1024;
+/// The most messages that are handled in one batch.
+const MAX_BATCH_MESSAGES: usize = 1024;
 
-/// What is needed of a request in flight alongside its state.
+/// The router's data of a request in flight, besides its state in [`Txns`].
 struct RequestInFlight {
     request: Rc<Request>,
-    /// The last reply that was an error.
-    failure: Option<Reply>,
-    /// Held until no attempt is in flight: a backend must not get a second request under one id.
+    /// The last error reply of a backend.
+    error_reply: Option<Reply>,
+    /// Held until no attempt is in flight, because a backend must not receive a second request with the same id.
     _open_id: OpenId,
 }
 
@@ -56,20 +56,20 @@
     txns: Txns<oneshot::Sender<FinalAnswer>, oneshot::Sender<CancelReason>>,
     requests: BTreeMap<TxnId, RequestInFlight>,
     timers: TimerQueue,
-    /// Events for the policy's next decision.
+    /// Events for the policy's next batch.
     events: Vec<Event>,
-    /// None where no shared counter is configured: calls of the policy are answered as not executed.
+    /// `None` if no shared quota counter is configured; the policy's calls are then answered as not executed.
     quota_counter: Option<mpsc::UnboundedSender<Call>>,
-    /// None where gateways do not exchange messages: messages are counted as not sent.
+    /// `None` if gateways do not exchange messages; the policy's messages are then counted as not sent.
     peers: Option<Rc<PeerSocket>>,
 }
 
 impl<P: RoutingPolicy> Router<P> {
-    /// A router that starts with the backends of `known` and has the policy decide on them at once.
+    /// Creates a router with the backends of `initial`, which it passes to the policy at once.
     pub fn new(
         shared: Rc<Shared>,
         policy: P,
-        known: BackendUpdate,
+        initial: BackendUpdate,
         quota_counter: Option<mpsc::UnboundedSender<Call>>,
         peers: Option<Rc<PeerSocket>>,
     ) -> Router<P> {
@@ -85,13 +85,13 @@
             peers,
         };
         let now = router.shared.clock.now();
-        router.apply_backend_update(known);
+        router.apply_backend_update(initial);
         router.timers.set(now + SWEEP_INTERVAL, Timer::Sweep);
         router.decide(now);
         router
     }
 
-    /// Runs until all senders of `messages` are gone. The end of `updates` only stops updates.
+    /// Runs until all senders of `messages` are dropped. It keeps running after those of `updates` are.
     pub async fn run(
         mut self,
         mut messages: mpsc::UnboundedReceiver<RouterMessage>,
@@ -102,14 +102,14 @@
         tokio::pin!(sleep);
         loop {
             sleep.as_mut().reset(self.next_wake_up());
-            // Cancel safe: both receivers lose no message when another branch completes first.
+            // Cancel safe: neither receiver loses a message if another branch completes first.
             tokio::select! {
                 biased;
                 update = updates.recv(), if updates_open => match update {
                     Some(update) => self.apply_update(update),
                     None => updates_open = false,
                 },
-                received = messages.recv_many(&mut batch, MAX_BATCH) => if received == 0 {
+                received = messages.recv_many(&mut batch, MAX_BATCH_MESSAGES) => if received == 0 {
                     return;
                 },
                 () = sleep.as_mut() => {}
@@ -118,7 +118,7 @@
             for message in batch.drain(..) {
                 self.handle_message(message, now);
             }
-            // Before the timers, so that a request that arrived without any time left is answered as any other.
+            // Before the timers, so that the policy decides on a request that arrived with no time left too.
             self.decide(now);
             self.handle_due_timers(now);
             self.decide(now);
@@ -130,13 +130,13 @@
         if let Some(backends) = self.policy.apply_update(now, update) {
             self.update_pool(&backends);
         }
-        // Without any event: requests that waited for the update may go on.
+        // An empty batch lets the policy resume requests that were waiting for the update.
         for action in self.policy.decide(now, Vec::new()) {
             self.execute(action, now);
         }
     }
 
-    /// When the next timer is due. Timers of requests that are over are dropped: each would wake the task for nothing.
+    /// When the next timer is due. Timers of finished requests are dropped, as each would wake the task needlessly.
     fn next_wake_up(&mut self) -> Instant {
         let txns = &self.txns;
         let next = self.timers.next_due(|timer| match timer {
@@ -160,7 +160,7 @@
                 Timer::Overdue(txn) => self.answer_overdue(txn),
                 Timer::Sweep => {
                     for _ in 0..self.pool.sweep(now) {
-                        self.shared.resources.count(Counter::BackendsDroppedIdle);
+                        self.shared.resources.count(Counter::BackendConnectionsDroppedIdle);
                     }
                     self.timers.set(now + SWEEP_INTERVAL, Timer::Sweep);
                 }
@@ -171,9 +171,9 @@
     fn handle_message(&mut self, message: RouterMessage, now: Ticks) {
         match message {
             RouterMessage::NewRequest(new_request) => self.add_request(new_request),
-            RouterMessage::ClientLeft(id) => {
+            RouterMessage::ClientDisconnected(id) => {
                 if self.txns.client_left(id) {
-                    self.shared.resources.count(Counter::ClientsLeft);
+                    self.shared.resources.count(Counter::ClientsDisconnected);
                     self.events.push(Event::ClientDisconnected(id));
                 }
             }
@@ -200,16 +200,16 @@
         let idempotency = self.policy.idempotency(&arrival);
         let deadline = arrival.deadline - ANSWER_MARGIN;
         self.txns.insert(arrival.txn, idempotency, deadline, answer);
-        let in_flight = RequestInFlight { request, failure: None, _open_id: open_id };
+        let in_flight = RequestInFlight { request, error_reply: None, _open_id: open_id };
         self.requests.insert(arrival.txn, in_flight);
         self.timers.set(deadline, Timer::Expiry(arrival.txn));
         self.events.push(Event::RequestArrived(arrival));
     }
 
-    /// Answers each request that has no answer yet.
+    /// Answers every request that has no answer yet.
     fn answer_all(&mut self) {
         for (id, may_have_run) in self.txns.unanswered() {
-            self.conclude(id, unserved_answer(may_have_run));
+            self.send_final_answer(id, unserved_answer(may_have_run));
         }
     }
 
@@ -251,12 +251,12 @@
         match (reply, answer) {
             (Some(reply), Some(answer)) => {
                 resources.count(Counter::RequestsSucceeded);
-                // A client that has left meanwhile is reported by its own connection.
+                // The send fails if the client has disconnected; its connection task reports that.
                 let _ = answer.send(FinalAnswer::Forwarded(reply));
             }
             (Some(reply), None) if outcome == Outcome::Error => {
                 if let Some(request) = self.requests.get_mut(&id) {
-                    request.failure = Some(reply);
+                    request.error_reply = Some(reply);
                 }
             }
             _ => {}
@@ -273,7 +273,7 @@
         self.events.push(Event::AttemptEnded(report));
     }
 
-    /// Cancels the attempts of a request whose time is over; when they have ended, the policy decides on it.
+    /// Cancels the attempts of an expired request; the policy decides on its answer once they have ended.
     fn expire(&mut self, id: TxnId, now: Ticks) {
         match self.txns.expire(id) {
             ExpiryAction::Nothing => {}
@@ -287,24 +287,24 @@
         }
     }
 
-    /// Answers a request that the policy should have decided by now, unless it has. The answer must depend neither on the
-    /// policy nor on the tasks of attempts: a client would wait for ever.
+    /// Answers a request that the policy has not decided in time. This depends neither on the policy nor on the
+    /// attempts' tasks, because a fault in them would leave the client waiting forever.
     fn answer_overdue(&mut self, id: TxnId) {
         if let Some(may_have_run) = self.txns.unanswered_may_have_run(id) {
-            self.conclude(id, unserved_answer(may_have_run));
-            // Last, as it panics in debug builds.
+            self.send_final_answer(id, unserved_answer(may_have_run));
+            // Checked last, because the check panics in debug builds.
             self.shared.resources.check(false, Invariant::AnsweredByExpiry);
         }
     }
 
     fn cancel_attempt(&mut self, id: TxnId, number: AttemptNumber, reason: CancelReason) {
         if let Some(canceller) = self.txns.take_canceller(id, number) {
-            // Its outcome may be queued already.
+            // The send fails if the attempt has ended and its result is already queued.
             let _ = canceller.send(reason);
         }
     }
 
-    /// Has the policy decide on all events, and on those that its actions cause.
+    /// Passes all events to the policy and executes its actions, until these cause no further events.
     fn decide(&mut self, now: Ticks) {
         while !self.events.is_empty() {
             let events = std::mem::take(&mut self.events);
@@ -318,8 +318,8 @@
     }
 }
 
-/// The answer to a request that nothing serves any more: where no attempt may have reached a backend, with the promise that
-/// it has not run.
+/// The answer to a request that is given up. Unless an attempt may have reached a backend, it states that the request
+/// has not run.
 fn unserved_answer(may_have_run: bool) -> FinalAnswer {
     match may_have_run {
         true => FinalAnswer::OutcomeUnknown,
--- a/programs/gateway/src/router/actions.rs
+++ b/programs/gateway/src/router/actions.rs
@@ -1,4 +1,4 @@
-//! Carries out what the policy decides.
+//! Executes the policy's actions.
 
 use super::{Router, RoutingPolicy, Timer};
 use crate::answer::FinalAnswer;
@@ -23,9 +23,9 @@
             }
             Action::Reject { txn, retry_after } => {
                 self.shared.resources.check(self.txns.is_retry_safe(txn), Invariant::NoEffectTwice);
-                self.conclude(txn, FinalAnswer::Declined { retry_after });
+                self.send_final_answer(txn, FinalAnswer::Declined { retry_after });
             }
-            Action::Fail { txn } => self.conclude(txn, FinalAnswer::OutcomeUnknown),
+            Action::Fail { txn } => self.send_final_answer(txn, FinalAnswer::OutcomeUnknown),
             Action::SetTimer { after, timer } => self.timers.set(now + after, Timer::PolicyWake(timer)),
             Action::SendPeerMessage { to, message } => self.send_to_peer(to, &message),
             Action::IncrementCounter { key, amount, expire_after } => {
@@ -40,7 +40,7 @@
         self.shared.resources.count(counter);
     }
 
-    /// Where no task receives the call, it is answered at once, as if the counter had refused it.
+    /// Passes a call to the quota counter's task; without one, the call is answered at once as not executed.
     fn call_quota_counter(&mut self, call: Call) {
         self.shared.resources.count(Counter::QuotaCounterCalls);
         let key = call.key;
@@ -49,15 +49,16 @@
         }
     }
 
-    /// Gives a request its final answer, unless it was settled or its client left in this very batch.
-    pub(super) fn conclude(&mut self, id: TxnId, answer: FinalAnswer) {
+    /// Sends a request's final answer, unless it was answered or its client disconnected earlier in this batch.
+    pub(super) fn send_final_answer(&mut self, id: TxnId, answer: FinalAnswer) {
         let Some(answer_sender) = self.txns.take_answer(id) else {
             return;
         };
-        let failure = self.requests.get_mut(&id).and_then(|request| request.failure.take());
-        let answer = self.policy.final_answer(id, answer, failure);
-        let voided = matches!(answer, FinalAnswer::OutcomeUnknown);
-        let counter = if voided { Counter::RequestsOutcomeUnknown } else { Counter::RequestsDeclined };
+        let error_reply = self.requests.get_mut(&id).and_then(|request| request.error_reply.take());
+        let answer = self.policy.final_answer(id, answer, error_reply);
+        let outcome_unknown = matches!(answer, FinalAnswer::OutcomeUnknown);
+        let counter =
+            if outcome_unknown { Counter::RequestsOutcomeUnknown } else { Counter::RequestsDeclined };
         self.shared.resources.count(counter);
         let _ = answer_sender.send(answer);
     }
@@ -101,13 +102,13 @@
         self.events.push(Event::AttemptEnded(report));
     }
 
-    /// Hands an attempt to an idle connection, or to a new one.
+    /// Passes an attempt to an idle connection or opens a new one.
     fn dispatch(&mut self, mut attempt: Attempt, backend: BackendId, now: Ticks) {
         let resources = &self.shared.resources;
         while let Some(idle) = self.pool.take_idle(backend, now) {
             match idle.next.send(attempt) {
-                Ok(()) => return resources.count(Counter::BackendsReused),
-                // The connection has ended meanwhile.
+                Ok(()) => return resources.count(Counter::BackendConnectionsReused),
+                // The connection has ended in the meantime.
                 Err(unsent) => attempt = unsent,
             }
         }
--- a/programs/gateway/src/router/tests.rs
+++ b/programs/gateway/src/router/tests.rs
@@ -17,7 +17,7 @@
 const TXN: TxnId = TxnId(1);
 const BACKEND: BackendId = BackendId(7);
 const REQUEST_TIME: Ticks = Ticks(500);
-/// Longer than a request that has only its own time may take.
+/// Longer than a request can take, given `REQUEST_TIME`.
 const TEST_TIMEOUT: Duration = Duration::from_secs(5);
 
 struct TestDialect;
@@ -47,11 +47,11 @@
     }
 }
 
-/// What a policy at fault does with a request; it decides nothing after that.
+/// A faulty policy: it makes no decision on a request, or none after its first attempt.
 #[derive(Clone, Copy, Debug)]
 enum FaultyPolicy {
-    Forgets,
-    SendsAndForgets,
+    NeverSends,
+    SendsOnce,
 }
 
 impl RoutingPolicy for FaultyPolicy {
@@ -60,7 +60,7 @@
     fn decide(&mut self, _: Ticks, events: Vec<Event>) -> Vec<Action> {
         let arrived = events.iter().any(|event| matches!(event, Event::RequestArrived(_)));
         match self {
-            FaultyPolicy::SendsAndForgets if arrived => {
+            FaultyPolicy::SendsOnce if arrived => {
                 vec![Action::SendAttempt { txn: TXN, backend: BACKEND, timeout: None }]
             }
             _ => Vec::new(),
@@ -78,12 +78,12 @@
 
 fn request() -> Request {
     let mut bytes = BytesMut::from("GET / HTTP/1.1\r\nHost: h\r\n\r\n");
-    ServerCodec::default().decode(&mut bytes).expect("it can be read").expect("complete")
+    ServerCodec::default().decode(&mut bytes).expect("a valid request").expect("a complete request")
 }
 
 /// The answer to one request, whose only backend accepts connections and never replies.
 async fn answer_of(policy: FaultyPolicy) -> FinalAnswer {
-    let backend = TcpListener::bind("127.0.0.1:0").await.expect("a port");
+    let backend = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let listed = BackendInfo {
         backend: BACKEND,
         status: BackendStatus::Ready,
@@ -97,8 +97,8 @@
     let resources = Rc::new(Resources::new(ResourceLimits::within(256, 64)));
     let timeouts = ConnectionTimeouts { idle: Ticks::SECOND, dial: Ticks::SECOND };
     let shared = Rc::new(Shared::new(Clock::start(), resources, Box::new(TestDialect), timeouts, messages));
-    let known = BackendUpdate::Snapshot(vec![entry]);
-    let router = Router::new(Rc::clone(&shared), policy, known, None, None);
+    let initial = BackendUpdate::Snapshot(vec![entry]);
+    let router = Router::new(Rc::clone(&shared), policy, initial, None, None);
     tokio::task::spawn_local(router.run(received, no_updates));
     let (answer, answered) = oneshot::channel();
     let open_id = shared.open_ids.try_open("id").expect("no other request is open");
@@ -115,11 +115,11 @@
 }
 
 #[test]
-fn a_request_is_answered_in_its_time_whatever_the_policy_forgets() {
+fn a_request_is_answered_by_its_expiry_even_if_the_policy_makes_no_decision() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     let answer = |policy| runtime.block_on(LocalSet::new().run_until(answer_of(policy)));
-    let never_sent = answer(FaultyPolicy::Forgets);
+    let never_sent = answer(FaultyPolicy::NeverSends);
     assert!(matches!(never_sent, FinalAnswer::Declined { retry_after: None }), "{never_sent:?}");
-    let sent = answer(FaultyPolicy::SendsAndForgets);
+    let sent = answer(FaultyPolicy::SendsOnce);
     assert!(matches!(sent, FinalAnswer::OutcomeUnknown), "{sent:?}");
 }
