--- a/crates/system-simulator/src/proxy.rs
+++ b/crates/system-simulator/src/proxy.rs
@@ -198,7 +198,7 @@
         let admission = request.to_http().map(|request| gate.admit(&request, now, txn));
         self.transactions.insert(txn, Transaction { request, attempts: 0 });
         match admission {
-            Some(Admission::Txn(arrival)) => {
+            Some(Admission::Route(arrival)) => {
                 let actions = self.data_plane.pools.decide(now, vec![Event::RequestArrived(arrival)]);
                 self.execute_actions(actions);
             }
--- a/programs/gateway/src/client_connection.rs
+++ b/programs/gateway/src/client_connection.rs
@@ -178,7 +178,7 @@
             Admission::RetryAfter(retry_after) => {
                 return CheckedRequest::Rejected(FinalAnswer::Busy { retry_after });
             }
-            Admission::Txn(arrival) => arrival,
+            Admission::Route(arrival) => arrival,
         };
         match dialect.request_id(request).and_then(|id| self.shared.open_ids.try_open(id)) {
             Some(open_id) => CheckedRequest::Admitted(arrival, open_id),
--- a/programs/gateway/src/dialect.rs
+++ b/programs/gateway/src/dialect.rs
@@ -13,7 +13,7 @@
     /// The request is a health check, which is answered at once.
     Health,
     /// The request is to be routed.
-    Txn(Arrival),
+    Route(Arrival),
     /// The request is invalid and is answered with this status and reason.
     Reject {
         /// The HTTP status.
--- a/programs/gateway/src/platform_dialect.rs
+++ b/programs/gateway/src/platform_dialect.rs
@@ -165,7 +165,7 @@
         match (request.method(), request.target()) {
             ("GET", HEALTH_PATH) => Admission::Health,
             ("GET" | "POST", _) => match self.parse_arrival(request, now, txn) {
-                Ok(arrival) => Admission::Txn(arrival),
+                Ok(arrival) => Admission::Route(arrival),
                 Err(invalid) => Admission::Reject { status: 400, reason: invalid.reason() },
             },
             _ => Admission::Reject { status: 405, reason: "only GET and POST are taken" },
--- a/programs/gateway/src/platform_dialect/tests.rs
+++ b/programs/gateway/src/platform_dialect/tests.rs
@@ -26,7 +26,7 @@
         .expect("a valid request")
         .expect("a complete request");
     match dialect().admit(&request, Ticks(1000), TxnId(7)) {
-        Admission::Txn(arrival) => arrival,
+        Admission::Route(arrival) => arrival,
         _ => panic!("the request was not admitted"),
     }
 }
--- a/programs/gateway/src/router/tests.rs
+++ b/programs/gateway/src/router/tests.rs
@@ -35,7 +35,7 @@
     }
 
     fn admit(&self, _: &Request, now: Ticks, txn: TxnId) -> Admission {
-        Admission::Txn(Arrival { txn, deadline: now + REQUEST_TIME, ..Arrival::default() })
+        Admission::Route(Arrival { txn, deadline: now + REQUEST_TIME, ..Arrival::default() })
     }
 
     fn request_id<'a>(&self, _: &'a Request) -> Option<&'a str> {
--- a/programs/proxy/src/request_gate.rs
+++ b/programs/proxy/src/request_gate.rs
@@ -130,7 +130,7 @@
             Ok(authorized) => {
                 let expiry = authorized.expiry;
                 self.snapshot.authorized.borrow_mut().insert(txn, authorized);
-                Admission::Txn(Arrival { txn, deadline: expiry, ..Arrival::default() })
+                Admission::Route(Arrival { txn, deadline: expiry, ..Arrival::default() })
             }
             Err(rejected) => rejected,
         }
