--- a/programs/gateway/src/connection_pool.rs
+++ b/programs/gateway/src/connection_pool.rs
@@ -43,19 +43,19 @@
     }
 
     /// Applies a backend's published state. Closes its idle connections if it moved, restarted or is not ready.
-    pub fn update_backend(&mut self, entry: &BackendInfo, address: Option<SocketAddr>) {
-        if entry.status == BackendStatus::Gone {
-            self.backends.remove(&entry.backend);
+    pub fn update_backend(&mut self, info: &BackendInfo, address: Option<SocketAddr>) {
+        if info.status == BackendStatus::Gone {
+            self.backends.remove(&info.backend);
             return;
         }
-        let backend = self.backends.entry(entry.backend).or_default();
+        let backend = self.backends.entry(info.backend).or_default();
         let moved = address.is_some() && address != backend.address;
-        if moved || entry.started_at != backend.started_at || entry.status != BackendStatus::Ready {
+        if moved || info.started_at != backend.started_at || info.status != BackendStatus::Ready {
             backend.idle.clear();
         }
         backend.address = address.or(backend.address);
-        backend.started_at = entry.started_at;
-        backend.ready = entry.status == BackendStatus::Ready;
+        backend.started_at = info.started_at;
+        backend.ready = info.status == BackendStatus::Ready;
     }
 
     /// Removes the backends that are no longer listed.
--- a/programs/gateway/src/connection_pool/tests.rs
+++ b/programs/gateway/src/connection_pool/tests.rs
@@ -4,14 +4,14 @@
 
 const BACKEND: BackendId = BackendId(1);
 
-fn listed(status: BackendStatus, started_at: Option<Ticks>) -> BackendInfo {
+fn backend_info(status: BackendStatus, started_at: Option<Ticks>) -> BackendInfo {
     BackendInfo { backend: BACKEND, status, capacity: 1.0, local: true, started_at }
 }
 
 /// A pool for an idle timeout of 40 ms with one connection for each time in `since`, at which it became idle.
 fn pool(since: &[i64]) -> (ConnectionPool, Vec<oneshot::Receiver<Attempt>>) {
     let mut pool = ConnectionPool::new(Ticks(400));
-    pool.update_backend(&listed(BackendStatus::Ready, None), "127.0.0.1:1".parse().ok());
+    pool.update_backend(&backend_info(BackendStatus::Ready, None), "127.0.0.1:1".parse().ok());
     let mut idle = |&since: &i64| {
         let (next, connection) = oneshot::channel();
         pool.add_idle(BACKEND, IdleConnection { next, since: Ticks(since) });
@@ -38,16 +38,16 @@
 #[test]
 fn drops_idle_connections_to_a_moved_restarted_or_draining_backend() {
     let address_1 = "127.0.0.1:1".parse().ok();
-    for (entry, address, reused) in [
-        (listed(BackendStatus::Ready, None), address_1, true),
-        (listed(BackendStatus::Ready, Some(Ticks(5))), address_1, false),
-        (listed(BackendStatus::Ready, None), "127.0.0.1:2".parse().ok(), false),
-        (listed(BackendStatus::Draining, None), address_1, false),
-        (listed(BackendStatus::Gone, None), None, false),
+    for (info, address, reused) in [
+        (backend_info(BackendStatus::Ready, None), address_1, true),
+        (backend_info(BackendStatus::Ready, Some(Ticks(5))), address_1, false),
+        (backend_info(BackendStatus::Ready, None), "127.0.0.1:2".parse().ok(), false),
+        (backend_info(BackendStatus::Draining, None), address_1, false),
+        (backend_info(BackendStatus::Gone, None), None, false),
     ] {
         let (mut pool, _connections) = pool(&[0]);
-        pool.update_backend(&entry, address);
-        assert_eq!(pool.take_idle(BACKEND, Ticks(1)).is_some(), reused, "{entry:?}");
+        pool.update_backend(&info, address);
+        assert_eq!(pool.take_idle(BACKEND, Ticks(1)).is_some(), reused, "{info:?}");
     }
     let (mut pool, _connections) = pool(&[0]);
     pool.retain(|_| false);
--- a/programs/gateway/src/discovery/backend_table.rs
+++ b/programs/gateway/src/discovery/backend_table.rs
@@ -113,8 +113,8 @@
         if status == BackendStatus::Gone {
             self.backends.remove(&endpoint.name);
         }
-        let listed = BackendInfo { backend, status, capacity: endpoint.weight, local, started_at };
-        entries.push(BackendEntry { listed, address });
+        let info = BackendInfo { backend, status, capacity: endpoint.weight, local, started_at };
+        entries.push(BackendEntry { info, address });
     }
 
     /// Whether a backend with another name has started later at the same address. An address belongs to one process, so
@@ -131,14 +131,14 @@
         self.backends.retain(|name, known| {
             let keep = *name == endpoint.name || known.address != address;
             if !keep {
-                let listed = BackendInfo {
+                let info = BackendInfo {
                     backend: known.id,
                     status: BackendStatus::Gone,
                     capacity: endpoint.weight,
                     local,
                     started_at: known.started_at,
                 };
-                entries.push(BackendEntry { listed, address: None });
+                entries.push(BackendEntry { info, address: None });
             }
             keep
         });
--- a/programs/gateway/src/messages.rs
+++ b/programs/gateway/src/messages.rs
@@ -72,7 +72,7 @@
 #[derive(Clone, Debug)]
 pub struct BackendEntry {
     /// The backend's state, under the id that this process assigned to its name.
-    pub listed: BackendInfo,
+    pub info: BackendInfo,
     /// The backend's address; `None` if the published one cannot be parsed or the backend is gone.
     pub address: Option<SocketAddr>,
 }
--- a/programs/gateway/src/router.rs
+++ b/programs/gateway/src/router.rs
@@ -214,20 +214,20 @@
     }
 
     fn update_pool(&mut self, update: &BackendUpdate) {
-        for BackendEntry { listed, address } in update.entries() {
-            self.pool.update_backend(listed, *address);
+        for BackendEntry { info, address } in update.entries() {
+            self.pool.update_backend(info, *address);
         }
         if let BackendUpdate::Snapshot(entries) = update {
-            self.pool.retain(|id| entries.iter().any(|entry| entry.listed.backend == id));
+            self.pool.retain(|id| entries.iter().any(|entry| entry.info.backend == id));
         }
     }
 
     fn apply_backend_update(&mut self, update: BackendUpdate) {
         self.update_pool(&update);
-        let listed = |entries: Vec<BackendEntry>| entries.into_iter().map(|entry| entry.listed).collect();
+        let infos = |entries: Vec<BackendEntry>| entries.into_iter().map(|entry| entry.info).collect();
         self.events.push(match update {
-            BackendUpdate::Snapshot(entries) => Event::BackendList(listed(entries)),
-            BackendUpdate::Changes(entries) => Event::BackendChanges(listed(entries)),
+            BackendUpdate::Snapshot(entries) => Event::BackendList(infos(entries)),
+            BackendUpdate::Changes(entries) => Event::BackendChanges(infos(entries)),
         });
     }
 
--- a/programs/gateway/src/router/tests.rs
+++ b/programs/gateway/src/router/tests.rs
@@ -84,14 +84,14 @@
 /// The answer to one request, whose only backend accepts connections and never replies.
 async fn answer_of(policy: FaultyPolicy) -> FinalAnswer {
     let backend = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
-    let listed = BackendInfo {
+    let info = BackendInfo {
         backend: BACKEND,
         status: BackendStatus::Ready,
         capacity: 1.0,
         local: true,
         started_at: None,
     };
-    let entry = BackendEntry { listed, address: backend.local_addr().ok() };
+    let entry = BackendEntry { info, address: backend.local_addr().ok() };
     let (messages, received) = mpsc::unbounded_channel();
     let (_updates, no_updates) = mpsc::unbounded_channel();
     let resources = Rc::new(Resources::new(ResourceLimits::within(256, 64)));
--- a/programs/proxy/src/pools/backend_table.rs
+++ b/programs/proxy/src/pools/backend_table.rs
@@ -192,8 +192,8 @@
             if backend.publish(&info) {
                 refreshed.changes.push(BackendChange { pool: backend.pool.clone(), info });
             }
-            let listed = backend.published.clone().expect("it was just published");
-            refreshed.entries.push(BackendEntry { listed, address: Some(backend.listed.address) });
+            let info = backend.published.clone().expect("it was just published");
+            refreshed.entries.push(BackendEntry { info, address: Some(backend.listed.address) });
         }
         refreshed
     }
