--- a/programs/gateway/src/connection_pool.rs
+++ b/programs/gateway/src/connection_pool.rs
@@ -35,8 +35,7 @@
 }
 
 impl ConnectionPool {
-    /// Creates an empty pool. Backends close an idle connection after `backend_idle_timeout` at the
-    /// latest.
+    /// Creates an empty pool. Backends close an idle connection after `backend_idle_timeout` at the latest.
     pub fn new(backend_idle_timeout: Ticks) -> ConnectionPool {
         let idle_limit = idle_reuse_limit(backend_idle_timeout);
         ConnectionPool { backends: BTreeMap::new(), idle_limit, configured_limit: idle_limit }
--- a/programs/gateway/src/drain.rs
+++ b/programs/gateway/src/drain.rs
@@ -14,9 +14,9 @@
 /// The deadlines of a shutdown.
 #[derive(Clone, Copy, Debug)]
 pub struct DrainDeadlines {
-    /// Requests still in flight are answered with the outcome known so far.
+    /// When requests still in flight are answered with the outcome known so far.
     pub finish_at: Instant,
-    /// The process exits.
+    /// When the process exits.
     pub exit_at: Instant,
 }
 
