--- a/programs/proxy/src/request_gate.rs
+++ b/programs/proxy/src/request_gate.rs
@@ -132,7 +132,7 @@
             Ok(authorized) => {
                 let expiry = authorized.expiry;
                 self.gate_state.authorized.borrow_mut().insert(txn, authorized);
-                Admission::Txn(Arrival { txn, deadline: expiry, ..Arrival::default() })
+                Admission::Route(Arrival { txn, deadline: expiry, ..Arrival::default() })
             }
             Err(rejection) => rejection,
         }
