--- a/crates/simulated-disk/src/lib.rs
+++ b/crates/simulated-disk/src/lib.rs
@@ -1,8 +1,8 @@
-//! The simulated disk of a controller.
+//! An in-memory disk for simulations, which models what a loss of power does to unsynced data.
 //!
-//! What was synced survives a loss of power. Of the other operations each survives, is lost or is torn, as the crash
-//! decides; a file that was created without a sync of its directory may be gone though the file itself was synced. A
-//! disk can also be slow, hang, be full, or stop before a chosen operation.
+//! Synced data survives a loss of power. Each unsynced operation survives, is lost, or is torn (applied in part), as
+//! [`UnsyncedData`] states. A new file can be lost even though it was synced, if its directory was not. A disk can also
+//! be slow, hang, be full, or stop at a breakpoint before a given operation.
 
 #![forbid(unsafe_code)]
 
@@ -18,19 +18,19 @@
 use tokio::time::sleep;
 use vanewharf_runtime::environment::{BoxFuture, Directory, FileOperation};
 
-/// How much longer an operation of a slow disk takes than a sync.
-const SLOWDOWN: u32 = 60;
-/// The most that one operation of an erratic disk takes.
-const MAX_ERRATIC_DELAY: Duration = Duration::from_millis(20);
+/// Extra latency of each operation on a slow disk, as a multiple of the sync latency.
+const SLOW_LATENCY_FACTOR: u32 = 60;
+/// Upper bound of the random extra latency of one operation, see [`SimulatedDisk::set_erratic`].
+const MAX_RANDOM_LATENCY: Duration = Duration::from_millis(20);
 
-/// What becomes of operations that were not synced when power is lost. `Display` is the text of a run's events.
+/// What a loss of power does to unsynced operations. `Display` gives the text that a run's list of events shows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UnsyncedData {
-    /// None of them survives.
+    /// All unsynced operations are lost.
     Lost,
-    /// All of them survive.
+    /// All unsynced operations survive.
     Kept,
-    /// Each survives, is lost or is torn, drawn from this seed.
+    /// Each unsynced operation survives, is lost or is torn, as drawn from this seed.
     Torn(u64),
 }
 
@@ -44,16 +44,16 @@
     }
 }
 
-/// How a disk works. `Display` is the text of a run's events.
+/// A disk's health. `Display` gives the text that a run's list of events shows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DiskCondition {
-    /// It works.
+    /// Operations succeed at the normal latency.
     Healthy,
-    /// Every operation takes long.
+    /// Every operation takes much longer than a sync normally does.
     Slow,
-    /// Operations wait until the condition changes.
+    /// Operations block until the condition changes.
     Hung,
-    /// Writes fail and leave an empty file.
+    /// Writes fail with `StorageFull` and leave an empty file.
     Full,
 }
 
@@ -71,50 +71,50 @@
 type Files = BTreeMap<String, Vec<u8>>;
 
 struct DiskState {
-    /// As the process sees them.
+    /// The contents that the running process sees.
     files: Files,
-    /// As they would be found if everything that was not synced were lost.
-    durable: Files,
-    unsynced: Vec<FileOperation>,
-    /// Files whose directory entries are durable.
+    /// The contents that survive if all unsynced operations are lost.
+    durable_files: Files,
+    unsynced_operations: Vec<FileOperation>,
+    /// Names of the files whose directory entries are synced.
     durable_names: BTreeSet<String>,
     condition: DiskCondition,
-    sync_time: Duration,
-    /// Draws how long each operation takes, where that differs.
-    erratic_delays: Option<SmallRng>,
-    operations: u64,
-    /// The disk stops before this operation.
+    sync_latency: Duration,
+    /// Draws the random extra latency of each operation; `None` if there is none.
+    latency_rng: Option<SmallRng>,
+    operations_started: u64,
+    /// The number, counted from 0, of the operation before which the disk stops.
     breakpoint: Option<u64>,
 }
 
-/// What was on a disk at some time.
+/// The durable contents of a disk at one point in time.
 #[derive(Clone, Debug)]
 pub struct DiskImage {
     files: Files,
     durable_names: BTreeSet<String>,
 }
 
-/// A disk. Clones share it.
+/// A handle to a simulated disk. Clones share the same disk.
 #[derive(Clone)]
 pub struct SimulatedDisk {
     state: Rc<RefCell<DiskState>>,
-    /// Notified when the breakpoint is reached.
+    /// Notified when the disk stops at its breakpoint.
     pub breakpoint_reached: Rc<Notify>,
     condition_changed: Rc<Notify>,
 }
 
 impl SimulatedDisk {
-    /// An empty disk whose syncs take that long.
-    pub fn new(sync_time: Duration) -> SimulatedDisk {
+    /// Creates an empty, healthy disk on which each sync takes `sync_latency`.
+    pub fn new(sync_latency: Duration) -> SimulatedDisk {
         let state = DiskState {
             files: Files::new(),
-            durable: Files::new(),
-            unsynced: Vec::new(),
+            durable_files: Files::new(),
+            unsynced_operations: Vec::new(),
             durable_names: BTreeSet::new(),
             condition: DiskCondition::Healthy,
-            sync_time,
-            erratic_delays: None,
-            operations: 0,
+            sync_latency,
+            latency_rng: None,
+            operations_started: 0,
             breakpoint: None,
         };
         SimulatedDisk {
@@ -124,62 +124,66 @@
         }
     }
 
-    /// Changes how it works from now on; operations that hang go on.
+    /// Changes the disk's condition for later operations. Operations that are blocked on a hung disk resume if the new
+    /// condition is not [`DiskCondition::Hung`].
     pub fn set_condition(&self, condition: DiskCondition) {
         self.state.borrow_mut().condition = condition;
         self.condition_changed.notify_waiters();
     }
 
-    /// From now on each operation takes another time, drawn from the seed.
+    /// Adds to each later operation a random latency of up to 20 ms, drawn from the seed.
     pub fn set_erratic(&self, seed: u64) {
-        self.state.borrow_mut().erratic_delays = Some(SmallRng::seed_from_u64(seed));
+        self.state.borrow_mut().latency_rng = Some(SmallRng::seed_from_u64(seed));
     }
 
-    /// How many operations were started.
+    /// The number of operations started since the disk was created.
     pub fn operations(&self) -> u64 {
-        self.state.borrow().operations
+        self.state.borrow().operations_started
     }
 
-    /// Stops the disk before this operation, counted from 0, until it loses power.
+    /// Stops the disk before this operation, counted from 0: the operation never completes, and a loss of power removes
+    /// the breakpoint.
     pub fn set_breakpoint(&self, operation: u64) {
         self.state.borrow_mut().breakpoint = Some(operation);
     }
 
-    /// Deletes everything.
+    /// Deletes all files, durable ones included.
     pub fn wipe(&self) {
         let mut state = self.state.borrow_mut();
-        (state.files, state.durable, state.unsynced) = Default::default();
+        (state.files, state.durable_files, state.unsynced_operations) = Default::default();
         state.durable_names.clear();
     }
 
-    /// What would be found if power were lost now.
+    /// Returns what a loss of power that discards all unsynced operations would leave now.
     pub fn image(&self) -> DiskImage {
         let state = self.state.borrow();
-        let mut files = state.durable.clone();
+        let mut files = state.durable_files.clone();
         files.retain(|file, _| state.durable_names.contains(file));
         DiskImage { files, durable_names: state.durable_names.clone() }
     }
 
-    /// Loses power, and everything that was written since an image: no disk that works does that to what was synced. It
-    /// shows that the checker notices.
+    /// Loses power and restores an earlier image, which discards data that was synced since then. A correct disk never
+    /// does this: tests use it to show that the checker detects the loss.
     pub fn roll_back(&self, image: &DiskImage) {
         self.lose_power(UnsyncedData::Lost);
         let mut state = self.state.borrow_mut();
-        (state.files, state.durable) = (image.files.clone(), image.files.clone());
+        (state.files, state.durable_files) = (image.files.clone(), image.files.clone());
         state.durable_names = image.durable_names.clone();
     }
 
-    /// Loses power: what is found afterwards is durable.
+    /// Simulates a loss of power: `unsynced` decides which unsynced operations survive, and whatever survives is durable
+    /// afterwards.
     pub fn lose_power(&self, unsynced: UnsyncedData) {
         let mut state = self.state.borrow_mut();
-        let operations = std::mem::take(&mut state.unsynced);
-        let mut found = std::mem::take(&mut state.durable);
+        let operations = std::mem::take(&mut state.unsynced_operations);
+        let mut recovered = std::mem::take(&mut state.durable_files);
         let mut rng = SmallRng::seed_from_u64(if let UnsyncedData::Torn(seed) = unsynced { seed } else { 0 });
         for operation in operations {
-            let part = surviving_part(unsynced, &mut rng);
-            recover_operation(&mut found, operation, part);
+            let surviving_fraction = draw_surviving_fraction(unsynced, &mut rng);
+            apply_surviving_fraction(&mut recovered, operation, surviving_fraction);
         }
-        found.retain(|file, _| {
+        // A file whose directory entry was not synced can disappear together with its synced contents.
+        recovered.retain(|file, _| {
             state.durable_names.contains(file)
                 || match unsynced {
                     UnsyncedData::Lost => false,
@@ -187,39 +191,40 @@
                     UnsyncedData::Torn(_) => rng.random_bool(0.5),
                 }
         });
-        state.durable_names = found.keys().cloned().collect();
-        (state.files, state.durable) = (found.clone(), found);
+        state.durable_names = recovered.keys().cloned().collect();
+        (state.files, state.durable_files) = (recovered.clone(), recovered);
         state.breakpoint = None;
     }
 
     async fn execute_operation(self, operation: FileOperation) -> io::Result<()> {
-        let (at_breakpoint, condition, sync_time) = {
+        let (at_breakpoint, condition, sync_latency) = {
             let mut state = self.state.borrow_mut();
-            state.operations += 1;
-            (state.breakpoint == Some(state.operations - 1), state.condition, state.sync_time)
+            let number = state.operations_started;
+            state.operations_started += 1;
+            (state.breakpoint == Some(number), state.condition, state.sync_latency)
         };
         if at_breakpoint {
             self.breakpoint_reached.notify_one();
             std::future::pending::<()>().await;
         }
         match condition {
-            DiskCondition::Slow => sleep(sync_time * SLOWDOWN).await,
+            DiskCondition::Slow => sleep(sync_latency * SLOW_LATENCY_FACTOR).await,
             DiskCondition::Hung => self.wait_while_hung().await,
             DiskCondition::Healthy | DiskCondition::Full => {}
         }
         if let FileOperation::Sync { .. } | FileOperation::SyncDirectory = operation {
-            sleep(sync_time).await;
+            sleep(sync_latency).await;
         }
-        if let Some(delay) = self.draw_erratic_delay() {
-            sleep(delay).await;
+        if let Some(latency) = self.draw_random_latency() {
+            sleep(latency).await;
         }
         self.state.borrow_mut().apply(operation)
     }
 
-    fn draw_erratic_delay(&self) -> Option<Duration> {
+    fn draw_random_latency(&self) -> Option<Duration> {
         let mut state = self.state.borrow_mut();
-        let delays = state.erratic_delays.as_mut()?;
-        Some(MAX_ERRATIC_DELAY.mul_f64(delays.random::<f64>()))
+        let rng = state.latency_rng.as_mut()?;
+        Some(MAX_RANDOM_LATENCY.mul_f64(rng.random::<f64>()))
     }
 
     async fn wait_while_hung(&self) {
@@ -229,8 +234,8 @@
     }
 }
 
-/// Which part of an operation that was not synced survives, from 0.0 to 1.0.
-fn surviving_part(unsynced: UnsyncedData, rng: &mut SmallRng) -> f64 {
+/// Returns the fraction of an unsynced operation that survives a loss of power, from 0.0 (lost) to 1.0 (complete).
+fn draw_surviving_fraction(unsynced: UnsyncedData, rng: &mut SmallRng) -> f64 {
     match unsynced {
         UnsyncedData::Lost => 0.0,
         UnsyncedData::Kept => 1.0,
@@ -242,14 +247,16 @@
     }
 }
 
-fn recover_operation(found: &mut Files, operation: FileOperation, part: f64) {
+/// Applies the surviving fraction of an operation: a torn write leaves a prefix of the bytes, and a rename happens as a
+/// whole or not at all.
+fn apply_surviving_fraction(files: &mut Files, operation: FileOperation, fraction: f64) {
     match operation {
-        _ if part == 0.0 => {}
+        _ if fraction == 0.0 => {}
         FileOperation::Write { file, bytes } => {
-            let length = (bytes.len() as f64 * part) as usize;
-            found.insert(file, bytes[..length].to_vec());
+            let length = (bytes.len() as f64 * fraction) as usize;
+            files.insert(file, bytes[..length].to_vec());
         }
-        FileOperation::Rename { from, to } if part >= 1.0 => rename(found, &from, to),
+        FileOperation::Rename { from, to } if fraction >= 1.0 => rename(files, &from, to),
         _ => {}
     }
 }
@@ -268,7 +275,7 @@
             FileOperation::Rename { from, to } => {
                 let bytes = self.files.remove(&from).ok_or(io::ErrorKind::NotFound)?;
                 self.files.insert(to.clone(), bytes);
-                self.unsynced.push(FileOperation::Rename { from, to });
+                self.unsynced_operations.push(FileOperation::Rename { from, to });
             }
             FileOperation::SyncDirectory => self.sync_directory(),
         }
@@ -279,24 +286,24 @@
         let full = self.condition == DiskCondition::Full;
         let bytes = if full { Vec::new() } else { bytes };
         self.files.insert(file.clone(), bytes.clone());
-        self.unsynced.push(FileOperation::Write { file, bytes });
+        self.unsynced_operations.push(FileOperation::Write { file, bytes });
         if full { Err(io::ErrorKind::StorageFull.into()) } else { Ok(()) }
     }
 
     fn sync(&mut self, file: String) {
         let bytes = self.files.get(&file).cloned().unwrap_or_default();
-        self.unsynced.retain(
+        self.unsynced_operations.retain(
             |operation| !matches!(operation, FileOperation::Write { file: written, .. } if *written == file),
         );
-        self.durable.insert(file, bytes);
+        self.durable_files.insert(file, bytes);
     }
 
     fn sync_directory(&mut self) {
         self.durable_names = self.files.keys().cloned().collect();
-        for operation in std::mem::take(&mut self.unsynced) {
+        for operation in std::mem::take(&mut self.unsynced_operations) {
             match operation {
-                FileOperation::Rename { from, to } => rename(&mut self.durable, &from, to),
-                other => self.unsynced.push(other),
+                FileOperation::Rename { from, to } => rename(&mut self.durable_files, &from, to),
+                other => self.unsynced_operations.push(other),
             }
         }
     }
