--- a/crates/traces/src/error.rs
+++ b/crates/traces/src/error.rs
@@ -1,24 +1,24 @@
-//! Why a trace cannot be read or written at all.
+//! Errors that concern a whole trace.
 
 use std::io;
 use thiserror::Error;
 
-/// A whole trace cannot be read or written.
+/// The reason why a trace cannot be read or written.
 #[derive(Debug, Error)]
 pub enum TraceError {
     /// The header lacks a column that the mapping names.
     #[error("the trace has no column '{0}'")]
     MissingColumn(String),
-    /// A column that the mapping names is ambiguous.
-    #[error("the trace cannot be read: column '{0}' comes twice")]
+    /// The header has a column that the mapping names more than once.
+    #[error("the trace has column '{0}' more than once")]
     DuplicateColumn(String),
-    /// The file cannot be read or written as CSV.
-    #[error("the trace cannot be read: {0}")]
+    /// The CSV reader or writer failed.
+    #[error("the trace cannot be read or written: {0}")]
     Csv(#[from] csv::Error),
-    /// The last rows cannot be written.
-    #[error("the trace cannot be read: {0}")]
+    /// The buffered rows cannot be flushed to the output.
+    #[error("the trace cannot be written: {0}")]
     Flush(io::Error),
-    /// The mapping is not usable.
-    #[error("the mapping: {0}")]
+    /// The mapping is invalid.
+    #[error("invalid trace mapping: {0}")]
     Mapping(&'static str),
 }
--- a/crates/traces/src/export.rs
+++ b/crates/traces/src/export.rs
@@ -1,22 +1,22 @@
-//! Writing of a trace in the project's own form.
+//! Writes a trace in the canonical CSV format: one column for each field of [`Row`].
 
 use crate::error::TraceError;
 use crate::mapping::{Columns, DEFAULT_MAX_UNITS, Mapping, NEUTRAL};
 use crate::row::Row;
 use std::io::Write;
 
-/// Writes rows in the form that [`canonical_mapping`] reads.
+/// Writes rows as canonical CSV, which [`canonical_mapping`] describes.
 ///
 /// # Errors
 ///
-/// The output cannot be written.
+/// Returns an error if the output cannot be written.
 pub fn write_trace(to: impl Write, rows: &[Row]) -> Result<(), TraceError> {
     let mut writer = csv::Writer::from_writer(to);
     rows.iter().try_for_each(|row| writer.serialize(row))?;
     writer.flush().map_err(TraceError::Flush)
 }
 
-/// The mapping of what [`write_trace`] writes, for a trace of these products.
+/// Returns the mapping that reads the output of [`write_trace`], for a trace of these products.
 pub fn canonical_mapping(products: &[String]) -> Mapping {
     let column = |name: &str| name.to_owned();
     Mapping {
--- a/crates/traces/src/import.rs
+++ b/crates/traces/src/import.rs
@@ -1,4 +1,4 @@
-//! Reading of a trace.
+//! Parses a CSV trace into rows.
 
 use crate::error::TraceError;
 use crate::mapping::{Columns, Mapping};
@@ -7,26 +7,26 @@
 use std::collections::BTreeMap;
 use std::io::Read;
 
-/// What a trace contains.
+/// The result of reading a trace.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ImportedTrace {
-    /// The rows that could be read, in order of time.
+    /// The accepted rows, ordered by time.
     pub rows: Vec<Row>,
-    /// The rows that were rejected, by their defect.
+    /// The counts of rejected rows, by defect.
     pub rejected: BTreeMap<RowDefect, RejectedRows>,
 }
 
-/// The rows that were rejected for one defect.
+/// The rows that were rejected for the same defect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RejectedRows {
-    /// How many.
+    /// The number of rejected rows.
     pub count: u64,
-    /// The line of the first one.
+    /// The line number of the first rejected row.
     pub first_line: u64,
 }
 
 impl ImportedTrace {
-    /// How many rows were rejected, for whatever defect.
+    /// Returns the number of rejected rows over all defects.
     pub fn rejected_count(&self) -> u64 {
         self.rejected.values().map(|rejected| rejected.count).sum()
     }
@@ -37,12 +37,12 @@
     }
 }
 
-/// Reads a trace; `plans` are those that a row may name.
+/// Reads a CSV trace by a mapping. Rows whose plan is not in `plans` are rejected.
 ///
 /// # Errors
 ///
-/// The mapping is not usable, the header lacks a column, or the input cannot be read. Defects of single rows are no
-/// error: these rows are counted in the result.
+/// Returns an error if the mapping is invalid, if the header lacks or repeats a mapped column, or if the input cannot be
+/// read. Defective rows are not an error: the result counts them.
 pub fn read_trace(from: impl Read, mapping: &Mapping, plans: &[String]) -> Result<ImportedTrace, TraceError> {
     mapping.validate()?;
     let mut reader = csv::ReaderBuilder::new().flexible(true).trim(Trim::All).from_reader(from);
@@ -55,9 +55,9 @@
         let parsed = match reader.read_record(&mut record) {
             Ok(false) => return Ok(trace),
             Ok(true) if record.len() == header.len() => parser.parse(&record),
-            Ok(true) => Err(RowDefect::Form),
-            // The reader continues after a record that is not text; any other error ends the file.
-            Err(error) if matches!(error.kind(), ErrorKind::Utf8 { .. }) => Err(RowDefect::Form),
+            Ok(true) => Err(RowDefect::MalformedRecord),
+            // The CSV reader can continue after a record that is not UTF-8, but not after any other error.
+            Err(error) if matches!(error.kind(), ErrorKind::Utf8 { .. }) => Err(RowDefect::MalformedRecord),
             Err(error) => return Err(error.into()),
         };
         match parsed {
@@ -67,7 +67,7 @@
     }
 }
 
-/// The columns by their index in the header.
+/// The indexes of the mapped columns in the header.
 #[derive(Clone, Copy, Debug)]
 struct ColumnIndexes {
     time: usize,
@@ -99,14 +99,14 @@
     }
 }
 
-/// Reads records one after the other, as times are relative to the first row and must not decrease.
+/// Parses records in the order of the file: times are relative to the first accepted row and must not decrease.
 struct RowParser<'a> {
     mapping: &'a Mapping,
     plans: &'a [String],
     columns: ColumnIndexes,
-    /// Time of the first row, in the trace's unit.
+    /// The time of the first accepted row, in the trace's time unit.
     first_time: Option<f64>,
-    /// Time of the last accepted row, in the trace's unit.
+    /// The time of the last accepted row, in the trace's time unit.
     last_time: f64,
 }
 
@@ -133,9 +133,9 @@
     }
 
     fn time(&self, record: &StringRecord) -> Result<f64, RowDefect> {
-        let time: f64 = field(record, self.columns.time).parse().map_err(|_| RowDefect::Time)?;
+        let time: f64 = field(record, self.columns.time).parse().map_err(|_| RowDefect::InvalidTime)?;
         if !time.is_finite() {
-            return Err(RowDefect::Time);
+            return Err(RowDefect::InvalidTime);
         }
         if time < self.last_time {
             return Err(RowDefect::OutOfOrder);
@@ -145,7 +145,7 @@
 
     fn customer(&self, record: &StringRecord) -> Result<String, RowDefect> {
         match field(record, self.columns.customer) {
-            "" => Err(RowDefect::Customer),
+            "" => Err(RowDefect::MissingCustomer),
             customer => Ok(customer.to_owned()),
         }
     }
@@ -155,15 +155,15 @@
             Some(column) => self.mapping.kinds.get(field(record, column)),
             None => self.mapping.product.as_ref(),
         };
-        product.cloned().ok_or(RowDefect::Kind)
+        product.cloned().ok_or(RowDefect::UnmappedKind)
     }
 
     fn units(&self, record: &StringRecord) -> Result<f64, RowDefect> {
         let units = match self.columns.units {
-            Some(column) => field(record, column).parse().map_err(|_| RowDefect::Units)?,
+            Some(column) => field(record, column).parse().map_err(|_| RowDefect::InvalidUnits)?,
             None => self.mapping.units,
         };
-        if units > 0.0 && units <= self.mapping.max_units { Ok(units) } else { Err(RowDefect::Units) }
+        if units > 0.0 && units <= self.mapping.max_units { Ok(units) } else { Err(RowDefect::InvalidUnits) }
     }
 
     fn plan(&self, record: &StringRecord) -> Result<String, RowDefect> {
@@ -171,7 +171,11 @@
             Some(column) => field(record, column),
             None => self.mapping.plan.as_deref().unwrap_or_default(),
         };
-        if self.plans.iter().any(|known| known == plan) { Ok(plan.to_owned()) } else { Err(RowDefect::Plan) }
+        if self.plans.iter().any(|known| known == plan) {
+            Ok(plan.to_owned())
+        } else {
+            Err(RowDefect::UnknownPlan)
+        }
     }
 }
 
--- a/crates/traces/src/lib.rs
+++ b/crates/traces/src/lib.rs
@@ -1,7 +1,7 @@
-//! Cluster traces in CSV, read as rows of arrivals by the columns that a mapping names.
+//! Reads request traces in CSV as rows of arrivals, by a mapping from the trace's columns to the fields of a row.
 //!
-//! A row that cannot be read as what it is meant to be is rejected and counted by its defect; nothing is guessed. A trace
-//! whose header lacks a named column is an error.
+//! A row with a missing or unreadable value is rejected and counted by its defect; no value is guessed. A trace whose
+//! header lacks a column that the mapping names is an error.
 
 #![forbid(unsafe_code)]
 
--- a/crates/traces/src/row.rs
+++ b/crates/traces/src/row.rs
@@ -1,45 +1,45 @@
-//! A row of a trace, and what may be wrong with one.
+//! A row of a trace, and the defects for which rows are rejected.
 
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// One request of a trace. Its fields are the columns of a written trace.
+/// One request of a trace. The field names are the column names of the canonical CSV format.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Row {
-    /// When it arrives, in seconds after the first row.
+    /// The request's arrival time, in seconds after the first row.
     pub time_s: f64,
-    /// Who sends it.
+    /// The customer that sends the request.
     pub customer: String,
-    /// What it is for.
+    /// The product that the request is for.
     pub product: String,
     /// The customer's plan.
     pub plan: String,
-    /// How many units of the product it is for.
+    /// The number of the product's units that the request is for.
     pub units: f64,
 }
 
-/// Why a row was rejected.
+/// The reason why a row was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Error)]
 pub enum RowDefect {
-    /// Not as many fields as the header, or bytes that are not text.
-    #[error("not the header's fields")]
-    Form,
+    /// The number of fields differs from the header's, or a field is not UTF-8.
+    #[error("wrong number of fields, or not UTF-8")]
+    MalformedRecord,
     /// The time is not a finite number.
-    #[error("no time")]
-    Time,
-    /// The time is before the previous row's.
-    #[error("earlier than the row before")]
+    #[error("the time is not a finite number")]
+    InvalidTime,
+    /// The time is before that of the last accepted row.
+    #[error("earlier than the last accepted row")]
     OutOfOrder,
     /// The customer's name is empty.
-    #[error("no customer")]
-    Customer,
-    /// The mapping has no product for the kind.
-    #[error("a kind that is not mapped")]
-    Kind,
-    /// The units are not a number above zero, or are more than the mapping allows.
-    #[error("no units, or out of range")]
-    Units,
-    /// The plan is not one of those that the caller knows.
-    #[error("a plan that is not known")]
-    Plan,
+    #[error("the customer is empty")]
+    MissingCustomer,
+    /// The mapping has no product for the row's kind.
+    #[error("the kind is not mapped to a product")]
+    UnmappedKind,
+    /// The units are not a positive number, or exceed the mapping's maximum.
+    #[error("the units are not a number or out of range")]
+    InvalidUnits,
+    /// The plan is not in the caller's list of plans.
+    #[error("unknown plan")]
+    UnknownPlan,
 }
--- a/crates/traces/src/summary.rs
+++ b/crates/traces/src/summary.rs
@@ -1,33 +1,33 @@
-//! A summary of a trace, for whoever imports one.
+//! Summary statistics of a trace.
 
 use crate::row::Row;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A trace at a glance.
+/// Summary statistics of a trace.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct TraceSummary {
-    /// Number of rows.
+    /// The number of rows.
     pub rows: u64,
-    /// Time of the last row, in seconds after the first.
+    /// The time of the last row, in seconds after the first.
     pub seconds: f64,
-    /// Number of customers.
+    /// The number of distinct customers.
     pub customers: u64,
-    /// Rows and units of each product.
+    /// The rows and units of each product.
     pub by_product: BTreeMap<String, ProductTotals>,
-    /// The most rows in any one second.
+    /// The largest number of rows within one second of the trace, counted in whole seconds from the first row.
     pub peak_rows_per_second: u64,
 }
 
-/// The rows of one product.
+/// Totals over the rows of one product.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ProductTotals {
-    /// Number of rows.
+    /// The number of rows.
     pub rows: u64,
-    /// Units of all rows.
+    /// The sum of the rows' units.
     pub units: f64,
 }
 
-/// Summarizes rows, which must be in order of time.
+/// Summarizes rows, which must be ordered by time.
 pub fn summarize_trace(rows: &[Row]) -> TraceSummary {
     let customers: BTreeSet<&str> = rows.iter().map(|row| row.customer.as_str()).collect();
     let mut by_product: BTreeMap<String, ProductTotals> = BTreeMap::new();
--- a/crates/traces/tests/import.rs
+++ b/crates/traces/tests/import.rs
@@ -1,4 +1,4 @@
-//! What of a trace becomes rows, and what is rejected.
+//! Tests of reading, rejecting, writing and summarizing trace rows.
 
 use std::collections::BTreeMap;
 use vanewharf_traces::{
@@ -37,7 +37,7 @@
     let text = "user,ts,op,cpu,extra\na,5000,get,2,x\nb,7000,put,8,y\n";
     let trace = read_trace(text.as_bytes(), &mapping(), &plans()).expect("readable");
     assert!(trace.rejected.is_empty());
-    assert_eq!(trace.rows[1].time_s, 1.0, "two seconds, twice as fast, from the first row on");
+    assert_eq!(trace.rows[1].time_s, 1.0, "2 s after the first row, replayed at twice the speed");
     assert_eq!((trace.rows[1].product.as_str(), trace.rows[1].units), ("publish", 8.0));
 }
 
@@ -55,31 +55,38 @@
     use RowDefect::*;
     assert_eq!(
         counts,
-        [(Form, 2, 9), (Time, 2, 3), (OutOfOrder, 1, 4), (Customer, 1, 5), (Kind, 1, 6), (Units, 2, 7)]
+        [
+            (MalformedRecord, 2, 9),
+            (InvalidTime, 2, 3),
+            (OutOfOrder, 1, 4),
+            (MissingCustomer, 1, 5),
+            (UnmappedKind, 1, 6),
+            (InvalidUnits, 2, 7)
+        ]
     );
     assert_eq!(trace.rejected_count(), 9);
 }
 
 #[test]
-fn a_row_that_is_not_text_is_rejected_alone() {
+fn a_row_that_is_not_utf8_does_not_affect_other_rows() {
     let text = b"user,ts,op,cpu\na,5000,get,2\n\xff\xfe,5001,get,2\na,5002,get,2\n";
     let trace = read_trace(&text[..], &mapping(), &plans()).expect("readable");
-    assert_eq!((trace.rows.len(), trace.rejected[&RowDefect::Form].count), (2, 1));
+    assert_eq!((trace.rows.len(), trace.rejected[&RowDefect::MalformedRecord].count), (2, 1));
 }
 
 #[test]
-fn a_trace_without_a_named_column_is_an_error_with_its_name() {
+fn a_missing_or_repeated_column_is_an_error_that_names_it() {
     let error_of =
         |text: &str| read_trace(text.as_bytes(), &mapping(), &plans()).expect_err("an error").to_string();
     assert_eq!(error_of("user,time,op,cpu\na,1,get,2\n"), "the trace has no column 'ts'");
     assert_eq!(error_of(""), "the trace has no column 'ts'");
-    assert!(error_of("user,ts,op,cpu,ts\n").contains("twice"));
+    assert!(error_of("user,ts,op,cpu,ts\n").contains("column 'ts' more than once"));
     let none = Mapping { plan: None, ..mapping() };
     assert!(read_trace("".as_bytes(), &none, &plans()).expect_err("an error").to_string().contains("plan"));
 }
 
 #[test]
-fn a_written_trace_reads_back_the_same() {
+fn a_written_trace_round_trips() {
     let text = "user,ts,op,cpu\na,5000,get,2\nb,7000,put,8\n";
     let once = read_trace(text.as_bytes(), &mapping(), &plans()).expect("readable");
     let mut written = Vec::new();
@@ -95,12 +102,12 @@
 }
 
 #[test]
-fn one_defective_row_in_twenty_costs_no_other_row() {
+fn one_defective_row_in_twenty_does_not_affect_the_others() {
     let mut text = "user,ts,op,cpu\n".to_owned();
     for no in 0..2_000 {
         let bad = no % 20 == 19;
         text += &format!("u{},{},{},{}\n", no % 50, 5_000 + no, if bad { "?" } else { "get" }, 1 + no % 4);
     }
     let trace = read_trace(text.as_bytes(), &mapping(), &plans()).expect("readable");
-    assert_eq!((trace.rows.len(), trace.rejected[&RowDefect::Kind].count), (1_900, 100));
+    assert_eq!((trace.rows.len(), trace.rejected[&RowDefect::UnmappedKind].count), (1_900, 100));
 }
