--- a/programs/simulator-adapter/src/gateway.rs
+++ b/programs/simulator-adapter/src/gateway.rs
@@ -1,5 +1,5 @@
-//! One simulated gateway: its decisions, the events that they have yet to handle, and the numbers given to the names of
-//! the wire. Lines become events here, and actions lines.
+//! One simulated gateway: its policy instance, its queued events, and the conversion between protocol lines and the
+//! policy's events and actions.
 
 use crate::wire::{InvalidLine, Line, LineProblem, Milliseconds};
 use std::collections::HashMap;
@@ -14,12 +14,12 @@
     CounterReply, CustomerId, Event, GatewayId, Outcome, PeerMessage, QuotaClaim, Ticks, TimerId, TxnId,
 };
 
-/// The bit of `state_bits` by which a client marks a retry.
-const RETRY_BIT: u32 = 2;
-/// Customers' numbers have as many bits as those on sockets.
+/// The flag in `state_bits` by which a client marks a retry.
+const RETRY_FLAG: u32 = 2;
+/// Width of customer IDs, the same as in the gateway program (`vanewharf-gateway`).
 const CUSTOMER_ID_BITS: u32 = 33;
 
-/// The backends' names, by their numbers.
+/// Maps backend names to numeric IDs, which count up from 0 in the order in which names are first seen.
 #[derive(Default)]
 struct BackendNames {
     ids: HashMap<String, u32>,
@@ -27,7 +27,7 @@
 }
 
 impl BackendNames {
-    fn id(&mut self, name: &str) -> BackendId {
+    fn get_or_assign_id(&mut self, name: &str) -> BackendId {
         if let Some(&id) = self.ids.get(name) {
             return BackendId(id);
         }
@@ -42,7 +42,7 @@
     }
 }
 
-/// A gateway that was launched and not killed.
+/// A gateway between its `LAUNCH` and its `KILLED` message.
 pub struct SimulatedGateway {
     balancer: Balancer,
     pending_events: Vec<Event>,
@@ -51,17 +51,17 @@
 }
 
 impl SimulatedGateway {
-    /// A gateway at its start; `names` are those of its settings.
+    /// Creates a gateway. `names` maps the plan and product names of its settings to the policy's IDs.
     pub fn new(balancer: Balancer, names: SettingNames) -> SimulatedGateway {
         SimulatedGateway { balancer, names, pending_events: Vec::new(), backends: BackendNames::default() }
     }
 
-    /// Adds an event to the batch.
-    pub fn push(&mut self, event: Event) {
+    /// Queues an event for the current batch.
+    pub fn push_event(&mut self, event: Event) {
         self.pending_events.push(event);
     }
 
-    /// Handles the batch's events and gives the actions; none without events.
+    /// Passes the queued events to the policy and returns its actions. The policy is not called if no event is queued.
     pub fn decide(&mut self, now: Ticks) -> Vec<Action> {
         if self.pending_events.is_empty() {
             return Vec::new();
@@ -69,10 +69,10 @@
         self.balancer.decide(now, std::mem::take(&mut self.pending_events))
     }
 
-    /// Reads an entry of a list of backends.
+    /// Parses an entry of a backend list.
     ///
     /// # Errors
-    /// If a field is missing or cannot be read.
+    /// Returns an error if a field is missing or invalid.
     pub fn read_backend(&mut self, line: &Line<'_>) -> Result<BackendInfo, InvalidLine> {
         let status = match line.required::<u32>("mode")? {
             2 => BackendStatus::Ready,
@@ -81,7 +81,7 @@
             code => return Err(unknown_code(line, "mode", "standing", code)),
         };
         Ok(BackendInfo {
-            backend: self.backends.id(line.required_text("backend")?),
+            backend: self.backends.get_or_assign_id(line.required_text("backend")?),
             status,
             capacity: line.number("scale")?.unwrap_or(1.0),
             local: line.text("hall").unwrap_or_default() == self.names.locality,
@@ -89,10 +89,10 @@
         })
     }
 
-    /// Reads an event; none for messages that the decisions have no use for, which are only checked.
+    /// Parses an event. Messages that the policy does not use are validated and give `None`.
     ///
     /// # Errors
-    /// If the message is not known, or a field is missing or cannot be read.
+    /// Returns an error if the message is unknown, or a field is missing or invalid.
     pub fn read_event(&self, line: &Line<'_>) -> Result<Option<Event>, InvalidLine> {
         Ok(match line.message {
             "ORDER" => Some(Event::RequestArrived(self.read_arrival(line)?)),
@@ -123,23 +123,23 @@
     fn read_arrival(&self, line: &Line<'_>) -> Result<Arrival, InvalidLine> {
         Ok(Arrival {
             txn: TxnId(line.required("txn")?),
-            product: look_up(line, "band", &self.names.products)?,
+            product: look_up_name(line, "band", &self.names.products)?,
             claim: QuotaClaim {
                 customer: customer_id(line.required_text("client_id")?),
-                plan: look_up(line, "plan", &self.names.plans)?,
+                plan: look_up_name(line, "plan", &self.names.plans)?,
                 subset_start: line.number("from_no")?.unwrap_or_default() as u32,
                 subset_size: line.number("width")?.unwrap_or_default() as u32,
                 cost: line.number("cost_units")?.unwrap_or_default(),
-                retry: line.optional("state_bits", 0u32)? & RETRY_BIT > 0,
+                retry: line.optional("state_bits", 0u32)? & RETRY_FLAG > 0,
             },
             deadline: line.required_time("client_deadline")?,
         })
     }
 
-    /// Writes actions, a line each.
+    /// Appends one protocol line per action to `reply`.
     pub fn write_actions(&self, actions: &[Action], reply: &mut String) {
         for action in actions {
-            self.write_action(action, reply).expect("a string takes all that is written to it");
+            self.write_action(action, reply).expect("writing to a string does not fail");
             reply.push('\n');
         }
     }
@@ -174,7 +174,7 @@
 }
 
 fn read_attempt_report(line: &Line<'_>) -> Result<AttemptReport, InvalidLine> {
-    // The percentage plus 1, as zero stands for no reading.
+    // `quota_use` is the usage in percent plus 1; 0 means that there is no reading.
     let usage = line.number("quota_use")?.filter(|&usage| usage >= 1.0);
     Ok(AttemptReport {
         txn: TxnId(line.required("txn")?),
@@ -210,7 +210,7 @@
     })
 }
 
-/// None for what cannot be read: it is another build's, and none of this one's concern.
+/// Returns `None` for a message that cannot be decoded: another build may have sent it, and it is ignored.
 fn read_peer_message(content: &str) -> Option<PeerMessage> {
     codec::decode(&decode_hex(content)?)
 }
@@ -228,14 +228,14 @@
     line.invalid(LineProblem::UnknownCode { field, meaning, code })
 }
 
-fn look_up<T: Copy>(line: &Line<'_>, field: &str, names: &HashMap<String, T>) -> Result<T, InvalidLine> {
+fn look_up_name<T: Copy>(line: &Line<'_>, field: &str, names: &HashMap<String, T>) -> Result<T, InvalidLine> {
     let name = line.required_text(field)?;
     let unknown = || LineProblem::UnknownName { field: field.to_owned(), name: name.to_owned() };
     names.get(name).copied().ok_or_else(|| line.invalid(unknown()))
 }
 
-/// Every gateway must give a customer the same number, as the shared counter's keys are made of it: the wire's name,
-/// hashed by the standard library's fixed keys.
+/// Derives a customer's ID from its name. `DefaultHasher::new` hashes with fixed keys, as all gateways must derive
+/// the same ID: the keys of the shared counter are computed from it.
 fn customer_id(name: &str) -> CustomerId {
     let mut hasher = DefaultHasher::new();
     name.hash(&mut hasher);
--- a/programs/simulator-adapter/src/main.rs
+++ b/programs/simulator-adapter/src/main.rs
@@ -1,5 +1,5 @@
-//! Connects the users' simulator, on standard input and output, with the decisions of its gateways: the program itself
-//! does no more than read batches, let the decisions handle them and write their actions.
+//! Runs the balancing policy for an external simulator: reads batches of events for simulated gateways from standard
+//! input and writes the policy's actions to standard output.
 
 #![forbid(unsafe_code)]
 
@@ -11,12 +11,12 @@
 use std::io::{self, BufReader, BufWriter};
 use std::process::ExitCode;
 
-/// Bytes that are read or written at once; the largest batches are about as long.
-const BUFFER_SIZE: usize = 1 << 20;
+/// The largest batches are about 1 MiB.
+const BUFFER_BYTES: usize = 1 << 20;
 
 fn main() -> ExitCode {
-    let input = BufReader::with_capacity(BUFFER_SIZE, io::stdin().lock());
-    let output = BufWriter::with_capacity(BUFFER_SIZE, io::stdout().lock());
+    let input = BufReader::with_capacity(BUFFER_BYTES, io::stdin().lock());
+    let output = BufWriter::with_capacity(BUFFER_BYTES, io::stdout().lock());
     match Session::default().run(input, output) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
--- a/programs/simulator-adapter/src/session.rs
+++ b/programs/simulator-adapter/src/session.rs
@@ -1,8 +1,8 @@
-//! A session on the simulator's wire: batches of lines in, a reply to each out. It owns the gateways that were launched
-//! and the batch that is under way.
+//! A session of the simulator's line protocol, which answers each batch of lines with one reply. It owns the running
+//! gateways and the state of the current batch.
 //!
-//! Invariants: while a list of backends is incomplete, only its entries may come; nothing is decided before its batch has
-//! ended.
+//! Invariants: while a backend list is incomplete, only its entries are accepted; no gateway's policy runs before the
+//! batch has ended.
 
 use crate::gateway::SimulatedGateway;
 use crate::wire::{InvalidLine, Line, LineProblem};
@@ -13,60 +13,61 @@
 use vanewharf_policy::decide::Balancer;
 use vanewharf_policy::interface::{BackendInfo, Event, Ticks};
 
-/// Why a session cannot go on.
+/// The reason why a session failed.
 #[derive(Debug, Error)]
 pub enum SessionError {
-    /// The simulator sent a line that cannot be taken.
+    /// The simulator sent an invalid line.
     #[error(transparent)]
     InvalidLine(#[from] InvalidLine),
-    /// The streams failed.
+    /// The input or output stream failed.
     #[error(transparent)]
     Io(#[from] io::Error),
 }
 
-/// A list of backends that is under way.
-struct PendingList {
-    /// Whether it names all backends, or changes only.
-    complete: bool,
-    missing_entries: usize,
+/// A backend list whose entries are still being received.
+struct PartialBackendList {
+    /// True if the list replaces all backends, false if it contains only changed backends.
+    full: bool,
+    remaining_entries: usize,
     entries: Vec<BackendInfo>,
 }
 
-impl PendingList {
+impl PartialBackendList {
     fn into_event(self) -> Event {
-        if self.complete { Event::BackendList(self.entries) } else { Event::BackendChanges(self.entries) }
+        if self.full { Event::BackendList(self.entries) } else { Event::BackendChanges(self.entries) }
     }
 }
 
+/// The state of the current batch.
 #[derive(Default)]
 struct Batch {
-    /// The batch's time; none before it has begun.
+    /// The simulated time of the batch; `None` between batches.
     now: Option<Ticks>,
-    /// The gateway that lines are for.
+    /// The name of the gateway that the following lines address.
     gateway: Option<String>,
-    list: Option<PendingList>,
+    list: Option<PartialBackendList>,
 }
 
-/// All gateways of one simulator.
+/// A session with one simulator: all its gateways and the current batch.
 #[derive(Default)]
 pub struct Session {
-    // Ordered by name, so that replies do not depend on the order of a hash table.
+    // Ordered by name to make the order of gateways in a reply deterministic.
     gateways: BTreeMap<String, SimulatedGateway>,
     batch: Batch,
 }
 
 impl Session {
-    /// Answers batches until the input ends.
+    /// Reads and answers batches until the input ends.
     ///
     /// # Errors
-    /// If a line cannot be taken, the input ends within a batch, or a stream fails.
+    /// Returns an error if a line is invalid, the input ends within a batch, or a stream fails.
     pub fn run(&mut self, mut input: impl BufRead, mut output: impl Write) -> Result<(), SessionError> {
         let mut text = String::new();
         let mut number = 0;
         loop {
             text.clear();
             if input.read_line(&mut text)? == 0 {
-                return Ok(self.end(number)?);
+                return Ok(self.check_end_of_input(number)?);
             }
             number += 1;
             let line = Line::parse(number, text.trim_end_matches(['\n', '\r']))?;
@@ -79,8 +80,8 @@
         }
     }
 
-    fn end(&self, number: u64) -> Result<(), InvalidLine> {
-        if self.batch.now.is_some() { Err(InvalidLine::input_ended(number)) } else { Ok(()) }
+    fn check_end_of_input(&self, lines_read: u64) -> Result<(), InvalidLine> {
+        if self.batch.now.is_some() { Err(InvalidLine::input_ended(lines_read)) } else { Ok(()) }
     }
 
     fn handle_line(&mut self, line: &Line<'_>) -> Result<(), InvalidLine> {
@@ -137,16 +138,16 @@
                     return Err(out_of_place(line, "no list is under way"));
                 };
                 list.entries.push(gateway.read_backend(line)?);
-                list.missing_entries -= 1;
+                list.remaining_entries -= 1;
             }
             _ => {
                 if let Some(event) = gateway.read_event(line)? {
-                    gateway.push(event);
+                    gateway.push_event(event);
                 }
             }
         }
-        if let Some(list) = self.batch.list.take_if(|list| list.missing_entries == 0) {
-            gateway.push(list.into_event());
+        if let Some(list) = self.batch.list.take_if(|list| list.remaining_entries == 0) {
+            gateway.push_event(list.into_event());
         }
         Ok(())
     }
@@ -174,7 +175,7 @@
     }
 }
 
-/// A gateway with the settings that the line has.
+/// Creates a gateway from the settings in the fields of a `LAUNCH` line.
 fn launch(line: &Line<'_>, now: Ticks) -> Result<SimulatedGateway, InvalidLine> {
     let options = Options::flat(line.fields().iter().copied());
     let started = balancer_config(&options, line.required("init_seed")?, now);
@@ -182,9 +183,9 @@
     Ok(SimulatedGateway::new(Balancer::new(config), names))
 }
 
-/// The list that the line begins; none where the list before stays in force.
-fn begin_list(line: &Line<'_>) -> Result<Option<PendingList>, InvalidLine> {
-    let complete = match line.required::<u32>("scope")? {
+/// Starts the backend list that a `MEMBERS` line announces. Returns `None` if the previous list remains in force.
+fn begin_list(line: &Line<'_>) -> Result<Option<PartialBackendList>, InvalidLine> {
+    let full = match line.required::<u32>("scope")? {
         0 => false,
         1 | 2 => true,
         3 => return Ok(None),
@@ -192,10 +193,10 @@
             return Err(line.invalid(LineProblem::UnknownCode { field: "scope", meaning: "kind", code }));
         }
     };
-    let missing_entries = line.optional("hosts", 0)?;
-    Ok(Some(PendingList { complete, missing_entries, entries: Vec::new() }))
+    let remaining_entries = line.optional("hosts", 0)?;
+    Ok(Some(PartialBackendList { full, remaining_entries, entries: Vec::new() }))
 }
 
-fn out_of_place(line: &Line<'_>, why: &'static str) -> InvalidLine {
-    line.invalid(LineProblem::OutOfPlace(why))
+fn out_of_place(line: &Line<'_>, reason: &'static str) -> InvalidLine {
+    line.invalid(LineProblem::OutOfPlace(reason))
 }
--- a/programs/simulator-adapter/src/wire.rs
+++ b/programs/simulator-adapter/src/wire.rs
@@ -1,6 +1,7 @@
-//! The lines of the simulator's wire: a message's name, then fields of the form `name=value`, all parted by spaces.
+//! Parses lines of the simulator's protocol: a message name followed by fields of the form `name=value`, separated by
+//! spaces.
 //!
-//! The names of messages and fields, and the texts of errors, are the simulator's and stay as they are.
+//! The simulator defines the names of messages and fields and the texts of errors; they must not change.
 
 use std::fmt;
 use std::str::FromStr;
@@ -8,7 +9,7 @@
 use vanewharf_gateway_settings::{UnreadableOption, ticks_from_ms};
 use vanewharf_policy::interface::Ticks;
 
-/// A line that cannot be taken, and where it stands.
+/// An error in a line of the input, with the line's number and message.
 #[derive(Debug, Error)]
 #[error("line {line}, message {message}: {problem}")]
 pub struct InvalidLine {
@@ -18,77 +19,77 @@
 }
 
 impl InvalidLine {
-    /// The input ended within a batch, after so many lines.
+    /// Creates the error for input that ends within a batch; `line` is the number of the last line.
     pub fn input_ended(line: u64) -> InvalidLine {
         InvalidLine { line, message: "EOF_BATCH".to_owned(), problem: LineProblem::InputEnded }
     }
 }
 
-/// What is wrong with a line.
+/// The reason why a line is invalid.
 #[derive(Debug, Error)]
 pub enum LineProblem {
-    /// A part of the line has no `=`.
+    /// A part of the line after the message name has no `=`.
     #[error("'{0}' is no field")]
     NotAField(String),
-    /// A field that the message needs.
+    /// The line lacks a field that the message requires.
     #[error("field {0} is missing")]
     MissingField(String),
-    /// A value that is not of the field's type.
+    /// A value cannot be parsed as the field's type.
     #[error("field {field} cannot be read: '{value}'")]
     UnreadableField {
         /// The field's name.
         field: String,
-        /// What stands there.
+        /// The value in the line.
         value: String,
     },
-    /// A code that none of the field's meanings has.
+    /// A numeric code that is not defined for the field.
     #[error("field {field} is no {meaning}: '{code}'")]
     UnknownCode {
         /// The field's name.
         field: &'static str,
-        /// What the code stands for.
+        /// What the field's codes represent.
         meaning: &'static str,
-        /// What stands there.
+        /// The code in the line.
         code: u32,
     },
-    /// A name that the settings do not have.
+    /// A plan or product that the gateway's settings do not define.
     #[error("field {field} names nothing told: '{name}'")]
     UnknownName {
         /// The field's name.
         field: String,
-        /// What stands there.
+        /// The name in the line.
         name: String,
     },
-    /// A message that the wire does not have.
+    /// A message that the protocol does not define.
     #[error("unknown message")]
     UnknownMessage,
-    /// A message that cannot come now.
+    /// A message that is not allowed in the current state of the session.
     #[error("out of place: {0}")]
     OutOfPlace(&'static str),
-    /// A message to a gateway that does not run.
+    /// A message to a gateway that is not running.
     #[error("out of place: {0} was not launched")]
     NotLaunched(String),
     /// The input ended within a batch.
     #[error("the input ends in mid-batch")]
     InputEnded,
-    /// A gateway's settings cannot be read.
+    /// A setting in a `LAUNCH` line cannot be parsed.
     #[error(transparent)]
     UnreadableOption(#[from] UnreadableOption),
 }
 
-/// One line: its message and its fields.
+/// A parsed line: its message name and its fields.
 pub struct Line<'a> {
     number: u64,
-    /// The message's name.
+    /// The message name, empty in an empty line.
     pub message: &'a str,
     fields: Vec<(&'a str, &'a str)>,
 }
 
 impl<'a> Line<'a> {
-    /// Reads the line with this number.
+    /// Parses a line; `number` is its position in the input, for errors.
     ///
     /// # Errors
-    /// If a part after the message's name is no field.
+    /// Returns an error if a part after the message name has no `=`.
     pub fn parse(number: u64, text: &'a str) -> Result<Line<'a>, InvalidLine> {
         let mut parts = text.split(' ');
         let message = parts.next().unwrap_or_default();
@@ -102,49 +103,49 @@
         Ok(line)
     }
 
-    /// An error about this line.
+    /// Creates an error for this line.
     pub fn invalid(&self, problem: LineProblem) -> InvalidLine {
         InvalidLine { line: self.number, message: self.message.to_owned(), problem }
     }
 
-    /// All fields, in order.
+    /// Returns all fields as pairs of name and value, in the order of the line.
     pub fn fields(&self) -> &[(&'a str, &'a str)] {
         &self.fields
     }
 
-    /// A field's value, if the line has it.
+    /// Returns a field's value, or `None` if the line does not have the field.
     pub fn text(&self, name: &str) -> Option<&'a str> {
         self.fields.iter().find(|(key, _)| *key == name).map(|(_, value)| *value)
     }
 
-    /// A field's value.
+    /// Returns a field's value.
     ///
     /// # Errors
-    /// If the line does not have the field.
+    /// Returns an error if the line does not have the field.
     pub fn required_text(&self, name: &str) -> Result<&'a str, InvalidLine> {
         self.text(name).ok_or_else(|| self.invalid(LineProblem::MissingField(name.to_owned())))
     }
 
-    /// A field's value, parsed.
+    /// Parses a field's value.
     ///
     /// # Errors
-    /// If the line does not have the field, or its value does not parse.
+    /// Returns an error if the line does not have the field or its value cannot be parsed.
     pub fn required<T: FromStr>(&self, name: &str) -> Result<T, InvalidLine> {
         self.parse_value(name, self.required_text(name)?)
     }
 
-    /// A field's value, parsed, or a default where the line does not have it.
+    /// Parses a field's value, or returns the default if the line does not have the field.
     ///
     /// # Errors
-    /// If the value does not parse.
+    /// Returns an error if the value cannot be parsed.
     pub fn optional<T: FromStr>(&self, name: &str, default: T) -> Result<T, InvalidLine> {
         self.text(name).map_or(Ok(default), |value| self.parse_value(name, value))
     }
 
-    /// A finite number, if the line has the field.
+    /// Parses a field as a finite number. Returns `None` if the line does not have the field.
     ///
     /// # Errors
-    /// If the value is no finite number.
+    /// Returns an error if the value is not a finite number.
     pub fn number(&self, name: &str) -> Result<Option<f64>, InvalidLine> {
         let Some(value) = self.text(name) else {
             return Ok(None);
@@ -153,27 +154,27 @@
         if number.is_finite() { Ok(Some(number)) } else { Err(self.unreadable(name, value)) }
     }
 
-    /// A time in milliseconds, if the line has the field.
+    /// Parses a field as a time in milliseconds. Returns `None` if the line does not have the field.
     ///
     /// # Errors
-    /// If the value is no finite number.
+    /// Returns an error if the value is not a finite number.
     pub fn time(&self, name: &str) -> Result<Option<Ticks>, InvalidLine> {
         Ok(self.number(name)?.map(ticks_from_ms))
     }
 
-    /// A time in milliseconds.
+    /// Parses a field as a time in milliseconds.
     ///
     /// # Errors
-    /// If the line does not have the field, or its value is no finite number.
+    /// Returns an error if the line does not have the field or its value is not a finite number.
     pub fn required_time(&self, name: &str) -> Result<Ticks, InvalidLine> {
         self.required_text(name)?;
         Ok(self.time(name)?.unwrap_or_default())
     }
 
-    /// A flag, written as 0 or 1; unset where the line does not have the field.
+    /// Parses a flag, written as 0 or 1. Returns false if the line does not have the field.
     ///
     /// # Errors
-    /// If the value is anything else.
+    /// Returns an error if the value is neither 0 nor 1.
     pub fn flag(&self, name: &str) -> Result<bool, InvalidLine> {
         match self.text(name) {
             None | Some("0") => Ok(false),
@@ -192,7 +193,7 @@
     }
 }
 
-/// A span as the wire writes it: milliseconds with one decimal.
+/// Formats a duration in the protocol's form: milliseconds with one decimal.
 pub struct Milliseconds(pub Ticks);
 
 impl fmt::Display for Milliseconds {
--- a/programs/simulator-adapter/tests/transcript.rs
+++ b/programs/simulator-adapter/tests/transcript.rs
@@ -1,8 +1,9 @@
-//! The adapter over its standard streams, with transcripts of batches.
+//! Tests of the adapter program with transcripts of batches over its standard streams.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 
+/// A batch that launches a gateway with one backend.
 const START: &str = "SYNC t=100.0
 ON door=door_0
 LAUNCH init_seed=5 balancers=1 allowed.most_tries=3 allowed.cancel=true allowed.second_copies=true allowed.retry_after=true \
@@ -14,6 +15,7 @@
 EOF_BATCH
 ";
 
+/// A batch with two requests of one customer.
 const TXNS: &str = "SYNC t=104.5
 ON door=door_0
 ORDER txn=9 band=look client_id=key:a width=1 plan=basic cost_units=1 state_bits=0 from_no=0 client_deadline=900.25
@@ -28,7 +30,7 @@
         .stderr(Stdio::piped())
         .spawn()
         .expect("the adapter starts");
-    // It may end before it has read all.
+    // The adapter may exit on an error before it has read all input, which breaks the pipe.
     let _ = adapter.stdin.take().expect("its input").write_all(input.as_bytes());
     adapter.wait_with_output().expect("the adapter ends")
 }
@@ -75,8 +77,8 @@
 }
 
 #[test]
-fn calls_the_counter_and_goes_by_its_replies_where_the_settings_allow_it() {
-    // Eight doors share a customer of a plan whose burst of 1 cannot hold a txn of 1 at any of them.
+fn calls_the_shared_counter_if_enabled_and_applies_its_replies() {
+    // Eight gateways share a customer whose plan has a burst of 1, so no gateway's share covers a request of cost 1.
     let start = START.replace("LAUNCH init_seed=5 balancers=1", "LAUNCH init_seed=5 balancers=8").replace(
         "odd.key=3",
         "family_info.shared_counter=true family_info.count_wait=80.0 family_info.most_units=8",
@@ -89,15 +91,18 @@
         (replies, calls)
     };
     let (replies, calls) = call(&run_adapter(&format!("{start}{ask}")));
-    assert_eq!(calls.len(), 2, "one call for each first try: {replies}");
+    assert_eq!(calls.len(), 2, "one call per first attempt: {replies}");
     assert!(
         calls.iter().all(|line| line.contains(" step=1 ") && line.contains("forget_after=")),
         "{calls:?}"
     );
-    assert!(!replies.contains("TRANSMIT") && !replies.contains("DECLINE"), "held for the answers: {replies}");
+    assert!(
+        !replies.contains("TRANSMIT") && !replies.contains("DECLINE"),
+        "requests wait for the counter's replies: {replies}"
+    );
     let name = calls[0].split(' ').find_map(|field| field.strip_prefix("name=")).expect("a name");
 
-    // The window holds the rate times its span, 1 unit: the first goes, the second does not.
+    // The window's quota is the rate times its length, 1 unit: it admits the first request and rejects the second.
     let answers = format!(
         "SYNC t=106\nON door=door_0\nCOUNTER_REPLY result_value=1 name={name} state_code=0 delay_seen=1.5\n\
          COUNTER_REPLY result_value=2 name={name} state_code=0 delay_seen=1.5\nEOF_BATCH\n"
@@ -106,17 +111,20 @@
     let (replies, calls) = call(&output);
     assert!(replies.contains("TRANSMIT txn=9 "), "{replies}");
     assert!(replies.contains("DECLINE txn=10"), "{replies}");
-    assert!(!calls.iter().any(|line| line.contains("step=-")), "the first took all the room: {calls:?}");
+    assert!(
+        !calls.iter().any(|line| line.contains("step=-")),
+        "the first request used the whole quota: {calls:?}"
+    );
     assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
 
-    // Without the counter the same batches ask nothing of it.
+    // With the shared counter disabled, the same batches do not call it.
     let (_, calls) =
         call(&run_adapter(&format!("{}{ask}", start.replace("shared_counter=true", "shared_counter=false"))));
     assert!(calls.is_empty());
 }
 
 #[test]
-fn passes_messages_between_gateways_and_drops_what_it_cannot_read() {
+fn exchanges_peer_messages_and_ignores_undecodable_ones() {
     let start =
         START.replace("LAUNCH init_seed=5 balancers=1", "LAUNCH init_seed=5 balancers=8 me=7").replace(
             "odd.key=3",
@@ -127,15 +135,15 @@
     let output = run_adapter(&format!("{start}{asks}"));
     let replies = String::from_utf8(output.stdout).expect("text");
     let sent: Vec<_> = replies.lines().filter(|line| line.starts_with("NOTIFY ")).collect();
-    assert_eq!(sent.len(), 2, "one message for each, to a gateway of the customer's set: {replies}");
+    assert_eq!(sent.len(), 2, "one message per request, to a gateway of the customer's subset: {replies}");
     let field = |line: &str, name: &str| {
         line.split(' ').find_map(|field| field.strip_prefix(name)).expect("its field").to_owned()
     };
-    assert!((0..7).contains(&field(sent[0], "to=").parse::<u32>().expect("a door")), "{replies}");
+    assert!((0..7).contains(&field(sent[0], "to=").parse::<u32>().expect("a gateway's number")), "{replies}");
     let content = field(sent[0], "content=");
     assert!(content.len() <= 512 && content.bytes().all(|digit| digit.is_ascii_hexdigit()), "{content}");
 
-    // Another gateway asks the same of this one, and is answered; what cannot be read is not answered.
+    // A request from another gateway is answered; undecodable content is ignored.
     let inbox = |content: &str| {
         run_adapter(&format!("{start}SYNC t=106\nON door=door_0\nINBOX by=3 content={content}\nEOF_BATCH\n"))
     };
