--- a/crates/simulated-disk/src/lib.rs
+++ b/crates/simulated-disk/src/lib.rs
@@ -171,7 +171,7 @@
         state.durable_names = image.durable_names.clone();
     }
 
-    /// Simulates a loss of power: `unsynced` decides which unsynced operations survive, and whatever survives is durable
+    /// Simulates a loss of power: `unsynced` decides which unsynced operations survive. The surviving contents are durable
     /// afterwards.
     pub fn lose_power(&self, unsynced: UnsyncedData) {
         let mut state = self.state.borrow_mut();
--- a/crates/traces/src/import.rs
+++ b/crates/traces/src/import.rs
@@ -41,8 +41,8 @@
 ///
 /// # Errors
 ///
-/// Returns an error if the mapping is invalid, if the header lacks or repeats a mapped column, or if the input cannot be
-/// read. Defective rows are not an error: the result counts them.
+/// Returns an error if the mapping is invalid, the header lacks or repeats a mapped column, or the input cannot be read.
+/// Defective rows are not an error: the result counts them.
 pub fn read_trace(from: impl Read, mapping: &Mapping, plans: &[String]) -> Result<ImportedTrace, TraceError> {
     mapping.validate()?;
     let mut reader = csv::ReaderBuilder::new().flexible(true).trim(Trim::All).from_reader(from);
--- a/crates/traces/src/mapping.rs
+++ b/crates/traces/src/mapping.rs
@@ -1,6 +1,6 @@
 //! The mapping from a trace's columns to the fields of a row.
 //!
-//! A mapping is a section of an experiment file. Renaming a type here changes the parser's error messages, and renaming a
+//! A mapping is a section of an experiment file. Renaming a type here changes the parser's error messages; renaming a
 //! field needs a `serde(rename)` that keeps its key in the file.
 
 use crate::error::TraceError;
