--- a/programs/cli/src/arguments.rs
+++ b/programs/cli/src/arguments.rs
@@ -1,12 +1,16 @@
-//! The command line's arguments. Doc comments are the texts of `--help` and stay as they are.
+//! Command-line arguments. Their doc comments are the texts of `--help`.
 
 use clap::{Args, Parser, Subcommand, ValueEnum};
 use std::path::PathBuf;
 
 #[derive(Parser)]
-#[command(name = "vanewharf", version, about = "Keeps each customer of a shared back end to its plan")]
+#[command(
+    name = "vanewharf",
+    version,
+    about = "Simulates the vanewharf load balancer and checks its configuration files"
+)]
 pub(crate) struct Arguments {
-    /// How the log is written to standard error.
+    /// Format of the log on standard error.
     #[arg(long, global = true, value_enum, default_value = "text")]
     pub(crate) log_format: LogFormat,
     #[command(subcommand)]
@@ -19,130 +23,157 @@
     Json,
 }
 
+// The types below have no doc comments of their own: clap would show them in place of those of the subcommands. clap
+// derives the names of subcommands and options from the names of variants and fields.
+
 #[derive(Subcommand)]
 pub(crate) enum Command {
-    /// The emulated fleet.
+    /// Simulate a fleet of gateways, or the whole system.
     #[command(subcommand)]
-    Lab(Lab),
-    /// Cluster traces in CSV.
+    Lab(LabCommand),
+    /// Import or inspect request traces in CSV.
     #[command(subcommand)]
-    Trace(Trace),
-    /// The whole system.
+    Trace(TraceCommand),
+    /// Run a demonstration cluster on this machine.
     #[command(subcommand)]
-    System(Demonstration),
-    /// What an operator has written.
+    System(SystemCommand),
+    /// Check configuration files.
     #[command(subcommand)]
-    Config(Config),
-    /// The hours in which contracts let nodes be drained: for each contract whether it is open, until when, or when it opens.
+    Config(ConfigCommand),
+    /// Print the state of the maintenance windows in which contracts allow nodes to be drained: open until when, or
+    /// closed until when.
     Hours {
+        /// File with the contracts (JSON).
         file: PathBuf,
-        /// At this time, such as 2026-12-24T22:00:00Z, in place of now.
+        /// Time to evaluate, such as 2026-12-24T22:00:00Z, instead of the current time.
         #[arg(long)]
         at: Option<String>,
-        /// Only for the backend ZONE/SERVICE/ID: all contracts that cover it together.
+        /// Print only the combined window of all contracts that cover the backend ZONE/SERVICE/ID.
         #[arg(long)]
         node: Option<String>,
     },
 }
 
 #[derive(Subcommand)]
-pub(crate) enum Lab {
-    /// Run an experiment, or the trace that it names.
+pub(crate) enum LabCommand {
+    /// Run an experiment with simulated gateways, or replay the trace that the experiment names.
     Run {
+        /// Experiment file (TOML).
         experiment: PathBuf,
-        /// A folder for the summary, the figures and the plots.
+        /// Directory for the summary, CSV tables and plots; by default the summary is printed.
         #[arg(long)]
         out: Option<PathBuf>,
-        /// In place of the experiment's own; several are run one after the other.
+        /// Seeds to use instead of the experiment's own, separated by commas; one run per seed.
         #[arg(long, value_delimiter = ',')]
         seed: Vec<u64>,
-        /// Fail where the module breaks a rule.
+        /// Exit with an error if the balancer violates a rule.
         #[arg(long)]
         strict: bool,
     },
-    /// Play short days of the whole system, with troubles drawn by seed, and judge what was seen.
-    System(SystemRuns),
-    /// What the control plane costs a door, and a postmaster, by the fleet's size.
+    /// Simulate short runs of the whole system with random faults, and check them against the system's rules.
+    System(SystemSimulationArguments),
+    /// Measure the control plane's cost per proxy and per controller, by the size of the fleet.
     SystemCost {
-        #[arg(long, value_delimiter = ',', default_values_t = [8, 32, 92, 300, 1000],
+        /// Numbers of proxies to measure with, separated by commas.
+        #[arg(long = "doors", value_delimiter = ',', default_values_t = [8, 32, 92, 300, 1000],
             value_parser = clap::value_parser!(u64).range(1..=2000))]
-        doors: Vec<u64>,
-        #[arg(long, default_value_t = 5, value_parser = clap::value_parser!(u64).range(1..=13))]
-        offices: u64,
+        proxies: Vec<u64>,
+        /// Number of controllers.
+        #[arg(long = "offices", default_value_t = 5, value_parser = clap::value_parser!(u64).range(1..=13))]
+        controllers: u64,
+        /// Seed of the runs.
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// A folder for the figures and the plot.
+        /// Directory for the CSV table and the plot.
         #[arg(long)]
         out: Option<PathBuf>,
     },
     /// Run an experiment at each value of its swept keys.
     Sweep {
+        /// Experiment file (TOML).
         experiment: PathBuf,
+        /// Directory for the summary, CSV table and plot; by default the summary is printed.
         #[arg(long)]
         out: Option<PathBuf>,
+        /// Seeds to use instead of the experiment's own, separated by commas; each point is run with each seed.
         #[arg(long, value_delimiter = ',')]
         seed: Vec<u64>,
     },
 }
 
-// The fields have the names of the options, as clap derives these from them. No doc comment here: clap would show it
-// in place of the subcommand's own.
 #[derive(Args)]
-pub(crate) struct SystemRuns {
-    /// How many days.
-    #[arg(long, default_value_t = 100)]
-    pub(crate) seeds: u64,
-    /// The first day's seed; the others follow it.
-    #[arg(long, default_value_t = 1)]
-    pub(crate) from: u64,
-    #[arg(long, default_value_t = 3, value_parser = clap::value_parser!(u64).range(1..=9))]
-    pub(crate) offices: u64,
-    #[arg(long, default_value_t = 4, value_parser = clap::value_parser!(u64).range(1..=2000))]
-    pub(crate) doors: u64,
-    /// Seconds in which troubles may begin.
+pub(crate) struct SystemSimulationArguments {
+    /// Number of runs.
+    #[arg(long = "seeds", default_value_t = 100)]
+    pub(crate) runs: u64,
+    /// Seed of the first run; later runs use consecutive seeds.
+    #[arg(long = "from", default_value_t = 1)]
+    pub(crate) first_seed: u64,
+    /// Number of controllers.
+    #[arg(long = "offices", default_value_t = 3, value_parser = clap::value_parser!(u64).range(1..=9))]
+    pub(crate) controllers: u64,
+    /// Number of proxies.
+    #[arg(long = "doors", default_value_t = 4, value_parser = clap::value_parser!(u64).range(1..=2000))]
+    pub(crate) proxies: u64,
+    /// Length of the part of a run in which faults may begin, in seconds.
     #[arg(long, default_value_t = 14)]
     pub(crate) seconds: u64,
-    /// Requests a second over all doors.
-    #[arg(long, default_value_t = 60, value_parser = clap::value_parser!(u64).range(1..))]
-    pub(crate) rate: u64,
-    /// The most troubles of one day.
-    #[arg(long, default_value_t = 4)]
-    pub(crate) troubles: u64,
-    /// Threads; each plays a day of its own.
-    #[arg(long, default_value_t = std::thread::available_parallelism().map_or(1, usize::from))]
-    pub(crate) jobs: usize,
-    /// The worst days: races, orders that come again, changes of the voters, machines replaced, wiped and told other
-    /// seeds, hundreds of changes, long cuts, clocks that run apart.
-    #[arg(long)]
-    pub(crate) worst: bool,
-    /// Days that are written down, in place of drawn ones (lab/days/*.toml).
-    #[arg(long)]
-    pub(crate) day: Vec<PathBuf>,
-    /// Tell each day's troubles, not only those of days on which a rule broke.
+    /// Client requests per second over all proxies.
+    #[arg(long = "rate", default_value_t = 60, value_parser = clap::value_parser!(u64).range(1..))]
+    pub(crate) requests_per_second: u64,
+    /// Maximum number of faults in one run.
+    #[arg(long = "troubles", default_value_t = 4)]
+    pub(crate) max_faults: u64,
+    /// Number of threads; each simulates one run at a time.
+    #[arg(long = "jobs", default_value_t = std::thread::available_parallelism().map_or(1, usize::from))]
+    pub(crate) threads: usize,
+    /// Draw the hardest schedules: races, repeated commands, voter changes, machines that are replaced, wiped or given
+    /// other seed nodes, hundreds of configuration changes, long partitions, and clock drift.
+    #[arg(long = "worst")]
+    pub(crate) hard_schedules: bool,
+    /// Schedule file to simulate instead of random runs (crates/system-simulator/days/*.toml); may be repeated.
+    #[arg(long = "day", value_name = "FILE")]
+    pub(crate) schedule_files: Vec<PathBuf>,
+    /// Print the events of every run, not only of runs that violate a rule.
     #[arg(long)]
     pub(crate) verbose: bool,
 }
 
 #[derive(Subcommand)]
-pub(crate) enum Trace {
-    /// Read a trace by an experiment's mapping and write it in the project's own columns.
-    Import { experiment: PathBuf, trace: PathBuf, out: PathBuf },
-    /// Tell what a trace holds and what would be left out.
-    Inspect { experiment: PathBuf, trace: PathBuf },
+pub(crate) enum TraceCommand {
+    /// Convert a trace to the canonical CSV format, by the mapping of an experiment.
+    Import {
+        /// Experiment file (TOML) with the mapping.
+        experiment: PathBuf,
+        /// Trace to read (CSV).
+        trace: PathBuf,
+        /// File to write (CSV).
+        out: PathBuf,
+    },
+    /// Summarize a trace and count the rows that an import would reject.
+    Inspect {
+        /// Experiment file (TOML) with the mapping.
+        experiment: PathBuf,
+        /// Trace to read (CSV).
+        trace: PathBuf,
+    },
 }
 
 #[derive(Subcommand)]
-pub(crate) enum Config {
-    /// Check a door's file, a system's settings or an operator's configuration (.json), or an experiment (.toml).
-    Check { file: PathBuf },
+pub(crate) enum ConfigCommand {
+    /// Check gateway settings, node settings, a configuration or contract hours (.json), or an experiment (.toml).
+    Check {
+        /// File to check.
+        file: PathBuf,
+    },
 }
 
 #[derive(Subcommand)]
-pub(crate) enum Demonstration {
-    /// Start three postmasters and two doors on loopback, send requests through them, kill the lease holder's machine
-    /// under way, drain a backend, and print what clients and operator got.
+pub(crate) enum SystemCommand {
+    /// Start three controllers and two proxies on loopback, send requests through them, kill and restart the machine of
+    /// the leaseholder, drain a backend, and print the responses to clients and to the operator.
     Try {
-        /// How long requests are sent, in seconds.
+        /// How long to send requests, in seconds.
         #[arg(long, default_value_t = 6, value_parser = clap::value_parser!(u64).range(3..=600))]
         seconds: u64,
     },
--- a/programs/cli/src/check.rs
+++ b/programs/cli/src/check.rs
@@ -1,5 +1,5 @@
-//! `config check`: checks a file that an operator has written. Which kind of file it is shows by a key that only that kind
-//! has.
+//! `config check`: validates a file. The kind of a JSON file is detected by a top-level key that only that kind has; a
+//! file without such a key is checked as gateway settings.
 
 use crate::error::CliError;
 use crate::files::{ExperimentFile, read_experiment, read_text};
@@ -10,7 +10,7 @@
 use vanewharf_config::settings::Settings;
 use vanewharf_gateway_settings::Options;
 
-/// Prints what a valid file says in short.
+/// Validates a file and prints a one-line summary of it.
 pub(crate) fn check(file: &Path) -> Result<(), CliError> {
     if file.extension().is_some_and(|extension| extension == "toml") {
         return check_experiment(file);
@@ -33,7 +33,7 @@
 fn check_experiment(file: &Path) -> Result<(), CliError> {
     let ExperimentFile { experiment, .. } = read_experiment(file)?;
     println!(
-        "{}: an experiment of {} doors and {} backends",
+        "{}: valid experiment with {} gateways and {} backends",
         experiment.name, experiment.fleet.doors, experiment.fleet.backends
     );
     Ok(())
@@ -41,13 +41,13 @@
 
 fn check_maintenance_windows(file: &Path) -> Result<(), CliError> {
     let schedule = read_schedule(file)?;
-    println!("{}: {} contracts", file.display(), schedule.contracts.len());
+    println!("{}: valid maintenance windows of {} contracts", file.display(), schedule.contracts.len());
     Ok(())
 }
 
 fn check_settings(file: &Path, text: &str) -> Result<(), CliError> {
     let settings = Settings::parse(text.as_bytes()).map_err(CliError::invalid_file(file))?;
-    println!("{}: {} of {} would start by these settings", file.display(), settings.name, settings.zone);
+    println!("{}: valid settings of node {} in zone {}", file.display(), settings.name, settings.zone);
     Ok(())
 }
 
@@ -55,7 +55,7 @@
     let config = Config::parse(text.as_bytes()).map_err(CliError::invalid_file(file))?;
     let customers = config.customers.as_ref().map_or(0, |customers| customers.len());
     println!(
-        "{}: r{} with {} routes to {} services and {customers} tenants would be taken",
+        "{}: valid configuration r{} with {} routes to {} services and {customers} customers",
         file.display(),
         config.revision.0,
         config.routes.len(),
@@ -67,6 +67,6 @@
 fn check_gateway_settings(file: &Path, document: &Value) -> Result<(), CliError> {
     let options = Options::nested(document.get("settings").unwrap_or(document));
     vanewharf_gateway_settings::check(&options, None).map_err(CliError::invalid_file(file))?;
-    println!("{}: a door would start by these settings", file.display());
+    println!("{}: valid gateway settings", file.display());
     Ok(())
 }
--- a/programs/cli/src/error.rs
+++ b/programs/cli/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a command fails.
+//! Errors of commands.
 
 use std::error::Error;
 use std::io;
@@ -6,64 +6,64 @@
 use thiserror::Error;
 use vanewharf_system_simulator::schedule::file::ScheduleFileError;
 
-/// An error of another crate.
+/// The underlying error, from another crate.
 pub(crate) type Source = Box<dyn Error + Send + Sync>;
 
-/// Why a command fails. The texts are what a user sees.
+/// The reason why a command failed. The texts are printed to the user.
 #[derive(Debug, Error)]
 pub(crate) enum CliError {
     /// A file or directory cannot be read, created or written.
     #[error("{}: {source}", path.display())]
     Io { path: PathBuf, source: io::Error },
-    /// A file's content is not what it should be.
+    /// The content of a file is invalid.
     #[error("{}: {source}", path.display())]
     InvalidFile { path: PathBuf, source: Source },
-    /// A file is not JSON.
+    /// A file is not valid JSON.
     #[error("{}: line {}: {source}", path.display(), source.line())]
     NotJson { path: PathBuf, source: serde_json::Error },
-    /// A schedule of the system simulator cannot be used.
+    /// A schedule file of the system simulator is unreadable or invalid.
     #[error(transparent)]
     Schedule(#[from] ScheduleFileError),
-    /// An experiment does not say how to read a trace.
+    /// The experiment does not state how to read a trace.
     #[error("the experiment has no trace.mapping")]
     NoTraceMapping,
     /// All rows of a trace were rejected.
-    #[error("{}: no row can be used", path.display())]
+    #[error("{}: the trace has no usable row", path.display())]
     NoUsableRow { path: PathBuf },
     /// A trace cannot be written.
     #[error("{0}")]
     WriteTrace(Source),
-    /// An experiment cannot be swept.
+    /// A sweep over an experiment failed.
     #[error("{0}")]
     Sweep(Source),
-    /// A plot cannot be drawn.
+    /// A plot cannot be rendered.
     #[error("{0}")]
     Plot(Source),
-    /// The value of `--at` is no time.
+    /// The value of `--at` is not a timestamp.
     #[error("--at {value}: {source}")]
     InvalidTime { value: String, source: Source },
-    /// The value of `--node` does not name a backend.
-    #[error("--node {value}: ZONE/SERVICE/ID is wanted")]
+    /// The value of `--node` does not have the form of a backend's name.
+    #[error("--node {value}: expected ZONE/SERVICE/ID")]
     InvalidNode { value: String },
-    /// Runs of an experiment violated a rule.
-    #[error("{violating} of {runs} runs broke a rule")]
+    /// Some runs of an experiment violated a rule.
+    #[error("{violating} of {runs} runs violated a rule")]
     ExperimentViolations { violating: usize, runs: usize },
-    /// Simulations of the system violated a rule.
-    #[error("rules broken on {violating} of {runs} days")]
+    /// Some simulations of the whole system violated a rule.
+    #[error("{violating} of {runs} runs violated a rule")]
     SystemViolations { violating: u64, runs: u64 },
-    /// The simulated programs found their own invariants violated, though no rule was seen to be broken.
-    #[error("the programs' own invariants did not hold {violations} times in {runs} days")]
+    /// The simulated programs reported violations of their own invariants, although the checker found no violated rule.
+    #[error("the programs reported {violations} violations of their own invariants in {runs} runs")]
     InvariantViolations { violations: u64, runs: u64 },
 }
 
 impl CliError {
-    /// For `map_err`: a file or directory that cannot be read, created or written.
+    /// Returns a function for `map_err` that adds the path of the file or directory to an I/O error.
     pub(crate) fn io(path: &Path) -> impl FnOnce(io::Error) -> CliError {
         let path = path.to_owned();
         move |source| CliError::Io { path, source }
     }
 
-    /// For `map_err`: a file whose content is not what it should be.
+    /// Returns a function for `map_err` that adds the path of the file to an error about its content.
     pub(crate) fn invalid_file<E: Into<Source>>(path: &Path) -> impl FnOnce(E) -> CliError {
         let path = path.to_owned();
         move |source| CliError::InvalidFile { path, source: source.into() }
--- a/programs/cli/src/files.rs
+++ b/programs/cli/src/files.rs
@@ -1,4 +1,4 @@
-//! Files that commands read and write.
+//! Reading and writing of files, with errors that name the path.
 
 use crate::error::CliError;
 use std::fs;
@@ -10,7 +10,7 @@
     fs::read_to_string(path).map_err(CliError::io(path))
 }
 
-/// An experiment and its file's text.
+/// An experiment and the text of its file, which a sweep edits and parses again.
 pub(crate) struct ExperimentFile {
     pub(crate) text: String,
     pub(crate) experiment: Experiment,
@@ -31,7 +31,7 @@
     fs::write(&path, content).map_err(CliError::io(&path))
 }
 
-/// Writes a plot as SVG and PNG.
+/// Renders a plot to an SVG and a PNG file, whose names start with the prefix.
 pub(crate) fn write_plot(directory: &Path, prefix: &str, plot: &Plot) -> Result<(), CliError> {
     let svg = plot.svg().map_err(|error| CliError::Plot(error.into()))?;
     write_file(directory, &format!("{prefix}{}.svg", plot.name), svg)?;
--- a/programs/cli/src/fleet_simulation.rs
+++ b/programs/cli/src/fleet_simulation.rs
@@ -1,4 +1,4 @@
-//! `lab run` and `lab sweep`: experiments with the emulated fleet.
+//! `lab run` and `lab sweep`: experiments with a simulated fleet of gateways.
 
 use crate::error::CliError;
 use crate::files::{ExperimentFile, create_directory, read_experiment, write_file, write_plot};
@@ -9,24 +9,25 @@
 use vanewharf_simulator::run::{Outcome, run, run_with};
 use vanewharf_simulator::{plots, report, sweep};
 
-/// How many violations of a run are logged.
+/// Maximum number of violations that are logged per run.
 const MAX_LOGGED_VIOLATIONS: usize = 3;
 
-/// What to do where the balancer violates a rule.
+/// What a run does if the balancer violates a rule.
 #[derive(Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Rules {
-    /// Fail.
-    Enforced,
-    /// Only report it.
-    Reported,
+pub(crate) enum OnViolation {
+    /// Report the violation and return an error after all runs.
+    Fail,
+    /// Only report the violation.
+    Report,
 }
 
-/// Runs an experiment with each seed, or its own where none is given, and reports to a directory or standard output.
+/// Runs an experiment once per seed, or with its own seed if none is given. Writes the report to a directory, or the
+/// summary to standard output.
 pub(crate) fn run_experiment(
     path: &Path,
     out: Option<&Path>,
     seeds: &[u64],
-    rules: Rules,
+    on_violation: OnViolation,
 ) -> Result<(), CliError> {
     let ExperimentFile { mut experiment, .. } = read_experiment(path)?;
     let trace = experiment.trace.as_ref().map(|trace| path.with_file_name(&trace.file));
@@ -48,7 +49,7 @@
         None => print!("{}", report::summary(&experiment, &outcomes)),
     }
     let violating = outcomes.iter().filter(|outcome| !outcome.balancer.violations.is_empty()).count();
-    if rules == Rules::Enforced && violating > 0 {
+    if on_violation == OnViolation::Fail && violating > 0 {
         return Err(CliError::ExperimentViolations { violating, runs: outcomes.len() });
     }
     Ok(())
@@ -73,7 +74,7 @@
             rule = %violation.rule,
             at_s = violation.at.seconds(),
             what = violation.what,
-            "rule broken"
+            "rule violated"
         );
     }
 }
@@ -90,7 +91,8 @@
     Ok(())
 }
 
-/// Runs an experiment at each value of its swept keys and reports to a directory or standard output.
+/// Runs an experiment at each value of its swept keys. Writes the report to a directory, or the summary to standard
+/// output.
 pub(crate) fn sweep_experiment(path: &Path, out: Option<&Path>, seeds: &[u64]) -> Result<(), CliError> {
     let ExperimentFile { text, experiment } = read_experiment(path)?;
     let seeds = seeds_or_default(seeds, &experiment);
--- a/programs/cli/src/main.rs
+++ b/programs/cli/src/main.rs
@@ -1,4 +1,4 @@
-//! The `vanewharf` command line: simulations, cluster traces, and checks of what an operator has written.
+//! The `vanewharf` command line: simulations, request traces, and checks of configuration files.
 
 #![forbid(unsafe_code)]
 
@@ -12,9 +12,10 @@
 mod system_simulation;
 mod trace;
 
-use arguments::{Arguments, Command, Config, Demonstration, Lab, LogFormat, Trace};
+use arguments::{Arguments, Command, ConfigCommand, LabCommand, LogFormat, SystemCommand, TraceCommand};
 use clap::Parser;
 use error::CliError;
+use fleet_simulation::OnViolation;
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
@@ -36,31 +37,32 @@
 fn execute(command: Command) -> Result<(), CliError> {
     match command {
         Command::Lab(lab) => execute_lab(lab),
-        Command::Trace(Trace::Import { experiment, trace, out }) => trace::import(&experiment, &trace, &out),
-        Command::Trace(Trace::Inspect { experiment, trace }) => trace::inspect(&experiment, &trace),
-        Command::System(Demonstration::Try { seconds }) => {
+        Command::Trace(TraceCommand::Import { experiment, trace, out }) => {
+            trace::import(&experiment, &trace, &out)
+        }
+        Command::Trace(TraceCommand::Inspect { experiment, trace }) => trace::inspect(&experiment, &trace),
+        Command::System(SystemCommand::Try { seconds }) => {
             demonstration::run(seconds);
             Ok(())
         }
-        Command::Config(Config::Check { file }) => check::check(&file),
+        Command::Config(ConfigCommand::Check { file }) => check::check(&file),
         Command::Hours { file, at, node } => {
-            maintenance_windows::print(&file, at.as_deref(), node.as_deref())
+            maintenance_windows::print_window_states(&file, at.as_deref(), node.as_deref())
         }
     }
 }
 
-fn execute_lab(lab: Lab) -> Result<(), CliError> {
+fn execute_lab(lab: LabCommand) -> Result<(), CliError> {
     match lab {
-        Lab::Run { experiment, out, seed, strict } => {
-            let rules =
-                if strict { fleet_simulation::Rules::Enforced } else { fleet_simulation::Rules::Reported };
-            fleet_simulation::run_experiment(&experiment, out.as_deref(), &seed, rules)
+        LabCommand::Run { experiment, out, seed, strict } => {
+            let on_violation = if strict { OnViolation::Fail } else { OnViolation::Report };
+            fleet_simulation::run_experiment(&experiment, out.as_deref(), &seed, on_violation)
         }
-        Lab::System(runs) => system_simulation::simulate(&runs),
-        Lab::SystemCost { doors, offices, seed, out } => {
-            system_simulation::measure_costs(&doors, offices as usize, seed, out.as_deref())
+        LabCommand::System(arguments) => system_simulation::simulate(&arguments),
+        LabCommand::SystemCost { proxies, controllers, seed, out } => {
+            system_simulation::measure_costs(&proxies, controllers as usize, seed, out.as_deref())
         }
-        Lab::Sweep { experiment, out, seed } => {
+        LabCommand::Sweep { experiment, out, seed } => {
             fleet_simulation::sweep_experiment(&experiment, out.as_deref(), &seed)
         }
     }
--- a/programs/cli/src/maintenance_windows.rs
+++ b/programs/cli/src/maintenance_windows.rs
@@ -1,12 +1,13 @@
-//! `hours`: the hours in which contracts let nodes be drained.
+//! `hours`: the maintenance windows in which contracts allow nodes to be drained.
 
 use crate::error::CliError;
 use crate::files::read_text;
 use std::path::Path;
 use vanewharf_maintenance::{BackendNode, MaintenanceSchedule, Timestamp, WindowState};
 
-/// Prints the state of each contract, or of all contracts that cover a node together, at a time or now.
-pub(crate) fn print(file: &Path, at: Option<&str>, node: Option<&str>) -> Result<(), CliError> {
+/// Prints the state of the maintenance windows at a time, by default now: that of each contract, or the combined state
+/// of all contracts that cover a node.
+pub(crate) fn print_window_states(file: &Path, at: Option<&str>, node: Option<&str>) -> Result<(), CliError> {
     let schedule = read_schedule(file)?;
     let at = at.map_or_else(|| Ok(Timestamp::now()), parse_time)?;
     match node {
@@ -16,7 +17,7 @@
     Ok(())
 }
 
-/// Reads the contracts' maintenance windows.
+/// Reads a file of contracts with their maintenance windows.
 pub(crate) fn read_schedule(file: &Path) -> Result<MaintenanceSchedule, CliError> {
     MaintenanceSchedule::parse(read_text(file)?.as_bytes()).map_err(CliError::invalid_file(file))
 }
@@ -52,6 +53,6 @@
     match state {
         WindowState::Open { until } => println!("{name}: open until {until}"),
         WindowState::Closed { opens: Some(opens) } => println!("{name}: closed, opens {opens}"),
-        WindowState::Closed { opens: None } => println!("{name}: closed, and no opening is in sight"),
+        WindowState::Closed { opens: None } => println!("{name}: closed, no upcoming opening found"),
     }
 }
--- a/programs/cli/src/system_simulation.rs
+++ b/programs/cli/src/system_simulation.rs
@@ -1,6 +1,6 @@
 //! `lab system` and `lab system-cost`: simulations of the whole system.
 
-use crate::arguments::SystemRuns;
+use crate::arguments::SystemSimulationArguments;
 use crate::error::CliError;
 use crate::files::{create_directory, write_file, write_plot};
 use std::collections::BTreeSet;
@@ -13,38 +13,39 @@
 use vanewharf_system_simulator::schedule::Schedule;
 use vanewharf_system_simulator::topology::SimulationParameters;
 
-/// How many violations of a run are printed.
+/// Maximum number of violations that are printed per run.
 const MAX_PRINTED_VIOLATIONS: usize = 8;
-/// Seconds, and requests per second, of the runs whose cost is measured.
+/// Length of the runs that measure the control plane's cost, see [`SimulationParameters::seconds`].
 const COST_SECONDS: u64 = 12;
+/// The load of the runs that measure the control plane's cost.
 const COST_REQUESTS_PER_SECOND: u64 = 200;
 const COST_CSV_HEADER: &str = "doors,door_bytes_per_s,door_messages_per_s,sorter_ms_per_s,postmaster_bytes_per_s,postmaster_messages_per_s,postmaster_ms_per_s\n";
 
-/// Which of a run's events are printed.
+/// The runs whose events are printed.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Verbosity {
-    /// Those of runs that violate a rule.
+    /// Only runs that violate a rule.
     Violations,
-    /// Those of all runs.
+    /// All runs.
     All,
 }
 
-/// The sums over all runs.
+/// Statistics over all runs.
 struct Totals {
     runs: u64,
-    /// Runs that violate a rule.
+    /// The number of runs that violated a rule.
     violating: u64,
     requests: usize,
     served: usize,
     rejected: usize,
     commands: usize,
     acknowledged: usize,
-    /// Simulated seconds.
+    /// The simulated time, in seconds.
     seconds: f64,
-    least_final_success_ratio: f64,
-    /// Bytes that a proxy's machine sent, summed over runs.
+    min_final_success_ratio: f64,
+    /// Bytes sent by one proxy machine, averaged over the machines of a run and summed over runs.
     proxy_bytes: u64,
-    /// The same of a controller.
+    /// Bytes sent by one controller, averaged over the controllers of a run and summed over runs.
     controller_bytes: u64,
 }
 
@@ -59,7 +60,7 @@
             commands: 0,
             acknowledged: 0,
             seconds: 0.0,
-            least_final_success_ratio: 1.0,
+            min_final_success_ratio: 1.0,
             proxy_bytes: 0,
             controller_bytes: 0,
         }
@@ -74,34 +75,34 @@
         self.commands += outcome.commands;
         self.acknowledged += outcome.acknowledged;
         self.seconds += outcome.seconds;
-        self.least_final_success_ratio = self.least_final_success_ratio.min(outcome.final_success_ratio);
+        self.min_final_success_ratio = self.min_final_success_ratio.min(outcome.final_success_ratio);
         self.proxy_bytes += outcome.proxy_traffic.bytes;
         self.controller_bytes += outcome.controller_traffic.bytes;
     }
 
-    /// Prints them; `size` says how large each system was.
-    fn print(&self, size: &str, elapsed: Duration) {
+    /// Prints the statistics; `system_size` is appended to the number of runs.
+    fn print(&self, system_size: &str, elapsed: Duration) {
         let (seconds, elapsed) = (self.seconds, elapsed.as_secs_f64());
         println!(
-            "{} days{size}, {seconds:.0} s of theirs in {elapsed:.1} s: {:.0} days a minute",
+            "{} runs{system_size}: {seconds:.0} simulated s in {elapsed:.1} s, {:.0} runs per minute",
             self.runs,
             self.runs as f64 * 60.0 / elapsed
         );
         println!(
-            "requests: {}, served {}, refused {}; least served at a day's quiet end {:.3}",
-            self.requests, self.served, self.rejected, self.least_final_success_ratio
+            "requests: {}, served {}, rejected {}; minimum success ratio at the end of a run {:.3}",
+            self.requests, self.served, self.rejected, self.min_final_success_ratio
         );
-        println!("orders: {}, acknowledged {}", self.commands, self.acknowledged);
+        println!("commands: {}, acknowledged {}", self.commands, self.acknowledged);
         println!(
-            "control traffic: {:.0} bytes a second from each door's machine, {:.0} from each postmaster's",
+            "control-plane traffic sent: {:.0} bytes/s per proxy machine, {:.0} bytes/s per controller",
             self.proxy_bytes as f64 / seconds,
             self.controller_bytes as f64 / seconds
         );
     }
 }
 
-/// Simulates runs, prints each that violates a rule, and the sums.
-pub(crate) fn simulate(arguments: &SystemRuns) -> Result<(), CliError> {
+/// Simulates runs and prints each run that violates a rule, then the statistics over all runs.
+pub(crate) fn simulate(arguments: &SystemSimulationArguments) -> Result<(), CliError> {
     let started = Instant::now();
     let parameters = parameters(arguments);
     let verbosity = if arguments.verbose { Verbosity::All } else { Verbosity::Violations };
@@ -110,20 +111,22 @@
         print_outcome(name, &outcome, verbosity);
         totals.add(&outcome);
     };
-    let SystemRuns { from, seeds, jobs, .. } = *arguments;
-    let size = if !arguments.day.is_empty() {
-        let schedules = arguments.day.iter().map(|file| Schedule::read(file));
-        simulate_schedules(schedules.collect::<Result<_, _>>()?, jobs, handle_outcome);
+    let SystemSimulationArguments { first_seed, runs, threads, .. } = *arguments;
+    let system_size = if !arguments.schedule_files.is_empty() {
+        let schedules = arguments.schedule_files.iter().map(|file| Schedule::read(file));
+        simulate_schedules(schedules.collect::<Result<_, _>>()?, threads, handle_outcome);
         String::new()
     } else {
-        if arguments.worst {
-            simulate_hard_seeds(parameters, from, seeds, jobs, |outcome| handle_outcome("worst", outcome));
+        if arguments.hard_schedules {
+            simulate_hard_seeds(parameters, first_seed, runs, threads, |outcome| {
+                handle_outcome("worst", outcome)
+            });
         } else {
-            simulate_seeds(parameters, from, seeds, jobs, |outcome| handle_outcome("short", outcome));
+            simulate_seeds(parameters, first_seed, runs, threads, |outcome| handle_outcome("short", outcome));
         }
-        format!(" of {} postmasters and {} doors", parameters.controllers, parameters.proxies)
+        format!(" with {} controllers and {} proxies", parameters.controllers, parameters.proxies)
     };
-    totals.print(&size, started.elapsed());
+    totals.print(&system_size, started.elapsed());
     if totals.violating > 0 {
         return Err(CliError::SystemViolations { violating: totals.violating, runs: totals.runs });
     }
@@ -133,13 +136,13 @@
     }
 }
 
-fn parameters(arguments: &SystemRuns) -> SimulationParameters {
+fn parameters(arguments: &SystemSimulationArguments) -> SimulationParameters {
     SimulationParameters {
-        controllers: arguments.offices as usize,
-        proxies: arguments.doors as usize,
+        controllers: arguments.controllers as usize,
+        proxies: arguments.proxies as usize,
         seconds: arguments.seconds,
-        requests_per_second: arguments.rate,
-        max_faults: arguments.troubles,
+        requests_per_second: arguments.requests_per_second,
+        max_faults: arguments.max_faults,
     }
 }
 
@@ -148,24 +151,25 @@
         println!("{name} seed {}", outcome.seed);
         outcome.events.iter().for_each(|event| println!("    {event}"));
     }
-    // Each once, and no more than fit on a page.
+    // Repeated violations are printed once, and their number is limited to keep the report short.
     let mut printed = BTreeSet::new();
     let distinct = outcome
         .violations
         .iter()
         .filter(|violation| printed.insert((violation.rule, violation.description.as_str())));
     for violation in distinct.take(MAX_PRINTED_VIOLATIONS) {
-        println!("  {} broken at {:.2} s: {}", violation.rule, violation.at, violation.description);
+        println!("  {} violated at {:.2} s: {}", violation.rule, violation.at, violation.description);
     }
     if verbosity == Verbosity::All {
         println!(
-            "  asked {}, served {}, refused {}, late {:.3}",
+            "  requests {}, served {}, rejected {}, final success ratio {:.3}",
             outcome.requests, outcome.served, outcome.rejected, outcome.final_success_ratio
         );
     }
 }
 
-/// Measures the cost of the control plane for each number of proxies; prints it, and plots it to a directory.
+/// Measures the control plane's cost for each number of proxies. Prints it as CSV, and also writes the CSV and a plot
+/// to the output directory if there is one.
 pub(crate) fn measure_costs(
     proxies: &[u64],
     controllers: usize,
--- a/programs/cli/src/trace.rs
+++ b/programs/cli/src/trace.rs
@@ -1,4 +1,4 @@
-//! `trace import` and `trace inspect`: cluster traces in CSV.
+//! `trace import` and `trace inspect`: request traces in CSV.
 
 use crate::error::CliError;
 use crate::files::{ExperimentFile, read_experiment};
@@ -8,7 +8,7 @@
 use vanewharf_simulator::experiment::Experiment;
 use vanewharf_traces::{Row, read_trace, summarize_trace, write_trace};
 
-/// Reads a trace by an experiment's mapping; logs how many rows were rejected, by defect.
+/// Reads a trace by an experiment's mapping and logs the number of rejected rows, by defect.
 pub(crate) fn read_rows(experiment: &Experiment, path: &Path) -> Result<Vec<Row>, CliError> {
     let mapping = experiment.trace.as_ref().map(|trace| &trace.mapping);
     let mapping = mapping.ok_or(CliError::NoTraceMapping)?;
@@ -16,7 +16,7 @@
     let file = File::open(path).map_err(CliError::io(path))?;
     let trace = read_trace(BufReader::new(file), mapping, &plans).map_err(CliError::invalid_file(path))?;
     for (defect, rejected) in &trace.rejected {
-        tracing::warn!(count = rejected.count, first_line = rejected.first_line, "left out: {defect}");
+        tracing::warn!(count = rejected.count, first_line = rejected.first_line, "rejected rows: {defect}");
     }
     tracing::info!(rows = trace.rows.len(), left_out = trace.rejected_count(), "trace read");
     if trace.rows.is_empty() {
@@ -25,7 +25,7 @@
     Ok(trace.rows)
 }
 
-/// Writes a trace in the project's own columns.
+/// Converts a trace to the canonical CSV format.
 pub(crate) fn import(experiment: &Path, trace: &Path, out: &Path) -> Result<(), CliError> {
     let ExperimentFile { experiment, .. } = read_experiment(experiment)?;
     let rows = read_rows(&experiment, trace)?;
@@ -33,14 +33,14 @@
     write_trace(BufWriter::new(file), &rows).map_err(|error| CliError::WriteTrace(error.into()))
 }
 
-/// Prints what a trace contains.
+/// Prints a summary of a trace.
 pub(crate) fn inspect(experiment: &Path, trace: &Path) -> Result<(), CliError> {
     let ExperimentFile { experiment, .. } = read_experiment(experiment)?;
     let summary = summarize_trace(&read_rows(&experiment, trace)?);
-    println!("{} txns of {} customers in {:.1} s", summary.rows, summary.customers, summary.seconds);
-    println!("{} in the busiest second", summary.peak_rows_per_second);
+    println!("{} requests of {} customers in {:.1} s", summary.rows, summary.customers, summary.seconds);
+    println!("{} requests in the busiest second", summary.peak_rows_per_second);
     for (product, totals) in &summary.by_product {
-        println!("{product}: {} txns, {:.0} units", totals.rows, totals.units);
+        println!("{product}: {} requests, {:.0} units", totals.rows, totals.units);
     }
     Ok(())
 }
--- a/programs/cli/tests/command_line.rs
+++ b/programs/cli/tests/command_line.rs
@@ -1,4 +1,4 @@
-//! The program `vanewharf` as a user starts it: its output, its files and its errors.
+//! Tests of the `vanewharf` program: its output, the files that it writes, and its errors.
 
 use std::collections::BTreeMap;
 use std::fs;
@@ -6,6 +6,7 @@
 use std::process::{Command, Output};
 use std::sync::atomic::{AtomicU32, Ordering};
 
+/// An experiment that takes only seconds to run.
 const SMALL: &str = r#"
 name = "small"
 seed = 3
@@ -42,7 +43,7 @@
 of_capacity = 0.5
 "#;
 
-/// A directory of one test, deleted at its end.
+/// A temporary directory of one test, deleted when dropped.
 struct TestDirectory(PathBuf);
 
 static DIRECTORIES: AtomicU32 = AtomicU32::new(0);
@@ -79,7 +80,7 @@
     Command::new(env!("CARGO_BIN_EXE_vanewharf")).args(arguments).output().expect("the program runs")
 }
 
-fn as_text(path: &Path) -> &str {
+fn path_text(path: &Path) -> &str {
     path.to_str().expect("plain names")
 }
 
@@ -88,18 +89,18 @@
 }
 
 #[test]
-fn two_runs_of_a_seed_write_the_same_bytes_and_another_seed_does_not() {
+fn reports_are_deterministic_and_depend_on_the_seed() {
     let directory = TestDirectory::new();
     let file = directory.write_file("small.toml", SMALL);
     for (out, seed) in [("one", "3"), ("other", "3"), ("third", "4")] {
         let run = vanewharf(&[
             "lab",
             "run",
-            as_text(&file),
+            path_text(&file),
             "--seed",
             seed,
             "--out",
-            as_text(&directory.0.join(out)),
+            path_text(&directory.0.join(out)),
         ]);
         assert!(run.status.success(), "{}", error_output(&run));
     }
@@ -119,12 +120,12 @@
 #[test]
 fn a_sweep_continues_after_a_point_that_violates_a_rule() {
     let directory = TestDirectory::new();
-    // Clients that stay for a hundredth of a millisecond have left before any gateway can answer.
+    // Clients that disconnect after a hundredth of a millisecond are gone before any gateway can respond.
     let swept = format!(
         "{SMALL}[rules]\nanswer_slack_ms = 0\n[[sweep]]\nkey = \"clients.stays\"\nvalues = [0.9, 0.000005, 0.8]\n"
     );
     let file = directory.write_file("swept.toml", &swept);
-    let run = vanewharf(&["lab", "sweep", as_text(&file), "--out", as_text(&directory.0.join("out"))]);
+    let run = vanewharf(&["lab", "sweep", path_text(&file), "--out", path_text(&directory.0.join("out"))]);
     assert!(run.status.success(), "{}", error_output(&run));
     let files = directory.read_files("out");
     let text = String::from_utf8(files["sweep.csv"].clone()).expect("text");
@@ -144,9 +145,13 @@
     let directory = TestDirectory::new();
     let text = format!("{SMALL}[rules]\nanswer_slack_ms = 0\n[clients]\nstays = 0.000005\n");
     let file = directory.write_file("strict.toml", &text);
-    let run = vanewharf(&["lab", "run", as_text(&file), "--strict"]);
-    assert!(!run.status.success() && error_output(&run).contains("broke a rule"), "{}", error_output(&run));
-    assert!(vanewharf(&["lab", "run", as_text(&file)]).status.success());
+    let run = vanewharf(&["lab", "run", path_text(&file), "--strict"]);
+    assert!(
+        !run.status.success() && error_output(&run).contains("1 of 1 runs violated a rule"),
+        "{}",
+        error_output(&run)
+    );
+    assert!(vanewharf(&["lab", "run", path_text(&file)]).status.success());
 }
 
 const TRACE_SECTION: &str = r#"
@@ -186,9 +191,9 @@
         "json",
         "trace",
         "import",
-        as_text(&experiment),
-        as_text(&trace),
-        as_text(&out),
+        path_text(&experiment),
+        path_text(&trace),
+        path_text(&out),
     ]);
     assert!(run.status.success(), "{}", error_output(&run));
     let log = error_output(&run);
@@ -203,13 +208,14 @@
     assert_eq!((count("not mapped"), count("earlier than")), (Some(50), Some(20)));
     let imported = fs::read_to_string(&out).expect("written");
     assert_eq!(imported.lines().count(), 1 + 930);
-    let inspect = vanewharf(&["trace", "inspect", as_text(&experiment), as_text(&trace)]);
+    let inspect = vanewharf(&["trace", "inspect", path_text(&experiment), path_text(&trace)]);
     let summary = String::from_utf8_lossy(&inspect.stdout).into_owned();
-    assert!(summary.contains("930 txns of 38 customers"), "{summary}");
+    assert!(summary.contains("930 requests of 38 customers"), "{summary}");
 
-    // Run twice, the same trace has the same output.
+    // Two replays of the same trace write identical files.
     for out in ["one", "other"] {
-        let run = vanewharf(&["lab", "run", as_text(&experiment), "--out", as_text(&directory.0.join(out))]);
+        let run =
+            vanewharf(&["lab", "run", path_text(&experiment), "--out", path_text(&directory.0.join(out))]);
         assert!(run.status.success(), "{}", error_output(&run));
     }
     assert_eq!(directory.read_files("one"), directory.read_files("other"));
@@ -218,26 +224,26 @@
 }
 
 #[test]
-fn a_trace_without_a_mapped_column_is_rejected_with_its_name() {
+fn a_trace_without_a_mapped_column_or_usable_row_is_rejected() {
     let directory = TestDirectory::new();
     let experiment = directory.write_file("traced.toml", &format!("{SMALL}{TRACE_SECTION}"));
     let trace = directory.write_file("day.csv", &trace_rows().replace("user,ts", "user,time"));
-    let run = vanewharf(&["trace", "inspect", as_text(&experiment), as_text(&trace)]);
+    let run = vanewharf(&["trace", "inspect", path_text(&experiment), path_text(&trace)]);
     assert!(!run.status.success() && error_output(&run).contains("no column 'ts'"), "{}", error_output(&run));
     let none = directory.write_file("empty.csv", "user,ts,op,size\n");
-    let run = vanewharf(&["trace", "inspect", as_text(&experiment), as_text(&none)]);
-    assert!(!run.status.success() && error_output(&run).contains("no row"), "{}", error_output(&run));
+    let run = vanewharf(&["trace", "inspect", path_text(&experiment), path_text(&none)]);
+    assert!(!run.status.success() && error_output(&run).contains("no usable row"), "{}", error_output(&run));
 }
 
 #[test]
 fn a_check_names_the_line_or_key_that_is_wrong() {
     let directory = TestDirectory::new();
     let good = directory.write_file("good.toml", SMALL);
-    assert!(vanewharf(&["config", "check", as_text(&good)]).status.success());
+    assert!(vanewharf(&["config", "check", path_text(&good)]).status.success());
     let gateway = r#"{"settings": {"balancers": 2, "classes": [{"name": "look", "aim": 400.0}],
         "tiers_of_service": [{"name": "basic", "rate": 2.0}]}}"#;
     assert!(
-        vanewharf(&["config", "check", as_text(&directory.write_file("door.json", gateway))])
+        vanewharf(&["config", "check", path_text(&directory.write_file("door.json", gateway))])
             .status
             .success()
     );
@@ -246,7 +252,7 @@
         "connection_limit": 9}}, "limits": {"max_header_bytes": 1, "max_body_bytes": 1, "header_deadline": "1s",
         "idle_timeout": "1s"}}"#;
     assert!(
-        vanewharf(&["config", "check", as_text(&directory.write_file("config.json", config))])
+        vanewharf(&["config", "check", path_text(&directory.write_file("config.json", config))])
             .status
             .success()
     );
@@ -260,7 +266,7 @@
         ("e.json", gateway.replace("\"balancers\": 2,", "\"balancers\": 2,,"), "line 1"),
     ];
     for (name, text, named) in cases {
-        let run = vanewharf(&["config", "check", as_text(&directory.write_file(name, &text))]);
+        let run = vanewharf(&["config", "check", path_text(&directory.write_file(name, &text))]);
         assert!(
             !run.status.success() && error_output(&run).contains(named),
             "{name}: {}",
@@ -278,17 +284,17 @@
         fs::read_dir(directory).expect("it is there").map(|file| file.expect("listed").path()).collect();
     assert!(files.len() >= 3);
     for file in files.iter().filter(|file| file.extension().is_some_and(|end| end == "toml")) {
-        let run = vanewharf(&["config", "check", as_text(file)]);
+        let run = vanewharf(&["config", "check", path_text(file)]);
         assert!(run.status.success(), "{}: {}", file.display(), error_output(&run));
     }
 }
 
 #[test]
-fn contract_hours_print_when_a_node_may_be_drained() {
+fn hours_prints_when_a_node_may_be_drained() {
     let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy/contract-hours.json");
-    assert!(vanewharf(&["config", "check", as_text(&file)]).status.success());
+    assert!(vanewharf(&["config", "check", path_text(&file)]).status.success());
     let at = |time: &str, node: &str| {
-        let run = vanewharf(&["hours", as_text(&file), "--at", time, "--node", node]);
+        let run = vanewharf(&["hours", path_text(&file), "--at", time, "--node", node]);
         assert!(run.status.success(), "{}", error_output(&run));
         String::from_utf8_lossy(&run.stdout).into_owned()
     };
@@ -298,27 +304,30 @@
     assert!(both.contains("2 contracts") && both.contains("opens 2026-12-07T21:30:05Z"), "{both}");
     let closed = at("2026-12-22T23:00:00Z", "mb-dvorana-b/lastnistvo/i-2");
     assert!(closed.contains("opens 2027-01-04T08:00:05Z"), "{closed}");
-    let invalid = vanewharf(&["hours", as_text(&file), "--at", "tomorrow"]);
+    let invalid = vanewharf(&["hours", path_text(&file), "--at", "tomorrow"]);
     assert!(!invalid.status.success() && error_output(&invalid).contains("--at tomorrow"));
 }
 
-/// The output for each kind of file, byte for byte except for its path.
+/// Compares the complete output for each kind of file, except for the file's path.
 #[test]
 fn a_check_prints_what_kind_of_file_it_is() {
     let directory = TestDirectory::new();
     let check = |name: &str, text: &str| {
         let file = directory.write_file(name, text);
-        let run = vanewharf(&["config", "check", as_text(&file)]);
-        let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).replace(as_text(&file), "<file>");
+        let run = vanewharf(&["config", "check", path_text(&file)]);
+        let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).replace(path_text(&file), "<file>");
         format!("{:?} {}{}", run.status.code(), text(&run.stdout), text(&run.stderr))
     };
-    assert_eq!(check("small.toml", SMALL), "Some(0) small: an experiment of 4 doors and 6 backends\n");
+    assert_eq!(
+        check("small.toml", SMALL),
+        "Some(0) small: valid experiment with 4 gateways and 6 backends\n"
+    );
     let gateway = r#"{"settings": {"balancers": 2, "classes": [{"name": "look", "aim": 400.0}],
         "tiers_of_service": [{"name": "basic", "rate": 2.0}]}}"#;
-    assert_eq!(check("door.json", gateway), "Some(0) <file>: a door would start by these settings\n");
+    assert_eq!(check("door.json", gateway), "Some(0) <file>: valid gateway settings\n");
     let config = r#"{"revision": "r1", "routes": {}, "services": {}, "limits": {"max_header_bytes": 1,
         "max_body_bytes": 1, "header_deadline": "1s", "idle_timeout": "1s"}, "customers": {}}"#;
-    let accepted = "Some(0) <file>: r1 with 0 routes to 0 services and 0 tenants would be taken\n";
+    let accepted = "Some(0) <file>: valid configuration r1 with 0 routes to 0 services and 0 customers\n";
     assert_eq!(check("config.json", config), accepted);
     let settings = r#"{"node_name": "node-0", "ip_address": "10.0.0.1", "zone": "east-a", "region": "east",
         "zones": {"east-a": "east"}, "listen_addresses": {}, "internal_ports": [7600, 7615], "seed_nodes": [],
@@ -326,10 +335,10 @@
         "limits_table": {"revocation_global": false, "revocation": "5000ms", "grace_period": "2s", "ttl_max": "5s",
         "rate_allowance": 20, "retry_ratio": 0.2, "retry_window": "10s", "retry_allowance": 50,
         "warmup_overshoot": 1.5, "warmup_allowance": 5}}"#;
-    let starts = "Some(0) <file>: node-0 of east-a would start by these settings\n";
+    let starts = "Some(0) <file>: valid settings of node node-0 in zone east-a\n";
     assert_eq!(check("settings.json", settings), starts);
     let rejected = check("bad.json", &config.replace("r1", "1"));
-    let (time, line) = rejected.split_once("Z ").expect("a time first");
+    let (time, line) = rejected.split_once("Z ").expect("a timestamp first");
     assert!(time.starts_with("Some(1) 20"), "{rejected}");
     assert_eq!(line, "ERROR <file>: revision: a version is r and a number\n");
 }
