--- a/crates/simulated-disk/src/lib.rs
+++ b/crates/simulated-disk/src/lib.rs
@@ -20,7 +20,7 @@
 
 /// Extra latency of each operation on a slow disk, as a multiple of the sync latency.
 const SLOW_LATENCY_FACTOR: u32 = 60;
-/// Upper bound of the random extra latency of one operation, see [`SimulatedDisk::set_erratic`].
+/// Upper bound of the random extra latency of one operation, see [`SimulatedDisk::enable_random_latency`].
 const MAX_RANDOM_LATENCY: Duration = Duration::from_millis(20);
 
 /// What a loss of power does to unsynced operations. `Display` gives the text that a run's list of events shows.
@@ -132,7 +132,7 @@
     }
 
     /// Adds to each later operation a random latency of up to 20 ms, drawn from the seed.
-    pub fn set_erratic(&self, seed: u64) {
+    pub fn enable_random_latency(&self, seed: u64) {
         self.state.borrow_mut().latency_rng = Some(SmallRng::seed_from_u64(seed));
     }
 
--- a/crates/system-simulator/src/cluster.rs
+++ b/crates/system-simulator/src/cluster.rs
@@ -147,7 +147,7 @@
     pub fn make_erratic(&self) {
         self.network.set_max_jitter(ERRATIC_MAX_JITTER);
         for (number, machine) in self.machines.iter().enumerate() {
-            machine.disk.iter().for_each(|disk| disk.set_erratic(self.seed ^ number as u64));
+            machine.disk.iter().for_each(|disk| disk.enable_random_latency(self.seed ^ number as u64));
         }
     }
 
--- a/programs/controller/src/replica/voter_task/random_schedules_tests.rs
+++ b/programs/controller/src/replica/voter_task/random_schedules_tests.rs
@@ -186,7 +186,7 @@
 
 fn run_seed(seed: u64) {
     let disk = SimulatedDisk::new(SYNC_TIME);
-    disk.set_erratic(seed);
+    disk.enable_random_latency(seed);
     let promises = Rc::new(RefCell::new(Promises::default()));
     let mut rng = SmallRng::seed_from_u64(seed);
     for start in 0..STARTS {
