--- a/programs/cli/tests/command_line.rs
+++ b/programs/cli/tests/command_line.rs
@@ -63,9 +63,11 @@
     }
 
     fn read_files(&self, name: &str) -> BTreeMap<String, Vec<u8>> {
-        let files =
-            fs::read_dir(self.0.join(name)).expect("it was written").map(|file| file.expect("listed").path());
-        let named = |path: PathBuf| (path.file_name().expect("a name").to_string_lossy().into_owned(), path);
+        let files = fs::read_dir(self.0.join(name))
+            .expect("the directory exists")
+            .map(|file| file.expect("a directory entry").path());
+        let named =
+            |path: PathBuf| (path.file_name().expect("a file name").to_string_lossy().into_owned(), path);
         files.map(named).map(|(name, path)| (name, fs::read(path).expect("readable"))).collect()
     }
 }
@@ -77,11 +79,11 @@
 }
 
 fn vanewharf(arguments: &[&str]) -> Output {
-    Command::new(env!("CARGO_BIN_EXE_vanewharf")).args(arguments).output().expect("the program runs")
+    Command::new(env!("CARGO_BIN_EXE_vanewharf")).args(arguments).output().expect("the program starts")
 }
 
 fn path_text(path: &Path) -> &str {
-    path.to_str().expect("plain names")
+    path.to_str().expect("a UTF-8 path")
 }
 
 fn error_output(output: &Output) -> String {
@@ -280,8 +282,10 @@
 #[test]
 fn the_experiments_in_the_repository_are_valid() {
     let directory = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../crates/simulator/experiments");
-    let files: Vec<_> =
-        fs::read_dir(directory).expect("it is there").map(|file| file.expect("listed").path()).collect();
+    let files: Vec<_> = fs::read_dir(directory)
+        .expect("the directory exists")
+        .map(|file| file.expect("a directory entry").path())
+        .collect();
     assert!(files.len() >= 3);
     for file in files.iter().filter(|file| file.extension().is_some_and(|end| end == "toml")) {
         let run = vanewharf(&["config", "check", path_text(file)]);
