--- a/programs/gateway/src/router.rs
+++ b/programs/gateway/src/router.rs
@@ -172,7 +172,7 @@
         match message {
             RouterMessage::NewRequest(new_request) => self.add_request(new_request),
             RouterMessage::ClientDisconnected(id) => {
-                if self.txns.client_left(id) {
+                if self.txns.record_client_disconnect(id) {
                     self.shared.resources.count(Counter::ClientsDisconnected);
                     self.events.push(Event::ClientDisconnected(id));
                 }
