--- a/crates/simulator/src/arrivals.rs
+++ b/crates/simulator/src/arrivals.rs
@@ -90,7 +90,7 @@
 /// What all warmed-up backends can do, in milliseconds of work a second.
 fn capacity(experiment: &Experiment) -> f64 {
     let fleet = &experiment.fleet;
-    (fleet.backends * fleet.cores) as f64 * fleet.speed.middle() * 1_000.0
+    (fleet.backends * fleet.cores) as f64 * fleet.speed.midpoint() * 1_000.0
 }
 
 /// Requests a second of this mix that all warmed-up backends can do.
@@ -214,7 +214,7 @@
         };
         let spiky = (uses.full + uses.heavy..uses.full + uses.heavy + uses.spiky).contains(&kind);
         let mut spikes = Vec::new();
-        let mut from_s = random.unit() * uses.spike_every_s.most();
+        let mut from_s = random.unit() * uses.spike_every_s.max();
         while spiky && from_s < experiment.length_s {
             let to_s = from_s + random.span(uses.spike_s);
             spikes.push(Spike { from_s, to_s, factor: random.span(uses.spike_x) });
@@ -236,10 +236,10 @@
 /// What customers use inside their quotas on average, as a part of their rate.
 fn mean_use(uses: &Customers) -> f64 {
     let calm_part = 1.0 - uses.full - uses.heavy - uses.spiky;
-    calm_part * uses.calm.middle()
+    calm_part * uses.calm.midpoint()
         + uses.full * FULL_USE
         + uses.heavy
-        + uses.spiky * (uses.calm.middle() + SPIKE_USE)
+        + uses.spiky * (uses.calm.midpoint() + SPIKE_USE)
 }
 
 /// Generates customers, as many as the load asks for, and their first tries.
--- a/crates/simulator/src/experiment.rs
+++ b/crates/simulator/src/experiment.rs
@@ -1,4 +1,4 @@
-//! An experiment as its file states it. It is checked before anything is run by it.
+//! Experiment files: their format, defaults and validation.
 
 mod check;
 mod settings;
@@ -8,18 +8,18 @@
 
 pub use settings::*;
 
-/// What is wrong with an experiment's file.
+/// Why an experiment's file is invalid.
 #[derive(Debug, PartialEq, Error)]
 pub enum InvalidExperiment {
-    /// A key has a value that cannot be.
+    /// A key has an invalid value.
     #[error("{key}: {problem}")]
     Key {
-        /// The key, with its section.
+        /// Path of the key.
         key: String,
-        /// Why not.
+        /// Reason why the value is invalid.
         problem: String,
     },
-    /// The file is no TOML, or not of the form of an experiment; the text names the line.
+    /// The file is not valid TOML or does not have the structure of an experiment. The message names the line.
     #[error("{0}")]
     Form(String),
 }
@@ -34,98 +34,98 @@
     }
 }
 
-/// A range from the least to the most; one number stands for both.
+/// A range of numbers. A single number in the file is a range of that number only.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(untagged)]
 pub enum Span {
-    /// One number.
+    /// A single number.
     One(f64),
-    /// The least and the most.
+    /// The lower and the upper bound.
     Two([f64; 2]),
 }
 
 impl Span {
-    /// The least.
-    pub fn least(self) -> f64 {
+    /// Returns the lower bound.
+    pub fn min(self) -> f64 {
         match self {
-            Span::One(one) => one,
-            Span::Two([least, _]) => least,
+            Span::One(value) => value,
+            Span::Two([lower, _]) => lower,
         }
     }
 
-    /// The most.
-    pub fn most(self) -> f64 {
+    /// Returns the upper bound.
+    pub fn max(self) -> f64 {
         match self {
-            Span::One(one) => one,
-            Span::Two([_, most]) => most,
+            Span::One(value) => value,
+            Span::Two([_, upper]) => upper,
         }
     }
 
-    /// Half way between.
-    pub fn middle(self) -> f64 {
-        (self.least() + self.most()) / 2.0
+    /// Returns the mean of both bounds.
+    pub fn midpoint(self) -> f64 {
+        (self.min() + self.max()) / 2.0
     }
 }
 
-/// An experiment: a fleet, its customers, and what goes wrong. Fields have the names of the file's keys.
+/// An experiment: a fleet, its customers and the injected faults. Fields are named after the keys of the file.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Experiment {
-    /// Its name in reports.
+    /// Name in reports.
     pub name: String,
-    /// The seed where none is asked for.
+    /// Seed of runs for which no other seed is requested.
     #[serde(default = "default_seed")]
     pub seed: u64,
-    /// Seconds in which clients come.
+    /// Duration of the arrivals, in seconds.
     pub length_s: f64,
-    /// Milliseconds between two rounds of a gateway.
+    /// Milliseconds between two decision rounds of a gateway.
     #[serde(default = "default_tick_ms")]
     pub tick_ms: f64,
     /// Gateways and backends.
     pub fleet: Fleet,
-    /// Delays of the network.
+    /// Network delays.
     #[serde(default)]
     pub net: Net,
-    /// Delays of discovery.
+    /// Discovery delays.
     #[serde(default)]
     pub discovery: Discovery,
-    /// The meter, if there is one.
+    /// Metering of usage, if there is any.
     pub meter: Option<Meter>,
     /// The shared quota counter, if there is one.
     pub counter: Option<Counter>,
-    /// Messages between gateways, if they may send any.
+    /// Messages between gateways, if they may exchange any.
     pub peers: Option<Peers>,
-    /// What gateways may do.
+    /// Actions that gateways may take.
     #[serde(default)]
     pub allow: Allow,
-    /// The margins of the rules.
+    /// Tolerances of the rules.
     #[serde(default)]
     pub rules: Rules,
-    /// The kinds of request.
+    /// Products, which are the kinds of request.
     pub product: Vec<Product>,
-    /// The plans.
+    /// Quota plans.
     pub plan: Vec<Plan>,
-    /// The customers by kind.
+    /// Demand profiles of the customers.
     #[serde(default)]
     pub customers: Customers,
-    /// How much is asked.
+    /// Offered load.
     pub load: Load,
-    /// How clients behave.
+    /// Client behaviour.
     #[serde(default)]
     pub clients: Clients,
-    /// What goes wrong.
+    /// Injected faults.
     #[serde(default)]
     pub fault: Vec<Fault>,
-    /// What is taken off the result.
+    /// Prices that are deducted from the value of a run.
     #[serde(default)]
     pub prices: Prices,
-    /// How the result is mixed.
+    /// Weights of the parts of the value of a run.
     #[serde(default)]
     pub weights: Weights,
-    /// The keys of a sweep.
+    /// Swept keys.
     #[serde(default)]
     pub sweep: Vec<Sweep>,
-    /// Arrivals from a file in place of generated ones.
+    /// Trace whose arrivals replace generated ones.
     pub trace: Option<Trace>,
 }
 
@@ -138,13 +138,13 @@
 }
 
 impl Experiment {
-    /// Reads and checks an experiment's file, with all points of its sweeps.
+    /// Parses and validates the text of an experiment's file, including each value of its sweeps.
     ///
     /// # Errors
-    /// If the text is not of an experiment's form, or a value cannot be.
+    /// Returns an error if the text is malformed or a value is invalid.
     pub fn parse(text: &str) -> Result<Experiment, InvalidExperiment> {
         let table: toml::Table = toml::from_str(text).map_err(|error| InvalidExperiment::form(&error))?;
-        // Read from the text again, so that an error has its line.
+        // Deserialized from the text, not from the table, so that errors have a line number.
         let experiment: Experiment = toml::from_str(text).map_err(|error| InvalidExperiment::form(&error))?;
         experiment.check()?;
         for (index, sweep) in experiment.sweep.iter().enumerate() {
@@ -158,33 +158,37 @@
     }
 }
 
-/// The experiment with some of its keys set anew; a key's parts are names, or numbers in lists.
+/// Returns the experiment of a TOML table with some of its keys replaced. A key is a path of names and array indices,
+/// separated by dots.
 ///
 /// # Errors
-/// If there is no such key, or the experiment with it is invalid.
+/// Returns an error if a key does not exist or the resulting experiment is invalid.
 pub fn experiment_with(
     table: &toml::Table,
-    set: &[(&str, &toml::Value)],
+    overrides: &[(&str, &toml::Value)],
 ) -> Result<Experiment, InvalidExperiment> {
     let mut root = toml::Value::Table(table.clone());
-    for (key, value) in set {
-        let mut place = &mut root;
+    for (key, value) in overrides {
+        let mut target = &mut root;
         for part in key.split('.') {
-            place = match place {
+            target = match target {
                 toml::Value::Table(table) => {
                     table.entry(part).or_insert_with(|| toml::Value::Table(toml::Table::new()))
                 }
                 toml::Value::Array(items) => {
                     let item = part.parse::<usize>().ok().and_then(|index| items.get_mut(index));
-                    item.ok_or_else(|| InvalidExperiment::at_key(*key, format!("no item '{part}'")))?
+                    item.ok_or_else(|| {
+                        InvalidExperiment::at_key(*key, format!("the array has no item '{part}'"))
+                    })?
                 }
                 _ => {
-                    let problem = format!("'{part}' is below a plain value");
+                    let problem =
+                        format!("'{part}' is looked up in a value that is neither a table nor an array");
                     return Err(InvalidExperiment::at_key(*key, problem));
                 }
             };
         }
-        *place = (*value).clone();
+        *target = (*value).clone();
     }
     let experiment: Experiment = root.try_into().map_err(|error| InvalidExperiment::form(&error))?;
     experiment.check()?;
--- a/crates/simulator/src/experiment/check.rs
+++ b/crates/simulator/src/experiment/check.rs
@@ -1,10 +1,10 @@
-//! The checks of an experiment: each error names the key that is at fault.
+//! Validation of experiments. Each error names the invalid key.
 
 use super::{Counter, Experiment, Fault, FaultKind, InvalidExperiment, Plan, Product, Repeat, Span};
 use vanewharf_traces::Mapping;
 
-/// Gateways or backends at most.
-const MAX_FLEET: usize = 100_000;
+/// Maximum number of gateways, and of backends.
+const MAX_INSTANCES: usize = 100_000;
 
 type Check = Result<(), InvalidExperiment>;
 
@@ -12,54 +12,58 @@
     Err(InvalidExperiment::at_key(key, problem))
 }
 
-fn at_least(key: &str, value: f64, least: f64) -> Check {
-    if value.is_finite() && value >= least {
+fn at_least(key: &str, value: f64, min: f64) -> Check {
+    if value.is_finite() && value >= min {
         Ok(())
     } else {
-        invalid(key, format!("{value} is below {least}"))
+        invalid(key, format!("{value} is not a finite number of at least {min}"))
     }
 }
 
-fn part_of_one(key: &str, value: f64) -> Check {
-    if (0.0..=1.0).contains(&value) { Ok(()) } else { invalid(key, format!("{value} is no part of one")) }
+fn fraction(key: &str, value: f64) -> Check {
+    if (0.0..=1.0).contains(&value) {
+        Ok(())
+    } else {
+        invalid(key, format!("{value} is not between 0 and 1"))
+    }
 }
 
 fn span(key: &str, span: Span) -> Check {
-    at_least(key, span.least(), 0.0)?;
-    if span.most() >= span.least() && span.most().is_finite() {
+    at_least(key, span.min(), 0.0)?;
+    if span.max() >= span.min() && span.max().is_finite() {
         Ok(())
     } else {
-        invalid(key, "the second number is below the first")
+        invalid(key, "the upper bound is not finite or is below the lower bound")
     }
 }
 
-fn shares(key: &str, sum: f64) -> Check {
-    if sum > 0.0 { Ok(()) } else { invalid(key, "all shares are 0") }
+fn positive_sum(key: &str, sum: f64) -> Check {
+    if sum > 0.0 { Ok(()) } else { invalid(key, "the shares or weights add up to 0") }
 }
 
 impl Experiment {
-    /// Whether it can be run.
+    /// Validates all values.
     ///
     /// # Errors
-    /// If a value cannot be; the first one that is found.
+    /// Returns the first invalid value that is found.
     pub(super) fn check(&self) -> Check {
         at_least("length_s", self.length_s, 1.0)?;
         at_least("tick_ms", self.tick_ms, 0.1)?;
         self.check_counts()?;
         self.check_fleet()?;
         self.check_non_negative()?;
-        part_of_one("net.jitter", self.net.jitter)?;
+        fraction("net.jitter", self.net.jitter)?;
         at_least("load.of_capacity", self.load.of_capacity, 0.001)?;
         self.check_services()?;
         self.check_products()?;
         self.check_plans()?;
-        shares("product", self.product.iter().map(|product| product.share).sum())?;
-        shares("plan", self.plan.iter().map(|plan| plan.share).sum())?;
+        positive_sum("product", self.product.iter().map(|product| product.share).sum())?;
+        positive_sum("plan", self.plan.iter().map(|plan| plan.share).sum())?;
         self.check_customers()?;
         self.check_faults()?;
         let weights = &self.weights;
-        let weight = weights.whole + weights.worst_window + weights.worst_product + weights.worst_plan;
-        shares("weights", weight)?;
+        let sum = weights.whole + weights.worst_window + weights.worst_product + weights.worst_plan;
+        positive_sum("weights", sum)?;
         self.trace.as_ref().map_or(Ok(()), |trace| self.check_mapping(&trace.mapping))
     }
 
@@ -82,12 +86,12 @@
     }
 
     fn check_fleet(&self) -> Check {
-        if self.fleet.doors > MAX_FLEET || self.fleet.backends > MAX_FLEET {
-            return invalid("fleet", format!("more than {MAX_FLEET} doors or backends"));
+        if self.fleet.doors > MAX_INSTANCES || self.fleet.backends > MAX_INSTANCES {
+            return invalid("fleet", format!("more than {MAX_INSTANCES} gateways or backends"));
         }
         span("fleet.speed", self.fleet.speed)?;
-        at_least("fleet.speed", self.fleet.speed.least(), 0.01)?;
-        part_of_one("fleet.cold_from", self.fleet.cold_from)
+        at_least("fleet.speed", self.fleet.speed.min(), 0.01)?;
+        fraction("fleet.cold_from", self.fleet.cold_from)
     }
 
     fn check_non_negative(&self) -> Check {
@@ -124,7 +128,7 @@
         self.counter.as_ref().map_or(Ok(()), check_counter)?;
         if let Some(peers) = &self.peers {
             span("peers.takes_ms", peers.takes_ms)?;
-            part_of_one("peers.loss", peers.loss)?;
+            fraction("peers.loss", peers.loss)?;
             at_least("peers.in_per_s", peers.in_per_s, 1.0)?;
         }
         Ok(())
@@ -141,10 +145,10 @@
 
     fn check_customers(&self) -> Check {
         let customers = &self.customers;
-        part_of_one("customers.full", customers.full)?;
-        part_of_one("customers.heavy", customers.heavy)?;
-        part_of_one("customers.spiky", customers.spiky)?;
-        part_of_one("customers", customers.full + customers.heavy + customers.spiky)?;
+        fraction("customers.full", customers.full)?;
+        fraction("customers.heavy", customers.heavy)?;
+        fraction("customers.spiky", customers.spiky)?;
+        fraction("customers", customers.full + customers.heavy + customers.spiky)?;
         for (key, value) in [
             ("customers.calm", customers.calm),
             ("customers.heavy_x", customers.heavy_x),
@@ -157,10 +161,10 @@
         ] {
             span(key, value)?;
         }
-        at_least("customers.shift_s", customers.shift_s.least(), 0.1)?;
-        at_least("customers.spike_every_s", customers.spike_every_s.least(), 0.1)?;
-        part_of_one("clients.honour", self.clients.honour)?;
-        part_of_one("clients.stays", self.clients.stays.most())
+        at_least("customers.shift_s", customers.shift_s.min(), 0.1)?;
+        at_least("customers.spike_every_s", customers.spike_every_s.min(), 0.1)?;
+        fraction("clients.honour", self.clients.honour)?;
+        fraction("clients.stays", self.clients.stays.max())
     }
 
     fn check_faults(&self) -> Check {
@@ -171,17 +175,17 @@
         let key = |name: &str| format!("fault.{index}.{name}");
         at_least(&key("at_s"), fault.at_s, 0.0)?;
         at_least(&key("for_s"), fault.for_s, 0.0)?;
-        part_of_one(&key("part"), fault.part)?;
+        fraction(&key("part"), fault.part)?;
         at_least(&key("size"), fault.size, 0.0)?;
         at_least(&key("every_s"), fault.every_s, 0.1)?;
         if fault.at_s > self.length_s {
-            return invalid(key("at_s"), "after the end");
+            return invalid(key("at_s"), "the fault starts after the end of the run");
         }
         if fault.kind == FaultKind::PlaceCut && self.fleet.places.len() < 2 {
-            return invalid(key("kind"), "place-cut with one place");
+            return invalid(key("kind"), "place-cut requires at least two zones in fleet.places");
         }
         if fault.kind == FaultKind::CounterDown && self.counter.is_none() {
-            return invalid(key("kind"), "counter-down with no counter");
+            return invalid(key("kind"), "counter-down requires a [counter] section");
         }
         Ok(())
     }
@@ -195,21 +199,23 @@
         for (word, name) in &mapping.kinds {
             if !has_product(name) {
                 let key = format!("trace.mapping.kinds.{word}");
-                return invalid(key, format!("no product is named '{name}'"));
+                return invalid(key, format!("there is no product named '{name}'"));
             }
         }
         match (&mapping.product, &mapping.columns.kind) {
             (Some(name), _) if !has_product(name) => {
-                return invalid("trace.mapping.product", format!("no product is named '{name}'"));
+                return invalid("trace.mapping.product", format!("there is no product named '{name}'"));
+            }
+            (None, None) => {
+                return invalid("trace.mapping.product", "neither this key nor a column for it is set");
             }
-            (None, None) => return invalid("trace.mapping.product", "missing, and no column has it"),
             _ => {}
         }
         match (&mapping.plan, &mapping.columns.plan) {
             (Some(name), _) if !has_plan(name) => {
-                invalid("trace.mapping.plan", format!("no plan is named '{name}'"))
+                invalid("trace.mapping.plan", format!("there is no plan named '{name}'"))
             }
-            (None, None) => invalid("trace.mapping.plan", "missing, and no column has it"),
+            (None, None) => invalid("trace.mapping.plan", "neither this key nor a column for it is set"),
             _ => Ok(()),
         }
     }
@@ -227,15 +233,15 @@
     at_least(&key("work_ms"), product.work_ms, 0.001)?;
     at_least(&key("sla_ms"), product.sla_ms, 0.1)?;
     at_least(&key("units"), product.units, 0.001)?;
-    part_of_one(&key("late_worth"), product.late_worth)?;
-    part_of_one(&key("guess"), product.guess)?;
+    fraction(&key("late_worth"), product.late_worth)?;
+    fraction(&key("guess"), product.guess)?;
     at_least(&key("value"), product.value, 0.0)?;
     at_least(&key("spread"), product.spread, 0.0)?;
     if product.expiry_ms < product.sla_ms {
-        return invalid(key("expiry_ms"), "below sla_ms");
+        return invalid(key("expiry_ms"), "the expiry is below sla_ms");
     }
     if product.repeat == Repeat::Referenced && product.window_ms <= 0.0 {
-        return invalid(key("window_ms"), "missing for a referenced product");
+        return invalid(key("window_ms"), "a referenced product requires a positive window");
     }
     Ok(())
 }
@@ -254,9 +260,9 @@
     at_least(&key("rate"), plan.rate, 0.001)?;
     at_least(&key("burst"), plan.burst, 0.001)?;
     span(&key("width"), plan.width)?;
-    part_of_one(&key("width"), plan.width.most())?;
+    fraction(&key("width"), plan.width.max())?;
     if plan.ceiling > 0.0 && plan.ceiling < 1.0 {
-        return invalid(key("ceiling"), "below the quota itself");
+        return invalid(key("ceiling"), "the hard limit is below the quota");
     }
     Ok(())
 }
--- a/crates/simulator/src/experiment/settings.rs
+++ b/crates/simulator/src/experiment/settings.rs
@@ -1,6 +1,6 @@
-//! The sections of an experiment's file. Fields have the names of the file's keys, in the words of the users' own pages
-//! (`doors` are gateways, `places` zones, a `ceiling` is a hard limit): the files stay as they are. What is left out has
-//! the value that stands here; docs/lab.md has every key.
+//! The sections of an experiment's file. Fields are named after the keys of the file format, which are part of its
+//! interface: `doors` are gateways, `places` zones, and a `ceiling` is a hard limit. Keys that are left out have the
+//! defaults given here; docs/lab.md describes every key.
 //!
 //! Keys that end in `_s` are in seconds, those in `_ms` in milliseconds.
 
--- a/crates/simulator/src/experiment/settings/clients.rs
+++ b/crates/simulator/src/experiment/settings/clients.rs
@@ -1,4 +1,4 @@
-//! Products, plans, customers and their clients.
+//! Settings of products, plans, customers and their clients.
 
 use crate::experiment::Span;
 use serde::Deserialize;
@@ -7,34 +7,35 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Product {
-    /// Its name.
+    /// Name in reports and trace mappings.
     pub name: String,
-    /// Its part of the requests.
+    /// Weight with which generated requests are of this product.
     pub share: f64,
-    /// Work on one core at speed 1, without waiting.
+    /// Mean service time on one core at speed 1, without queueing.
     pub work_ms: f64,
-    /// The work's coefficient of variation.
+    /// Coefficient of variation of the service time.
     #[serde(default = "Product::spread")]
     pub spread: f64,
-    /// An answer later than this is late.
+    /// Latency objective. Responses with a higher latency count as late.
     pub sla_ms: f64,
-    /// How long clients wait at most.
+    /// Upper limit of the client's deadline.
     pub expiry_ms: f64,
-    /// What one unit answered in time is worth.
+    /// Value of one unit that is answered within the SLA.
     #[serde(default = "Product::value")]
     pub value: f64,
-    /// The part of that which a late answer is worth.
+    /// Fraction of the value that a late response still earns.
     #[serde(default)]
     pub late_worth: f64,
-    /// Whether it may be run twice.
+    /// Whether backends may execute a request more than once.
     pub repeat: Repeat,
-    /// How long backends drop duplicates of a referenced request.
+    /// How long backends discard duplicates of a `referenced` request.
     #[serde(default)]
     pub window_ms: f64,
-    /// Units of quota that a request takes.
+    /// Quota units that a request costs.
     #[serde(default = "Product::units")]
     pub units: f64,
-    /// The request names an estimate that is off by up to this part; the true units come with the answer.
+    /// Maximum relative error of the units that a request declares. Where it is above 0, the response reports the actual
+    /// units.
     #[serde(default)]
     pub guess: f64,
 }
@@ -51,43 +52,43 @@
     }
 }
 
-/// Whether requests of a product may be run more than once.
+/// Whether backends may execute requests of a product more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Repeat {
-    /// Any number of times.
+    /// The request is idempotent.
     InquiryLike,
-    /// Backends drop duplicates for a while.
+    /// Backends discard duplicates within a time window.
     Referenced,
-    /// Never.
+    /// The request must be executed at most once.
     OnceOnly,
 }
 
-/// A plan of customers' quotas.
+/// A quota plan that customers subscribe to.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Plan {
-    /// Its name.
+    /// Name in reports and trace mappings.
     pub name: String,
-    /// Its part of the load inside quotas.
+    /// Weight of this plan in the generated load within quotas.
     pub share: f64,
-    /// Units a second, for each customer.
+    /// Quota of each customer, in units per second.
     pub rate: f64,
-    /// Units that may be used at once, for each customer.
+    /// Burst of each customer's quota, in units.
     pub burst: f64,
-    /// By what products' values are multiplied.
+    /// Factor by which the products' values are multiplied.
     #[serde(default = "Plan::one")]
     pub value_factor: f64,
-    /// The part of its value that a request beyond the quota is worth.
+    /// Fraction of its value that a request over the quota earns.
     #[serde(default)]
     pub beyond_worth: f64,
-    /// The part of its value that a request beyond the quota costs.
+    /// Fraction of its value that a request over the quota costs.
     #[serde(default = "Plan::one")]
     pub beyond_cost: f64,
-    /// The hard limit, as a multiple of rate and burst; 0 is none.
+    /// Hard limit, as a multiple of both rate and burst. 0 means that there is none.
     #[serde(default)]
     pub ceiling: f64,
-    /// The part of the gateways that a customer comes through.
+    /// Size of a customer's gateway subset, as a fraction of all gateways.
     #[serde(default = "Plan::width")]
     pub width: Span,
 }
@@ -101,29 +102,30 @@
     }
 }
 
-/// Parts of the customers by kind, and what they ask as a multiple of their rate. The rest are calm.
+/// Fractions of the customers by demand profile, and the demand of each profile as a multiple of the quota's rate.
+/// Customers of no other profile are calm.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Customers {
-    /// What calm customers ask.
+    /// Demand of calm customers.
     pub calm: Span,
-    /// The part of the customers that ask for nearly all of their quota.
+    /// Fraction of the customers that use nearly all of their quota.
     pub full: f64,
-    /// The part that asks for more.
+    /// Fraction of the customers whose demand exceeds their quota.
     pub heavy: f64,
-    /// How much these ask.
+    /// Demand of heavy customers.
     pub heavy_x: Span,
-    /// The part that is calm with spikes.
+    /// Fraction of the customers that are calm except for spikes.
     pub spiky: f64,
-    /// How much these ask in a spike.
+    /// Demand of spiky customers during a spike.
     pub spike_x: Span,
-    /// How long a spike lasts.
+    /// Duration of a spike.
     pub spike_s: Span,
-    /// How far spikes are apart.
+    /// Time between the starts of two spikes.
     pub spike_every_s: Span,
-    /// How unevenly a customer comes through its gateways; 0 is evenly.
+    /// Coefficient of variation of a customer's traffic over the gateways of its subset. 0 distributes it evenly.
     pub skew: f64,
-    /// How long that stays the same.
+    /// Time after which a customer's distribution over its gateways is drawn again.
     pub shift_s: Span,
 }
 
@@ -144,16 +146,16 @@
     }
 }
 
-/// How much is asked.
+/// Offered load.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Load {
-    /// What is asked inside quotas, as a part of what all warmed-up backends can do.
+    /// Demand within quotas, as a fraction of the capacity of all backends after warm-up.
     pub of_capacity: f64,
-    /// How it changes over the run.
+    /// How the load changes over the run.
     #[serde(default)]
     pub shape: Shape,
-    /// By how much.
+    /// Amplitude of the change, as a fraction of the mean load.
     #[serde(default)]
     pub swing: f64,
 }
@@ -162,30 +164,30 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Shape {
-    /// Not at all.
+    /// The load is constant.
     #[default]
     Steady,
-    /// It rises evenly.
+    /// The load rises linearly.
     Ramp,
-    /// Three waves.
+    /// The load follows three periods of a sine.
     Wave,
 }
 
-/// How clients behave.
+/// Client behaviour.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Clients {
-    /// Retries at most.
+    /// Maximum number of retries.
     pub retries: u32,
-    /// The wait before the first retry, doubled each time.
+    /// Backoff before the first retry. It doubles with each further retry.
     pub backoff_ms: Span,
-    /// The part that heeds a retry-after.
+    /// Fraction of the clients that honour a retry-after.
     pub honour: f64,
-    /// A try is given up after this part of the product's expiry.
+    /// Client deadline, as a fraction of the product's expiry.
     pub stays: Span,
-    /// Whether retries are marked as such.
+    /// Whether clients mark retries as such.
     pub marks_retry: bool,
-    /// For how long clients go on coming to a gateway that has died.
+    /// How long clients are still routed to a gateway that has crashed.
     pub front_late_s: f64,
 }
 
--- a/crates/simulator/src/experiment/settings/faults.rs
+++ b/crates/simulator/src/experiment/settings/faults.rs
@@ -1,28 +1,28 @@
-//! What goes wrong.
+//! Settings of injected faults.
 
 use serde::Deserialize;
 
-/// Something that goes wrong.
+/// A fault that is injected during a run.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
-    /// What goes wrong.
+    /// Kind of the fault.
     pub kind: FaultKind,
-    /// When it begins.
+    /// Start, relative to the start of the run.
     pub at_s: f64,
-    /// How long it lasts.
+    /// Duration.
     pub for_s: f64,
-    /// The part of the backends or gateways that it strikes.
+    /// Fraction of the backends, gateways or (with `flood`) customers that the fault affects.
     #[serde(default = "Fault::part")]
     pub part: f64,
-    /// How these are chosen.
+    /// How the affected backends or gateways are selected.
     #[serde(default)]
     pub by: FaultScope,
-    /// `slow`: times slower; `flood`: times what those customers ask; `answers-lost`: part of the answers; `list-late`,
-    /// `door-stall`: seconds.
+    /// Magnitude. `slow`: factor on the service time; `flood`: factor on the demand; `answers-lost`: fraction of the
+    /// responses; `list-late`, `door-stall`: seconds.
     #[serde(default = "Fault::size")]
     pub size: f64,
-    /// `door-stall`, `flap`: seconds between; `drain`: seconds of notice.
+    /// `door-stall`, `flap`: seconds between repetitions; `drain`: seconds between the announcement and the stop.
     #[serde(default = "Fault::every_s")]
     pub every_s: f64,
 }
@@ -43,41 +43,41 @@
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum FaultKind {
-    /// Backends' processes die and come back to warm up.
+    /// Backend processes crash, and restart with a warm-up when the fault ends.
     Crash,
-    /// Backends take work and answer nothing; they come back to warm up.
+    /// Backends accept requests but never respond, and restart with a warm-up when the fault ends.
     Silent,
-    /// Backends are slower.
+    /// Backends process requests more slowly.
     Slow,
-    /// Backends die and come back again and again.
+    /// Backends crash and restart repeatedly.
     Flap,
-    /// Backends drain one after the other, go, and come back to warm up.
+    /// Backends drain one after the other, stop, and restart with a warm-up.
     Drain,
-    /// Answers are cut off after the work is done.
+    /// Connections break after the backend has done the work, so that the response is lost.
     AnswersLost,
-    /// The links between one zone and the others are cut.
+    /// The network between one zone and the others is partitioned.
     PlaceCut,
-    /// Gateways die and come back.
+    /// Gateways crash and restart.
     DoorCrash,
-    /// Gateways stand still again and again.
+    /// Gateways stall repeatedly.
     DoorStall,
-    /// The shared counter answers nothing and forgets its totals.
+    /// The shared counter does not respond and loses its totals.
     CounterDown,
-    /// Discovery and meter are later.
+    /// Discovery updates and meter readings have an additional delay.
     ListLate,
-    /// Some customers ask far more.
+    /// The demand of some customers rises by a factor.
     Flood,
 }
 
-/// How the targets of a fault are chosen.
+/// How the targets of a fault are selected.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum FaultScope {
-    /// One by one.
+    /// Targets are selected independently of each other.
     #[default]
     Any,
-    /// By zones.
+    /// Targets are selected by complete zones.
     Place,
-    /// By cells.
+    /// Targets are selected by complete cells.
     Cell,
 }
--- a/crates/simulator/src/experiment/settings/fleet.rs
+++ b/crates/simulator/src/experiment/settings/fleet.rs
@@ -1,4 +1,4 @@
-//! Gateways, backends, the network between them, the services beside, and what gateways may do.
+//! Settings of gateways, backends, the network between them, the supporting services, and what gateways may do.
 
 use crate::experiment::Span;
 use serde::Deserialize;
@@ -7,41 +7,42 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fleet {
-    /// Gateways.
+    /// Number of gateways.
     pub doors: usize,
-    /// Backends.
+    /// Number of backends.
     pub backends: usize,
-    /// Cores of a backend.
+    /// Cores per backend.
     #[serde(default = "Fleet::cores")]
     pub cores: usize,
-    /// Requests that wait at a backend beyond those at work; more are rejected.
+    /// Queue capacity of a backend, besides the requests in service. A backend rejects requests when its queue is full.
     #[serde(default = "Fleet::queue")]
     pub queue: usize,
-    /// The zones; gateways and backends are spread over them in turn.
+    /// Zone names. Gateways and backends are assigned to zones round robin.
     #[serde(default = "Fleet::places")]
     pub places: Vec<String>,
-    /// Backends that fail together where a fault goes by cells.
+    /// Backends per cell. A fault with the scope `cell` affects complete cells.
     #[serde(default = "Fleet::cell")]
     pub cell: usize,
-    /// The backends' speeds, around 1.
+    /// Relative speed of a backend's cores; 1 is nominal.
     #[serde(default = "Fleet::speed")]
     pub speed: Span,
-    /// The part of its capacity that a backend starts with.
+    /// Fraction of its capacity that a backend has right after its start.
     #[serde(default = "Fleet::cold_from")]
     pub cold_from: f64,
-    /// Seconds until a backend has all of its capacity.
+    /// Warm-up time: seconds after its start until a backend has its full capacity.
     #[serde(default = "Fleet::ramp_s")]
     pub ramp_s: f64,
-    /// How much longer work takes as the queue fills beyond the first dozen.
+    /// Relative increase of the service time, multiplied by the fraction of the queue's capacity that is occupied beyond
+    /// the first 12 requests.
     #[serde(default)]
     pub thrash: f64,
-    /// What a cancellation or timeout stops.
+    /// Which work a cancellation or timeout stops.
     #[serde(default)]
     pub stops: Stops,
-    /// Work of a new connection.
+    /// Work that a new connection costs the backend.
     #[serde(default = "Fleet::handshake_ms")]
     pub handshake_ms: f64,
-    /// Seconds for which backends keep an idle connection at most.
+    /// Seconds after which backends close an idle connection.
     #[serde(default = "Fleet::idle_s")]
     pub idle_s: f64,
 }
@@ -76,32 +77,32 @@
     }
 }
 
-/// What a cancellation or timeout stops at a backend.
+/// Which work at a backend a cancellation or timeout stops.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Stops {
-    /// What reached a backend is worked on.
+    /// No work: the backend processes every request that it has received.
     Nothing,
-    /// Requests that wait leave the queue.
+    /// Queued requests are removed.
     #[default]
     Waiting,
-    /// Work stops, too.
+    /// Queued requests are removed, and requests in service are aborted.
     All,
 }
 
-/// Delays of one way, in milliseconds.
+/// One-way network delays, in milliseconds.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Net {
-    /// Within a zone.
+    /// Delay within a zone.
     pub same_ms: f64,
-    /// Between zones.
+    /// Delay between zones.
     pub cross_ms: f64,
-    /// Between a client and a gateway.
+    /// Delay between a client and a gateway.
     pub client_ms: f64,
-    /// The part by which delays vary.
+    /// Maximum relative deviation of a delay from its mean.
     pub jitter: f64,
-    /// A connection that is not up by then never comes up.
+    /// Connect timeout.
     pub dial_ms: f64,
 }
 
@@ -111,15 +112,15 @@
     }
 }
 
-/// How late changes of backends are announced, in seconds.
+/// Delays of discovery, in seconds.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Discovery {
-    /// Until a change is announced.
+    /// Delay until a change of a backend's status is announced.
     pub late_s: Span,
-    /// Until it is noticed that a backend says nothing any more.
+    /// Delay until discovery detects that a backend does not respond any more.
     pub silent_late_s: Span,
-    /// How far apart gateways hear the same announcement.
+    /// Maximum difference between the times at which gateways receive the same announcement.
     pub spread_s: f64,
 }
 
@@ -133,9 +134,9 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Meter {
-    /// The length of a period.
+    /// Length of a metering period.
     pub period_s: f64,
-    /// How late readings are.
+    /// Delay of a reading after the end of its period.
     pub late_s: Span,
 }
 
@@ -143,12 +144,12 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Counter {
-    /// Calls a second that one shard takes.
+    /// Calls per second that one shard handles.
     pub per_s: f64,
-    /// Shards, over which keys are spread.
+    /// Number of shards, over which the keys are distributed.
     #[serde(default = "Counter::parts")]
     pub parts: usize,
-    /// How long gateways wait for a reply.
+    /// Gateways' timeout for a reply.
     pub wait_ms: f64,
 }
 
@@ -162,12 +163,12 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Peers {
-    /// How long a message takes.
+    /// Delivery time of a message.
     pub takes_ms: Span,
-    /// The part of the messages that is lost.
+    /// Fraction of the messages that are lost.
     #[serde(default)]
     pub loss: f64,
-    /// Messages a second that a gateway takes in.
+    /// Messages per second that a gateway accepts.
     pub in_per_s: f64,
 }
 
@@ -175,15 +176,15 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Allow {
-    /// Cancel attempts.
+    /// Whether gateways may cancel attempts.
     pub cancel: bool,
-    /// Have two attempts in flight.
+    /// Whether a request may have more than one attempt in flight.
     pub second_copies: bool,
-    /// Tell rejected clients when to come back.
+    /// Whether gateways may send a retry-after with a rejection.
     pub retry_after: bool,
-    /// The longest time that they may be told.
+    /// Maximum retry-after.
     pub max_retry_after_ms: f64,
-    /// Attempts for one request at most.
+    /// Maximum number of attempts per request.
     pub most_submissions: usize,
 }
 
@@ -199,19 +200,20 @@
     }
 }
 
-/// The margins of the rules.
+/// Tolerances of the rules that a run is checked against.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Rules {
-    /// For how long a draining backend may still be sent to.
+    /// How long a gateway may still send to a backend after it was told that the backend drains.
     pub drain_grace_ms: f64,
-    /// How much later than its deadline a request may be answered.
+    /// How long after its deadline a request may still be answered.
     pub answer_slack_ms: f64,
-    /// A backend that warms up and gets more than so many times its capacity is overloaded.
+    /// A backend in warm-up is overloaded when it receives more than this multiple of its capacity.
     pub fall_multiple: f64,
-    /// Over how long that is measured.
+    /// Time window over which that load is measured.
     pub fall_ms: f64,
-    /// By how much a hard limit may be exceeded: of its burst, or the largest request where that is more.
+    /// By how much a hard limit may be exceeded: a fraction of its burst, or the cost of the largest request where that
+    /// is more.
     pub ceiling_slack: f64,
 }
 
--- a/crates/simulator/src/experiment/settings/outcome.rs
+++ b/crates/simulator/src/experiment/settings/outcome.rs
@@ -1,23 +1,23 @@
-//! How a run is judged, what is swept, and the trace that stands in for generated arrivals.
+//! Settings of the score, of sweeps, and of the trace that replaces generated arrivals.
 
 use serde::Deserialize;
 use vanewharf_traces::Mapping;
 
-/// What is taken off the result, each times its rate.
+/// Prices that are deducted from the value of a run, each multiplied by the rate of what it is charged for.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Prices {
-    /// Of attempts to another zone.
+    /// Price of attempts to another zone, per first try.
     pub cross_place: f64,
-    /// Of work that nobody had the answer of.
+    /// Price of backend work whose response no client received, as a fraction of the offered work.
     pub waste: f64,
-    /// Of new connections.
+    /// Price of new connections, per first try.
     pub handshake: f64,
-    /// Of calls to the shared counter.
+    /// Price of calls to the shared counter, per first try.
     pub counter: f64,
-    /// Of messages between gateways.
+    /// Price of messages between gateways, per first try.
     pub word: f64,
-    /// Of value that failed past its SLA time.
+    /// Price of requests that failed after their SLA time, as a fraction of the offered value.
     pub late_fail: f64,
 }
 
@@ -34,17 +34,17 @@
     }
 }
 
-/// How the result is mixed.
+/// Weights of the served fractions in the value of a run.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Weights {
-    /// Of the complete run.
+    /// Weight of the complete run.
     pub whole: f64,
-    /// Of the worst ten seconds.
+    /// Weight of the worst ten seconds.
     pub worst_window: f64,
-    /// Of the worst product.
+    /// Weight of the worst product.
     pub worst_product: f64,
-    /// Of the worst plan.
+    /// Weight of the worst plan.
     pub worst_plan: f64,
 }
 
@@ -54,22 +54,22 @@
     }
 }
 
-/// A key and the values that it takes in a sweep.
+/// A key of the experiment and the values that it takes in a sweep.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Sweep {
-    /// The key; its parts are names, or numbers in lists.
+    /// Path of the key, separated by dots. Items of arrays are addressed by their index.
     pub key: String,
-    /// The values, one run each.
+    /// Values, with at least one run for each.
     pub values: Vec<toml::Value>,
 }
 
-/// Arrivals from a file in place of generated ones.
+/// A trace whose arrivals replace generated ones.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Trace {
-    /// Its path, beside the experiment's file.
+    /// Path of the trace, relative to the directory of the experiment's file.
     pub file: String,
-    /// What its columns say.
+    /// Mapping of the trace's columns.
     pub mapping: Mapping,
 }
--- a/crates/simulator/src/experiment/tests.rs
+++ b/crates/simulator/src/experiment/tests.rs
@@ -23,14 +23,14 @@
 "#;
 
 #[test]
-fn a_file_with_the_least_is_read_and_the_rest_has_its_values() {
-    let experiment = Experiment::parse(SMALL).expect("good");
+fn a_minimal_file_is_parsed_with_defaults() {
+    let experiment = Experiment::parse(SMALL).expect("a valid experiment");
     assert_eq!((experiment.seed, experiment.tick_ms, experiment.fleet.cores), (1, 4.0, 2));
     assert_eq!(experiment.plan[0].width, Span::Two([0.2, 0.4]));
 }
 
 #[test]
-fn what_is_wrong_is_named_by_key_or_line() {
+fn errors_name_the_key_or_line() {
     let cases = [
         ("doors = 3", "doors = 0", "fleet.doors"),
         ("doors = 3", "doors = \"many\"", "line 5"),
@@ -53,19 +53,20 @@
             "trace.mapping.plan",
         ),
     ];
-    for (from, to, word) in cases {
-        let said = Experiment::parse(&SMALL.replacen(from, to, 1)).expect_err(to).to_string();
-        assert!(said.contains(word), "{to}: {said}");
-        assert!(!said.contains('\n'), "{said}");
+    for (from, to, expected) in cases {
+        let message = Experiment::parse(&SMALL.replacen(from, to, 1)).expect_err(to).to_string();
+        assert!(message.contains(expected), "{to}: {message}");
+        assert!(!message.contains('\n'), "more than one line: {message}");
     }
 }
 
 #[test]
-fn a_key_is_set_anew_wherever_it_stands() {
-    let table: toml::Table = toml::from_str(SMALL).expect("a table");
-    let set = [("load.of_capacity", &toml::Value::Float(0.9)), ("product.0.value", &toml::Value::Integer(3))];
-    let anew = experiment_with(&table, &set).expect("good");
-    assert_eq!((anew.load.of_capacity, anew.product[0].value), (0.9, 3.0));
-    let set = [("meter", &toml::Value::Integer(3))];
-    assert!(experiment_with(&table, &set).is_err());
+fn keys_are_replaced_in_sections_and_array_items() {
+    let table: toml::Table = toml::from_str(SMALL).expect("a TOML table");
+    let overrides =
+        [("load.of_capacity", &toml::Value::Float(0.9)), ("product.0.value", &toml::Value::Integer(3))];
+    let changed = experiment_with(&table, &overrides).expect("a valid experiment");
+    assert_eq!((changed.load.of_capacity, changed.product[0].value), (0.9, 3.0));
+    let overrides = [("meter", &toml::Value::Integer(3))];
+    assert!(experiment_with(&table, &overrides).is_err());
 }
--- a/crates/simulator/src/random.rs
+++ b/crates/simulator/src/random.rs
@@ -60,7 +60,7 @@
 
     /// A number within a span.
     pub fn span(&mut self, span: Span) -> f64 {
-        span.least() + (span.most() - span.least()) * self.unit()
+        span.min() + (span.max() - span.min()) * self.unit()
     }
 
     /// A lognormal number with this mean and coefficient of variation; never 0.
