--- a/crates/simulator/src/arrivals.rs
+++ b/crates/simulator/src/arrivals.rs
@@ -1,4 +1,5 @@
-//! Who asks for what, and when: generated ahead of a run, so that every policy meets the same clients.
+//! Customers and the first tries of their clients. They are generated before a run, so that every policy is given the
+//! same arrivals.
 
 use crate::experiment::{Customers, Experiment, Fault, FaultKind, Product, Shape};
 use crate::random::{RandomStream, Stream, seconds};
@@ -6,102 +7,102 @@
 use vanewharf_policy::interface::{CustomerId, PlanId, ProductId, Ticks};
 use vanewharf_traces::Row;
 
-/// What customers ask for that ask for nearly all of their quota, as a part of it.
-const FULL_USE: f64 = 0.95;
-/// What spikes add to the use of spiky customers inside their quota, about.
-const SPIKE_USE: f64 = 0.15;
-/// Waves of a load that comes in waves.
-const WAVES: f64 = 3.0;
-/// Bits of a generated customer's number.
+/// Demand of customers of the profile `full`, as a fraction of their rate.
+const FULL_CUSTOMER_DEMAND: f64 = 0.95;
+/// Approximate demand within the quota that spikes add to the mean demand of a spiky customer, as a fraction of its rate.
+const MEAN_SPIKE_DEMAND: f64 = 0.15;
+/// Periods of the sine that a load of the shape `wave` follows over a run.
+const WAVE_PERIODS: f64 = 3.0;
+/// Number of bits of a generated customer identifier.
 const CUSTOMER_ID_BITS: u32 = 33;
-/// Spreads the spans of a customer's skew over all seeds.
-const SPAN_SEED_FACTOR: u64 = 0x9e37_79b9_7f4a_7c15;
+/// Odd 64-bit multiplier that derives distinct seeds from the numbers of a customer's shift intervals.
+const SHIFT_SEED_FACTOR: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// One customer, and the gateways that its clients come through.
+/// A customer and the subset of gateways that its clients use.
 #[derive(Clone, Debug)]
 pub struct Customer {
-    /// Its number.
+    /// Identifier.
     pub id: CustomerId,
-    /// Its plan.
+    /// Quota plan.
     pub plan: PlanId,
-    /// The first gateway of its subset.
+    /// First gateway of the subset.
     pub subset_start: usize,
-    /// How many gateways its subset has.
+    /// Number of gateways in the subset.
     pub subset_size: usize,
-    /// How unevenly it comes through them.
+    /// Coefficient of variation of the traffic over these gateways.
     pub skew: f64,
-    /// For how long that stays the same.
-    pub shift: Ticks,
-    /// The seed of that.
+    /// Time after which the distribution over the gateways is drawn again.
+    pub shift_interval: Ticks,
+    /// Seed of the distributions over the gateways.
     pub seed: u64,
 }
 
 impl Customer {
-    /// The gateway that a client with this draw comes to.
+    /// Returns the gateway that a client with this random draw uses.
     pub fn gateway(&self, at: Ticks, draw: f64, gateways: usize) -> usize {
-        // Drawn anew when asked, not kept: a long trace has many customers and many spans.
-        let span = at.0.div_euclid(self.shift.0.max(1)) as u64;
-        let seed = self.seed ^ span.wrapping_mul(SPAN_SEED_FACTOR);
+        // Recomputed on each call instead of cached: a long trace has many customers and many shift intervals.
+        let interval = at.0.div_euclid(self.shift_interval.0.max(1)) as u64;
+        let seed = self.seed ^ interval.wrapping_mul(SHIFT_SEED_FACTOR);
         let mut random = RandomStream::new(seed, Stream::Customers);
-        let parts: Vec<f64> = (0..self.subset_size).map(|_| random.lognormal(1.0, self.skew)).collect();
-        let mut left = draw * parts.iter().sum::<f64>();
-        let position = parts.iter().position(|part| {
-            left -= part;
+        let weights: Vec<f64> = (0..self.subset_size).map(|_| random.lognormal(1.0, self.skew)).collect();
+        let mut left = draw * weights.iter().sum::<f64>();
+        let position = weights.iter().position(|weight| {
+            left -= weight;
             left < 0.0
         });
         (self.subset_start + position.unwrap_or(self.subset_size - 1)) % gateways
     }
 }
 
-/// One first try of a client.
+/// The first try of a client's request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FirstTry {
-    /// When it comes, from the run's start on.
+    /// Time of arrival, relative to the start of the run.
     pub at: Ticks,
-    /// Its customer.
+    /// Index of its customer.
     pub customer: usize,
-    /// What it asks for.
+    /// Product that it requests.
     pub product: ProductId,
-    /// Milliseconds on one core at speed 1.
+    /// Service time in milliseconds on one core at speed 1.
     pub work_ms: f64,
-    /// The units that the request names.
+    /// Quota units that the request declares.
     pub units: f64,
-    /// The units that it takes indeed.
+    /// Quota units that the request actually costs.
     pub true_units: f64,
-    /// Its client's draw of a gateway.
+    /// Random draw that selects the gateway.
     pub gateway_draw: f64,
-    /// The part of the product's expiry for which its client stays.
-    pub stays: f64,
-    /// Whether its client heeds a retry-after.
-    pub honours_advice: bool,
+    /// Client deadline, as a fraction of the product's expiry.
+    pub deadline_fraction: f64,
+    /// Whether its client honours a retry-after.
+    pub honours_retry_after: bool,
 }
 
-/// The clients of a run.
+/// The arrivals of a run.
 #[derive(Clone, Debug)]
 pub struct Arrivals {
-    /// The customers.
+    /// All customers.
     pub customers: Vec<Customer>,
-    /// Their first tries, in order of time.
+    /// First tries of all clients, ordered by time of arrival.
     pub first_tries: Vec<FirstTry>,
-    /// Requests a second of this mix that all warmed-up backends can do, for the record.
-    pub txns_at_capacity: f64,
+    /// Requests per second of the configured product mix that all backends can process after warm-up. It is only reported.
+    pub requests_per_s_at_capacity: f64,
 }
 
-/// What all warmed-up backends can do, in milliseconds of work a second.
-fn capacity(experiment: &Experiment) -> f64 {
+/// Returns the capacity of all backends after warm-up, in milliseconds of work per second.
+fn capacity_ms_per_s(experiment: &Experiment) -> f64 {
     let fleet = &experiment.fleet;
     (fleet.backends * fleet.cores) as f64 * fleet.speed.midpoint() * 1_000.0
 }
 
-/// Requests a second of this mix that all warmed-up backends can do.
-fn txns_at_capacity(experiment: &Experiment) -> f64 {
-    capacity(experiment) / mean_over_products(experiment, |product| product.work_ms)
+/// Returns the requests per second of the configured product mix that all backends can process after warm-up.
+fn requests_per_s_at_capacity(experiment: &Experiment) -> f64 {
+    capacity_ms_per_s(experiment) / mean_over_products(experiment, |product| product.work_ms)
 }
 
-/// The mean of a figure over the products, by their shares.
-fn mean_over_products(experiment: &Experiment, figure: impl Fn(&Product) -> f64) -> f64 {
+/// Returns the mean of a value over the products, weighted by their shares.
+fn mean_over_products(experiment: &Experiment, value: impl Fn(&Product) -> f64) -> f64 {
     let shares: f64 = experiment.product.iter().map(|product| product.share).sum();
-    experiment.product.iter().map(|product| product.share * figure(product)).sum::<f64>() / shares
+    experiment.product.iter().map(|product| product.share * value(product)).sum::<f64>() / shares
 }
 
 fn new_customer(experiment: &Experiment, id: CustomerId, plan: usize, random: &mut RandomStream) -> Customer {
@@ -113,13 +114,13 @@
         subset_start: random.below(gateways),
         subset_size: size.clamp(2.min(gateways), gateways),
         skew: experiment.customers.skew,
-        shift: seconds(random.span(experiment.customers.shift_s)),
+        shift_interval: seconds(random.span(experiment.customers.shift_s)),
         seed: random.seed(),
     }
 }
 
-/// The arrivals of a trace: its customers in the order in which they first come. Rows of plans and products that the
-/// experiment does not have are left out.
+/// Returns the arrivals of a trace, with its customers in the order of their first rows. Rows with a plan or product that
+/// the experiment does not define are skipped.
 pub fn traced(experiment: &Experiment, rows: &[Row], seed: u64) -> Arrivals {
     let mut customer_random = RandomStream::new(seed, Stream::Customers);
     let mut arrival_random = RandomStream::new(seed, Stream::Arrivals);
@@ -139,10 +140,10 @@
         let at = seconds(row.time_s);
         first_tries.push(new_first_try(experiment, at, customer, product, row.units, &mut arrival_random));
     }
-    Arrivals { customers, first_tries, txns_at_capacity: txns_at_capacity(experiment) }
+    Arrivals { customers, first_tries, requests_per_s_at_capacity: requests_per_s_at_capacity(experiment) }
 }
 
-/// Products are drawn by their shares.
+/// Maps a uniform draw to the index of a product, weighted by the products' shares.
 fn choose_product(experiment: &Experiment, draw: f64) -> usize {
     let shares: f64 = experiment.product.iter().map(|product| product.share).sum();
     let mut left = draw * shares;
@@ -155,7 +156,7 @@
     experiment.product.len() - 1
 }
 
-/// One first try as its client draws it.
+/// Draws the random properties of a first try.
 fn new_first_try(
     experiment: &Experiment,
     at: Ticks,
@@ -165,38 +166,38 @@
     random: &mut RandomStream,
 ) -> FirstTry {
     let product = &experiment.product[product_index];
-    let estimate = 1.0 + product.guess * (2.0 * random.unit() - 1.0);
+    let estimate_factor = 1.0 + product.guess * (2.0 * random.unit() - 1.0);
     FirstTry {
         at,
         customer,
         product: ProductId(product_index),
         work_ms: random.lognormal(product.work_ms * units / product.units, product.spread),
-        units: if product.guess > 0.0 { (units * estimate).round().max(1.0) } else { units },
+        units: if product.guess > 0.0 { (units * estimate_factor).round().max(1.0) } else { units },
         true_units: units,
         gateway_draw: random.unit(),
-        stays: random.span(experiment.clients.stays),
-        honours_advice: random.unit() < experiment.clients.honour,
+        deadline_fraction: random.span(experiment.clients.stays),
+        honours_retry_after: random.unit() < experiment.clients.honour,
     }
 }
 
-/// How the load changes over the run, around one.
-fn load_shape(experiment: &Experiment, at_s: f64) -> f64 {
-    let (swing, part) = (experiment.load.swing, at_s / experiment.length_s);
+/// Returns the load at a time of the run, relative to its mean.
+fn load_factor(experiment: &Experiment, at_s: f64) -> f64 {
+    let (swing, progress) = (experiment.load.swing, at_s / experiment.length_s);
     match experiment.load.shape {
         Shape::Steady => 1.0,
-        Shape::Ramp => 1.0 + swing * (2.0 * part - 1.0),
-        Shape::Wave => 1.0 + swing * (part * std::f64::consts::TAU * WAVES).sin(),
+        Shape::Ramp => 1.0 + swing * (2.0 * progress - 1.0),
+        Shape::Wave => 1.0 + swing * (progress * std::f64::consts::TAU * WAVE_PERIODS).sin(),
     }
 }
 
-/// A span in which a customer asks more.
+/// A time interval with increased demand of a customer.
 struct Spike {
     from_s: f64,
     to_s: f64,
     factor: f64,
 }
 
-/// What a customer asks, as multiples of its rate.
+/// The demand of a customer over the run, as multiples of its rate.
 struct Demand {
     base: f64,
     spikes: Vec<Spike>,
@@ -204,21 +205,22 @@
 
 impl Demand {
     fn draw(experiment: &Experiment, random: &mut RandomStream) -> Demand {
-        let uses = &experiment.customers;
-        let calm = random.span(uses.calm);
-        let (kind, heavy) = (random.unit(), random.span(uses.heavy_x));
-        let base = match kind {
-            kind if kind < uses.full => FULL_USE,
-            kind if kind < uses.full + uses.heavy => heavy,
+        let profiles = &experiment.customers;
+        let calm = random.span(profiles.calm);
+        let (draw, heavy) = (random.unit(), random.span(profiles.heavy_x));
+        let base = match draw {
+            draw if draw < profiles.full => FULL_CUSTOMER_DEMAND,
+            draw if draw < profiles.full + profiles.heavy => heavy,
             _ => calm,
         };
-        let spiky = (uses.full + uses.heavy..uses.full + uses.heavy + uses.spiky).contains(&kind);
+        let steady = profiles.full + profiles.heavy;
+        let spiky = (steady..steady + profiles.spiky).contains(&draw);
         let mut spikes = Vec::new();
-        let mut from_s = random.unit() * uses.spike_every_s.max();
+        let mut from_s = random.unit() * profiles.spike_every_s.max();
         while spiky && from_s < experiment.length_s {
-            let to_s = from_s + random.span(uses.spike_s);
-            spikes.push(Spike { from_s, to_s, factor: random.span(uses.spike_x) });
-            from_s += random.span(uses.spike_every_s).max(0.1);
+            let to_s = from_s + random.span(profiles.spike_s);
+            spikes.push(Spike { from_s, to_s, factor: random.span(profiles.spike_x) });
+            from_s += random.span(profiles.spike_every_s).max(0.1);
         }
         Demand { base, spikes }
     }
@@ -233,27 +235,27 @@
     }
 }
 
-/// What customers use inside their quotas on average, as a part of their rate.
-fn mean_use(uses: &Customers) -> f64 {
-    let calm_part = 1.0 - uses.full - uses.heavy - uses.spiky;
-    calm_part * uses.calm.midpoint()
-        + uses.full * FULL_USE
-        + uses.heavy
-        + uses.spiky * (uses.calm.midpoint() + SPIKE_USE)
+/// Returns the mean demand of customers within their quotas, as a fraction of their rate.
+fn mean_demand(profiles: &Customers) -> f64 {
+    let calm = 1.0 - profiles.full - profiles.heavy - profiles.spiky;
+    calm * profiles.calm.midpoint()
+        + profiles.full * FULL_CUSTOMER_DEMAND
+        + profiles.heavy
+        + profiles.spiky * (profiles.calm.midpoint() + MEAN_SPIKE_DEMAND)
 }
 
-/// Generates customers, as many as the load asks for, and their first tries.
+/// Generates as many customers as the configured load requires, and their first tries.
 pub fn generated(experiment: &Experiment, seed: u64) -> Arrivals {
     let mut customer_random = RandomStream::new(seed, Stream::Customers);
     let mut arrival_random = RandomStream::new(seed, Stream::Arrivals);
     let mean_units = mean_over_products(experiment, |product| product.units);
-    let txns_at_capacity = txns_at_capacity(experiment);
-    let inside_units = experiment.load.of_capacity * txns_at_capacity * mean_units;
+    let requests_per_s_at_capacity = requests_per_s_at_capacity(experiment);
+    let units_per_s = experiment.load.of_capacity * requests_per_s_at_capacity * mean_units;
     let plan_shares: f64 = experiment.plan.iter().map(|plan| plan.share).sum();
-    let mean_use = mean_use(&experiment.customers);
+    let mean_demand = mean_demand(&experiment.customers);
     let (mut customers, mut first_tries) = (Vec::new(), Vec::new());
     for (plan_index, plan) in experiment.plan.iter().enumerate() {
-        let count = inside_units * plan.share / plan_shares / (plan.rate * mean_use);
+        let count = units_per_s * plan.share / plan_shares / (plan.rate * mean_demand);
         for _ in 0..count.round().max(1.0) as usize {
             let id = CustomerId(customer_random.seed() & ((1 << CUSTOMER_ID_BITS) - 1));
             let customer = customers.len();
@@ -265,14 +267,14 @@
         }
     }
     first_tries.sort_by_key(|first| (first.at, first.customer));
-    Arrivals { customers, first_tries, txns_at_capacity }
+    Arrivals { customers, first_tries, requests_per_s_at_capacity }
 }
 
-/// A customer's first tries, drawn at its peak rate and thinned to what it asks at each moment.
+/// Generates a customer's first tries as a Poisson process at its peak rate, thinned to its demand at each time.
 struct Thinning<'a> {
     experiment: &'a Experiment,
     customer: usize,
-    /// Units a second of its plan.
+    /// Rate of the customer's plan, in units per second.
     rate: f64,
     mean_units: f64,
     demand: &'a Demand,
@@ -281,19 +283,19 @@
 impl Thinning<'_> {
     fn generate(&self, first_tries: &mut Vec<FirstTry>, random: &mut RandomStream) {
         let experiment = self.experiment;
-        let peak = (1.0 + experiment.load.swing) * self.demand.peak() * peak_flood(experiment);
+        let peak = (1.0 + experiment.load.swing) * self.demand.peak() * peak_flood_factor(experiment);
         let tries_per_s = self.rate * peak / self.mean_units;
-        let mut at_s = random.gap(tries_per_s);
+        let mut at_s = random.interarrival_s(tries_per_s);
         while at_s < experiment.length_s {
-            let asks = load_shape(experiment, at_s) * self.demand.at(at_s);
-            let flood = flood(experiment, self.customer, at_s);
-            if random.unit() * peak < asks * flood {
+            let demand = load_factor(experiment, at_s) * self.demand.at(at_s);
+            let flood = flood_factor(experiment, self.customer, at_s);
+            if random.unit() * peak < demand * flood {
                 let product = choose_product(experiment, random.unit());
                 let units = experiment.product[product].units;
                 let (at, customer) = (seconds(at_s), self.customer);
                 first_tries.push(new_first_try(experiment, at, customer, product, units, random));
             }
-            at_s += random.gap(tries_per_s);
+            at_s += random.interarrival_s(tries_per_s);
         }
     }
 }
@@ -302,17 +304,18 @@
     experiment.fault.iter().filter(|fault| fault.kind == FaultKind::Flood)
 }
 
-/// The factor of the largest flood.
-fn peak_flood(experiment: &Experiment) -> f64 {
+/// Returns the factor of the largest flood.
+fn peak_flood_factor(experiment: &Experiment) -> f64 {
     floods(experiment).map(|fault| fault.size).fold(1.0, f64::max)
 }
 
-/// By how much a customer asks more in a flood; each so manieth customer floods.
-fn flood(experiment: &Experiment, customer: usize, at_s: f64) -> f64 {
-    let every = |part: f64| (1.0 / part.max(1e-6)).round().max(1.0) as usize;
-    let under_way = floods(experiment).filter(|fault| (fault.at_s..fault.at_s + fault.for_s).contains(&at_s));
-    let strikes = under_way.filter(|fault| customer.is_multiple_of(every(fault.part)));
-    strikes.map(|fault| fault.size).fold(1.0, f64::max)
+/// Returns the factor by which floods raise a customer's demand at a time. A flood with the fraction `part` affects every
+/// (1 / `part`)th customer.
+fn flood_factor(experiment: &Experiment, customer: usize, at_s: f64) -> f64 {
+    let stride = |part: f64| (1.0 / part.max(1e-6)).round().max(1.0) as usize;
+    let active = floods(experiment).filter(|fault| (fault.at_s..fault.at_s + fault.for_s).contains(&at_s));
+    let affecting = active.filter(|fault| customer.is_multiple_of(stride(fault.part)));
+    affecting.map(|fault| fault.size).fold(1.0, f64::max)
 }
 
 #[cfg(test)]
--- a/crates/simulator/src/backends.rs
+++ b/crates/simulator/src/backends.rs
@@ -1,89 +1,89 @@
-//! A model of a backend: cores that work, a queue that waits, and a process that dies and comes back to warm up.
+//! Model of a backend: cores, a queue, and a process that can crash, restart and warm up.
 
 use crate::experiment::{Fleet, Rules, Stops};
 use std::collections::VecDeque;
 use vanewharf_policy::interface::Ticks;
 
-/// Requests in the queue up to which work is not slowed by crowding.
-const UNCROWDED_QUEUE: usize = 12;
+/// Queue length up to which `fleet.thrash` does not increase the service time.
+const UNSLOWED_QUEUE_LENGTH: usize = 12;
 
-/// Whether a backend's process runs.
+/// State of a backend's process.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum State {
-    /// It runs.
+    /// The process runs.
     Up,
-    /// It takes work and answers nothing.
+    /// The process accepts requests but does not respond.
     Unresponsive,
-    /// There is no process.
+    /// The process is not running.
     Down,
 }
 
-/// What becomes of an attempt that reaches a backend.
+/// What a backend does with an attempt that arrives.
 #[derive(Debug, PartialEq)]
 pub enum Reception {
-    /// A core begins to work on it.
+    /// A core starts to process it.
     Started,
-    /// It waits in the queue.
+    /// It is queued.
     Queued,
-    /// The queue is full.
+    /// It is rejected because the queue is full.
     Rejected,
-    /// Nobody reads it.
+    /// It is never processed because the process is unresponsive.
     Lost,
-    /// No process is there.
+    /// The connection is refused because no process is running.
     Refused,
 }
 
-/// What a cancellation does to an attempt.
+/// Effect of a cancellation on an attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Cancellation {
-    /// It waited and has left the queue.
+    /// The attempt was queued and is removed from the queue.
     Dequeued,
-    /// It was worked on, and its core is free.
+    /// The attempt was in service and is aborted; its core is free.
     CoreFreed,
 }
 
-/// Work that has reached a backend while it warms up.
+/// Work that a backend received during its warm-up.
 struct RecentWork {
-    at: Ticks,
+    received_at: Ticks,
     work_ms: f64,
-    /// Whether its gateway knew of the backend's start.
+    /// Whether the sending gateway had been told of the backend's latest start.
     informed: bool,
 }
 
-/// One backend.
+/// A simulated backend.
 pub struct Backend {
-    /// Its zone, as an index.
+    /// Index of its zone.
     pub zone: usize,
-    /// The cell with which it fails.
+    /// Index of its cell, the group of backends that some faults affect together.
     pub cell: usize,
-    /// How fast its cores are, around 1.
+    /// Relative speed of its cores; 1 is nominal.
     pub speed: f64,
-    /// Whether its process runs.
+    /// State of its process.
     pub state: State,
-    /// By how much a fault slows it; 1 without.
+    /// Factor by which a fault slows it down; 1 without a fault.
     pub slowdown: f64,
-    /// The part of its answers that a fault cuts off.
+    /// Fraction of its responses that a fault loses.
     pub lost_answers: f64,
-    /// Whether it drains.
+    /// Whether it is draining.
     pub draining: bool,
-    /// When its process started, if after the run's start.
+    /// Start of its process; none if it was started before the run.
     pub started_at: Option<Ticks>,
-    /// Goes up at each start and end of its process; what ran before means nothing any more.
+    /// Incremented whenever its process starts or stops, so that events of earlier processes can be ignored.
     pub incarnation: u32,
-    /// Cores at work.
+    /// Number of busy cores.
     pub working: usize,
-    /// Attempts in its queue.
+    /// Queued attempts.
     pub queue: VecDeque<usize>,
-    /// Milliseconds of work done so far.
+    /// Total work that its cores have started, in milliseconds at speed 1.
     pub worked_ms: f64,
-    recent: VecDeque<RecentWork>,
-    recent_ms: f64,
-    /// Whether it was overloaded while it warmed up: then it stays down.
+    recent_work: VecDeque<RecentWork>,
+    recent_work_ms: f64,
+    /// Whether it was overloaded during its warm-up. If so, it stays down for the rest of the run.
     pub overloaded: bool,
 }
 
 impl Backend {
-    /// A backend that has been up for long.
+    /// Creates a backend that has completed its warm-up.
     pub fn new(zone: usize, cell: usize, speed: f64) -> Backend {
         Backend {
             zone,
@@ -98,14 +98,14 @@
             working: 0,
             queue: VecDeque::new(),
             worked_ms: 0.0,
-            recent: VecDeque::new(),
-            recent_ms: 0.0,
+            recent_work: VecDeque::new(),
+            recent_work_ms: 0.0,
             overloaded: false,
         }
     }
 
-    /// The part of its capacity that it has by now.
-    pub fn warmth(&self, now: Ticks, fleet: &Fleet) -> f64 {
+    /// Returns the fraction of its full capacity that the backend has at a time of its warm-up; 1 after it.
+    pub fn warm_fraction(&self, now: Ticks, fleet: &Fleet) -> f64 {
         let Some(started_at) = self.started_at else {
             return 1.0;
         };
@@ -113,24 +113,24 @@
         (fleet.cold_from + (1.0 - fleet.cold_from) * age.max(0.0)).min(1.0)
     }
 
-    /// Milliseconds of work a second that it can do by now.
+    /// Returns the current capacity, in milliseconds of work per second.
     pub fn capacity(&self, now: Ticks, fleet: &Fleet) -> f64 {
-        fleet.cores as f64 * 1_000.0 * self.speed * self.warmth(now, fleet) / self.slowdown
+        fleet.cores as f64 * 1_000.0 * self.speed * self.warm_fraction(now, fleet) / self.slowdown
     }
 
-    /// Attempts at work or in the queue.
+    /// Returns the number of attempts that are in service or queued.
     pub fn outstanding(&self) -> usize {
         self.working + self.queue.len()
     }
 
-    /// How long so much work takes one of its cores now, in seconds.
+    /// Returns how long one core currently takes for an amount of work, in seconds.
     pub fn work_time(&self, work_ms: f64, now: Ticks, fleet: &Fleet) -> f64 {
-        let crowd = self.queue.len().saturating_sub(UNCROWDED_QUEUE) as f64;
-        let pace = self.speed * self.warmth(now, fleet) / self.slowdown;
-        work_ms * (1.0 + fleet.thrash * crowd / fleet.queue.max(1) as f64) / pace / 1_000.0
+        let excess_queue = self.queue.len().saturating_sub(UNSLOWED_QUEUE_LENGTH) as f64;
+        let speed = self.speed * self.warm_fraction(now, fleet) / self.slowdown;
+        work_ms * (1.0 + fleet.thrash * excess_queue / fleet.queue.max(1) as f64) / speed / 1_000.0
     }
 
-    /// An attempt reaches it.
+    /// Accepts, queues or refuses an attempt that arrives.
     pub fn receive(&mut self, attempt: usize, fleet: &Fleet) -> Reception {
         match self.state {
             State::Down => Reception::Refused,
@@ -147,7 +147,7 @@
         }
     }
 
-    /// A core is free: the attempt that it goes on with, if any waits.
+    /// Releases a core, and returns the queued attempt that it processes next, if there is any.
     pub fn next_in_queue(&mut self) -> Option<usize> {
         let next = self.queue.pop_front();
         if next.is_none() {
@@ -156,8 +156,8 @@
         next
     }
 
-    /// An attempt is cancelled; none where it goes on. `begun`: a core works on it.
-    pub fn cancel(&mut self, attempt: usize, begun: bool, stops: Stops) -> Option<Cancellation> {
+    /// Cancels an attempt. `in_service` tells whether a core is processing it. Returns none if the attempt continues.
+    pub fn cancel(&mut self, attempt: usize, in_service: bool, stops: Stops) -> Option<Cancellation> {
         if stops == Stops::Nothing {
             return None;
         }
@@ -165,20 +165,21 @@
             self.queue.remove(position);
             return Some(Cancellation::Dequeued);
         }
-        (begun && stops == Stops::All).then_some(Cancellation::CoreFreed)
+        (in_service && stops == Stops::All).then_some(Cancellation::CoreFreed)
     }
 
-    /// How near it is to being overloaded while it warms up; 1 is over.
-    pub fn overload(&self, now: Ticks, fleet: &Fleet, rules: &Rules) -> f64 {
+    /// Returns the recent work as a fraction of the amount that overloads the backend during its warm-up; 0 if it is not
+    /// warming up.
+    pub fn overload_ratio(&self, now: Ticks, fleet: &Fleet, rules: &Rules) -> f64 {
         let bound = rules.fall_multiple * self.capacity(now, fleet) * rules.fall_ms / 1_000.0;
-        if self.state == State::Up && self.warmth(now, fleet) < 1.0 {
-            self.recent_ms / bound.max(1e-9)
+        if self.state == State::Up && self.warm_fraction(now, fleet) < 1.0 {
+            self.recent_work_ms / bound.max(1e-9)
         } else {
             0.0
         }
     }
 
-    /// Its process ends, with all that it works on.
+    /// Stops the process, which loses all attempts in service and in the queue.
     pub fn stop(&mut self) {
         self.state = State::Down;
         self.incarnation += 1;
@@ -186,7 +187,7 @@
         self.queue.clear();
     }
 
-    /// A process starts in its place and warms up; not where it was overloaded.
+    /// Starts a new process, which warms up. Does nothing if the backend was overloaded earlier.
     pub fn start(&mut self, now: Ticks) {
         if self.overloaded {
             return;
@@ -197,12 +198,13 @@
         self.draining = false;
         self.working = 0;
         self.queue.clear();
-        self.recent.clear();
-        self.recent_ms = 0.0;
+        self.recent_work.clear();
+        self.recent_work_ms = 0.0;
     }
 
-    /// Counts work that reaches it while it warms up; `informed`: its gateway knew of the start. Where that overloads the
-    /// backend, it stops for good, and the part of the work that came from informed gateways is given.
+    /// Records work that arrives during the warm-up. `informed` tells whether the sending gateway had been told of the
+    /// backend's start. If the work overloads the backend, the backend stops for the rest of the run, and the fraction of
+    /// the recent work that came from informed gateways is returned.
     pub fn record_load(
         &mut self,
         work_ms: f64,
@@ -211,29 +213,32 @@
         fleet: &Fleet,
         rules: &Rules,
     ) -> Option<f64> {
-        if self.state == State::Down || self.warmth(now, fleet) >= 1.0 {
-            self.recent.clear();
-            self.recent_ms = 0.0;
+        if self.state == State::Down || self.warm_fraction(now, fleet) >= 1.0 {
+            self.recent_work.clear();
+            self.recent_work_ms = 0.0;
             return None;
         }
-        self.recent.push_back(RecentWork { at: now, work_ms, informed });
-        self.recent_ms += work_ms;
+        self.recent_work.push_back(RecentWork { received_at: now, work_ms, informed });
+        self.recent_work_ms += work_ms;
         let window = rules.fall_ms / 1_000.0;
-        while let Some(oldest) = self.recent.front().filter(|oldest| (now - oldest.at).seconds() > window) {
-            self.recent_ms -= oldest.work_ms;
-            self.recent.pop_front();
+        while let Some(oldest) =
+            self.recent_work.front().filter(|oldest| (now - oldest.received_at).seconds() > window)
+        {
+            self.recent_work_ms -= oldest.work_ms;
+            self.recent_work.pop_front();
         }
-        // A little more, for chance: one request on each core.
+        // One request per core is tolerated on top, as arrivals are random.
         let slack = fleet.cores as f64 * work_ms;
         let bound = rules.fall_multiple * self.capacity(now, fleet) * window + slack;
-        if self.recent_ms <= bound {
+        if self.recent_work_ms <= bound {
             return None;
         }
-        let informed: f64 = self.recent.iter().filter(|work| work.informed).map(|work| work.work_ms).sum();
-        let part = informed / self.recent_ms.max(1e-9);
+        let informed: f64 =
+            self.recent_work.iter().filter(|work| work.informed).map(|work| work.work_ms).sum();
+        let informed_fraction = informed / self.recent_work_ms.max(1e-9);
         self.overloaded = true;
         self.stop();
-        Some(part)
+        Some(informed_fraction)
     }
 }
 
--- a/crates/simulator/src/lib.rs
+++ b/crates/simulator/src/lib.rs
@@ -1,9 +1,9 @@
-//! A deterministic simulator of a fleet: gateways with the decisions of `vanewharf-policy`, backends, customers, discovery,
-//! the shared counter, and faults. docs/lab.md tells how to use it and what the model leaves out.
+//! Deterministic simulator of a fleet: gateways that are controlled by `vanewharf-policy`, backends, customers, discovery,
+//! the shared quota counter, and injected faults. docs/lab.md describes its use and the limits of the model.
 //!
-//! An [`experiment::Experiment`] is read from a file; [`arrivals`] are generated from it or read from a trace;
-//! [`simulation::Simulation`] runs them against a [`policy::Policy`] and gives a [`score::RunRecord`]. The same experiment,
-//! seed and policy give the same figures to the byte.
+//! An [`experiment::Experiment`] is read from a file, and [`arrivals`] are generated from it or read from a trace.
+//! [`simulation::Simulation`] runs them with a [`policy::Policy`] and returns a [`score::RunRecord`]. The same experiment,
+//! seed and policy give reports that are equal byte for byte.
 
 #![forbid(unsafe_code)]
 
--- a/crates/simulator/src/plots.rs
+++ b/crates/simulator/src/plots.rs
@@ -1,5 +1,5 @@
-//! Plots, in SVG by plotters and in PNG from the same drawing. No font of the system is used: letters of the PNG are the
-//! eight-by-eight pixels of the font8x8 crate, so that every machine draws the same.
+//! Plots of runs and sweeps as SVG and PNG files. PNG text is drawn with the 8x8 pixel font of the font8x8 crate instead of
+//! a system font, so that all machines produce the same files.
 
 use crate::report::policies;
 use crate::run::Outcome;
@@ -13,33 +13,33 @@
 use thiserror::Error;
 
 /// Width and height of a plot in pixels.
-const SIZE: (u32, u32) = (960, 480);
+const PLOT_SIZE_PX: (u32, u32) = (960, 480);
 
-/// One line of a plot.
+/// A line of a plot.
 pub struct Line {
-    /// Its name in the legend.
+    /// Name in the legend.
     pub name: String,
-    /// Its points, across and up.
+    /// Points as pairs of x and y.
     pub points: Vec<(f64, f64)>,
 }
 
 /// A plot of lines.
 pub struct Plot {
-    /// The name of its file.
+    /// File name without extension.
     pub name: &'static str,
-    /// What stands above it.
+    /// Title.
     pub title: String,
-    /// What the axis across stands for.
+    /// Label of the x axis.
     pub across: String,
-    /// What is drawn.
+    /// Lines of the plot.
     pub lines: Vec<Line>,
-    /// A bound, drawn through as a line of its own.
+    /// Value of a horizontal reference line, if there is one.
     pub bound: Option<f64>,
 }
 
-/// A plot could not be drawn; the text is that of the library that draws.
+/// A plot could not be drawn or encoded. The message is that of the library that failed.
 #[derive(Debug, Error)]
-#[error("cannot draw: {0}")]
+#[error("drawing a plot failed: {0}")]
 pub struct DrawError(String);
 
 impl DrawError {
@@ -48,7 +48,7 @@
     }
 }
 
-/// The plots of a run.
+/// Returns the plots of a run.
 pub fn of_run(outcome: &Outcome) -> Vec<Plot> {
     let seconds = &outcome.balancer.seconds;
     let line = |name: &str, of: &dyn Fn(&SecondStats) -> f64| {
@@ -69,10 +69,10 @@
         bound,
     };
     vec![
-        plot("served", "worth served over worth offered", served.into_iter().collect(), None),
+        plot("served", "value served / value offered", served.into_iter().collect(), None),
         plot(
             "answers",
-            "first tries a second, by what became of them",
+            "first tries per second, by outcome",
             vec![
                 line("came", &|second| second.first_tries as f64),
                 line("in time", &|second| second.in_time as f64),
@@ -84,7 +84,7 @@
         ),
         plot(
             "load",
-            "work begun and capacity, core seconds a second",
+            "work started and capacity, core seconds per second",
             vec![
                 line("work", &|second| second.worked_ms / 1_000.0),
                 line("capacity", &|second| second.capacity_ms / 1_000.0),
@@ -93,17 +93,17 @@
         ),
         plot(
             "margins",
-            "how near the rules: ceilings and cold backends, 1 is over",
+            "use of hard limits and of the load bound in warm-up (a rule is violated above 1)",
             vec![
-                line("ceiling", &|second| second.nearest_hard_limit.max(0.0)),
-                line("cold backend", &|second| second.nearest_overload),
+                line("hard limit", &|second| second.max_hard_limit_ratio.max(0.0)),
+                line("load in warm-up", &|second| second.max_overload_ratio),
             ],
             Some(1.0),
         ),
     ]
 }
 
-/// Score against the first swept key; a line for each value of a second.
+/// Returns the plot of the score over the values of the first swept key, with one line for each value of a second key.
 pub fn of_sweep(keys: &[String], points: &[Point]) -> Plot {
     let number = |value: &toml::Value, no: usize| {
         let float = value.as_float().or_else(|| value.as_integer().map(|whole| whole as f64));
@@ -118,30 +118,30 @@
             None => lines.push(Line { name, points: vec![at] }),
         }
     }
-    let title = "score by what was swept; 0 where a rule broke".to_owned();
+    let title = "mean score by swept value (0 where a rule was violated)".to_owned();
     Plot { name: "score", title, across: keys[0].clone(), lines, bound: None }
 }
 
 impl Plot {
-    /// The plot as an SVG file.
+    /// Renders the plot as an SVG file.
     ///
     /// # Errors
-    /// If it cannot be drawn.
+    /// Returns an error if drawing fails.
     pub fn svg(&self) -> Result<String, DrawError> {
         let mut text = String::new();
-        self.draw(SVGBackend::with_string(&mut text, SIZE).into_drawing_area())?;
+        self.draw(SVGBackend::with_string(&mut text, PLOT_SIZE_PX).into_drawing_area())?;
         Ok(text)
     }
 
-    /// The plot as a PNG file.
+    /// Renders the plot as a PNG file.
     ///
     /// # Errors
-    /// If it cannot be drawn or encoded.
+    /// Returns an error if drawing or encoding fails.
     pub fn png(&self) -> Result<Vec<u8>, DrawError> {
-        let mut pixels = vec![0xff; (SIZE.0 * SIZE.1 * 3) as usize];
-        self.draw(Pixels { pixels: &mut pixels }.into_drawing_area())?;
+        let mut pixels = vec![0xff; (PLOT_SIZE_PX.0 * PLOT_SIZE_PX.1 * 3) as usize];
+        self.draw(PixelBuffer { pixels: &mut pixels }.into_drawing_area())?;
         let mut bytes = Vec::new();
-        let mut encoder = png::Encoder::new(&mut bytes, SIZE.0, SIZE.1);
+        let mut encoder = png::Encoder::new(&mut bytes, PLOT_SIZE_PX.0, PLOT_SIZE_PX.1);
         encoder.set_color(png::ColorType::Rgb);
         let mut writer = encoder.write_header().map_err(DrawError::new)?;
         writer.write_image_data(&pixels).map_err(DrawError::new)?;
@@ -152,22 +152,22 @@
     fn draw<D: DrawingBackend>(&self, area: DrawingArea<D, plotters::coord::Shift>) -> Result<(), DrawError> {
         area.fill(&WHITE).map_err(DrawError::new)?;
         let all = || self.lines.iter().flat_map(|line| line.points.iter().copied());
-        let least = all().map(|point| point.0).fold(f64::MAX, f64::min);
-        let most = all().map(|point| point.0).fold(f64::MIN, f64::max);
-        let (least, most) = if least < most { (least, most) } else { (0.0, 1.0) };
-        let high = all().map(|point| point.1).chain(self.bound).fold(0.0, f64::max).max(1e-9) * 1.05;
+        let x_min = all().map(|point| point.0).fold(f64::MAX, f64::min);
+        let x_max = all().map(|point| point.0).fold(f64::MIN, f64::max);
+        let (x_min, x_max) = if x_min < x_max { (x_min, x_max) } else { (0.0, 1.0) };
+        let y_max = all().map(|point| point.1).chain(self.bound).fold(0.0, f64::max).max(1e-9) * 1.05;
         let mut chart = ChartBuilder::on(&area)
             .caption(&self.title, ("monospace", 16))
             .margin(12)
             .x_label_area_size(36)
             .y_label_area_size(64)
-            .build_cartesian_2d(least..most, 0.0..high)
+            .build_cartesian_2d(x_min..x_max, 0.0..y_max)
             .map_err(DrawError::new)?;
         let mut mesh = chart.configure_mesh();
         mesh.x_desc(&self.across).label_style(("monospace", 12)).axis_desc_style(("monospace", 12));
         mesh.draw().map_err(DrawError::new)?;
         if let Some(bound) = self.bound {
-            let line = [(least, bound), (most, bound)];
+            let line = [(x_min, bound), (x_max, bound)];
             chart.draw_series(LineSeries::new(line, BLACK.mix(0.5))).map_err(DrawError::new)?;
         }
         for (no, line) in self.lines.iter().enumerate() {
@@ -186,19 +186,19 @@
     }
 }
 
-/// Pixels in rows of red, green and blue, with letters of its own.
-struct Pixels<'a> {
+/// Drawing backend for an RGB pixel buffer that draws text with an 8x8 pixel font.
+struct PixelBuffer<'a> {
     pixels: &'a mut [u8],
 }
 
-/// Width and height of a letter in pixels.
-const LETTER: i32 = 8;
+/// Width and height of a glyph in pixels.
+const GLYPH_SIZE_PX: i32 = 8;
 
-impl DrawingBackend for Pixels<'_> {
+impl DrawingBackend for PixelBuffer<'_> {
     type ErrorType = Infallible;
 
     fn get_size(&self) -> (u32, u32) {
-        SIZE
+        PLOT_SIZE_PX
     }
 
     fn ensure_prepared(&mut self) -> Result<(), DrawingErrorKind<Infallible>> {
@@ -215,12 +215,12 @@
         color: BackendColor,
     ) -> Result<(), DrawingErrorKind<Infallible>> {
         let (x, y) = at;
-        if x < 0 || y < 0 || x >= SIZE.0 as i32 || y >= SIZE.1 as i32 {
+        if x < 0 || y < 0 || x >= PLOT_SIZE_PX.0 as i32 || y >= PLOT_SIZE_PX.1 as i32 {
             return Ok(());
         }
-        let from = ((y as u32 * SIZE.0 + x as u32) * 3) as usize;
+        let offset = ((y as u32 * PLOT_SIZE_PX.0 + x as u32) * 3) as usize;
         let (red, green, blue) = color.rgb;
-        for (pixel, ink) in self.pixels[from..from + 3].iter_mut().zip([red, green, blue]) {
+        for (pixel, ink) in self.pixels[offset..offset + 3].iter_mut().zip([red, green, blue]) {
             *pixel = (f64::from(*pixel) * (1.0 - color.alpha) + f64::from(ink) * color.alpha).round() as u8;
         }
         Ok(())
@@ -233,7 +233,7 @@
         at: BackendCoord,
     ) -> Result<(), DrawingErrorKind<Infallible>> {
         use plotters_backend::text_anchor::{HPos, VPos};
-        let (width, anchor) = (text.chars().count() as i32 * LETTER, style.anchor());
+        let (width, anchor) = (text.chars().count() as i32 * GLYPH_SIZE_PX, style.anchor());
         let x = at.0
             - match anchor.h_pos {
                 HPos::Left => 0,
@@ -243,17 +243,20 @@
         let y = at.1
             - match anchor.v_pos {
                 VPos::Top => 0,
-                VPos::Center => LETTER / 2,
-                VPos::Bottom => LETTER,
+                VPos::Center => GLYPH_SIZE_PX / 2,
+                VPos::Bottom => GLYPH_SIZE_PX,
             };
-        for (no, letter) in text.chars().enumerate() {
+        for (index, letter) in text.chars().enumerate() {
             let Some(rows) = font8x8::BASIC_FONTS.get(letter) else {
                 continue;
             };
-            for (down, row) in rows.iter().enumerate() {
-                for across in 0..8 {
-                    if row >> across & 1 == 1 {
-                        self.draw_pixel((x + no as i32 * LETTER + across, y + down as i32), style.color())?;
+            for (dy, row) in rows.iter().enumerate() {
+                for dx in 0..8 {
+                    if row >> dx & 1 == 1 {
+                        self.draw_pixel(
+                            (x + index as i32 * GLYPH_SIZE_PX + dx, y + dy as i32),
+                            style.color(),
+                        )?;
                     }
                 }
             }
@@ -266,6 +269,6 @@
         text: &str,
         _: &S,
     ) -> Result<(u32, u32), DrawingErrorKind<Infallible>> {
-        Ok((text.chars().count() as u32 * LETTER as u32, LETTER as u32))
+        Ok((text.chars().count() as u32 * GLYPH_SIZE_PX as u32, GLYPH_SIZE_PX as u32))
     }
 }
--- a/crates/simulator/src/policy.rs
+++ b/crates/simulator/src/policy.rs
@@ -1,5 +1,6 @@
-//! Who decides in a simulation: the project's own decisions, one instance a gateway, and two baselines to compare them
-//! with, the plainest there is and one that sees what no gateway can.
+//! Policies that decide for the gateways of a simulation: the project's balancer, with one instance per gateway, and two
+//! baselines for comparison. Round robin is the lower baseline; the omniscient policy is the upper one, with knowledge of
+//! queues and quotas that no gateway has.
 
 use std::collections::BTreeMap;
 use vanewharf_policy::decide::Balancer;
@@ -8,32 +9,33 @@
     Idempotency, Outcome, Ticks, TxnId,
 };
 
-/// Backends between the first choices of gateways that go round robin.
+/// Offset between the initial backends of two round-robin gateways, so that they don't all start with the same backend.
 const ROUND_ROBIN_STRIDE: usize = 7;
 
-/// What the omniscient policy sees of the fleet, as it was a moment ago.
+/// Snapshot of the backends for the omniscient policy. It is refreshed periodically.
 pub struct FleetView {
-    /// For each backend, seconds that a newcomer would wait, or none where nothing should go.
+    /// For each backend, the estimated time in seconds until a new request is finished, or none if the backend is down,
+    /// unresponsive or draining.
     pub waits: Vec<Option<f64>>,
-    /// For each backend, the seconds that a newcomer adds to the wait.
-    pub paces: Vec<f64>,
+    /// For each backend, the seconds by which a new request increases that time.
+    pub service_times: Vec<f64>,
 }
 
-/// Whether one who sees all would admit a request, by the true quotas.
+/// Decides admission by the exact state of the customers' quotas. Only the omniscient policy uses it.
 pub type QuotaOracle<'a> = dyn FnMut(&Arrival) -> bool + 'a;
 
 /// The decisions of all gateways of a simulation.
 pub trait Policy {
-    /// A gateway starts.
+    /// Initializes the policy of a gateway that starts.
     fn start_gateway(&mut self, gateway: usize, config: BalancerConfig);
 
-    /// A gateway stops, and all that it knew is lost.
+    /// Discards the state of a gateway that stops.
     fn stop_gateway(&mut self, gateway: usize);
 
-    /// The fleet's view was renewed.
+    /// Notifies the policy that the snapshot of the backends was refreshed.
     fn observe(&mut self, _now: Ticks, _backends: usize) {}
 
-    /// A gateway handles a batch of events.
+    /// Processes a batch of events of a gateway and returns its actions.
     fn decide(
         &mut self,
         gateway: usize,
@@ -44,7 +46,7 @@
     ) -> Vec<Action>;
 }
 
-/// The project's own decisions.
+/// The project's balancer.
 #[derive(Default)]
 pub struct BalancerPolicy {
     gateways: BTreeMap<usize, Balancer>,
@@ -71,7 +73,7 @@
     }
 }
 
-/// An attempt of a request, as a baseline keeps it.
+/// An attempt that a baseline has sent.
 struct SentAttempt {
     backend: BackendId,
     may_have_run: bool,
@@ -82,18 +84,18 @@
     attempts: Vec<SentAttempt>,
 }
 
-/// What both baselines keep of a gateway.
+/// State of a gateway under either baseline.
 struct BaselineGateway {
     config: BalancerConfig,
     ready: Vec<BackendId>,
-    /// Where the round has got to.
-    next: usize,
+    /// Round-robin position.
+    position: usize,
     open: BTreeMap<TxnId, OpenRequest>,
 }
 
 impl BaselineGateway {
-    fn new(config: BalancerConfig, next: usize) -> BaselineGateway {
-        BaselineGateway { config, ready: Vec::new(), next, open: BTreeMap::new() }
+    fn new(config: BalancerConfig, position: usize) -> BaselineGateway {
+        BaselineGateway { config, ready: Vec::new(), position, open: BTreeMap::new() }
     }
 
     fn replace_backends(&mut self, entries: &[BackendInfo]) {
@@ -126,17 +128,18 @@
         self.config.products[request.arrival.product.0].idempotency
     }
 
-    fn reject(&mut self, txn: TxnId, actions: &mut Vec<Action>) {
+    /// Ends a request without a response: rejects it if a retry is safe, else fails it.
+    fn refuse(&mut self, txn: TxnId, actions: &mut Vec<Action>) {
         let Some(request) = self.open.remove(&txn) else {
             return;
         };
         let may_have_run = request.attempts.iter().any(|attempt| attempt.may_have_run);
-        let harmless = !may_have_run || self.idempotency(&request) != Idempotency::NonIdempotent;
+        let retry_is_safe = !may_have_run || self.idempotency(&request) != Idempotency::NonIdempotent;
         let rejection = Action::Reject { txn, retry_after: None };
-        actions.push(if harmless { rejection } else { Action::Fail { txn } });
+        actions.push(if retry_is_safe { rejection } else { Action::Fail { txn } });
     }
 
-    /// Notes the end of an attempt; whether its request may be sent again.
+    /// Records the end of an attempt, and returns whether its request may be sent again.
     fn end_attempt(&mut self, report: &AttemptReport) -> bool {
         if report.complete {
             self.open.remove(&report.txn);
@@ -150,16 +153,16 @@
         };
         attempt.may_have_run = !report.outcome.never_ran();
         let request = &self.open[&report.txn];
-        let repeatable = self.idempotency(request) == Idempotency::Idempotent
+        let retry_is_safe = self.idempotency(request) == Idempotency::Idempotent
             || !request.attempts.iter().any(|attempt| attempt.may_have_run);
-        repeatable
+        retry_is_safe
             && request.attempts.len() < self.config.allowed.max_attempts
             && report.outcome != Outcome::TimedOut
             && report.outcome != Outcome::NotSent
     }
 }
 
-/// Admits everything, sends it to the backends in turn, and never retries.
+/// Admits all requests, sends them to the backends round robin, and never retries.
 #[derive(Default)]
 pub struct RoundRobin {
     gateways: BTreeMap<usize, BaselineGateway>,
@@ -195,17 +198,17 @@
                     let txn = arrival.txn;
                     state.add_request(arrival);
                     if state.ready.is_empty() {
-                        state.reject(txn, &mut actions);
+                        state.refuse(txn, &mut actions);
                     } else {
-                        state.next += 1;
-                        let backend = state.ready[state.next % state.ready.len()];
+                        state.position += 1;
+                        let backend = state.ready[state.position % state.ready.len()];
                         state.send(txn, backend, &mut actions);
                     }
                 }
                 Event::AttemptEnded(report) => {
                     state.end_attempt(&report);
                     if !report.complete {
-                        state.reject(report.txn, &mut actions);
+                        state.refuse(report.txn, &mut actions);
                     }
                 }
                 Event::ClientDisconnected(txn) => drop(state.open.remove(&txn)),
@@ -216,16 +219,17 @@
     }
 }
 
-/// Sees every backend's queue as it was a moment ago and every quota as it is, and sends where the wait is shortest.
+/// Knows the recent queue of every backend and the exact state of every quota, and sends each request to the backend with
+/// the shortest wait.
 #[derive(Default)]
 pub struct Omniscient {
     gateways: BTreeMap<usize, BaselineGateway>,
-    /// For each backend, what was sent since the view was renewed, in seconds of wait.
-    added: Vec<f64>,
+    /// For each backend, the wait in seconds that requests sent since the last snapshot add to it.
+    added_waits: Vec<f64>,
 }
 
 impl Omniscient {
-    /// The open backend with the shortest wait, and that wait in seconds.
+    /// Returns the ready backend with the shortest wait that the request was not sent to yet, and that wait in seconds.
     fn best_backend(
         &self,
         ready: &[BackendId],
@@ -234,16 +238,16 @@
     ) -> Option<(BackendId, f64)> {
         let wait = |id: &BackendId| {
             let backend = id.0 as usize;
-            let added = self.added.get(backend).copied().unwrap_or_default();
+            let added = self.added_waits.get(backend).copied().unwrap_or_default();
             view.waits.get(backend)?.map(|wait| (*id, wait + added))
         };
         let tried = |id: &BackendId| request.attempts.iter().any(|attempt| attempt.backend == *id);
-        let open = ready.iter().filter(|id| !tried(id));
-        open.filter_map(wait).min_by(|one, other| one.1.total_cmp(&other.1))
+        let untried = ready.iter().filter(|id| !tried(id));
+        untried.filter_map(wait).min_by(|left, right| left.1.total_cmp(&right.1))
     }
 
-    /// Sends a request where it waits least, if it can be answered in time there.
-    fn place(
+    /// Sends a request to the backend with the shortest wait if that is below the SLA and the deadline, else refuses it.
+    fn send_or_refuse(
         &mut self,
         state: &mut BaselineGateway,
         txn: TxnId,
@@ -255,16 +259,18 @@
             return;
         };
         let sla = state.config.products[request.arrival.product.0].sla_time.seconds();
-        let left = sla.min((request.arrival.deadline - now).seconds());
+        let time_limit = sla.min((request.arrival.deadline - now).seconds());
         match self.best_backend(&state.ready, view, request) {
-            Some((backend, wait)) if wait < left => {
+            Some((backend, wait)) if wait < time_limit => {
                 let index = backend.0 as usize;
-                if let (Some(added), Some(pace)) = (self.added.get_mut(index), view.paces.get(index)) {
-                    *added += pace;
+                if let (Some(added), Some(service_time)) =
+                    (self.added_waits.get_mut(index), view.service_times.get(index))
+                {
+                    *added += service_time;
                 }
                 state.send(txn, backend, actions);
             }
-            _ => state.reject(txn, actions),
+            _ => state.refuse(txn, actions),
         }
     }
 }
@@ -279,7 +285,7 @@
     }
 
     fn observe(&mut self, _: Ticks, backends: usize) {
-        self.added = vec![0.0; backends];
+        self.added_waits = vec![0.0; backends];
     }
 
     fn decide(
@@ -302,16 +308,16 @@
                     let (txn, admitted) = (arrival.txn, admits(&arrival));
                     state.add_request(arrival);
                     if admitted {
-                        self.place(&mut state, txn, now, view, &mut actions);
+                        self.send_or_refuse(&mut state, txn, now, view, &mut actions);
                     } else {
-                        state.reject(txn, &mut actions);
+                        state.refuse(txn, &mut actions);
                     }
                 }
                 Event::AttemptEnded(report) => {
                     if state.end_attempt(&report) {
-                        self.place(&mut state, report.txn, now, view, &mut actions);
+                        self.send_or_refuse(&mut state, report.txn, now, view, &mut actions);
                     } else if !report.complete {
-                        state.reject(report.txn, &mut actions);
+                        state.refuse(report.txn, &mut actions);
                     }
                 }
                 Event::ClientDisconnected(txn) => drop(state.open.remove(&txn)),
--- a/crates/simulator/src/quotas.rs
+++ b/crates/simulator/src/quotas.rs
@@ -1,14 +1,14 @@
-//! The customers' quotas as one place that sees everything would keep them, to judge gateways by; and the meter, which
-//! reports usage late.
+//! Exact accounting of the customers' quotas, as a single observer of all requests would keep it. The score and the rules
+//! judge gateways by it. It also models the meter, which reports usage with a delay.
 
 use crate::experiment::{Experiment, Meter, Plan};
 use std::collections::VecDeque;
 use vanewharf_policy::interface::Ticks;
 
-/// Periods of usage that the meter keeps.
-const METERED_PERIODS: usize = 8;
+/// Maximum number of finished periods that the meter keeps.
+const MAX_METERED_PERIODS: usize = 8;
 
-/// Units that start full, refill at a rate, and are its burst at most.
+/// A token bucket of quota units. It starts full, refills at a rate, and holds its burst at most.
 #[derive(Clone, Debug)]
 pub struct TokenBucket {
     rate: f64,
@@ -18,82 +18,85 @@
 }
 
 impl TokenBucket {
-    /// A full bucket.
+    /// Creates a full bucket.
     pub fn new(rate: f64, burst: f64, now: Ticks) -> TokenBucket {
         TokenBucket { rate, burst, units: burst, refilled_at: now }
     }
 
-    /// Refills it up to now, and gives the units in it.
+    /// Refills the bucket up to now, and returns the available units.
     pub fn refill(&mut self, now: Ticks) -> f64 {
         self.units = (self.units + self.rate * (now - self.refilled_at).seconds().max(0.0)).min(self.burst);
         self.refilled_at = now;
         self.units
     }
 
-    /// Takes the units if they are there.
+    /// Takes the units if they are available, and returns whether they were.
     pub fn try_take(&mut self, units: f64, now: Ticks) -> bool {
-        let inside = self.refill(now) >= units - 1e-9;
-        self.units -= if inside { units } else { 0.0 };
-        inside
+        let within_quota = self.refill(now) >= units - 1e-9;
+        self.units -= if within_quota { units } else { 0.0 };
+        within_quota
     }
 
-    /// Takes the units, into debt if need be, and gives the debt; negative where there is none.
+    /// Takes the units even if they are not available, and returns the resulting debt, which is negative if units are
+    /// left.
     pub fn overdraw(&mut self, units: f64, now: Ticks) -> f64 {
         self.refill(now);
         self.units -= units;
         -self.units
     }
 
-    /// Returns units.
+    /// Puts units back.
     pub fn refund(&mut self, units: f64, now: Ticks) {
         self.refill(now);
         self.units = (self.units + units).min(self.burst);
     }
 }
 
-/// Usage in one period of the meter.
+/// Usage in a finished period of the meter.
 struct MeteredPeriod {
     end: Ticks,
     units: f64,
 }
 
-/// One customer's buckets and its usage by periods.
+/// A customer's token buckets and its metered usage.
 pub struct CustomerQuota {
-    /// What one gateway that saw all first tries would admit: it decides what counts as offered inside the quota.
+    /// Bucket that all first tries are charged to, in order of arrival. It determines which of them count as offered
+    /// within the quota.
     pub ideal: TokenBucket,
-    /// Charged with what was sent to backends.
+    /// Bucket that requests are charged to when they are first sent to a backend.
     pub sent: TokenBucket,
-    /// The hard limit, charged with the same.
+    /// Bucket of the hard limit, charged with the same requests as `sent`.
     pub hard_limit: Option<TokenBucket>,
-    /// As the omniscient policy keeps them: charged when it admits, not when something is sent.
+    /// Buckets of the omniscient policy. They are charged on admission instead of on sending.
     admitted: TokenBucket,
     admitted_hard_limit: Option<TokenBucket>,
-    /// Units by which the hard limit may be exceeded.
-    pub slack: f64,
-    /// Units of the hard limit's burst.
-    pub depth: f64,
+    /// Units by which the hard limit may be exceeded without a violation.
+    pub hard_limit_slack: f64,
+    /// Burst of the hard limit, in units.
+    pub hard_limit_burst: f64,
     rate: f64,
-    /// The number of the period under way, and the units sent in it.
+    /// Number of the current period, and the units sent in it.
     period: i64,
     period_units: f64,
     finished: VecDeque<MeteredPeriod>,
 }
 
 impl CustomerQuota {
-    /// A customer that has used nothing.
+    /// Creates the accounts of a customer without usage.
     pub fn new(plan: &Plan, experiment: &Experiment, now: Ticks) -> CustomerQuota {
         let largest = experiment.product.iter().map(|product| product.units).fold(0.0, f64::max);
-        let depth = plan.ceiling * plan.burst;
+        let hard_limit_burst = plan.ceiling * plan.burst;
         let quota = TokenBucket::new(plan.rate, plan.burst, now);
-        let hard_limit = (plan.ceiling > 0.0).then(|| TokenBucket::new(plan.ceiling * plan.rate, depth, now));
+        let hard_limit =
+            (plan.ceiling > 0.0).then(|| TokenBucket::new(plan.ceiling * plan.rate, hard_limit_burst, now));
         CustomerQuota {
             ideal: quota.clone(),
             sent: quota.clone(),
             admitted: quota,
             admitted_hard_limit: hard_limit.clone(),
             hard_limit,
-            slack: (experiment.rules.ceiling_slack * depth).max(largest),
-            depth,
+            hard_limit_slack: (experiment.rules.ceiling_slack * hard_limit_burst).max(largest),
+            hard_limit_burst,
             rate: plan.rate,
             period: 0,
             period_units: 0.0,
@@ -101,7 +104,8 @@
         }
     }
 
-    /// Whether one who sees all would admit it: inside the quota, or beyond it where that pays.
+    /// Charges a request for the omniscient policy and returns whether that policy admits it: within the quota, or over it
+    /// if the plan values such a request higher than its cost. The hard limit always applies.
     pub fn admits(&mut self, units: f64, plan: &Plan, now: Ticks) -> bool {
         if self.admitted_hard_limit.as_mut().is_some_and(|limit| !limit.try_take(units, now)) {
             return false;
@@ -113,30 +117,30 @@
         admits
     }
 
-    /// Returns the units by which an estimate was too high; takes them where that is negative.
+    /// Refunds the units by which an estimate was too high, or charges them if the number is negative.
     pub fn settle_estimate(&mut self, units: f64, now: Ticks) {
         self.sent.refund(units, now);
         self.admitted.refund(units, now);
     }
 
     fn finish_periods(&mut self, now: Ticks, meter: &Meter) {
-        let span = (meter.period_s * 10_000.0) as i64;
-        let period = now.0.div_euclid(span.max(1));
+        let period_ticks = (meter.period_s * 10_000.0) as i64;
+        let period = now.0.div_euclid(period_ticks.max(1));
         if period > self.period {
-            let end = Ticks((self.period + 1) * span);
+            let end = Ticks((self.period + 1) * period_ticks);
             self.finished.push_back(MeteredPeriod { end, units: self.period_units });
             if period > self.period + 1 {
-                self.finished.push_back(MeteredPeriod { end: Ticks(period * span), units: 0.0 });
+                self.finished.push_back(MeteredPeriod { end: Ticks(period * period_ticks), units: 0.0 });
             }
             self.period_units = 0.0;
             self.period = period;
         }
-        while self.finished.len() > METERED_PERIODS {
+        while self.finished.len() > MAX_METERED_PERIODS {
             self.finished.pop_front();
         }
     }
 
-    /// Counts units that were sent to a backend.
+    /// Adds units that were sent to a backend to the metered usage.
     pub fn record_usage(&mut self, units: f64, now: Ticks, meter: Option<&Meter>) {
         if let Some(meter) = meter {
             self.finish_periods(now, meter);
@@ -144,10 +148,10 @@
         }
     }
 
-    /// The usage in the last period that had ended by `late` ago, as a part of the quota's rate.
-    pub fn metered_usage(&mut self, now: Ticks, late: Ticks, meter: &Meter) -> Option<f64> {
+    /// Returns the usage in the latest period that ended at least `delay` ago, as a fraction of the quota's rate.
+    pub fn metered_usage(&mut self, now: Ticks, delay: Ticks, meter: &Meter) -> Option<f64> {
         self.finish_periods(now, meter);
-        let reported = self.finished.iter().rev().find(|period| period.end + late <= now);
+        let reported = self.finished.iter().rev().find(|period| period.end + delay <= now);
         reported.map(|period| period.units / meter.period_s / self.rate)
     }
 }
--- a/crates/simulator/src/report.rs
+++ b/crates/simulator/src/report.rs
@@ -1,5 +1,6 @@
-//! What a run or a sweep leaves behind: a summary in Markdown and figures in CSV. Nothing in them tells the time of day or
-//! the machine, so the same seed leaves the same bytes; their words are those of the users' pages and stay.
+//! Reports of runs and sweeps: summaries in Markdown and data in CSV. They contain neither the time of day nor properties
+//! of the machine, so the same seed gives the same bytes. CSV columns and the names of policies and rules are part of the
+//! report format and don't follow the names in the code.
 
 use crate::experiment::Experiment;
 use crate::run::Outcome;
@@ -8,20 +9,21 @@
 use hdrhistogram::Histogram;
 use std::fmt::Write;
 
+/// Quantiles that are written to CSV.
 const QUANTILES: [f64; 6] = [0.5, 0.9, 0.99, 0.999, 0.9999, 1.0];
-/// Ticks in a millisecond.
+/// Number of ticks per millisecond.
 const TICKS_PER_MS: f64 = 10.0;
-/// Breaches of rules that a summary lists.
+/// Maximum number of violations that a summary lists per run.
 const LISTED_VIOLATIONS: usize = 5;
 
-/// Writes a line; a string takes all that is written to it.
+/// Appends a formatted line to a string.
 macro_rules! line {
     ($text:expr, $($arguments:tt)*) => {
-        writeln!($text, $($arguments)*).expect("a string takes all that is written to it")
+        writeln!($text, $($arguments)*).expect("writing to a string does not fail")
     };
 }
 
-/// One line a second, of the run with the project's decisions.
+/// Returns one CSV row for each second of the balancer's run.
 pub fn seconds_csv(outcome: &Outcome) -> String {
     let mut text =
         "second,firsts,settled_in_time,settled_late,declined,failed,offered_worth,served_worth,units_inside,\
@@ -38,18 +40,18 @@
             second.failed,
             second.offered,
             second.served,
-            second.inside_units,
-            second.excess_units,
+            second.within_quota_units,
+            second.over_quota_units,
             second.worked_ms,
             second.capacity_ms,
-            second.nearest_hard_limit,
-            second.nearest_overload
+            second.max_hard_limit_ratio,
+            second.max_overload_ratio
         );
     }
     text
 }
 
-/// Latencies and queue lengths at backends, for each policy.
+/// Returns quantiles of the latency and of the backends' queue length as CSV, for each policy.
 pub fn quantiles_csv(outcome: &Outcome) -> String {
     let mut text = "policy,figure,quantile,value\n".to_owned();
     for (policy, record) in policies(outcome) {
@@ -63,28 +65,28 @@
     text
 }
 
-fn at(histogram: &Histogram<u64>, quantile: f64, unit: f64) -> f64 {
+fn quantile_value(histogram: &Histogram<u64>, quantile: f64, unit: f64) -> f64 {
     histogram.value_at_quantile(quantile) as f64 / unit
 }
 
 fn latency_ms(record: &RunRecord, quantile: f64) -> f64 {
-    at(&record.latency, quantile, TICKS_PER_MS)
+    quantile_value(&record.latency, quantile, TICKS_PER_MS)
 }
 
 fn queue_length(record: &RunRecord, quantile: f64) -> f64 {
-    at(&record.queue_lengths, quantile, 1.0)
+    quantile_value(&record.queue_lengths, quantile, 1.0)
 }
 
-/// The records of a run, by the names of their policies in files.
+/// Returns the records of a run with the names of their policies in reports.
 pub(crate) fn policies(outcome: &Outcome) -> [(&'static str, &RunRecord); 3] {
     [("module", &outcome.balancer), ("plainest", &outcome.round_robin), ("seeing", &outcome.omniscient)]
 }
 
-/// A summary of an experiment's runs, in Markdown.
+/// Returns a summary of an experiment's runs in Markdown.
 pub fn summary(experiment: &Experiment, outcomes: &[Outcome]) -> String {
     let fleet = &experiment.fleet;
     let mut text = format!(
-        "# {}\n\n{} doors, {} backends of {} cores, {} s; load {} of capacity inside quotas.\n\n",
+        "# {}\n\n{} gateways, {} backends with {} cores each, {} s; load inside quotas {} of capacity.\n\n",
         experiment.name,
         fleet.doors,
         fleet.backends,
@@ -106,7 +108,12 @@
         );
     }
     let mean = outcomes.iter().map(|outcome| outcome.score).sum::<f64>() / outcomes.len().max(1) as f64;
-    line!(text, "\nMean score {mean:.3}. The score is (G - floor) / (top - floor); 0 where a rule broke.");
+    line!(
+        text,
+        "\nMean score {mean:.3}. G is the served fraction of the offered value, less prices. The score is\n\
+         (G - floor) / (top - floor), or 0 if a rule was violated; floor and top are the G of two baselines.\n\
+         `module` is the balancer, `plainest` the round-robin baseline, `seeing` the omniscient baseline."
+    );
     for outcome in outcomes {
         run_summary(experiment, outcome, &mut text);
     }
@@ -114,10 +121,10 @@
 }
 
 fn run_summary(experiment: &Experiment, outcome: &Outcome, text: &mut String) {
-    let Outcome { seed, customers, txns_at_capacity, balancer, .. } = outcome;
+    let Outcome { seed, customers, requests_per_s_at_capacity, balancer, .. } = outcome;
     line!(
         text,
-        "\n## Seed {seed}\n\n{customers} customers, {} first tries, {txns_at_capacity:.0} txns a second at capacity.\n\n\
+        "\n## Seed {seed}\n\n{customers} customers, {} first tries, {requests_per_s_at_capacity:.0} requests per second at capacity.\n\n\
          | | module | plainest | seeing |\n| --- | --- | --- | --- |",
         balancer.first_tries
     );
@@ -128,22 +135,24 @@
     }
 }
 
-/// One row of a run's table: a figure of each policy.
-fn row(outcome: &Outcome, text: &mut String, name: &str, figure: impl Fn(&RunRecord) -> String) {
-    let [balancer, round_robin, omniscient] = policies(outcome).map(|(_, record)| figure(record));
+/// Appends a row to a run's table, with a value for each policy.
+fn row(outcome: &Outcome, text: &mut String, name: &str, value: impl Fn(&RunRecord) -> String) {
+    let [balancer, round_robin, omniscient] = policies(outcome).map(|(_, record)| value(record));
     line!(text, "| {name} | {balancer} | {round_robin} | {omniscient} |");
 }
 
 fn value_rows(experiment: &Experiment, outcome: &Outcome, text: &mut String) {
     let three = |value: f64| format!("{value:.3}");
     row(outcome, text, "G", |record| three(record.g));
-    row(outcome, text, "whole run", |record| three(record.complete_run));
+    row(outcome, text, "complete run", |record| three(record.complete_run));
     row(outcome, text, "worst 10 s", |record| three(record.worst_window));
     for (index, product) in experiment.product.iter().enumerate() {
         row(outcome, text, &format!("product {}", product.name), |record| three(record.products[index]));
     }
     for (index, plan) in experiment.plan.iter().enumerate() {
-        row(outcome, text, &format!("plan {}, inside", plan.name), |record| three(record.plans[index]));
+        row(outcome, text, &format!("plan {}, inside quotas", plan.name), |record| {
+            three(record.plans[index])
+        });
     }
     for price in outcome.balancer.prices.keys() {
         row(outcome, text, &format!("price: {price}"), |record| three(record.prices[price]));
@@ -152,23 +161,25 @@
 
 fn count_rows(outcome: &Outcome, text: &mut String) {
     let count = |total: f64| format!("{total:.0}");
-    row(outcome, text, "settled in time", |record| count(record.total(|second| second.in_time as f64)));
-    row(outcome, text, "settled late", |record| count(record.total(|second| second.late as f64)));
+    row(outcome, text, "answered in time", |record| count(record.total(|second| second.in_time as f64)));
+    row(outcome, text, "answered late", |record| count(record.total(|second| second.late as f64)));
     row(outcome, text, "declined", |record| count(record.total(|second| second.rejected as f64)));
     row(outcome, text, "failed", |record| count(record.total(|second| second.failed as f64)));
-    row(outcome, text, "units beyond quotas", |record| count(record.total(|second| second.excess_units)));
-    row(outcome, text, "answer ms, median", |record| format!("{:.1}", latency_ms(record, 0.5)));
-    row(outcome, text, "answer ms, 99%", |record| format!("{:.1}", latency_ms(record, 0.99)));
-    row(outcome, text, "line at a backend, 99%", |record| count(queue_length(record, 0.99)));
+    row(outcome, text, "units beyond quotas", |record| count(record.total(|second| second.over_quota_units)));
+    row(outcome, text, "latency ms, median", |record| format!("{:.1}", latency_ms(record, 0.5)));
+    row(outcome, text, "latency ms, 99%", |record| format!("{:.1}", latency_ms(record, 0.99)));
+    row(outcome, text, "requests at a backend, 99%", |record| count(queue_length(record, 0.99)));
     row(outcome, text, "submissions", |record| record.usage.attempts.to_string());
     row(outcome, text, "new connections", |record| record.usage.handshakes.to_string());
     row(outcome, text, "counter calls", |record| record.usage.counter_calls.to_string());
     row(outcome, text, "words", |record| record.usage.peer_messages.to_string());
-    row(outcome, text, "backends fallen", |record| record.usage.overloaded_backends.to_string());
+    row(outcome, text, "backends overloaded in warm-up", |record| {
+        record.usage.overloaded_backends.to_string()
+    });
     row(outcome, text, "rules", rules);
 }
 
-/// Which rules were broken, and how often.
+/// Describes which rules were violated and how often.
 fn rules(record: &RunRecord) -> String {
     let counts = record.violation_counts();
     if counts.is_empty() {
@@ -178,7 +189,7 @@
     each.join(", ")
 }
 
-/// One line for each point and seed.
+/// Returns one CSV row for each point and seed of a sweep.
 pub fn sweep_csv(keys: &[String], points: &[Point]) -> String {
     let mut text = format!("{},seed,score,module_g,floor,top,broken\n", keys.join(","));
     for point in points {
@@ -201,21 +212,21 @@
     text
 }
 
-/// A summary of a sweep, in Markdown.
+/// Returns a summary of a sweep in Markdown.
 pub fn sweep_summary(experiment: &Experiment, keys: &[String], points: &[Point]) -> String {
     let mut text = format!("# {}, swept over {}\n\n", experiment.name, keys.join(" and "));
     let head = keys.iter().map(|key| format!("| {key} ")).collect::<String>();
-    line!(text, "{head}| score | least | most | rules |");
+    line!(text, "{head}| score | min | max | rules |");
     line!(text, "{}", "| --- ".repeat(keys.len() + 4) + "|");
     for point in points {
         let values = point.values.iter().map(|value| format!("| {value} ")).collect::<String>();
         let scores = point.outcomes.iter().map(|outcome| outcome.score);
-        let (least, most) = (scores.clone().fold(f64::MAX, f64::min), scores.fold(f64::MIN, f64::max));
+        let (min, max) = (scores.clone().fold(f64::MAX, f64::min), scores.fold(f64::MIN, f64::max));
         let broken = point.outcomes.iter().find(|outcome| !outcome.balancer.violations.is_empty());
         let rules = broken.map_or("kept".to_owned(), |outcome| {
             format!("{} (seed {})", rules(&outcome.balancer), outcome.seed)
         });
-        line!(text, "{values}| {:.3} | {least:.3} | {most:.3} | {rules} |", point.score());
+        line!(text, "{values}| {:.3} | {min:.3} | {max:.3} | {rules} |", point.score());
     }
     text
 }
--- a/crates/simulator/src/rules.rs
+++ b/crates/simulator/src/rules.rs
@@ -1,18 +1,18 @@
-//! The rules that a run is held to. Each is checked where it may be broken, in [`crate::simulation`].
+//! Rules that every run is checked against. [`crate::simulation`] checks each rule where a violation can occur.
 
 use std::fmt;
 use vanewharf_policy::interface::Ticks;
 
-/// A rule that no gateway may break.
+/// A rule that gateways must not violate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rule {
-    /// One final answer before the deadline, and nothing sent after it.
+    /// Each request gets one final response by its deadline, and no attempt is sent after it.
     OneAnswer,
-    /// No request that must not be repeated runs twice.
+    /// No request that must not be repeated is executed twice.
     NoEffectTwice,
-    /// Nothing is sent to a draining backend past the grace period.
+    /// No attempt is sent to a draining backend after the grace period.
     Drains,
-    /// No backend that warms up is overloaded by gateways that knew of its start.
+    /// No backend is overloaded during its warm-up by gateways that had been told of its start.
     WarmUp,
     /// No customer exceeds its hard limit.
     HardLimits,
@@ -30,13 +30,13 @@
     }
 }
 
-/// One breach of a rule.
+/// A violation of a rule.
 #[derive(Clone, Debug)]
 pub struct RuleViolation {
-    /// The rule.
+    /// Violated rule.
     pub rule: Rule,
-    /// When, from the run's start on.
+    /// Time of the violation, relative to the start of the run.
     pub at: Ticks,
-    /// Who did what.
+    /// Description of the violation.
     pub what: String,
 }
--- a/crates/simulator/src/run.rs
+++ b/crates/simulator/src/run.rs
@@ -1,4 +1,4 @@
-//! One run of an experiment: the project's decisions beside the two baselines, on the same clients.
+//! Runs of an experiment: simulates the balancer and both baselines with the same arrivals, and scores the balancer.
 
 use crate::arrivals::{Arrivals, generated};
 use crate::experiment::Experiment;
@@ -6,46 +6,57 @@
 use crate::score::RunRecord;
 use crate::simulation::Simulation;
 
-/// Where top and floor lie closer than that, it is the divisor: a run in which nothing can be won or lost.
-const MIN_RANGE: f64 = 0.05;
+/// Minimum of the divisor `top - floor` of the score. It limits the score of runs in which the baselines hardly differ.
+const MIN_SCORE_RANGE: f64 = 0.05;
 
-/// What came of a run.
+/// Results of a run with each policy.
 pub struct Outcome {
-    /// The seed of all draws.
+    /// Seed of all random streams.
     pub seed: u64,
-    /// The project's own decisions.
+    /// Record of the project's balancer.
     pub balancer: RunRecord,
-    /// The plainest policy.
+    /// Record of the round-robin baseline.
     pub round_robin: RunRecord,
-    /// The policy that sees what no gateway can.
+    /// Record of the omniscient baseline.
     pub omniscient: RunRecord,
-    /// (G - floor) / (top - floor); 0 where a rule was broken.
+    /// Score of the balancer: (G - floor) / (top - floor), or 0 if it violated a rule.
     pub score: f64,
-    /// What the plainest policy is worth, or 0 if that is more.
+    /// Value G of the round-robin baseline, but at least 0, and 0 if it violated a rule.
     pub floor: f64,
-    /// What the omniscient policy is worth.
+    /// Value G of the omniscient baseline, but at least the floor.
     pub top: f64,
-    /// Requests a second of this mix that all warmed-up backends can do.
-    pub txns_at_capacity: f64,
-    /// How many customers there were.
+    /// Requests per second of the configured product mix that all backends can process after warm-up.
+    pub requests_per_s_at_capacity: f64,
+    /// Number of customers.
     pub customers: usize,
 }
 
-/// Runs an experiment with clients generated from the seed.
+/// Runs an experiment with arrivals generated from the seed.
 pub fn run(experiment: &Experiment, seed: u64) -> Outcome {
     run_with(experiment, &generated(experiment, seed), seed)
 }
 
-/// Runs an experiment with these clients.
+/// Runs an experiment with the given arrivals.
 pub fn run_with(experiment: &Experiment, arrivals: &Arrivals, seed: u64) -> Outcome {
     let balancer = Simulation::new(experiment, arrivals, seed, BalancerPolicy::default()).run();
     let round_robin = Simulation::new(experiment, arrivals, seed, RoundRobin::default()).run();
     let omniscient = Simulation::new(experiment, arrivals, seed, Omniscient::default()).run();
-    // Admitting nobody is worth nothing and costs nothing.
+    // A policy that rejects all requests has the value 0, so the floor is never negative.
     let floor = if round_robin.violations.is_empty() { round_robin.g.max(0.0) } else { 0.0 };
     let top = omniscient.g.max(floor);
-    let part = (balancer.g - floor) / (top - floor).max(MIN_RANGE);
-    let score = if balancer.violations.is_empty() { part } else { 0.0 };
-    let (txns_at_capacity, customers) = (arrivals.txns_at_capacity, arrivals.customers.len());
-    Outcome { seed, balancer, round_robin, omniscient, score, floor, top, txns_at_capacity, customers }
+    let relative = (balancer.g - floor) / (top - floor).max(MIN_SCORE_RANGE);
+    let score = if balancer.violations.is_empty() { relative } else { 0.0 };
+    let (requests_per_s_at_capacity, customers) =
+        (arrivals.requests_per_s_at_capacity, arrivals.customers.len());
+    Outcome {
+        seed,
+        balancer,
+        round_robin,
+        omniscient,
+        score,
+        floor,
+        top,
+        requests_per_s_at_capacity,
+        customers,
+    }
 }
--- a/crates/simulator/src/score/record.rs
+++ b/crates/simulator/src/score/record.rs
@@ -1,109 +1,109 @@
-//! The figures of a run.
+//! Statistics and results of a run.
 
 use crate::rules::{Rule, RuleViolation};
 use hdrhistogram::Histogram;
 use std::collections::BTreeMap;
 
-/// What was used of what has a price, and what went wrong beside the rules.
+/// Resources that a run has used, and incidents that are not rule violations.
 #[derive(Clone, Debug, Default)]
 pub struct ResourceUsage {
-    /// Attempts sent to backends.
+    /// Number of attempts sent to backends.
     pub attempts: u64,
-    /// Those of them to another zone.
+    /// Number of attempts sent to another zone.
     pub cross_zone: u64,
-    /// New connections to backends.
+    /// Number of new connections to backends, including failed ones.
     pub handshakes: u64,
-    /// Calls to the shared counter.
+    /// Number of calls to the shared counter.
     pub counter_calls: u64,
-    /// Those of them without a total.
+    /// Number of these calls that returned no total.
     pub unanswered_calls: u64,
-    /// Messages between gateways.
+    /// Number of messages sent between gateways.
     pub peer_messages: u64,
-    /// Their bytes.
+    /// Total encoded size of these messages, in bytes.
     pub peer_message_bytes: u64,
-    /// Those of them that came with too many.
+    /// Number of these messages that the receiver dropped because of its rate limit.
     pub dropped_peer_messages: u64,
-    /// Tries that met a dead gateway.
-    pub unreached: u64,
-    /// Backends that were overloaded while they warmed up.
+    /// Number of tries that were routed to a crashed gateway.
+    pub unreached_tries: u64,
+    /// Number of backends that were overloaded during their warm-up.
     pub overloaded_backends: u64,
 }
 
-/// One second of a run. First tries count in the second in which they came.
+/// Statistics of a second of a run. Tries and their outcomes count in the second in which the first try arrived.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SecondStats {
-    /// First tries.
+    /// Number of first tries.
     pub first_tries: u64,
-    /// The value of what was asked for inside quotas, and of what is beyond them as far as that earns.
+    /// Offered value: the full value of requests within quotas, and what requests over quotas can earn.
     pub offered: f64,
-    /// The value of what was answered.
+    /// Value earned by answered requests.
     pub served: f64,
-    /// Answers in time.
+    /// Number of responses within the SLA.
     pub in_time: u64,
-    /// Answers past the SLA time.
+    /// Number of responses after the SLA time.
     pub late: u64,
-    /// Rejections.
+    /// Number of rejections.
     pub rejected: u64,
-    /// Tries that failed.
+    /// Number of failed tries.
     pub failed: u64,
-    /// Units sent to backends inside quotas.
-    pub inside_units: f64,
-    /// Units sent to backends beyond quotas.
-    pub excess_units: f64,
-    /// Milliseconds of work begun.
+    /// Units of requests sent to backends within quotas.
+    pub within_quota_units: f64,
+    /// Units of requests sent to backends over quotas.
+    pub over_quota_units: f64,
+    /// Work started by backends, in milliseconds.
     pub worked_ms: f64,
-    /// Milliseconds of work that the backends that were up could do, as a mean over samples.
+    /// Capacity of the running backends in milliseconds of work, as a mean over samples.
     pub capacity_ms: f64,
     pub(super) samples: u32,
-    /// How near a customer came to its hard limit; 1 is over.
-    pub nearest_hard_limit: f64,
-    /// How near a backend that warmed up came to its overload; 1 is over.
-    pub nearest_overload: f64,
+    /// Largest usage of a customer relative to its hard limit including the slack. A value above 1 is a violation.
+    pub max_hard_limit_ratio: f64,
+    /// Largest load of a backend in warm-up relative to the load that overloads it, which is 1.
+    pub max_overload_ratio: f64,
 }
 
-/// A run's figures.
+/// Results of a run with one policy.
 #[derive(Clone, Debug)]
 pub struct RunRecord {
-    /// What the run is worth, prices taken off.
+    /// Value of the run after deduction of prices.
     pub g: f64,
-    /// The part of the offered value that was served, of the complete run.
+    /// Served fraction of the offered value, over the complete run.
     pub complete_run: f64,
-    /// The same of the worst window.
+    /// Lowest served fraction of any window.
     pub worst_window: f64,
-    /// The same of the worst product.
+    /// Lowest served fraction of any product.
     pub worst_product: f64,
-    /// The same of the worst plan, inside quotas.
+    /// Lowest served fraction of any plan, within quotas.
     pub worst_plan: f64,
-    /// What was taken off, by its name.
+    /// Deducted prices, by name.
     pub prices: BTreeMap<&'static str, f64>,
-    /// The run by seconds.
+    /// Statistics of each second.
     pub seconds: Vec<SecondStats>,
-    /// The part served of each product.
+    /// Served fraction of each product.
     pub products: Vec<f64>,
-    /// The part served of each plan, inside quotas.
+    /// Served fraction of each plan, within quotas.
     pub plans: Vec<f64>,
-    /// What was used.
+    /// Resources used.
     pub usage: ResourceUsage,
-    /// The breaches of rules.
+    /// Rule violations, ordered by time.
     pub violations: Vec<RuleViolation>,
-    /// First tries.
+    /// Number of first tries.
     pub first_tries: u64,
-    /// Ticks from a client's first try to its answer.
+    /// Latency from a client's first try to its response, in ticks.
     pub latency: Histogram<u64>,
-    /// Requests in hand at a backend, ten times a second.
+    /// Requests in service or queued at each backend, sampled ten times per second.
     pub queue_lengths: Histogram<u64>,
 }
 
 impl RunRecord {
-    /// How often each rule was broken.
+    /// Returns the number of violations of each violated rule.
     pub fn violation_counts(&self) -> BTreeMap<Rule, usize> {
         let mut counts = BTreeMap::new();
         self.violations.iter().for_each(|violation| *counts.entry(violation.rule).or_insert(0) += 1);
         counts
     }
 
-    /// A figure summed over all seconds.
-    pub fn total(&self, figure: impl Fn(&SecondStats) -> f64) -> f64 {
-        self.seconds.iter().map(figure).sum()
+    /// Returns the sum of a value over all seconds.
+    pub fn total(&self, value: impl Fn(&SecondStats) -> f64) -> f64 {
+        self.seconds.iter().map(value).sum()
     }
 }
--- a/crates/simulator/src/simulation.rs
+++ b/crates/simulator/src/simulation.rs
@@ -1,8 +1,8 @@
-//! A fleet in simulated time: one queue of events, handled in the order of their times and, at one time, in the order in
-//! which they were scheduled. The same experiment, seed and policy give the same figures.
+//! Discrete-event simulation of a fleet. Events are processed in order of their times, and events with the same time in
+//! the order in which they were scheduled. The same experiment, seed and policy give the same results.
 //!
-//! [`Simulation`] owns all state; its parts are by concern: gateways, the tries of clients, attempts at backends,
-//! discovery, the services beside (shared counter and peer messages), and faults.
+//! [`Simulation`] owns all state. Its submodules implement gateways, client tries, attempts at backends, discovery, the
+//! supporting services (shared counter and peer messages), and faults.
 
 mod attempts;
 mod clients;
@@ -25,20 +25,20 @@
 use discovery::{KnownBackend, Publication};
 use event_queue::{EventQueue, SimEvent};
 use gateways::Gateway;
-use services::{CounterShard, Intake};
+use services::{CounterShard, PeerMessageLimiter};
 use std::collections::{BTreeMap, HashMap};
 use vanewharf_policy::interface::{BackendStatus, Outcome, Ticks};
 
-/// The time at which a run begins: far from zero, as no process starts with its clock.
-pub(crate) const START: Ticks = Ticks(10_000_000);
-/// Seconds between two views of the fleet.
-const VIEW_PERIOD: f64 = 0.1;
-/// Seconds for which a run goes on after the last client has given up, at least.
-const CLOSING_TIME: f64 = 5.0;
-/// Requests are open for less than so many seconds; older ones are not searched.
-const OPEN_SPAN: f64 = 60.0;
+/// Time at which a run starts. It is far from 0 because real gateways do not start at the origin of their clock either.
+pub(crate) const RUN_START: Ticks = Ticks(10_000_000);
+/// Seconds between two snapshots of the fleet.
+const VIEW_INTERVAL_S: f64 = 0.1;
+/// Seconds for which a run continues after the last client deadline.
+const RUN_OUT_TIME_S: f64 = 5.0;
+/// Maximum age of open requests, in seconds. Searches for open requests skip older ones.
+const MAX_REQUEST_AGE_S: f64 = 60.0;
 
-/// The streams of random draws, one for each use.
+/// Random streams, one per purpose.
 struct RandomStreams {
     net: RandomStream,
     clients: RandomStream,
@@ -62,19 +62,19 @@
     }
 }
 
-/// Faults that are in force, beside those that backends and gateways have themselves.
+/// Active faults that are not part of the state of a backend or gateway.
 #[derive(Default)]
 struct ActiveFaults {
     counter_down: bool,
-    /// Seconds by which discovery and meter are later than usual.
+    /// Additional delay of discovery and meter readings, in seconds.
     extra_delay_s: f64,
-    /// A zone without links to the others.
+    /// Zone that is partitioned from the others.
     cut_zone: Option<usize>,
-    /// Whom each fault strikes.
+    /// Selected targets, by index of the fault.
     targets: BTreeMap<usize, Vec<usize>>,
 }
 
-/// One run of an experiment with one policy.
+/// A run of an experiment with one policy.
 pub struct Simulation<'a, P: Policy> {
     experiment: &'a Experiment,
     arrivals: &'a Arrivals,
@@ -83,12 +83,12 @@
     queue: EventQueue,
     gateways: Vec<Gateway>,
     backends: Vec<Backend>,
-    /// What discovery has of each backend.
+    /// Latest published status of each backend.
     published: Vec<Publication>,
     quotas: Vec<CustomerQuota>,
     tries: Vec<ClientTry>,
     attempts: Vec<Attempt>,
-    /// By gateway and backend.
+    /// Idle connections, by gateway and backend.
     idle_connections: HashMap<(usize, usize), IdleConnections>,
     counter: Vec<CounterShard>,
     faults: ActiveFaults,
@@ -98,7 +98,7 @@
 }
 
 impl<'a, P: Policy> Simulation<'a, P> {
-    /// A fleet that has been up for long, with all first tries and faults scheduled.
+    /// Creates a fleet whose backends are all warmed up, and schedules all first tries and faults.
     pub fn new(
         experiment: &'a Experiment,
         arrivals: &'a Arrivals,
@@ -106,13 +106,13 @@
         policy: P,
     ) -> Simulation<'a, P> {
         let fleet = &experiment.fleet;
-        let plan = |plan: usize| CustomerQuota::new(&experiment.plan[plan], experiment, START);
+        let plan = |plan: usize| CustomerQuota::new(&experiment.plan[plan], experiment, RUN_START);
         let shards = experiment.counter.as_ref().map_or(0, |counter| counter.parts);
         let mut simulation = Simulation {
             experiment,
             arrivals,
             policy,
-            now: START,
+            now: RUN_START,
             queue: EventQueue::default(),
             gateways: new_gateways(experiment),
             backends: new_backends(experiment, seed),
@@ -123,24 +123,24 @@
             idle_connections: HashMap::new(),
             counter: (0..shards).map(|_| CounterShard::default()).collect(),
             faults: ActiveFaults::default(),
-            view: FleetView { waits: Vec::new(), paces: Vec::new() },
+            view: FleetView { waits: Vec::new(), service_times: Vec::new() },
             random: RandomStreams::new(seed),
             score: ScoreRecorder::new(experiment, arrivals),
         };
-        simulation.schedule_all();
+        simulation.schedule_initial_events();
         simulation
     }
 
-    fn schedule_all(&mut self) {
+    fn schedule_initial_events(&mut self) {
         for gateway in 0..self.gateways.len() {
             self.start_gateway(gateway);
         }
-        self.renew_view();
+        self.refresh_view();
         for (first_try, first) in self.arrivals.first_tries.iter().enumerate() {
-            self.schedule(START + first.at, SimEvent::FirstTry { first_try });
+            self.schedule(RUN_START + first.at, SimEvent::FirstTry { first_try });
         }
         for (fault, settings) in self.experiment.fault.iter().enumerate() {
-            self.schedule(START + seconds(settings.at_s), SimEvent::FaultBegins { fault, step: 0 });
+            self.schedule(RUN_START + seconds(settings.at_s), SimEvent::FaultBegins { fault, step: 0 });
         }
     }
 
@@ -148,10 +148,13 @@
         self.queue.push(at.max(self.now), event);
     }
 
-    /// Runs until no events are left, or long after the last client has given up.
+    /// Runs until no events are left or the run-out time after the last client deadline has passed. The bound is three times
+    /// the longest product expiry after the last arrival, as clients retry, plus the run-out time.
     pub fn run(mut self) -> RunRecord {
-        let longest = self.experiment.product.iter().map(|product| product.expiry_ms).fold(0.0, f64::max);
-        let end = START + seconds(self.experiment.length_s + longest / 1_000.0 * 3.0 + CLOSING_TIME);
+        let max_expiry_ms =
+            self.experiment.product.iter().map(|product| product.expiry_ms).fold(0.0, f64::max);
+        let end =
+            RUN_START + seconds(self.experiment.length_s + max_expiry_ms / 1_000.0 * 3.0 + RUN_OUT_TIME_S);
         while let Some((at, event)) = self.queue.pop() {
             if at > end {
                 break;
@@ -177,28 +180,28 @@
             SimEvent::AttemptAnswered { attempt, outcome } => self.answer_attempt(attempt, outcome),
             SimEvent::CancellationArrives { attempt } => self.cancel_at_backend(attempt),
             SimEvent::AttemptTimesOut { attempt } => self.end_attempt(attempt, Outcome::TimedOut),
-            SimEvent::ClientGivesUp { client_try } => self.give_up(client_try),
+            SimEvent::ClientTimesOut { client_try } => self.expire_try(client_try),
             SimEvent::AnswerOverdue { client_try } => self.check_answered(client_try),
             SimEvent::FaultBegins { fault, step } => self.begin_fault(fault, step),
             SimEvent::FaultEnds { fault, step } => self.end_fault(fault, step),
             SimEvent::DiscoveryAnnounces { backend, version } => self.announce(backend, version),
             SimEvent::CounterReceives(call) => self.handle_counter_call(call),
-            SimEvent::ViewRenewed => self.renew_view(),
+            SimEvent::RefreshView => self.refresh_view(),
         }
     }
 
-    fn violate(&mut self, rule: Rule, what: String) {
-        self.score.violations.push(RuleViolation { rule, at: self.now - START, what });
+    fn record_violation(&mut self, rule: Rule, what: String) {
+        self.score.violations.push(RuleViolation { rule, at: self.now - RUN_START, what });
     }
 
-    /// The delay of one way within the fleet.
+    /// Draws a one-way network delay within the fleet.
     fn one_way_delay(&mut self, cross_zone: bool) -> Ticks {
         let net = &self.experiment.net;
         let mean = if cross_zone { net.cross_ms } else { net.same_ms };
         millis(mean * (1.0 + net.jitter * (2.0 * self.random.net.unit() - 1.0))).max(Ticks(1))
     }
 
-    /// The delay of one way between a client and a gateway.
+    /// Returns the one-way network delay between a client and a gateway.
     fn client_delay(&self) -> Ticks {
         millis(self.experiment.net.client_ms)
     }
@@ -207,27 +210,28 @@
         self.gateways[gateway].zone != self.backends[backend].zone
     }
 
-    /// Shows the fleet as it is to the policy and to the score.
-    fn renew_view(&mut self) {
+    /// Takes a snapshot of the backends for the policy and the score.
+    fn refresh_view(&mut self) {
         let fleet = &self.experiment.fleet;
         let products = &self.experiment.product;
         let shares: f64 = products.iter().map(|product| product.share).sum();
-        let work = products.iter().map(|product| product.share * product.work_ms).sum::<f64>() / shares;
-        let pace = |backend: &Backend| work / backend.capacity(self.now, fleet).max(1e-6);
+        let mean_work_ms =
+            products.iter().map(|product| product.share * product.work_ms).sum::<f64>() / shares;
+        let service_time = |backend: &Backend| mean_work_ms / backend.capacity(self.now, fleet).max(1e-6);
         let wait = |backend: &Backend| {
-            let open = backend.state == State::Up && !backend.draining;
+            let accepting = backend.state == State::Up && !backend.draining;
             let ahead = backend.outstanding() as f64 + 1.0 - fleet.cores as f64 * 0.5;
-            open.then(|| ahead.max(0.0) * pace(backend) + work / 1_000.0)
+            accepting.then(|| ahead.max(0.0) * service_time(backend) + mean_work_ms / 1_000.0)
         };
         self.view.waits = self.backends.iter().map(wait).collect();
-        self.view.paces = self.backends.iter().map(pace).collect();
+        self.view.service_times = self.backends.iter().map(service_time).collect();
         self.policy.observe(self.now, self.backends.len());
         let up = self.backends.iter().filter(|backend| backend.state == State::Up);
         let capacity: f64 = up.map(|backend| backend.capacity(self.now, fleet)).sum();
         let queue_lengths = self.backends.iter().map(|backend| backend.outstanding());
         self.score.record_sample(self.now, capacity, queue_lengths);
-        if self.now < START + seconds(self.experiment.length_s) {
-            self.schedule(self.now + seconds(VIEW_PERIOD), SimEvent::ViewRenewed);
+        if self.now < RUN_START + seconds(self.experiment.length_s) {
+            self.schedule(self.now + seconds(VIEW_INTERVAL_S), SimEvent::RefreshView);
         }
     }
 }
@@ -248,12 +252,12 @@
         up: true,
         incarnation: 0,
         zone: index % fleet.places.len(),
-        stalled_until: START,
-        down_since: START,
+        stalled_until: RUN_START,
+        down_since: RUN_START,
         inbox: Vec::new(),
         run_scheduled: false,
         backends: vec![known.clone(); fleet.backends],
-        intake: Intake::new(START),
+        peer_message_limiter: PeerMessageLimiter::new(RUN_START),
     };
     (0..fleet.doors).map(gateway).collect()
 }
--- a/crates/simulator/src/simulation/attempts.rs
+++ b/crates/simulator/src/simulation/attempts.rs
@@ -1,9 +1,9 @@
-//! Attempts: from a gateway over a connection to a backend, through its work, and back.
+//! Attempts: a gateway sends a request to a backend, which processes it and responds.
 
 use super::clients::ClientTry;
 use super::event_queue::SimEvent;
-use super::gateways::IDLE_TIMEOUT_PART;
-use super::{OPEN_SPAN, Simulation};
+use super::gateways::IDLE_TIMEOUT_FRACTION;
+use super::{MAX_REQUEST_AGE_S, Simulation};
 use crate::arrivals::FirstTry;
 use crate::backends::{Cancellation, Reception, State};
 use crate::experiment::Repeat;
@@ -14,35 +14,35 @@
     AttemptNumber, AttemptReport, BackendId, BackendStatus, Event, Outcome, Ticks, TxnId,
 };
 
-/// Of the work that overloads a backend while it warms up, the part from gateways that knew of its start with which the
-/// rule is broken.
-const INFORMED_PART: f64 = 2.0 / 3.0;
+/// Fraction of the work that overloads a backend during its warm-up which must come from informed gateways for the overload
+/// to count as a violation. A gateway is informed if it had been told of the backend's start.
+const MIN_INFORMED_FRACTION: f64 = 2.0 / 3.0;
 
-/// One attempt of a gateway at a backend.
+/// An attempt of a gateway to have a request processed by a backend.
 #[derive(Default)]
 pub(super) struct Attempt {
     pub(super) client_try: usize,
     number: u32,
     pub(super) backend: usize,
     pub(super) sent_at: Ticks,
-    /// Whether its outcome is on its way to the gateway or was read there.
+    /// Whether its outcome was put into the gateway's inbox or was processed there.
     pub(super) ended: bool,
     pub(super) may_have_run: bool,
     /// The backend's incarnation when the attempt reached it.
     incarnation: u32,
-    /// Whether a core works on it.
+    /// Whether a core is processing it.
     running: bool,
 }
 
-/// Idle connections of a gateway to a backend.
+/// Idle connections from a gateway to a backend.
 pub(super) struct IdleConnections {
     count: u32,
-    /// Until when they are kept.
+    /// Time at which the gateway closes them.
     open_until: Ticks,
 }
 
 impl<P: Policy> Simulation<'_, P> {
-    /// A gateway sends a request to a backend.
+    /// Sends a request from a gateway to a backend, and checks the rules that apply to sending.
     pub(super) fn send_attempt(
         &mut self,
         gateway: usize,
@@ -51,19 +51,21 @@
         timeout: Option<Ticks>,
     ) {
         let (client_try, backend) = (txn.0 as usize, backend.0 as usize);
-        let known = self.tries.get(client_try).is_some_and(|one| one.gateway == gateway);
+        let known = self.tries.get(client_try).is_some_and(|state| state.gateway == gateway);
         if !known || backend >= self.backends.len() {
-            let what = format!("door {gateway} submits what it was not given: {client_try}");
-            return self.violate(Rule::OneAnswer, what);
+            let what = format!(
+                "gateway {gateway} sends request {client_try} that it did not receive, or to an unknown backend {backend}"
+            );
+            return self.record_violation(Rule::OneAnswer, what);
         }
         if self.tries[client_try].answered {
-            let what = format!("txn {client_try} is submitted after its final answer");
-            return self.violate(Rule::OneAnswer, what);
+            let what = format!("request {client_try} is sent to a backend after its final response");
+            return self.record_violation(Rule::OneAnswer, what);
         }
         let earlier = self.tries[client_try].attempts.clone();
         let number = earlier.len() as u32;
-        let most = self.experiment.allow.most_submissions as u32;
-        let not_sent = number >= most || self.now >= self.tries[client_try].deadline;
+        let max_attempts = self.experiment.allow.most_submissions as u32;
+        let not_sent = number >= max_attempts || self.now >= self.tries[client_try].deadline;
         let attempt = self.attempts.len();
         let (sent_at, may_have_run) = (self.now, !not_sent);
         let new = Attempt { client_try, number, backend, sent_at, may_have_run, ..Attempt::default() };
@@ -80,63 +82,69 @@
         self.transmit(attempt, gateway, backend, timeout);
     }
 
-    /// Whether the earlier attempts of a request allow another.
+    /// Checks whether the earlier attempts of a request allow another one.
     fn check_repeat(&mut self, client_try: usize, earlier: &[usize]) {
         let first = self.arrivals.first_tries[self.tries[client_try].first_try];
         let product = &self.experiment.product[first.product.0];
         let in_flight = earlier.iter().any(|&other| !self.attempts[other].ended);
         if in_flight && !self.experiment.allow.second_copies {
-            self.violate(Rule::NoEffectTwice, format!("txn {client_try} has two submissions out"));
+            self.record_violation(
+                Rule::NoEffectTwice,
+                format!("request {client_try} has two attempts in flight"),
+            );
         }
         let may_have_run = earlier.iter().find(|&&other| self.attempts[other].may_have_run);
         match (product.repeat, may_have_run) {
             (Repeat::OnceOnly, Some(_)) => {
-                let what = format!("once-only txn {client_try} is submitted again");
-                self.violate(Rule::NoEffectTwice, what);
+                let what = format!("once-only request {client_try} is sent again though it may have run");
+                self.record_violation(Rule::NoEffectTwice, what);
             }
             (Repeat::Referenced, Some(&other))
                 if self.now - self.attempts[other].sent_at > millis(product.window_ms) =>
             {
-                let what = format!("txn {client_try} is repeated past its window");
-                self.violate(Rule::NoEffectTwice, what);
+                let what = format!("request {client_try} is sent again after its deduplication window");
+                self.record_violation(Rule::NoEffectTwice, what);
             }
             _ => {}
         }
     }
 
-    /// Whether a gateway may still send to a backend that it knows to stop.
+    /// Checks whether a gateway sends to a backend that it has known to be draining or gone for longer than the grace period.
     fn check_drain(&mut self, gateway: usize, backend: usize) {
         let grace = millis(self.experiment.rules.drain_grace_ms);
         let stopped_at = self.gateways[gateway].backends[backend].stopped_at;
         if let Some(stopped_at) = stopped_at.filter(|stopped_at| self.now - *stopped_at > grace) {
-            let late = (self.now - stopped_at).seconds();
-            let what = format!("door {gateway} sends to backend {backend} {late:.1} s after it was told");
-            self.violate(Rule::Drains, what);
+            let elapsed_s = (self.now - stopped_at).seconds();
+            let what = format!(
+                "gateway {gateway} sends to backend {backend} {elapsed_s:.1} s after it was told that the backend stops"
+            );
+            self.record_violation(Rule::Drains, what);
         }
     }
 
-    /// The first attempt of a request uses its customer's quota, by the true books.
+    /// Charges a request to the exact account of its customer's quota when its first attempt is sent, and checks the hard
+    /// limit.
     fn charge_quota(&mut self, client_try: usize) {
         let first: FirstTry = self.arrivals.first_tries[self.tries[client_try].first_try];
         let (now, meter) = (self.now, self.experiment.meter.as_ref());
         let quota = &mut self.quotas[first.customer];
-        let inside = quota.sent.try_take(first.units, now);
+        let within_quota = quota.sent.try_take(first.units, now);
         quota.record_usage(first.units, now, meter);
         let limit = quota.hard_limit.as_mut();
-        let over = limit.map_or(f64::MIN, |limit| limit.overdraw(first.units, now));
-        let (slack, depth) = (quota.slack, quota.depth);
-        self.tries[client_try].inside = Some(inside);
-        self.score.record_sent(&first, inside);
-        // The part of the hard limit and its slack that is used.
-        self.score.record_hard_limit(&first, (over + depth) / (depth + slack).max(1e-9));
-        if over > slack + 1e-6 {
+        let debt = limit.map_or(f64::MIN, |limit| limit.overdraw(first.units, now));
+        let (slack, burst) = (quota.hard_limit_slack, quota.hard_limit_burst);
+        self.tries[client_try].within_quota = Some(within_quota);
+        self.score.record_sent(&first, within_quota);
+        // Usage as a fraction of the hard limit's burst and slack.
+        self.score.record_hard_limit(&first, (debt + burst) / (burst + slack).max(1e-9));
+        if debt > slack + 1e-6 {
             let customer = first.customer;
-            let what = format!("customer {customer} is {over:.1} units beyond its ceiling");
-            self.violate(Rule::HardLimits, what);
+            let what = format!("customer {customer} is {debt:.1} units over its hard limit");
+            self.record_violation(Rule::HardLimits, what);
         }
     }
 
-    /// Sends an attempt over an idle connection, or over a new one.
+    /// Sends an attempt over an idle connection if there is one, else over a new connection.
     fn transmit(&mut self, attempt: usize, gateway: usize, backend: usize, timeout: Option<Ticks>) {
         let cross_zone = self.crosses_zones(gateway, backend);
         self.score.usage.attempts += 1;
@@ -167,7 +175,7 @@
         true
     }
 
-    /// Opens a connection; where that fails, the attempt ends by it.
+    /// Opens a connection and returns whether that succeeds. If it fails, the attempt ends with a connect error.
     fn connect(&mut self, attempt: usize, gateway: usize, backend: usize, delay: Ticks, cut: bool) -> bool {
         self.score.usage.handshakes += 1;
         let fails_after = match self.backends[backend].state {
@@ -176,9 +184,9 @@
             State::Down => Some(delay.times(2.0)),
             State::Up => None,
         };
-        if let Some(span) = fails_after {
+        if let Some(delay) = fails_after {
             let outcome = Outcome::ConnectFailed;
-            self.schedule(self.now + span, SimEvent::AttemptAnswered { attempt, outcome });
+            self.schedule(self.now + delay, SimEvent::AttemptAnswered { attempt, outcome });
             return false;
         }
         self.add_load(gateway, backend, self.experiment.fleet.handshake_ms);
@@ -190,24 +198,27 @@
         self.faults.cut_zone.is_some_and(|cut| zones.0 != zones.1 && (zones.0 == cut || zones.1 == cut))
     }
 
-    /// Work reaches a backend; where that overloads it while it warms up, it goes down.
+    /// Records work that reaches a backend. If the work overloads the backend during its warm-up, the backend goes down.
     fn add_load(&mut self, gateway: usize, backend: usize, work_ms: f64) {
         let known = self.gateways[gateway].backends[backend].started_at;
         let informed = known == self.backends[backend].started_at;
         let (fleet, rules) = (&self.experiment.fleet, &self.experiment.rules);
-        self.score.record_overload(self.now, self.backends[backend].overload(self.now, fleet, rules));
+        self.score.record_overload(self.now, self.backends[backend].overload_ratio(self.now, fleet, rules));
         let overloaded = self.backends[backend].record_load(work_ms, informed, self.now, fleet, rules);
-        if let Some(informed_part) = overloaded {
+        if let Some(informed_fraction) = overloaded {
             self.score.usage.overloaded_backends += 1;
-            if informed_part >= INFORMED_PART {
-                self.violate(Rule::WarmUp, format!("backend {backend} is pushed over while cold"));
+            if informed_fraction >= MIN_INFORMED_FRACTION {
+                self.record_violation(
+                    Rule::WarmUp,
+                    format!("backend {backend} is overloaded during its warm-up"),
+                );
             }
             self.publish(backend, BackendStatus::Gone, self.experiment.discovery.silent_late_s);
             self.reset_connections(backend);
         }
     }
 
-    /// An attempt reaches its backend.
+    /// Handles the arrival of an attempt at its backend.
     pub(super) fn receive_attempt(&mut self, attempt: usize) {
         let Attempt { client_try, backend, ended, .. } = self.attempts[attempt];
         if ended {
@@ -237,21 +248,24 @@
         self.score.record_work(self.now, work);
         self.tries[client_try].runs += 1;
         if self.is_once_only(client_try) && self.tries[client_try].runs > 1 {
-            self.violate(Rule::NoEffectTwice, format!("once-only txn {client_try} runs twice"));
+            self.record_violation(
+                Rule::NoEffectTwice,
+                format!("once-only request {client_try} is executed twice"),
+            );
         }
         let incarnation = self.backends[backend].incarnation;
         let ends_at = self.now + seconds(time).max(Ticks(1));
         self.schedule(ends_at, SimEvent::WorkEnds { attempt, incarnation });
     }
 
-    /// A core has done an attempt's work.
+    /// Frees the core that has finished an attempt, and sends the response.
     pub(super) fn finish_work(&mut self, attempt: usize, incarnation: u32) {
         let Attempt { client_try, backend, running, .. } = self.attempts[attempt];
         let state = &self.backends[backend];
         if state.incarnation != incarnation || state.state == State::Unresponsive {
             return;
         }
-        // Cancelled in its work: its core is free already.
+        // The attempt was cancelled while in service, which has freed its core already.
         if !running {
             return;
         }
@@ -274,11 +288,11 @@
         }
     }
 
-    /// An attempt's outcome reaches its gateway; a good response leaves its connection idle.
+    /// Handles the arrival of an attempt's outcome at its gateway. After a successful response the connection becomes idle.
     pub(super) fn answer_attempt(&mut self, attempt: usize, outcome: Outcome) {
         let Attempt { client_try, backend, ended, .. } = self.attempts[attempt];
         if outcome == Outcome::Succeeded && !ended {
-            let open_until = self.now + seconds(self.experiment.fleet.idle_s * IDLE_TIMEOUT_PART);
+            let open_until = self.now + seconds(self.experiment.fleet.idle_s * IDLE_TIMEOUT_FRACTION);
             let key = (self.tries[client_try].gateway, backend);
             let new = || IdleConnections { count: 0, open_until };
             let idle = self.idle_connections.entry(key).or_insert_with(new);
@@ -288,13 +302,14 @@
         self.end_attempt(attempt, outcome);
     }
 
-    /// An attempt ends for its gateway, once; a cancellation reaches the backend a moment later.
+    /// Delivers an attempt's outcome to its gateway, unless one was delivered before. After a cancellation or timeout, the
+    /// backend is notified with a network delay.
     pub(super) fn end_attempt(&mut self, attempt: usize, outcome: Outcome) {
         let Attempt { client_try, number, backend, sent_at, ended, .. } = self.attempts[attempt];
         if ended {
             return;
         }
-        // Until the gateway has read its end it may have run, for all that the gateway knows.
+        // `may_have_run` stays set until the gateway processes the outcome, as the gateway does not know it before.
         self.attempts[attempt].ended = true;
         if matches!(outcome, Outcome::Cancelled | Outcome::TimedOut) {
             let cross_zone = self.crosses_zones(self.tries[client_try].gateway, backend);
@@ -316,17 +331,17 @@
         self.deliver(gateway, incarnation, Event::AttemptEnded(report));
     }
 
-    /// The reading of the meter that a backend's response carries.
+    /// Returns the meter reading that a backend's response carries.
     fn metered_usage(&mut self, customer: usize, outcome: Outcome) -> Option<f64> {
         if !matches!(outcome, Outcome::Succeeded | Outcome::Error | Outcome::Rejected) {
             return None;
         }
         let meter = self.experiment.meter.as_ref()?;
-        let late = self.random.services.span(meter.late_s) + self.faults.extra_delay_s;
-        self.quotas[customer].metered_usage(self.now, seconds(late), meter)
+        let delay_s = self.random.services.span(meter.late_s) + self.faults.extra_delay_s;
+        self.quotas[customer].metered_usage(self.now, seconds(delay_s), meter)
     }
 
-    /// A cancellation reaches the attempt's backend.
+    /// Handles the arrival of a cancellation at the attempt's backend.
     pub(super) fn cancel_at_backend(&mut self, attempt: usize) {
         let Attempt { backend, incarnation, running, .. } = self.attempts[attempt];
         if incarnation != self.backends[backend].incarnation {
@@ -339,12 +354,12 @@
         }
     }
 
-    /// The connections of a process that has died are reset at once.
+    /// Resets all connections to a backend whose process has ended, which ends its attempts in flight.
     pub(super) fn reset_connections(&mut self, backend: usize) {
         self.idle_connections.retain(|(_, to), _| *to != backend);
         let in_flight: Vec<_> = (0..self.attempts.len())
             .rev()
-            .take_while(|&attempt| self.now - self.attempts[attempt].sent_at < seconds(OPEN_SPAN))
+            .take_while(|&attempt| self.now - self.attempts[attempt].sent_at < seconds(MAX_REQUEST_AGE_S))
             .filter(|&attempt| self.attempts[attempt].backend == backend && !self.attempts[attempt].ended)
             .collect();
         for attempt in in_flight {
--- a/crates/simulator/src/simulation/clients.rs
+++ b/crates/simulator/src/simulation/clients.rs
@@ -1,32 +1,32 @@
-//! Clients: their tries, the answers that they get, and when they come again.
+//! Clients: their tries, the responses that they receive, and their retries.
 
 use super::event_queue::SimEvent;
-use super::{START, Simulation};
+use super::{RUN_START, Simulation};
 use crate::experiment::Repeat;
 use crate::policy::Policy;
 use crate::random::{millis, seconds};
 use crate::rules::Rule;
 use vanewharf_policy::interface::{Arrival, Event, Outcome, QuotaClaim, Ticks, TxnId};
 
-/// Doublings of the backoff at most.
+/// Maximum number of times that the backoff is doubled.
 const MAX_BACKOFF_DOUBLINGS: u32 = 8;
 
-/// One try of a client. Its index is its request's number at the gateway.
+/// A try of a client: a request that it sends to a gateway. Its index is the request's transaction number there.
 #[derive(Default)]
 pub(super) struct ClientTry {
-    /// The first try that it is or repeats.
+    /// Index of the first try that this is, or is a retry of.
     pub(super) first_try: usize,
-    /// How many tries were before it.
+    /// Number of earlier tries.
     pub(super) retries: u32,
     pub(super) gateway: usize,
-    /// The gateway's incarnation when the try came.
+    /// Incarnation of the gateway when the try was sent.
     pub(super) incarnation: u32,
     pub(super) deadline: Ticks,
     pub(super) answered: bool,
     pub(super) attempts: Vec<usize>,
-    /// Whether it was inside the quota when it was first sent to a backend.
-    pub(super) inside: Option<bool>,
-    /// How often a backend has begun to run it.
+    /// Whether it was within the quota when it was first sent to a backend; none until then.
+    pub(super) within_quota: Option<bool>,
+    /// How often a backend has started to process it.
     pub(super) runs: u32,
 }
 
@@ -43,7 +43,7 @@
         self.experiment.product[first.product.0].repeat == Repeat::OnceOnly
     }
 
-    /// The front end passes a client's try on to one of its customer's gateways.
+    /// Routes a client's try to a gateway of its customer's subset, as the front end does.
     pub(super) fn send_try(&mut self, client_try: usize) {
         let first = self.arrivals.first_tries[self.tries[client_try].first_try];
         let customer = &self.arrivals.customers[first.customer];
@@ -51,12 +51,12 @@
         let draw = if is_retry { self.random.clients.unit() } else { first.gateway_draw };
         let gateway = self.choose_gateway(first.customer, draw);
         let product = &self.experiment.product[first.product.0];
-        let deadline = self.now + millis(product.expiry_ms * first.stays);
+        let deadline = self.now + millis(product.expiry_ms * first.deadline_fraction);
         let incarnation = self.gateways[gateway].incarnation;
-        let one = &mut self.tries[client_try];
-        (one.gateway, one.incarnation, one.deadline) = (gateway, incarnation, deadline);
+        let state = &mut self.tries[client_try];
+        (state.gateway, state.incarnation, state.deadline) = (gateway, incarnation, deadline);
         if !self.gateways[gateway].up {
-            self.score.usage.unreached += 1;
+            self.score.usage.unreached_tries += 1;
             self.tries[client_try].answered = true;
             return self.retry(client_try, None);
         }
@@ -72,20 +72,21 @@
         let event = Event::RequestArrived(arrival);
         let arrives_at = self.now + self.client_delay();
         self.schedule(arrives_at, SimEvent::GatewayReceives { gateway, incarnation, event });
-        self.schedule(deadline, SimEvent::ClientGivesUp { client_try });
+        self.schedule(deadline, SimEvent::ClientTimesOut { client_try });
         let slack = millis(self.experiment.rules.answer_slack_ms);
         self.schedule(deadline + slack, SimEvent::AnswerOverdue { client_try });
     }
 
-    /// The customer's gateway by a draw, or the next one that is not known to be down.
+    /// Returns the customer's gateway for a random draw, or the next one in the subset that the front end doesn't know to be
+    /// down.
     fn choose_gateway(&self, customer: usize, draw: f64) -> usize {
         let customer = &self.arrivals.customers[customer];
         let (gateways, start, size) = (self.gateways.len(), customer.subset_start, customer.subset_size);
-        let front = seconds(self.experiment.clients.front_late_s);
-        let mut gateway = customer.gateway(self.now - START, draw, gateways);
+        let detection_delay = seconds(self.experiment.clients.front_late_s);
+        let mut gateway = customer.gateway(self.now - RUN_START, draw, gateways);
         for step in 0..size {
             let state = &self.gateways[gateway];
-            let known_down = !state.up && self.now - state.down_since > front;
+            let known_down = !state.up && self.now - state.down_since > detection_delay;
             if !known_down {
                 break;
             }
@@ -94,8 +95,8 @@
         gateway
     }
 
-    /// A client comes again, unless it has tried often enough or has an answer.
-    pub(super) fn retry(&mut self, client_try: usize, advice: Option<Ticks>) {
+    /// Schedules a client's retry, unless its retries are used up or it has received a response.
+    pub(super) fn retry(&mut self, client_try: usize, retry_after: Option<Ticks>) {
         let clients = &self.experiment.clients;
         let ClientTry { first_try, retries, .. } = self.tries[client_try];
         if retries >= clients.retries || self.score.has_earned(first_try) {
@@ -104,14 +105,16 @@
         let first = self.arrivals.first_tries[first_try];
         let doublings = f64::from(1 << retries.min(MAX_BACKOFF_DOUBLINGS));
         let backoff = millis(self.random.clients.span(clients.backoff_ms) * doublings);
-        let wait = advice.filter(|_| first.honours_advice).map_or(backoff, |advice| advice.max(backoff));
+        let wait = retry_after
+            .filter(|_| first.honours_retry_after)
+            .map_or(backoff, |retry_after| retry_after.max(backoff));
         self.tries.push(ClientTry { first_try, retries: retries + 1, ..ClientTry::default() });
         let client_try = self.tries.len() - 1;
         self.schedule(self.now + wait, SimEvent::Retry { client_try });
     }
 
-    /// The client stops waiting: its attempts time out.
-    pub(super) fn give_up(&mut self, client_try: usize) {
+    /// Handles the client's deadline: all attempts of its try time out.
+    pub(super) fn expire_try(&mut self, client_try: usize) {
         if self.tries[client_try].answered {
             return;
         }
@@ -120,7 +123,8 @@
         }
     }
 
-    /// Past its deadline and its slack a try must have its answer, unless its gateway is dead or stalled.
+    /// Checks that a try has been answered by its deadline plus the slack, unless its gateway has crashed or stalled. Fails
+    /// the try if it has not.
     pub(super) fn check_answered(&mut self, client_try: usize) {
         if self.tries[client_try].answered {
             return;
@@ -132,54 +136,57 @@
         let rounds = millis(2.0 * self.experiment.tick_ms);
         let stalled = gateway.stalled_until + slack + rounds > self.now;
         if running && !stalled {
-            self.violate(Rule::OneAnswer, format!("txn {client_try} got no final answer in its time"));
+            self.record_violation(
+                Rule::OneAnswer,
+                format!("request {client_try} got no final response by its deadline"),
+            );
         }
         self.score.record_failure(self.tries[client_try].first_try, self.now);
         self.retry(client_try, None);
     }
 
-    /// A gateway answers a client without a response: `rejected` says that another try is harmless.
+    /// Ends a try without a backend's response. `rejected` means that a retry is safe; otherwise the try has failed.
     pub(super) fn refuse_client(
         &mut self,
         gateway: usize,
         txn: TxnId,
         rejected: bool,
-        advice: Option<Ticks>,
+        retry_after: Option<Ticks>,
     ) {
         let client_try = txn.0 as usize;
-        let Some(one) = self.tries.get(client_try) else {
-            let what = format!("door {gateway} answers a txn never given to it: {client_try}");
-            return self.violate(Rule::OneAnswer, what);
+        let Some(state) = self.tries.get(client_try) else {
+            let what = format!("gateway {gateway} answers request {client_try}, which it did not receive");
+            return self.record_violation(Rule::OneAnswer, what);
         };
-        if one.answered || one.gateway != gateway {
+        if state.answered || state.gateway != gateway {
             return;
         }
-        if self.now > one.deadline + millis(self.experiment.rules.answer_slack_ms) {
+        if self.now > state.deadline + millis(self.experiment.rules.answer_slack_ms) {
             return;
         }
         let once_only = self.is_once_only(client_try);
-        let may_have_run = one.attempts.iter().any(|&attempt| self.attempts[attempt].may_have_run);
-        let first_try = one.first_try;
+        let may_have_run = state.attempts.iter().any(|&attempt| self.attempts[attempt].may_have_run);
+        let first_try = state.first_try;
         if rejected && once_only && may_have_run {
-            let what = format!("txn {client_try} is declined though it may have run");
-            self.violate(Rule::NoEffectTwice, what);
+            let what = format!("request {client_try} is rejected though it may have been executed");
+            self.record_violation(Rule::NoEffectTwice, what);
         }
         self.tries[client_try].answered = true;
         self.score.record_refusal(first_try, rejected, self.now);
         if rejected || !once_only {
-            self.retry(client_try, advice);
+            self.retry(client_try, retry_after);
         }
     }
 
-    /// The first good response goes to the client.
+    /// Sends the first successful response to the client.
     pub(super) fn answer_client(&mut self, client_try: usize) {
         self.tries[client_try].answered = true;
         let first_try = self.tries[client_try].first_try;
         let first = self.arrivals.first_tries[first_try];
-        let latency = self.now + self.client_delay() - (START + first.at);
-        let inside = self.tries[client_try].inside.unwrap_or(true);
-        self.score.record_answer(first_try, &first, inside, latency);
-        if inside && first.true_units != first.units {
+        let latency = self.now + self.client_delay() - (RUN_START + first.at);
+        let within_quota = self.tries[client_try].within_quota.unwrap_or(true);
+        self.score.record_answer(first_try, &first, within_quota, latency);
+        if within_quota && first.true_units != first.units {
             self.quotas[first.customer].settle_estimate(first.units - first.true_units, self.now);
         }
     }
--- a/crates/simulator/src/simulation/discovery.rs
+++ b/crates/simulator/src/simulation/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery: what is published of backends, and how gateways hear of it, late and at different times.
+//! Discovery: publishes the status of backends, and announces it to gateways after a delay that differs by gateway.
 
 use super::Simulation;
 use super::event_queue::SimEvent;
@@ -7,12 +7,12 @@
 use crate::random::seconds;
 use vanewharf_policy::interface::{BackendId, BackendInfo, BackendStatus, Event, Ticks};
 
-/// What discovery has of a backend.
+/// Status of a backend as published by discovery.
 #[derive(Clone, Copy)]
 pub(super) struct Publication {
     pub(super) status: BackendStatus,
     pub(super) started_at: Option<Ticks>,
-    /// Goes up at each change, so that older announcements are dropped.
+    /// Incremented with each change, so that outdated announcements can be discarded.
     pub(super) version: u64,
 }
 
@@ -22,24 +22,24 @@
     }
 }
 
-/// What a gateway was last told of a backend.
+/// Status of a backend as a gateway knows it.
 #[derive(Clone, Debug)]
 pub(super) struct KnownBackend {
     pub(super) listed: bool,
     pub(super) status: BackendStatus,
     pub(super) started_at: Option<Ticks>,
-    /// When it was told that the backend stops.
+    /// When the gateway was told that the backend is not ready any more.
     pub(super) stopped_at: Option<Ticks>,
 }
 
 impl KnownBackend {
-    pub(super) fn agrees_with(&self, published: &Publication) -> bool {
+    pub(super) fn matches(&self, published: &Publication) -> bool {
         (self.status, self.started_at) == (published.status, published.started_at)
     }
 }
 
 impl<P: Policy> Simulation<'_, P> {
-    /// Publishes a backend's new status, which is announced after a delay.
+    /// Publishes a backend's status, and schedules its announcement after a delay.
     pub(super) fn publish(&mut self, backend: usize, status: BackendStatus, delay_s: Span) {
         let publication = &mut self.published[backend];
         publication.version += 1;
@@ -49,7 +49,7 @@
         self.schedule(self.now + seconds(delay), SimEvent::DiscoveryAnnounces { backend, version });
     }
 
-    /// Tells all gateways that know something else, unless there is a newer version.
+    /// Announces a published status to all gateways that know a different one, unless it is outdated.
     pub(super) fn announce(&mut self, backend: usize, version: u64) {
         let published = self.published[backend];
         if version != published.version {
@@ -57,7 +57,7 @@
         }
         for gateway in 0..self.gateways.len() {
             let known = &self.gateways[gateway].backends[backend];
-            if !self.gateways[gateway].up || known.agrees_with(&published) {
+            if !self.gateways[gateway].up || known.matches(&published) {
                 continue;
             }
             let entry = self.backend_info(gateway, backend, published.status, published.started_at);
@@ -71,7 +71,7 @@
         }
     }
 
-    /// A backend as a gateway is told of it.
+    /// Returns a backend's entry as it is sent to a gateway.
     pub(super) fn backend_info(
         &self,
         gateway: usize,
--- a/crates/simulator/src/simulation/event_queue.rs
+++ b/crates/simulator/src/simulation/event_queue.rs
@@ -1,58 +1,58 @@
-//! What is going to happen, in order.
+//! The queue of simulation events.
 
 use super::services::CounterCall;
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
 use vanewharf_policy::interface::{Event, Outcome, Ticks};
 
-/// What happens at a moment. Gateways, backends, tries and attempts are indices into the simulation's lists.
+/// An event of the simulation. Gateways, backends, tries, attempts and faults are indices into the simulation's lists.
 #[derive(Debug)]
 pub(super) enum SimEvent {
-    /// A client comes for the first time.
+    /// A client sends its first try.
     FirstTry { first_try: usize },
-    /// A client comes again.
+    /// A client sends a retry.
     Retry { client_try: usize },
-    /// A gateway handles its inbox.
+    /// A gateway processes its inbox.
     GatewayRuns { gateway: usize, incarnation: u32 },
-    /// Something comes into a gateway's inbox; for an earlier incarnation it is lost.
+    /// An event arrives in a gateway's inbox. It is dropped if the gateway has crashed since it was sent.
     GatewayReceives { gateway: usize, incarnation: u32, event: Event },
-    /// A gateway that died starts again.
+    /// A crashed gateway restarts.
     GatewayRestarts { gateway: usize },
-    /// An attempt reaches its backend.
+    /// An attempt arrives at its backend.
     AttemptArrives { attempt: usize },
-    /// A core has done an attempt's work; in an earlier incarnation it means nothing.
+    /// A core finishes an attempt. The event is ignored if the backend's process has stopped since.
     WorkEnds { attempt: usize, incarnation: u32 },
-    /// An attempt's outcome reaches its gateway.
+    /// An attempt's outcome arrives at its gateway.
     AttemptAnswered { attempt: usize, outcome: Outcome },
-    /// A cancellation reaches the attempt's backend.
+    /// A cancellation arrives at the attempt's backend.
     CancellationArrives { attempt: usize },
-    /// The gateway's own timeout of an attempt runs out.
+    /// The gateway's timeout of an attempt expires.
     AttemptTimesOut { attempt: usize },
-    /// A client stops waiting.
-    ClientGivesUp { client_try: usize },
-    /// A client's deadline and its slack have passed.
+    /// A client's deadline expires.
+    ClientTimesOut { client_try: usize },
+    /// The slack after a client's deadline has passed, so that the try must have been answered.
     AnswerOverdue { client_try: usize },
-    /// A fault, or a step of it, begins.
+    /// A fault or one of its steps begins.
     FaultBegins { fault: usize, step: usize },
-    /// A fault, or a step of it, ends.
+    /// A fault or one of its steps ends.
     FaultEnds { fault: usize, step: usize },
-    /// Discovery tells gateways of a backend, unless there is a newer version.
+    /// Discovery announces a backend's status to the gateways, unless a newer version has been published.
     DiscoveryAnnounces { backend: usize, version: u64 },
-    /// A call reaches the shared counter.
+    /// A call arrives at the shared counter.
     CounterReceives(CounterCall),
-    /// The fleet is shown to the policy anew.
-    ViewRenewed,
+    /// The snapshot of the backends is refreshed.
+    RefreshView,
 }
 
 struct Scheduled {
     at: Ticks,
-    number: u64,
+    sequence: u64,
     event: SimEvent,
 }
 
 impl PartialEq for Scheduled {
     fn eq(&self, other: &Self) -> bool {
-        (self.at, self.number) == (other.at, other.number)
+        (self.at, self.sequence) == (other.at, other.sequence)
     }
 }
 
@@ -66,21 +66,21 @@
 
 impl Ord for Scheduled {
     fn cmp(&self, other: &Self) -> Ordering {
-        (self.at, self.number).cmp(&(other.at, other.number))
+        (self.at, self.sequence).cmp(&(other.at, other.sequence))
     }
 }
 
-/// Events by time; those of one time in the order in which they were pushed.
+/// Priority queue of events by time. Events with the same time are popped in the order in which they were pushed.
 #[derive(Default)]
 pub(super) struct EventQueue {
     heap: BinaryHeap<Reverse<Scheduled>>,
-    pushed: u64,
+    pushed_count: u64,
 }
 
 impl EventQueue {
     pub(super) fn push(&mut self, at: Ticks, event: SimEvent) {
-        self.pushed += 1;
-        self.heap.push(Reverse(Scheduled { at, number: self.pushed, event }));
+        self.pushed_count += 1;
+        self.heap.push(Reverse(Scheduled { at, sequence: self.pushed_count, event }));
     }
 
     pub(super) fn pop(&mut self) -> Option<(Ticks, SimEvent)> {
--- a/crates/simulator/src/simulation/faults.rs
+++ b/crates/simulator/src/simulation/faults.rs
@@ -1,23 +1,24 @@
-//! Faults: whom they strike, and what they do as they begin and end.
+//! Fault injection: selection of the targets, and the effects at the beginning and end of each fault.
 //!
-//! Most begin and end once. A draining, a flapping and a stall have steps of their own, each scheduled by the one before.
+//! Most faults begin and end once. Drains and flaps consist of steps, each of which schedules the next one. The stalls of
+//! gateways are all scheduled at the beginning of the fault.
 
 use super::event_queue::SimEvent;
 use super::services::CounterShard;
-use super::{START, Simulation};
+use super::{RUN_START, Simulation};
 use crate::backends::State;
 use crate::experiment::{Fault, FaultKind, FaultScope, Span};
 use crate::policy::Policy;
 use crate::random::seconds;
 use vanewharf_policy::interface::{BackendStatus, Ticks};
 
-/// A backend is slowed at least by this factor.
+/// Lower limit of the slowdown factor of a backend, as capacity is divided by it.
 const MIN_SLOWDOWN: f64 = 1e-3;
-/// Of the time between two starts of a flapping backend, the part in which it is down.
-const FLAP_DOWN_PART: f64 = 0.5;
+/// Fraction of the time between two crashes of a flapping backend for which it is down.
+const FLAP_DOWN_FRACTION: f64 = 0.5;
 
 impl<P: Policy> Simulation<'_, P> {
-    /// Whom a fault strikes: gateways or backends, drawn when it first begins.
+    /// Returns the gateways or backends that a fault affects. They are drawn when the fault first begins.
     fn targets(&mut self, fault: usize) -> Vec<usize> {
         if let Some(targets) = self.faults.targets.get(&fault) {
             return targets.clone();
@@ -36,18 +37,19 @@
         targets
     }
 
-    /// So many of all, by complete zones or cells in random order.
+    /// Selects `count` of all targets, by complete zones or cells in random order. Of the last group only a part may be
+    /// selected.
     fn grouped_targets(&mut self, by: FaultScope, of_gateways: bool, all: usize, count: usize) -> Vec<usize> {
-        let group = |one: usize| match (of_gateways, by) {
-            (true, _) => self.gateways[one].zone,
-            (false, FaultScope::Cell) => self.backends[one].cell,
-            (false, _) => self.backends[one].zone,
+        let group = |target: usize| match (of_gateways, by) {
+            (true, _) => self.gateways[target].zone,
+            (false, FaultScope::Cell) => self.backends[target].cell,
+            (false, _) => self.backends[target].zone,
         };
         let groups = (0..all).map(group).max().unwrap_or(0) + 1;
         let mut targets = Vec::new();
         for chosen in self.random.faults.sample(groups, groups) {
             if targets.len() < count {
-                targets.extend((0..all).filter(|&one| group(one) == chosen));
+                targets.extend((0..all).filter(|&target| group(target) == chosen));
             }
         }
         targets.truncate(count);
@@ -81,7 +83,7 @@
             FaultKind::Drain => return self.begin_drain(fault, step, &settings, &targets),
             FaultKind::DoorCrash => return self.crash_gateways(&settings, &targets),
             FaultKind::DoorStall => return self.schedule_stalls(fault, &settings, &targets),
-            // Floods are in the arrivals.
+            // Floods are part of the generated arrivals.
             FaultKind::Flood => return,
         }
         self.schedule(self.now + seconds(settings.for_s), SimEvent::FaultEnds { fault, step });
@@ -90,12 +92,12 @@
     pub(super) fn end_fault(&mut self, fault: usize, step: usize) {
         let settings = self.experiment.fault[fault].clone();
         let targets = self.targets(fault);
-        let late = self.experiment.discovery.late_s;
+        let delay_s = self.experiment.discovery.late_s;
         match settings.kind {
             FaultKind::Crash | FaultKind::Silent => {
-                targets.iter().for_each(|&backend| self.replace_backend(backend, late));
+                targets.iter().for_each(|&backend| self.replace_backend(backend, delay_s));
             }
-            FaultKind::Flap => targets.iter().for_each(|&backend| self.start_backend(backend, late)),
+            FaultKind::Flap => targets.iter().for_each(|&backend| self.start_backend(backend, delay_s)),
             FaultKind::Slow => {
                 targets.iter().for_each(|&backend| self.backends[backend].slowdown = 1.0);
             }
@@ -105,7 +107,7 @@
             FaultKind::Drain => {
                 if let Some(&backend) = targets.get(step).filter(|&&backend| self.backends[backend].draining)
                 {
-                    self.replace_backend(backend, late);
+                    self.replace_backend(backend, delay_s);
                 }
             }
             FaultKind::PlaceCut => self.faults.cut_zone = None,
@@ -119,17 +121,18 @@
         }
     }
 
-    /// Backends die and come back again and again.
+    /// Crashes backends, schedules their restart, and schedules the next crash if it is within the fault's duration.
     fn begin_flap(&mut self, fault: usize, step: usize, settings: &Fault, targets: &[usize]) {
         targets.iter().for_each(|&backend| self.crash_backend(backend));
         let every = seconds(settings.every_s);
-        self.schedule(self.now + every.times(FLAP_DOWN_PART), SimEvent::FaultEnds { fault, step });
-        if (self.now - START).seconds() + settings.every_s < settings.at_s + settings.for_s {
+        self.schedule(self.now + every.times(FLAP_DOWN_FRACTION), SimEvent::FaultEnds { fault, step });
+        if (self.now - RUN_START).seconds() + settings.every_s < settings.at_s + settings.for_s {
             self.schedule(self.now + every, SimEvent::FaultBegins { fault, step: step + 1 });
         }
     }
 
-    /// Backends drain one after the other over the span: announced, then gone, then back to warm up.
+    /// Drains one backend: it is announced as draining, and replaced after the notice. The drains of all targets are spread
+    /// evenly over the fault's duration.
     fn begin_drain(&mut self, fault: usize, step: usize, settings: &Fault, targets: &[usize]) {
         let Some(&backend) = targets.get(step) else {
             return;
@@ -149,9 +152,10 @@
         }
     }
 
-    /// Each gateway stalls at times of its own, drawn ahead for the complete span.
+    /// Draws and schedules all stalls of a fault, independently for each gateway. The intervals vary by 30 % around
+    /// `every_s`.
     fn schedule_stalls(&mut self, fault: usize, settings: &Fault, targets: &[usize]) {
-        let until: Ticks = START + seconds(settings.at_s) + seconds(settings.for_s);
+        let until: Ticks = RUN_START + seconds(settings.at_s) + seconds(settings.for_s);
         for &gateway in targets {
             let mut at = self.now + seconds(self.random.faults.unit() * settings.every_s);
             while at < until {
@@ -161,30 +165,30 @@
         }
     }
 
-    /// A backend's process dies, and discovery notices after a while.
+    /// Crashes a backend's process, which discovery detects after a delay.
     fn crash_backend(&mut self, backend: usize) {
         self.backends[backend].stop();
         self.reset_connections(backend);
         self.publish(backend, BackendStatus::Gone, self.experiment.discovery.silent_late_s);
     }
 
-    /// A backend takes work and answers nothing any more.
+    /// Makes a backend unresponsive, which discovery detects after a delay.
     fn hang_backend(&mut self, backend: usize) {
         self.backends[backend].state = State::Unresponsive;
         self.publish(backend, BackendStatus::Gone, self.experiment.discovery.silent_late_s);
     }
 
-    /// A backend's process ends, and another starts in its place.
-    fn replace_backend(&mut self, backend: usize, late: Span) {
+    /// Stops a backend's process and starts a new one.
+    fn replace_backend(&mut self, backend: usize, delay_s: Span) {
         self.backends[backend].stop();
         self.reset_connections(backend);
-        self.start_backend(backend, late);
+        self.start_backend(backend, delay_s);
     }
 
-    fn start_backend(&mut self, backend: usize, late: Span) {
+    fn start_backend(&mut self, backend: usize, delay_s: Span) {
         self.backends[backend].start(self.now);
         if !self.backends[backend].overloaded {
-            self.publish(backend, BackendStatus::Ready, late);
+            self.publish(backend, BackendStatus::Ready, delay_s);
         }
     }
 }
--- a/crates/simulator/src/simulation/gateways.rs
+++ b/crates/simulator/src/simulation/gateways.rs
@@ -1,11 +1,11 @@
-//! Gateways: their starts and ends, their inboxes, and the actions that their decisions want done.
+//! Gateways: starts and crashes, inboxes, and execution of the actions that the policy returns.
 //!
-//! A gateway handles its inbox once a tick, unless it is stalled. What is sent to an earlier incarnation is lost.
+//! A gateway processes its inbox at most once per tick, unless it is stalled. Events for an earlier incarnation are dropped.
 
 use super::discovery::KnownBackend;
 use super::event_queue::SimEvent;
-use super::services::Intake;
-use super::{OPEN_SPAN, START, Simulation};
+use super::services::PeerMessageLimiter;
+use super::{MAX_REQUEST_AGE_S, RUN_START, Simulation};
 use crate::experiment::{Experiment, Repeat};
 use crate::policy::Policy;
 use crate::random::{millis, seconds};
@@ -14,12 +14,12 @@
     GatewayId, Idempotency, Outcome, Plan, Product, Ticks, WarmUp,
 };
 
-/// Ticks by which the phases of neighbouring gateways differ, before they are taken modulo the length of a round.
-const PHASE_STRIDE: i64 = 7919;
-/// Of the backends' idle timeout, the part for which gateways keep a connection.
-pub(super) const IDLE_TIMEOUT_PART: f64 = 0.25;
+/// Ticks by which the phases of consecutive gateways differ, modulo the length of a round. A prime spreads the phases.
+const PHASE_STRIDE_TICKS: i64 = 7919;
+/// Fraction of the backends' idle timeout after which gateways close an idle connection.
+pub(super) const IDLE_TIMEOUT_FRACTION: f64 = 0.25;
 
-/// One gateway.
+/// A simulated gateway.
 pub(super) struct Gateway {
     pub(super) up: bool,
     pub(super) incarnation: u32,
@@ -29,7 +29,7 @@
     pub(super) inbox: Vec<Event>,
     pub(super) run_scheduled: bool,
     pub(super) backends: Vec<KnownBackend>,
-    pub(super) intake: Intake,
+    pub(super) peer_message_limiter: PeerMessageLimiter,
 }
 
 impl<P: Policy> Simulation<'_, P> {
@@ -41,10 +41,10 @@
         self.policy.start_gateway(gateway, config);
         let incarnation = self.gateways[gateway].incarnation;
         self.deliver(gateway, incarnation, Event::BackendList(entries));
-        // What has changed since is announced a moment later, as to one that was away.
+        // The initial list is the one that the gateway last knew. Later changes are announced with the usual delay.
         for backend in 0..self.backends.len() {
             let published = self.published[backend];
-            if !self.gateways[gateway].backends[backend].agrees_with(&published) {
+            if !self.gateways[gateway].backends[backend].matches(&published) {
                 let delay = seconds(self.random.discovery.span(self.experiment.discovery.late_s));
                 let version = published.version;
                 self.schedule(self.now + delay, SimEvent::DiscoveryAnnounces { backend, version });
@@ -82,7 +82,7 @@
                 initial_capacity: experiment.fleet.cold_from,
                 ramp_time: seconds(experiment.fleet.ramp_s),
             },
-            idle_timeout: seconds(experiment.fleet.idle_s * IDLE_TIMEOUT_PART),
+            idle_timeout: seconds(experiment.fleet.idle_s * IDLE_TIMEOUT_FRACTION),
             meter_period: experiment.meter.as_ref().map_or(Ticks(0), |meter| seconds(meter.period_s)),
             counter_timeout: experiment.counter.as_ref().map(|counter| millis(counter.wait_ms)),
             peer_messages: experiment.peers.is_some(),
@@ -90,7 +90,7 @@
         }
     }
 
-    /// Puts an event into a gateway's inbox, and schedules its next run.
+    /// Puts an event into a gateway's inbox, and schedules the gateway's next run.
     pub(super) fn deliver(&mut self, gateway: usize, incarnation: u32, event: Event) {
         let state = &mut self.gateways[gateway];
         if !state.up || state.incarnation != incarnation {
@@ -101,15 +101,15 @@
             return;
         }
         state.run_scheduled = true;
-        let round = millis(self.experiment.tick_ms).0.max(1);
-        // Gateways do not run in step.
-        let phase = (gateway as i64 * PHASE_STRIDE) % round;
-        let due = Ticks((self.now.0 - phase).div_euclid(round) * round + round + phase);
+        let round_ticks = millis(self.experiment.tick_ms).0.max(1);
+        // Gateways process their inboxes at different phases of a round.
+        let phase = (gateway as i64 * PHASE_STRIDE_TICKS) % round_ticks;
+        let due = Ticks((self.now.0 - phase).div_euclid(round_ticks) * round_ticks + round_ticks + phase);
         let due = due.max(state.stalled_until);
         self.schedule(due, SimEvent::GatewayRuns { gateway, incarnation });
     }
 
-    /// A gateway handles its inbox.
+    /// Passes a gateway's inbox to the policy, and executes the returned actions.
     pub(super) fn run_gateway(&mut self, gateway: usize, incarnation: u32) {
         let state = &mut self.gateways[gateway];
         if !state.up || state.incarnation != incarnation {
@@ -122,7 +122,7 @@
         state.run_scheduled = false;
         let mut events = std::mem::take(&mut state.inbox);
         for event in &mut events {
-            self.note_read(gateway, event);
+            self.record_delivery(gateway, event);
         }
         let Simulation { policy, view, quotas, now, experiment, score, .. } = self;
         let mut admits = |arrival: &Arrival| {
@@ -133,12 +133,12 @@
         };
         let actions = policy.decide(gateway, *now, events, view, &mut admits);
         for action in actions {
-            self.carry_out(gateway, action);
+            self.execute(gateway, action);
         }
     }
 
-    /// What a gateway reads counts as known to it, and the first good response goes to the client as it is read.
-    fn note_read(&mut self, gateway: usize, event: &mut Event) {
+    /// Records what a gateway learns from an event, and sends the first successful response to the client.
+    fn record_delivery(&mut self, gateway: usize, event: &mut Event) {
         match event {
             Event::BackendChanges(entries) | Event::BackendList(entries) => {
                 for entry in entries.iter() {
@@ -149,12 +149,12 @@
                     known.listed = entry.status != BackendStatus::Gone;
                 }
             }
-            Event::AttemptEnded(report) => self.note_attempt_end(report),
+            Event::AttemptEnded(report) => self.record_attempt_end(report),
             _ => {}
         }
     }
 
-    fn note_attempt_end(&mut self, report: &mut AttemptReport) {
+    fn record_attempt_end(&mut self, report: &mut AttemptReport) {
         let client_try = report.txn.0 as usize;
         let attempt = self.tries[client_try].attempts[report.attempt.0 as usize];
         self.attempts[attempt].ended = true;
@@ -165,14 +165,14 @@
         report.complete = self.tries[client_try].answered;
     }
 
-    fn carry_out(&mut self, gateway: usize, action: Action) {
+    fn execute(&mut self, gateway: usize, action: Action) {
         match action {
             Action::SendAttempt { txn, backend, timeout } => {
                 self.send_attempt(gateway, txn, backend, timeout);
             }
             Action::CancelAttempt { txn, attempt } => {
                 let client_try = self.tries.get(txn.0 as usize);
-                let attempt = client_try.and_then(|one| one.attempts.get(attempt.0 as usize));
+                let attempt = client_try.and_then(|state| state.attempts.get(attempt.0 as usize));
                 if let Some(&attempt) = attempt {
                     self.end_attempt(attempt, Outcome::Cancelled);
                 }
@@ -191,7 +191,7 @@
         }
     }
 
-    /// A gateway's process dies, and all of its requests with it.
+    /// Crashes a gateway's process, which aborts all of its open requests.
     pub(super) fn crash_gateway(&mut self, gateway: usize) {
         if !self.gateways[gateway].up {
             return;
@@ -203,27 +203,27 @@
         state.inbox.clear();
         self.idle_connections.retain(|(of, _), _| *of != gateway);
         for client_try in self.open_tries(gateway) {
-            self.lose_try(client_try);
+            self.abort_try(client_try);
         }
     }
 
-    /// The tries at a gateway that wait for an answer, the newest first.
+    /// Returns the open tries at a gateway, newest first.
     fn open_tries(&self, gateway: usize) -> Vec<usize> {
-        let first_came =
-            |client_try: usize| START + self.arrivals.first_tries[self.tries[client_try].first_try].at;
+        let arrived_at =
+            |client_try: usize| RUN_START + self.arrivals.first_tries[self.tries[client_try].first_try].at;
         let open = |client_try: &usize| {
-            let one = &self.tries[*client_try];
-            one.gateway == gateway && !one.answered && one.deadline > self.now
+            let state = &self.tries[*client_try];
+            state.gateway == gateway && !state.answered && state.deadline > self.now
         };
         let newest = (0..self.tries.len()).rev();
         newest
-            .take_while(|&client_try| self.now - first_came(client_try) < seconds(OPEN_SPAN))
+            .take_while(|&client_try| self.now - arrived_at(client_try) < seconds(MAX_REQUEST_AGE_S))
             .filter(open)
             .collect()
     }
 
-    /// A try's gateway has died: its attempts are cancelled, and its client may come again.
-    fn lose_try(&mut self, client_try: usize) {
+    /// Fails a try whose gateway has crashed: its attempts are cancelled, and its client may retry.
+    fn abort_try(&mut self, client_try: usize) {
         self.tries[client_try].answered = true;
         for attempt in self.tries[client_try].attempts.clone() {
             if !self.attempts[attempt].ended {
@@ -233,7 +233,7 @@
             }
         }
         self.score.record_failure(self.tries[client_try].first_try, self.now);
-        // A client may repeat only what may run twice, or what never was sent.
+        // The client may retry only requests that may be executed twice or that were never sent to a backend.
         if !self.is_once_only(client_try) || self.tries[client_try].attempts.is_empty() {
             self.retry(client_try, None);
         }
--- a/crates/simulator/src/simulation/services.rs
+++ b/crates/simulator/src/simulation/services.rs
@@ -1,4 +1,4 @@
-//! The services beside the backends: the shared quota counter, and messages between gateways.
+//! Supporting services: the shared quota counter, and messages between gateways.
 
 use super::Simulation;
 use super::event_queue::SimEvent;
@@ -8,18 +8,18 @@
 use vanewharf_policy::codec;
 use vanewharf_policy::interface::{CounterKey, CounterReply, Event, GatewayId, PeerMessage, Ticks};
 
-/// The zone in which the shared counter stands.
+/// Zone of the shared counter.
 const COUNTER_ZONE: usize = 0;
-/// A shard rejects calls that would wait longer than so many timeouts.
+/// Longest queueing delay of a shard, as a multiple of the gateways' timeout. A shard rejects calls beyond it.
 const MAX_QUEUED_TIMEOUTS: f64 = 2.0;
 
-/// A key's total, and when the counter drops it.
+/// Total of a key, and the time at which it expires.
 struct CounterTotal {
     units: f64,
     expires_at: Ticks,
 }
 
-/// One shard of the shared counter: it handles its calls one after the other.
+/// A shard of the shared counter, which processes its calls sequentially.
 #[derive(Default)]
 pub(super) struct CounterShard {
     busy_until: Ticks,
@@ -38,7 +38,7 @@
     }
 }
 
-/// A gateway's call to the shared counter.
+/// A call of a gateway to the shared counter.
 #[derive(Debug)]
 pub(super) struct CounterCall {
     gateway: usize,
@@ -49,30 +49,30 @@
     sent_at: Ticks,
 }
 
-/// How many peer messages a gateway can still take in: a bucket of a second's worth.
-pub(super) struct Intake {
-    at: Ticks,
-    room: f64,
+/// Token bucket that limits the peer messages that a gateway accepts. It holds the messages of one second at most.
+pub(super) struct PeerMessageLimiter {
+    refilled_at: Ticks,
+    tokens: f64,
 }
 
-impl Intake {
-    pub(super) fn new(now: Ticks) -> Intake {
-        Intake { at: now, room: 0.0 }
+impl PeerMessageLimiter {
+    pub(super) fn new(now: Ticks) -> PeerMessageLimiter {
+        PeerMessageLimiter { refilled_at: now, tokens: 0.0 }
     }
 
-    /// Whether a message that arrives then is taken in.
+    /// Takes a token for a message that arrives at this time, and returns whether there was one.
     fn try_take(&mut self, arrives_at: Ticks, per_s: f64) -> bool {
-        let gap = (arrives_at - self.at).seconds().max(0.0);
-        self.room = (self.room + gap * per_s).min(per_s);
-        self.at = arrives_at.max(self.at);
-        let taken = self.room >= 1.0;
-        self.room -= f64::from(u8::from(taken));
-        taken
+        let elapsed_s = (arrives_at - self.refilled_at).seconds().max(0.0);
+        self.tokens = (self.tokens + elapsed_s * per_s).min(per_s);
+        self.refilled_at = arrives_at.max(self.refilled_at);
+        let accepted = self.tokens >= 1.0;
+        self.tokens -= f64::from(u8::from(accepted));
+        accepted
     }
 }
 
 impl<P: Policy> Simulation<'_, P> {
-    /// A gateway calls the shared counter.
+    /// Sends a call of a gateway to the shared counter.
     pub(super) fn call_counter(&mut self, gateway: usize, key: CounterKey, amount: f64, expire_after: Ticks) {
         self.score.usage.counter_calls += 1;
         let incarnation = self.gateways[gateway].incarnation;
@@ -92,7 +92,8 @@
         self.schedule(at, SimEvent::GatewayReceives { gateway, incarnation, event });
     }
 
-    /// The reply to a call, and when its gateway has it; none where there is no counter.
+    /// Processes a call, and returns the reply and the time at which the gateway receives it. Returns none if the experiment
+    /// has no counter.
     fn counter_reply(&mut self, call: &CounterCall) -> Option<(CounterReply, Ticks)> {
         let settings = self.experiment.counter.as_ref()?;
         let timeout = millis(settings.wait_ms);
@@ -107,15 +108,15 @@
         }
         shard.busy_until = shard.busy_until.max(self.now) + seconds(1.0 / settings.per_s);
         let total = shard.add(call.key, call.amount, call.expire_after, self.now);
-        let back = shard.busy_until + delay;
-        if back - call.sent_at > timeout {
+        let received_at = shard.busy_until + delay;
+        if received_at - call.sent_at > timeout {
             Some((CounterReply::Unknown, call.sent_at + timeout))
         } else {
-            Some((CounterReply::Total(total), back))
+            Some((CounterReply::Total(total), received_at))
         }
     }
 
-    /// A gateway sends a message to another; it may be lost, or dropped where it comes with too many.
+    /// Sends a message from one gateway to another. It may be lost in the network, or dropped by the receiver's limit.
     pub(super) fn send_peer_message(&mut self, from: usize, to: GatewayId, message: PeerMessage) {
         let gateway = to.0 as usize;
         let (Some(peers), true) = (&self.experiment.peers, gateway < self.gateways.len()) else {
@@ -127,7 +128,7 @@
             return;
         }
         let arrives_at = self.now + millis(self.random.services.span(peers.takes_ms));
-        if !self.gateways[gateway].intake.try_take(arrives_at, peers.in_per_s) {
+        if !self.gateways[gateway].peer_message_limiter.try_take(arrives_at, peers.in_per_s) {
             self.score.usage.dropped_peer_messages += 1;
             return;
         }
--- a/crates/simulator/src/sweep.rs
+++ b/crates/simulator/src/sweep.rs
@@ -1,39 +1,39 @@
-//! An experiment over one or two of its keys. Each point is run on its own, and one that breaks a rule scores 0 and stops
-//! nothing.
+//! Sweeps: an experiment is run for all combinations of the values of one or two keys. A point whose runs violate a rule
+//! scores 0 for them and does not abort the sweep.
 
 use crate::experiment::{Experiment, InvalidExperiment, experiment_with};
 use crate::run::{Outcome, run};
 
-/// Keys that can be swept at once.
+/// Maximum number of keys of a sweep.
 const MAX_KEYS: usize = 2;
 
-/// One point of a sweep.
+/// A point of a sweep.
 pub struct Point {
-    /// The values of the keys.
+    /// Values of the swept keys.
     pub values: Vec<toml::Value>,
-    /// What came of it, for each seed.
+    /// Outcomes, one per seed.
     pub outcomes: Vec<Outcome>,
 }
 
 impl Point {
-    /// The mean score over all seeds.
+    /// Returns the mean score over all seeds.
     pub fn score(&self) -> f64 {
         self.outcomes.iter().map(|outcome| outcome.score).sum::<f64>() / self.outcomes.len().max(1) as f64
     }
 }
 
-/// A sweep that was run.
+/// Results of a sweep.
 pub struct SweepResult {
-    /// The keys that were swept.
+    /// Swept keys.
     pub keys: Vec<String>,
-    /// The points, the last key's values fastest.
+    /// Points in the order of execution, in which the last key varies fastest.
     pub points: Vec<Point>,
 }
 
-/// Runs each point of an experiment's sweep in turn; `on_point` is called with each as it is done.
+/// Runs all points of an experiment's sweep in sequence, and calls `on_point` with each finished point.
 ///
 /// # Errors
-/// If the experiment is invalid, or does not name one or two keys to sweep.
+/// Returns an error if the experiment is invalid or its number of swept keys is not 1 or 2.
 pub fn sweep(
     text: &str,
     seeds: &[u64],
@@ -42,14 +42,17 @@
     let experiment = Experiment::parse(text)?;
     let invalid = |problem: String| InvalidExperiment::at_key("sweep", problem);
     if experiment.sweep.is_empty() || experiment.sweep.len() > MAX_KEYS {
-        return Err(invalid(format!("{} keys, not one or two", experiment.sweep.len())));
+        return Err(invalid(format!(
+            "there are {} swept keys instead of 1 or {MAX_KEYS}",
+            experiment.sweep.len()
+        )));
     }
     let table: toml::Table = toml::from_str(text).map_err(|error| invalid(error.to_string()))?;
     let keys: Vec<String> = experiment.sweep.iter().map(|sweep| sweep.key.clone()).collect();
     let mut points = Vec::new();
     for values in combinations(&experiment) {
-        let set: Vec<_> = keys.iter().map(String::as_str).zip(&values).collect();
-        let experiment = experiment_with(&table, &set)?;
+        let overrides: Vec<_> = keys.iter().map(String::as_str).zip(&values).collect();
+        let experiment = experiment_with(&table, &overrides)?;
         let outcomes = seeds.iter().map(|&seed| run(&experiment, seed)).collect();
         let point = Point { values, outcomes };
         on_point(&point);
@@ -58,7 +61,7 @@
     Ok(SweepResult { keys, points })
 }
 
-/// All combinations of the keys' values, the last key's fastest.
+/// Returns all combinations of the keys' values. The last key varies fastest.
 fn combinations(experiment: &Experiment) -> Vec<Vec<toml::Value>> {
     let mut combinations = vec![Vec::new()];
     for sweep in &experiment.sweep {
