--- a/crates/simulator/src/backends.rs
+++ b/crates/simulator/src/backends.rs
@@ -124,7 +124,7 @@
     }
 
     /// Returns how long one core currently takes for an amount of work, in seconds.
-    pub fn work_time(&self, work_ms: f64, now: Ticks, fleet: &Fleet) -> f64 {
+    pub fn work_time_s(&self, work_ms: f64, now: Ticks, fleet: &Fleet) -> f64 {
         let excess_queue = self.queue.len().saturating_sub(UNSLOWED_QUEUE_LENGTH) as f64;
         let speed = self.speed * self.warm_fraction(now, fleet) / self.slowdown;
         work_ms * (1.0 + fleet.thrash * excess_queue / fleet.queue.max(1) as f64) / speed / 1_000.0
--- a/crates/simulator/src/simulation.rs
+++ b/crates/simulator/src/simulation.rs
@@ -33,7 +33,7 @@
 pub(crate) const RUN_START: Ticks = Ticks(10_000_000);
 /// Seconds between two snapshots of the fleet.
 const VIEW_INTERVAL_S: f64 = 0.1;
-/// Seconds for which a run continues after the last client deadline.
+/// Minimum duration in seconds for which a run continues after the last client deadline.
 const RUN_OUT_TIME_S: f64 = 5.0;
 /// Maximum age of open requests, in seconds. Searches for open requests skip older ones.
 const MAX_REQUEST_AGE_S: f64 = 60.0;
@@ -148,8 +148,8 @@
         self.queue.push(at.max(self.now), event);
     }
 
-    /// Runs until no events are left or the run-out time after the last client deadline has passed. The bound is three times
-    /// the longest product expiry after the last arrival, as clients retry, plus the run-out time.
+    /// Runs until no events are left, but at most for three times the longest product expiry plus the run-out time after the
+    /// end of the arrivals.
     pub fn run(mut self) -> RunRecord {
         let max_expiry_ms =
             self.experiment.product.iter().map(|product| product.expiry_ms).fold(0.0, f64::max);
--- a/crates/simulator/src/simulation/attempts.rs
+++ b/crates/simulator/src/simulation/attempts.rs
@@ -54,7 +54,7 @@
         let known = self.tries.get(client_try).is_some_and(|state| state.gateway == gateway);
         if !known || backend >= self.backends.len() {
             let what = format!(
-                "gateway {gateway} sends request {client_try} that it did not receive, or to an unknown backend {backend}"
+                "gateway {gateway} sends unknown request {client_try} or uses unknown backend {backend}"
             );
             return self.record_violation(Rule::OneAnswer, what);
         }
@@ -116,7 +116,7 @@
         if let Some(stopped_at) = stopped_at.filter(|stopped_at| self.now - *stopped_at > grace) {
             let elapsed_s = (self.now - stopped_at).seconds();
             let what = format!(
-                "gateway {gateway} sends to backend {backend} {elapsed_s:.1} s after it was told that the backend stops"
+                "gateway {gateway} sends to backend {backend} {elapsed_s:.1} s after it was told of its stop"
             );
             self.record_violation(Rule::Drains, what);
         }
@@ -154,6 +154,7 @@
         let arrives_after = if self.take_idle_connection(gateway, backend) {
             delay
         } else if self.connect(attempt, gateway, backend, delay, cut) {
+            // The handshake takes a round trip before the request is sent.
             delay.times(3.0)
         } else {
             return;
@@ -243,18 +244,18 @@
         self.attempts[attempt].running = true;
         let Attempt { client_try, backend, .. } = self.attempts[attempt];
         let work = self.arrivals.first_tries[self.tries[client_try].first_try].work_ms;
-        let time = self.backends[backend].work_time(work, self.now, &self.experiment.fleet);
+        let work_time_s = self.backends[backend].work_time_s(work, self.now, &self.experiment.fleet);
         self.backends[backend].worked_ms += work;
         self.score.record_work(self.now, work);
-        self.tries[client_try].runs += 1;
-        if self.is_once_only(client_try) && self.tries[client_try].runs > 1 {
+        self.tries[client_try].executions += 1;
+        if self.is_once_only(client_try) && self.tries[client_try].executions > 1 {
             self.record_violation(
                 Rule::NoEffectTwice,
                 format!("once-only request {client_try} is executed twice"),
             );
         }
         let incarnation = self.backends[backend].incarnation;
-        let ends_at = self.now + seconds(time).max(Ticks(1));
+        let ends_at = self.now + seconds(work_time_s).max(Ticks(1));
         self.schedule(ends_at, SimEvent::WorkEnds { attempt, incarnation });
     }
 
--- a/crates/simulator/src/simulation/clients.rs
+++ b/crates/simulator/src/simulation/clients.rs
@@ -27,7 +27,7 @@
     /// Whether it was within the quota when it was first sent to a backend; none until then.
     pub(super) within_quota: Option<bool>,
     /// How often a backend has started to process it.
-    pub(super) runs: u32,
+    pub(super) executions: u32,
 }
 
 impl<P: Policy> Simulation<'_, P> {
