--- a/crates/simulator/examples/pace.rs
+++ b/crates/simulator/examples/pace.rs
@@ -56,7 +56,7 @@
     let outcomes = [0, 1].map(|_| run_with(&experiment, &traced(&experiment, &rows, 1), 1));
     let wall_s = started_at.elapsed().as_secs_f64() / 2.0;
     let [first, second] =
-        outcomes.map(|outcome| (outcome.balancer.g, outcome.score, outcome.balancer.usage.attempts));
+        outcomes.map(|outcome| (outcome.balancer.net_value, outcome.score, outcome.balancer.usage.attempts));
     println!(
         "trace of one hour with {} requests, three policies: {wall_s:.1} s; both runs equal: {}",
         rows.len(),
--- a/crates/simulator/src/report.rs
+++ b/crates/simulator/src/report.rs
@@ -101,7 +101,7 @@
             "| {} | {:.3} | {:.3} | {:.3} | {:.3} | {} |",
             outcome.seed,
             outcome.score,
-            outcome.balancer.g,
+            outcome.balancer.net_value,
             outcome.floor,
             outcome.top,
             rules(&outcome.balancer)
@@ -143,7 +143,7 @@
 
 fn value_rows(experiment: &Experiment, outcome: &Outcome, text: &mut String) {
     let three = |value: f64| format!("{value:.3}");
-    row(outcome, text, "G", |record| three(record.g));
+    row(outcome, text, "G", |record| three(record.net_value));
     row(outcome, text, "complete run", |record| three(record.complete_run));
     row(outcome, text, "worst 10 s", |record| three(record.worst_window));
     for (index, product) in experiment.product.iter().enumerate() {
@@ -203,7 +203,7 @@
                 values.join(","),
                 outcome.seed,
                 outcome.score,
-                outcome.balancer.g,
+                outcome.balancer.net_value,
                 outcome.floor,
                 outcome.top
             );
--- a/crates/simulator/src/run.rs
+++ b/crates/simulator/src/run.rs
@@ -42,9 +42,9 @@
     let round_robin = Simulation::new(experiment, arrivals, seed, RoundRobin::default()).run();
     let omniscient = Simulation::new(experiment, arrivals, seed, Omniscient::default()).run();
     // A policy that rejects all requests has the value 0, so the floor is never negative.
-    let floor = if round_robin.violations.is_empty() { round_robin.g.max(0.0) } else { 0.0 };
-    let top = omniscient.g.max(floor);
-    let relative = (balancer.g - floor) / (top - floor).max(MIN_SCORE_RANGE);
+    let floor = if round_robin.violations.is_empty() { round_robin.net_value.max(0.0) } else { 0.0 };
+    let top = omniscient.net_value.max(floor);
+    let relative = (balancer.net_value - floor) / (top - floor).max(MIN_SCORE_RANGE);
     let score = if balancer.violations.is_empty() { relative } else { 0.0 };
     let (requests_per_s_at_capacity, customers) =
         (arrivals.requests_per_s_at_capacity, arrivals.customers.len());
--- a/crates/simulator/src/score.rs
+++ b/crates/simulator/src/score.rs
@@ -301,7 +301,7 @@
             + weights.worst_plan * worst_plan;
         self.violations.sort_by_key(|violation| violation.at);
         RunRecord {
-            g: weighted / weight_sum - prices.values().sum::<f64>(),
+            net_value: weighted / weight_sum - prices.values().sum::<f64>(),
             complete_run,
             worst_window,
             worst_product,
--- a/crates/simulator/src/score/record.rs
+++ b/crates/simulator/src/score/record.rs
@@ -65,7 +65,7 @@
 #[derive(Clone, Debug)]
 pub struct RunRecord {
     /// Value of the run after deduction of prices.
-    pub g: f64,
+    pub net_value: f64,
     /// Served fraction of the offered value, over the complete run.
     pub complete_run: f64,
     /// Lowest served fraction of any window.
--- a/crates/simulator/tests/rules.rs
+++ b/crates/simulator/tests/rules.rs
@@ -73,7 +73,7 @@
 fn the_balancer_violates_no_rule_without_faults() {
     let record = run(&experiment(""), BalancerPolicy::default());
     assert_eq!(violated_rules(&record), [], "{:?}", record.violations.first());
-    assert!(record.g > 0.7, "the value is too low: {}", record.g);
+    assert!(record.net_value > 0.7, "the value is too low: {}", record.net_value);
 }
 
 #[test]
--- a/programs/cli/src/fleet_simulation.rs
+++ b/programs/cli/src/fleet_simulation.rs
@@ -62,7 +62,7 @@
     tracing::info!(
         seed,
         score = outcome.score,
-        g = outcome.balancer.g,
+        g = outcome.balancer.net_value,
         floor = outcome.floor,
         top = outcome.top,
         "ran"
