--- a/crates/simulator/src/plots.rs
+++ b/crates/simulator/src/plots.rs
@@ -2,7 +2,7 @@
 //! a system font, so that all machines produce the same files.
 
 use crate::report::policies;
-use crate::run::Outcome;
+use crate::run::RunOutcome;
 use crate::score::SecondStats;
 use crate::sweep::Point;
 use font8x8::UnicodeFonts;
@@ -49,7 +49,7 @@
 }
 
 /// Returns the plots of a run.
-pub fn of_run(outcome: &Outcome) -> Vec<Plot> {
+pub fn of_run(outcome: &RunOutcome) -> Vec<Plot> {
     let seconds = &outcome.balancer.seconds;
     let line = |name: &str, of: &dyn Fn(&SecondStats) -> f64| {
         let points = seconds.iter().enumerate().map(|(no, second)| (no as f64, of(second)));
--- a/crates/simulator/src/report.rs
+++ b/crates/simulator/src/report.rs
@@ -3,7 +3,7 @@
 //! report format and don't follow the names in the code.
 
 use crate::experiment::Experiment;
-use crate::run::Outcome;
+use crate::run::RunOutcome;
 use crate::score::RunRecord;
 use crate::sweep::Point;
 use hdrhistogram::Histogram;
@@ -24,7 +24,7 @@
 }
 
 /// Returns one CSV row for each second of the balancer's run.
-pub fn seconds_csv(outcome: &Outcome) -> String {
+pub fn seconds_csv(outcome: &RunOutcome) -> String {
     let mut text =
         "second,firsts,settled_in_time,settled_late,declined,failed,offered_worth,served_worth,units_inside,\
         units_beyond,worked_ms,capacity_ms,nearest_ceiling,nearest_fall\n"
@@ -52,7 +52,7 @@
 }
 
 /// Returns quantiles of the latency and of the backends' queue length as CSV, for each policy.
-pub fn quantiles_csv(outcome: &Outcome) -> String {
+pub fn quantiles_csv(outcome: &RunOutcome) -> String {
     let mut text = "policy,figure,quantile,value\n".to_owned();
     for (policy, record) in policies(outcome) {
         for quantile in QUANTILES {
@@ -78,12 +78,12 @@
 }
 
 /// Returns the records of a run with the names of their policies in reports.
-pub(crate) fn policies(outcome: &Outcome) -> [(&'static str, &RunRecord); 3] {
+pub(crate) fn policies(outcome: &RunOutcome) -> [(&'static str, &RunRecord); 3] {
     [("module", &outcome.balancer), ("plainest", &outcome.round_robin), ("seeing", &outcome.omniscient)]
 }
 
 /// Returns a summary of an experiment's runs in Markdown.
-pub fn summary(experiment: &Experiment, outcomes: &[Outcome]) -> String {
+pub fn summary(experiment: &Experiment, outcomes: &[RunOutcome]) -> String {
     let fleet = &experiment.fleet;
     let mut text = format!(
         "# {}\n\n{} gateways, {} backends with {} cores each, {} s; load inside quotas {} of capacity.\n\n",
@@ -120,8 +120,8 @@
     text
 }
 
-fn run_summary(experiment: &Experiment, outcome: &Outcome, text: &mut String) {
-    let Outcome { seed, customers, requests_per_s_at_capacity, balancer, .. } = outcome;
+fn run_summary(experiment: &Experiment, outcome: &RunOutcome, text: &mut String) {
+    let RunOutcome { seed, customers, requests_per_s_at_capacity, balancer, .. } = outcome;
     line!(
         text,
         "\n## Seed {seed}\n\n{customers} customers, {} first tries, {requests_per_s_at_capacity:.0} requests per second at capacity.\n\n\
@@ -136,12 +136,12 @@
 }
 
 /// Appends a row to a run's table, with a value for each policy.
-fn row(outcome: &Outcome, text: &mut String, name: &str, value: impl Fn(&RunRecord) -> String) {
+fn row(outcome: &RunOutcome, text: &mut String, name: &str, value: impl Fn(&RunRecord) -> String) {
     let [balancer, round_robin, omniscient] = policies(outcome).map(|(_, record)| value(record));
     line!(text, "| {name} | {balancer} | {round_robin} | {omniscient} |");
 }
 
-fn value_rows(experiment: &Experiment, outcome: &Outcome, text: &mut String) {
+fn value_rows(experiment: &Experiment, outcome: &RunOutcome, text: &mut String) {
     let three = |value: f64| format!("{value:.3}");
     row(outcome, text, "G", |record| three(record.net_value));
     row(outcome, text, "complete run", |record| three(record.complete_run));
@@ -159,7 +159,7 @@
     }
 }
 
-fn count_rows(outcome: &Outcome, text: &mut String) {
+fn count_rows(outcome: &RunOutcome, text: &mut String) {
     let count = |total: f64| format!("{total:.0}");
     row(outcome, text, "answered in time", |record| count(record.total(|second| second.in_time as f64)));
     row(outcome, text, "answered late", |record| count(record.total(|second| second.late as f64)));
--- a/crates/simulator/src/run.rs
+++ b/crates/simulator/src/run.rs
@@ -10,7 +10,7 @@
 const MIN_SCORE_RANGE: f64 = 0.05;
 
 /// Results of a run with each policy.
-pub struct Outcome {
+pub struct RunOutcome {
     /// Seed of all random streams.
     pub seed: u64,
     /// Record of the project's balancer.
@@ -32,12 +32,12 @@
 }
 
 /// Runs an experiment with arrivals generated from the seed.
-pub fn run(experiment: &Experiment, seed: u64) -> Outcome {
+pub fn run(experiment: &Experiment, seed: u64) -> RunOutcome {
     run_with(experiment, &generated(experiment, seed), seed)
 }
 
 /// Runs an experiment with the given arrivals.
-pub fn run_with(experiment: &Experiment, arrivals: &Arrivals, seed: u64) -> Outcome {
+pub fn run_with(experiment: &Experiment, arrivals: &Arrivals, seed: u64) -> RunOutcome {
     let balancer = Simulation::new(experiment, arrivals, seed, BalancerPolicy::default()).run();
     let round_robin = Simulation::new(experiment, arrivals, seed, RoundRobin::default()).run();
     let omniscient = Simulation::new(experiment, arrivals, seed, Omniscient::default()).run();
@@ -48,7 +48,7 @@
     let score = if balancer.violations.is_empty() { relative } else { 0.0 };
     let (requests_per_s_at_capacity, customers) =
         (arrivals.requests_per_s_at_capacity, arrivals.customers.len());
-    Outcome {
+    RunOutcome {
         seed,
         balancer,
         round_robin,
--- a/crates/simulator/src/sweep.rs
+++ b/crates/simulator/src/sweep.rs
@@ -2,7 +2,7 @@
 //! scores 0 for them and does not abort the sweep.
 
 use crate::experiment::{Experiment, InvalidExperiment, experiment_with};
-use crate::run::{Outcome, run};
+use crate::run::{RunOutcome, run};
 
 /// Maximum number of keys of a sweep.
 const MAX_KEYS: usize = 2;
@@ -12,7 +12,7 @@
     /// Values of the swept keys.
     pub values: Vec<toml::Value>,
     /// Outcomes, one per seed.
-    pub outcomes: Vec<Outcome>,
+    pub outcomes: Vec<RunOutcome>,
 }
 
 impl Point {
--- a/programs/cli/src/fleet_simulation.rs
+++ b/programs/cli/src/fleet_simulation.rs
@@ -6,7 +6,7 @@
 use std::path::Path;
 use vanewharf_simulator::arrivals::traced;
 use vanewharf_simulator::experiment::Experiment;
-use vanewharf_simulator::run::{Outcome, run, run_with};
+use vanewharf_simulator::run::{RunOutcome, run, run_with};
 use vanewharf_simulator::{plots, report, sweep};
 
 /// How many violations of a run are logged.
@@ -34,7 +34,7 @@
     if let Some(rows) = &rows {
         experiment.length_s = rows.last().map_or(1.0, |row| row.time_s.max(1.0));
     }
-    let mut outcomes: Vec<Outcome> = Vec::new();
+    let mut outcomes: Vec<RunOutcome> = Vec::new();
     for seed in seeds_or_default(seeds, &experiment) {
         let outcome = match &rows {
             Some(rows) => run_with(&experiment, &traced(&experiment, rows, seed), seed),
@@ -58,7 +58,7 @@
     if seeds.is_empty() { vec![experiment.seed] } else { seeds.to_vec() }
 }
 
-fn log_outcome(seed: u64, outcome: &Outcome) {
+fn log_outcome(seed: u64, outcome: &RunOutcome) {
     tracing::info!(
         seed,
         score = outcome.score,
@@ -78,7 +78,7 @@
     }
 }
 
-fn write_report(directory: &Path, experiment: &Experiment, outcomes: &[Outcome]) -> Result<(), CliError> {
+fn write_report(directory: &Path, experiment: &Experiment, outcomes: &[RunOutcome]) -> Result<(), CliError> {
     create_directory(directory)?;
     write_file(directory, "summary.md", report::summary(experiment, outcomes))?;
     for outcome in outcomes {
