--- a/crates/simulator/examples/pace.rs
+++ b/crates/simulator/examples/pace.rs
@@ -4,7 +4,7 @@
 //! Run it with `cargo run --release -p vanewharf-simulator --example pace`.
 
 use std::time::Instant;
-use vanewharf_simulator::arrivals::{generated, traced};
+use vanewharf_simulator::arrivals::{arrivals_from_trace, generate_arrivals};
 use vanewharf_simulator::experiment::Experiment;
 use vanewharf_simulator::policy::BalancerPolicy;
 use vanewharf_simulator::run::run_with;
@@ -29,7 +29,7 @@
         for backends in [200, 2_000] {
             // The duration makes the number of first tries similar for all sizes.
             let experiment = experiment(gateways, backends, if backends > 1_000 { 10.0 } else { 60.0 });
-            let arrivals = generated(&experiment, 1);
+            let arrivals = generate_arrivals(&experiment, 1);
             let started_at = Instant::now();
             let record = Simulation::new(&experiment, &arrivals, 1, BalancerPolicy::default()).run();
             let wall_s = started_at.elapsed().as_secs_f64();
@@ -53,7 +53,7 @@
         }
     }
     let started_at = Instant::now();
-    let outcomes = [0, 1].map(|_| run_with(&experiment, &traced(&experiment, &rows, 1), 1));
+    let outcomes = [0, 1].map(|_| run_with(&experiment, &arrivals_from_trace(&experiment, &rows, 1), 1));
     let wall_s = started_at.elapsed().as_secs_f64() / 2.0;
     let [first, second] =
         outcomes.map(|outcome| (outcome.balancer.net_value, outcome.score, outcome.balancer.usage.attempts));
--- a/crates/simulator/src/arrivals.rs
+++ b/crates/simulator/src/arrivals.rs
@@ -121,7 +121,7 @@
 
 /// Returns the arrivals of a trace, with its customers in the order of their first rows. Rows with a plan or product that
 /// the experiment does not define are skipped.
-pub fn traced(experiment: &Experiment, rows: &[Row], seed: u64) -> Arrivals {
+pub fn arrivals_from_trace(experiment: &Experiment, rows: &[Row], seed: u64) -> Arrivals {
     let mut customer_random = RandomStream::new(seed, Stream::Customers);
     let mut arrival_random = RandomStream::new(seed, Stream::Arrivals);
     let mut known: HashMap<(&str, usize), usize> = HashMap::new();
@@ -245,7 +245,7 @@
 }
 
 /// Generates as many customers as the configured load requires, and their first tries.
-pub fn generated(experiment: &Experiment, seed: u64) -> Arrivals {
+pub fn generate_arrivals(experiment: &Experiment, seed: u64) -> Arrivals {
     let mut customer_random = RandomStream::new(seed, Stream::Customers);
     let mut arrival_random = RandomStream::new(seed, Stream::Arrivals);
     let mean_units = mean_over_products(experiment, |product| product.units);
--- a/crates/simulator/src/arrivals/tests.rs
+++ b/crates/simulator/src/arrivals/tests.rs
@@ -12,16 +12,16 @@
 #[test]
 fn the_generated_load_matches_the_setting_and_is_reproducible() {
     let plain = experiment("customers = {full = 0.0, heavy = 0.0, spiky = 0.0, calm = 0.3}");
-    let arrivals = generated(&plain, 3);
+    let arrivals = generate_arrivals(&plain, 3);
     let load = arrivals.first_tries.len() as f64 / 20.0 / arrivals.requests_per_s_at_capacity;
     assert!((0.48..0.52).contains(&load), "load of {load} of capacity, expected 0.5");
-    assert_eq!(generated(&plain, 3).first_tries, arrivals.first_tries);
-    assert_ne!(generated(&plain, 4).first_tries, arrivals.first_tries);
+    assert_eq!(generate_arrivals(&plain, 3).first_tries, arrivals.first_tries);
+    assert_ne!(generate_arrivals(&plain, 4).first_tries, arrivals.first_tries);
 }
 
 #[test]
 fn a_customer_uses_only_gateways_of_its_subset() {
-    let arrivals = generated(&experiment(""), 3);
+    let arrivals = generate_arrivals(&experiment(""), 3);
     let customer = &arrivals.customers[0];
     let gateways: std::collections::BTreeSet<_> =
         (0..1_000).map(|no| customer.gateway(seconds(3.0), f64::from(no) / 1_000.0, 20)).collect();
@@ -34,7 +34,7 @@
 #[test]
 fn a_flood_raises_the_demand_of_the_affected_customers_while_it_lasts() {
     let flooding = experiment("fault = [{kind = \"flood\", at_s = 5, for_s = 5, part = 0.1, size = 10}]");
-    let arrivals = generated(&flooding, 3);
+    let arrivals = generate_arrivals(&flooding, 3);
     let count = |from: f64, to: f64, selected: &dyn Fn(usize) -> bool| {
         arrivals
             .first_tries
--- a/crates/simulator/src/run.rs
+++ b/crates/simulator/src/run.rs
@@ -1,6 +1,6 @@
 //! Runs of an experiment: simulates the balancer and both baselines with the same arrivals, and scores the balancer.
 
-use crate::arrivals::{Arrivals, generated};
+use crate::arrivals::{Arrivals, generate_arrivals};
 use crate::experiment::Experiment;
 use crate::policy::{BalancerPolicy, Omniscient, RoundRobin};
 use crate::score::RunRecord;
@@ -33,7 +33,7 @@
 
 /// Runs an experiment with arrivals generated from the seed.
 pub fn run(experiment: &Experiment, seed: u64) -> RunOutcome {
-    run_with(experiment, &generated(experiment, seed), seed)
+    run_with(experiment, &generate_arrivals(experiment, seed), seed)
 }
 
 /// Runs an experiment with the given arrivals.
--- a/crates/simulator/tests/rules.rs
+++ b/crates/simulator/tests/rules.rs
@@ -3,7 +3,7 @@
 
 use vanewharf_policy::decide::Balancer;
 use vanewharf_policy::interface::*;
-use vanewharf_simulator::arrivals::generated;
+use vanewharf_simulator::arrivals::generate_arrivals;
 use vanewharf_simulator::experiment::Experiment;
 use vanewharf_simulator::policy::{BalancerPolicy, FleetView, Policy, QuotaOracle, RoundRobin};
 use vanewharf_simulator::rules::Rule;
@@ -24,7 +24,7 @@
 }
 
 fn run<P: Policy>(experiment: &Experiment, policy: P) -> RunRecord {
-    let arrivals = generated(experiment, 3);
+    let arrivals = generate_arrivals(experiment, 3);
     Simulation::new(experiment, &arrivals, 3, policy).run()
 }
 
--- a/programs/cli/src/fleet_simulation.rs
+++ b/programs/cli/src/fleet_simulation.rs
@@ -4,7 +4,7 @@
 use crate::files::{ExperimentFile, create_directory, read_experiment, write_file, write_plot};
 use crate::trace::read_rows;
 use std::path::Path;
-use vanewharf_simulator::arrivals::traced;
+use vanewharf_simulator::arrivals::arrivals_from_trace;
 use vanewharf_simulator::experiment::Experiment;
 use vanewharf_simulator::run::{RunOutcome, run, run_with};
 use vanewharf_simulator::{plots, report, sweep};
@@ -37,7 +37,7 @@
     let mut outcomes: Vec<RunOutcome> = Vec::new();
     for seed in seeds_or_default(seeds, &experiment) {
         let outcome = match &rows {
-            Some(rows) => run_with(&experiment, &traced(&experiment, rows, seed), seed),
+            Some(rows) => run_with(&experiment, &arrivals_from_trace(&experiment, rows, seed), seed),
             None => run(&experiment, seed),
         };
         log_outcome(seed, &outcome);
