--- a/crates/simulator/src/plots.rs
+++ b/crates/simulator/src/plots.rs
@@ -30,11 +30,11 @@
     /// Title.
     pub title: String,
     /// Label of the x axis.
-    pub across: String,
+    pub x_label: String,
     /// Lines of the plot.
     pub lines: Vec<Line>,
     /// Value of a horizontal reference line, if there is one.
-    pub bound: Option<f64>,
+    pub reference_value: Option<f64>,
 }
 
 /// A plot could not be drawn or encoded. The message is that of the library that failed.
@@ -61,12 +61,12 @@
     };
     let served = policies(outcome)
         .map(|(name, record)| Line { name: name.to_owned(), points: share(&record.seconds) });
-    let plot = |name, title: &str, lines, bound| Plot {
+    let plot = |name, title: &str, lines, reference_value| Plot {
         name,
         title: title.to_owned(),
-        across: "seconds".to_owned(),
+        x_label: "seconds".to_owned(),
         lines,
-        bound,
+        reference_value,
     };
     vec![
         plot("served", "value served / value offered", served.into_iter().collect(), None),
@@ -93,7 +93,7 @@
         ),
         plot(
             "margins",
-            "use of hard limits and of the load bound in warm-up (a rule is violated above 1)",
+            "use of hard limits and load in warm-up, relative to the limit",
             vec![
                 line("hard limit", &|second| second.max_hard_limit_ratio.max(0.0)),
                 line("load in warm-up", &|second| second.max_overload_ratio),
@@ -119,7 +119,7 @@
         }
     }
     let title = "mean score by swept value (0 where a rule was violated)".to_owned();
-    Plot { name: "score", title, across: keys[0].clone(), lines, bound: None }
+    Plot { name: "score", title, x_label: keys[0].clone(), lines, reference_value: None }
 }
 
 impl Plot {
@@ -155,7 +155,8 @@
         let x_min = all().map(|point| point.0).fold(f64::MAX, f64::min);
         let x_max = all().map(|point| point.0).fold(f64::MIN, f64::max);
         let (x_min, x_max) = if x_min < x_max { (x_min, x_max) } else { (0.0, 1.0) };
-        let y_max = all().map(|point| point.1).chain(self.bound).fold(0.0, f64::max).max(1e-9) * 1.05;
+        let y_max =
+            all().map(|point| point.1).chain(self.reference_value).fold(0.0, f64::max).max(1e-9) * 1.05;
         let mut chart = ChartBuilder::on(&area)
             .caption(&self.title, ("monospace", 16))
             .margin(12)
@@ -164,10 +165,10 @@
             .build_cartesian_2d(x_min..x_max, 0.0..y_max)
             .map_err(DrawError::new)?;
         let mut mesh = chart.configure_mesh();
-        mesh.x_desc(&self.across).label_style(("monospace", 12)).axis_desc_style(("monospace", 12));
+        mesh.x_desc(&self.x_label).label_style(("monospace", 12)).axis_desc_style(("monospace", 12));
         mesh.draw().map_err(DrawError::new)?;
-        if let Some(bound) = self.bound {
-            let line = [(x_min, bound), (x_max, bound)];
+        if let Some(reference_value) = self.reference_value {
+            let line = [(x_min, reference_value), (x_max, reference_value)];
             chart.draw_series(LineSeries::new(line, BLACK.mix(0.5))).map_err(DrawError::new)?;
         }
         for (no, line) in self.lines.iter().enumerate() {
--- a/crates/system-simulator/src/cost.rs
+++ b/crates/system-simulator/src/cost.rs
@@ -48,12 +48,12 @@
     Plot {
         name: "cost-per-door",
         title: "control cost of one door, of the smallest fleet's".to_owned(),
-        across: "doors, power of ten".to_owned(),
+        x_label: "doors, power of ten".to_owned(),
         lines: vec![
             line("bytes", |cost| cost.proxy_bytes),
             line("messages", |cost| cost.proxy_messages),
             line("sorter's time", |cost| cost.agent_cpu_ms),
         ],
-        bound: None,
+        reference_value: None,
     }
 }
