--- a/crates/simulator/src/report.rs
+++ b/crates/simulator/src/report.rs
@@ -131,7 +131,7 @@
     value_rows(experiment, outcome, text);
     count_rows(outcome, text);
     for violation in balancer.violations.iter().take(LISTED_VIOLATIONS) {
-        line!(text, "\n- {:.3} s, {}: {}", violation.at.seconds(), violation.rule, violation.what);
+        line!(text, "\n- {:.3} s, {}: {}", violation.at.seconds(), violation.rule, violation.description);
     }
 }
 
--- a/crates/simulator/src/rules.rs
+++ b/crates/simulator/src/rules.rs
@@ -38,5 +38,5 @@
     /// Time of the violation, relative to the start of the run.
     pub at: Ticks,
     /// Description of the violation.
-    pub what: String,
+    pub description: String,
 }
--- a/crates/simulator/src/simulation.rs
+++ b/crates/simulator/src/simulation.rs
@@ -190,8 +190,8 @@
         }
     }
 
-    fn record_violation(&mut self, rule: Rule, what: String) {
-        self.score.violations.push(RuleViolation { rule, at: self.now - RUN_START, what });
+    fn record_violation(&mut self, rule: Rule, description: String) {
+        self.score.violations.push(RuleViolation { rule, at: self.now - RUN_START, description });
     }
 
     /// Draws a one-way network delay within the fleet.
--- a/crates/simulator/src/simulation/attempts.rs
+++ b/crates/simulator/src/simulation/attempts.rs
@@ -53,14 +53,14 @@
         let (client_try, backend) = (txn.0 as usize, backend.0 as usize);
         let known = self.tries.get(client_try).is_some_and(|state| state.gateway == gateway);
         if !known || backend >= self.backends.len() {
-            let what = format!(
+            let description = format!(
                 "gateway {gateway} sends unknown request {client_try} or uses unknown backend {backend}"
             );
-            return self.record_violation(Rule::OneAnswer, what);
+            return self.record_violation(Rule::OneAnswer, description);
         }
         if self.tries[client_try].answered {
-            let what = format!("request {client_try} is sent to a backend after its final response");
-            return self.record_violation(Rule::OneAnswer, what);
+            let description = format!("request {client_try} is sent to a backend after its final response");
+            return self.record_violation(Rule::OneAnswer, description);
         }
         let earlier = self.tries[client_try].attempts.clone();
         let number = earlier.len() as u32;
@@ -96,14 +96,16 @@
         let may_have_run = earlier.iter().find(|&&other| self.attempts[other].may_have_run);
         match (product.repeat, may_have_run) {
             (Repeat::OnceOnly, Some(_)) => {
-                let what = format!("once-only request {client_try} is sent again though it may have run");
-                self.record_violation(Rule::NoEffectTwice, what);
+                let description =
+                    format!("once-only request {client_try} is sent again though it may have run");
+                self.record_violation(Rule::NoEffectTwice, description);
             }
             (Repeat::Referenced, Some(&other))
                 if self.now - self.attempts[other].sent_at > millis(product.window_ms) =>
             {
-                let what = format!("request {client_try} is sent again after its deduplication window");
-                self.record_violation(Rule::NoEffectTwice, what);
+                let description =
+                    format!("request {client_try} is sent again after its deduplication window");
+                self.record_violation(Rule::NoEffectTwice, description);
             }
             _ => {}
         }
@@ -115,10 +117,10 @@
         let stopped_at = self.gateways[gateway].backends[backend].stopped_at;
         if let Some(stopped_at) = stopped_at.filter(|stopped_at| self.now - *stopped_at > grace) {
             let elapsed_s = (self.now - stopped_at).seconds();
-            let what = format!(
+            let description = format!(
                 "gateway {gateway} sends to backend {backend} {elapsed_s:.1} s after it was told of its stop"
             );
-            self.record_violation(Rule::Drains, what);
+            self.record_violation(Rule::Drains, description);
         }
     }
 
@@ -139,8 +141,8 @@
         self.score.record_hard_limit(&first, (debt + burst) / (burst + slack).max(1e-9));
         if debt > slack + 1e-6 {
             let customer = first.customer;
-            let what = format!("customer {customer} is {debt:.1} units over its hard limit");
-            self.record_violation(Rule::HardLimits, what);
+            let description = format!("customer {customer} is {debt:.1} units over its hard limit");
+            self.record_violation(Rule::HardLimits, description);
         }
     }
 
--- a/crates/simulator/src/simulation/clients.rs
+++ b/crates/simulator/src/simulation/clients.rs
@@ -155,8 +155,9 @@
     ) {
         let client_try = txn.0 as usize;
         let Some(state) = self.tries.get(client_try) else {
-            let what = format!("gateway {gateway} answers request {client_try}, which it did not receive");
-            return self.record_violation(Rule::OneAnswer, what);
+            let description =
+                format!("gateway {gateway} answers request {client_try}, which it did not receive");
+            return self.record_violation(Rule::OneAnswer, description);
         };
         if state.answered || state.gateway != gateway {
             return;
@@ -168,8 +169,8 @@
         let may_have_run = state.attempts.iter().any(|&attempt| self.attempts[attempt].may_have_run);
         let first_try = state.first_try;
         if rejected && once_only && may_have_run {
-            let what = format!("request {client_try} is rejected though it may have been executed");
-            self.record_violation(Rule::NoEffectTwice, what);
+            let description = format!("request {client_try} is rejected though it may have been executed");
+            self.record_violation(Rule::NoEffectTwice, description);
         }
         self.tries[client_try].answered = true;
         self.score.record_refusal(first_try, rejected, self.now);
--- a/programs/cli/src/fleet_simulation.rs
+++ b/programs/cli/src/fleet_simulation.rs
@@ -72,7 +72,7 @@
             seed,
             rule = %violation.rule,
             at_s = violation.at.seconds(),
-            what = violation.what,
+            what = violation.description,
             "rule broken"
         );
     }
