--- a/crates/simulator/examples/pace.rs
+++ b/crates/simulator/examples/pace.rs
@@ -7,7 +7,7 @@
 use vanewharf_simulator::arrivals::{arrivals_from_trace, generate_arrivals};
 use vanewharf_simulator::experiment::Experiment;
 use vanewharf_simulator::policy::BalancerPolicy;
-use vanewharf_simulator::run::run_with;
+use vanewharf_simulator::run::run_with_arrivals;
 use vanewharf_simulator::simulation::Simulation;
 use vanewharf_traces::Row;
 
@@ -53,7 +53,8 @@
         }
     }
     let started_at = Instant::now();
-    let outcomes = [0, 1].map(|_| run_with(&experiment, &arrivals_from_trace(&experiment, &rows, 1), 1));
+    let outcomes =
+        [0, 1].map(|_| run_with_arrivals(&experiment, &arrivals_from_trace(&experiment, &rows, 1), 1));
     let wall_s = started_at.elapsed().as_secs_f64() / 2.0;
     let [first, second] =
         outcomes.map(|outcome| (outcome.balancer.net_value, outcome.score, outcome.balancer.usage.attempts));
--- a/crates/simulator/src/run.rs
+++ b/crates/simulator/src/run.rs
@@ -33,11 +33,11 @@
 
 /// Runs an experiment with arrivals generated from the seed.
 pub fn run(experiment: &Experiment, seed: u64) -> RunOutcome {
-    run_with(experiment, &generate_arrivals(experiment, seed), seed)
+    run_with_arrivals(experiment, &generate_arrivals(experiment, seed), seed)
 }
 
 /// Runs an experiment with the given arrivals.
-pub fn run_with(experiment: &Experiment, arrivals: &Arrivals, seed: u64) -> RunOutcome {
+pub fn run_with_arrivals(experiment: &Experiment, arrivals: &Arrivals, seed: u64) -> RunOutcome {
     let balancer = Simulation::new(experiment, arrivals, seed, BalancerPolicy::default()).run();
     let round_robin = Simulation::new(experiment, arrivals, seed, RoundRobin::default()).run();
     let omniscient = Simulation::new(experiment, arrivals, seed, Omniscient::default()).run();
--- a/programs/cli/src/fleet_simulation.rs
+++ b/programs/cli/src/fleet_simulation.rs
@@ -6,7 +6,7 @@
 use std::path::Path;
 use vanewharf_simulator::arrivals::arrivals_from_trace;
 use vanewharf_simulator::experiment::Experiment;
-use vanewharf_simulator::run::{RunOutcome, run, run_with};
+use vanewharf_simulator::run::{RunOutcome, run, run_with_arrivals};
 use vanewharf_simulator::{plots, report, sweep};
 
 /// How many violations of a run are logged.
@@ -37,7 +37,7 @@
     let mut outcomes: Vec<RunOutcome> = Vec::new();
     for seed in seeds_or_default(seeds, &experiment) {
         let outcome = match &rows {
-            Some(rows) => run_with(&experiment, &arrivals_from_trace(&experiment, rows, seed), seed),
+            Some(rows) => run_with_arrivals(&experiment, &arrivals_from_trace(&experiment, rows, seed), seed),
             None => run(&experiment, seed),
         };
         log_outcome(seed, &outcome);
