--- a/crates/simulator/src/policy.rs
+++ b/crates/simulator/src/policy.rs
@@ -24,7 +24,7 @@
 /// Decides admission by the exact state of the customers' quotas. Only the omniscient policy uses it.
 pub type QuotaOracle<'a> = dyn FnMut(&Arrival) -> bool + 'a;
 
-/// The decisions of all gateways of a simulation.
+/// A policy that decides for all gateways of a simulation.
 pub trait Policy {
     /// Initializes the policy of a gateway that starts.
     fn start_gateway(&mut self, gateway: usize, config: BalancerConfig);
