--- a/programs/cli/src/fleet_simulation.rs
+++ b/programs/cli/src/fleet_simulation.rs
@@ -4,9 +4,9 @@
 use crate::files::{ExperimentFile, create_directory, read_experiment, write_file, write_plot};
 use crate::trace::read_rows;
 use std::path::Path;
-use vanewharf_simulator::arrivals::traced;
+use vanewharf_simulator::arrivals::arrivals_from_trace;
 use vanewharf_simulator::experiment::Experiment;
-use vanewharf_simulator::run::{Outcome, run, run_with};
+use vanewharf_simulator::run::{RunOutcome, run, run_with_arrivals};
 use vanewharf_simulator::{plots, report, sweep};
 
 /// Maximum number of violations that are logged per run.
@@ -35,10 +35,10 @@
     if let Some(rows) = &rows {
         experiment.length_s = rows.last().map_or(1.0, |row| row.time_s.max(1.0));
     }
-    let mut outcomes: Vec<Outcome> = Vec::new();
+    let mut outcomes: Vec<RunOutcome> = Vec::new();
     for seed in seeds_or_default(seeds, &experiment) {
         let outcome = match &rows {
-            Some(rows) => run_with(&experiment, &traced(&experiment, rows, seed), seed),
+            Some(rows) => run_with_arrivals(&experiment, &arrivals_from_trace(&experiment, rows, seed), seed),
             None => run(&experiment, seed),
         };
         log_outcome(seed, &outcome);
@@ -59,11 +59,11 @@
     if seeds.is_empty() { vec![experiment.seed] } else { seeds.to_vec() }
 }
 
-fn log_outcome(seed: u64, outcome: &Outcome) {
+fn log_outcome(seed: u64, outcome: &RunOutcome) {
     tracing::info!(
         seed,
         score = outcome.score,
-        g = outcome.balancer.g,
+        g = outcome.balancer.net_value,
         floor = outcome.floor,
         top = outcome.top,
         "ran"
@@ -73,13 +73,13 @@
             seed,
             rule = %violation.rule,
             at_s = violation.at.seconds(),
-            what = violation.what,
+            what = violation.description,
             "rule violated"
         );
     }
 }
 
-fn write_report(directory: &Path, experiment: &Experiment, outcomes: &[Outcome]) -> Result<(), CliError> {
+fn write_report(directory: &Path, experiment: &Experiment, outcomes: &[RunOutcome]) -> Result<(), CliError> {
     create_directory(directory)?;
     write_file(directory, "summary.md", report::summary(experiment, outcomes))?;
     for outcome in outcomes {
