--- a/crates/testkit/examples/change_latency.rs
+++ b/crates/testkit/examples/change_latency.rs
@@ -1,8 +1,8 @@
-//! Measures how long a change of one route takes on real sockets, by the size of the configuration that it changes:
-//! three controllers and a proxy with its agent, all on loopback and on real disks.
+//! Measures how long a change of one route takes to be acknowledged and applied, for configurations of different sizes.
+//! The cluster has three controllers and one proxy with its agent, on loopback sockets and real disks.
 //!
-//! `cargo run --release -p vanewharf-testkit --example change_latency [PART...]`, each a part of 48,000 routes and
-//! 240,000 tenants. The figures are in docs/CAPACITY.md.
+//! `cargo run --release -p vanewharf-testkit --example change_latency [FRACTION...]`, where each FRACTION is a fraction of
+//! 48,000 routes and 240,000 tenants. The results are in docs/CAPACITY.md.
 
 use serde_json::json;
 use std::panic::{AssertUnwindSafe, catch_unwind};
@@ -12,32 +12,32 @@
 
 const ROUTES: f64 = 48_000.0;
 const TENANTS: f64 = 240_000.0;
-const DEFAULT_PARTS: [f64; 8] = [0.02, 0.05, 0.1, 0.2, 0.3, 0.4, 0.5, 0.6];
+const DEFAULT_FRACTIONS: [f64; 8] = [0.02, 0.05, 0.1, 0.2, 0.3, 0.4, 0.5, 0.6];
 
-/// A configuration with this part of all routes and tenants, and one route that only this revision has.
-fn large_config(revision: u64, part: f64) -> String {
+/// Returns a configuration with this fraction of all routes and tenants, and one route that only this revision has.
+fn large_config(revision: u64, fraction: f64) -> String {
     config(revision, |config| {
         let template = config["routes"]["r-read"].clone();
-        let routes = config["routes"].as_object_mut().expect("a table");
-        for no in 0..(ROUTES * part) as usize {
+        let routes = config["routes"].as_object_mut().expect("routes is an object");
+        for number in 0..(ROUTES * fraction) as usize {
             let mut route = template.clone();
-            route["hostname"] = json!(format!("host-{:04}.shop.example", no / 8));
-            route["path_prefix"] = json!(format!("/part-{no}/"));
-            routes.insert(format!("route-{no:05}"), route);
+            route["hostname"] = json!(format!("host-{:04}.shop.example", number / 8));
+            route["path_prefix"] = json!(format!("/part-{number}/"));
+            routes.insert(format!("route-{number:05}"), route);
         }
         let mut new_route = template;
         new_route["path_prefix"] = json!(format!("/fresh-{revision}/"));
         routes.insert("r-fresh".to_owned(), new_route);
-        let customers = config["customers"].as_object_mut().expect("a table");
-        for no in 0..(TENANTS * part) as usize {
-            let customer = json!({"access_keys": [format!("key-{no:028}")], "precedence": no % 3,
-                "rate_per_s": 40 + no % 50, "burst_allowance": 60, "home_regions": []});
-            customers.insert(format!("tenant-{no:06}"), customer);
+        let customers = config["customers"].as_object_mut().expect("customers is an object");
+        for number in 0..(TENANTS * fraction) as usize {
+            let customer = json!({"access_keys": [format!("key-{number:028}")], "precedence": number % 3,
+                "rate_per_s": 40 + number % 50, "burst_allowance": 60, "home_regions": []});
+            customers.insert(format!("tenant-{number:06}"), customer);
         }
     })
 }
 
-/// What one change took; the last two are unknown where it was not accepted.
+/// The durations of one change. `in_force` and `slowest_response` are `None` if the change was not accepted.
 struct ChangeTiming {
     status: u16,
     acknowledged: Duration,
@@ -49,7 +49,7 @@
     time.map_or(f64::NAN, |time| time.as_secs_f64() * 1e3)
 }
 
-/// Sends a change and waits until the proxy serves its new route.
+/// Sends a change, and waits until the proxy serves the new route if the change was accepted.
 fn measure_change(cluster: &TestCluster, revision: u64, body: &str) -> ChangeTiming {
     let started = Instant::now();
     let status = cluster.send_command("POST", "/-/Configuration.Replace", body).status();
@@ -68,12 +68,12 @@
     ChangeTiming { status, acknowledged, in_force: Some(started.elapsed()), slowest_response: Some(slowest) }
 }
 
-/// Prints one row of the table: a first large configuration, and a change of one route of it.
-fn measure_part(part: f64) {
-    let (first, second) = (large_config(2, part), large_config(3, part));
+/// Prints one row of the table: the times for installing a large configuration, and for changing one route of it.
+fn measure_fraction(fraction: f64) {
+    let (first, second) = (large_config(2, fraction), large_config(3, fraction));
     let megabytes = first.len() as f64 / 1e6;
     let mut columns = vec![];
-    let completed = catch_unwind(AssertUnwindSafe(|| {
+    let result = catch_unwind(AssertUnwindSafe(|| {
         let cluster = TestCluster::start(1, |_| {});
         cluster.send_command("POST", "/-/Configuration.Replace", &config(1, |_| {}));
         cluster.wait_for_status(0, "/read/x", Some("key-a"), 200);
@@ -87,18 +87,18 @@
         let slowest = milliseconds(change.slowest_response);
         columns.push(format!("{}, {acknowledged:.0}, {in_force:.0}, {slowest:.0}", change.status));
     }));
-    if completed.is_err() {
-        columns.push("not in 20 s".to_owned());
+    if result.is_err() {
+        columns.push("timed out after 20 s".to_owned());
     }
-    println!("| {part} | {megabytes:.1} | {} |", columns.join(" | "));
+    println!("| {fraction} | {megabytes:.1} | {} |", columns.join(" | "));
 }
 
 fn main() {
-    let parts: Vec<f64> = std::env::args().skip(1).filter_map(|part| part.parse().ok()).collect();
-    let parts = if parts.is_empty() { DEFAULT_PARTS.to_vec() } else { parts };
+    let fractions: Vec<f64> = std::env::args().skip(1).filter_map(|argument| argument.parse().ok()).collect();
+    let fractions = if fractions.is_empty() { DEFAULT_FRACTIONS.to_vec() } else { fractions };
     println!(
-        "| part | text MB | the first: status, ms, in force ms | one route: status, ms, in force ms, slowest answer ms |"
+        "| fraction | text MB | first configuration: status, ms, in force ms | one route: status, ms, in force ms, slowest response ms |"
     );
     println!("| --- | --- | --- | --- |");
-    parts.into_iter().for_each(measure_part);
+    fractions.into_iter().for_each(measure_fraction);
 }
--- a/crates/testkit/src/backend.rs
+++ b/crates/testkit/src/backend.rs
@@ -1,4 +1,4 @@
-//! A fake backend: answers requests as a test tells it to and records those it has executed.
+//! A fake backend: responds to requests with the behavior that a test sets, and records the requests it has executed.
 
 use crate::http::{self, Message};
 use crate::platform::lock;
@@ -10,75 +10,75 @@
 use std::time::Duration;
 
 const STATUS_OK: &str = "HTTP/1.1 200 OK";
-/// An `Attempt-Id` that belongs to no request.
+/// An `Attempt-Id` that no request has.
 const UNKNOWN_ATTEMPT: &str = "another";
-/// The body of a response that belongs to another request.
+/// The body of a response that belongs to a different request.
 const FOREIGN_BODY: &str = "another's";
 
-/// What a backend does with each request.
+/// How a backend handles each request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Behavior {
-    /// Executes it and responds 200 with its own id as the body.
+    /// Executes the request and responds 200 with the id of the backend as the body.
     Serves,
-    /// Does not execute it and says so (`Not-Executed`).
+    /// Does not execute the request, and responds 503 with the `Not-Executed` header.
     Sheds,
-    /// Executes it and closes the connection without a response.
+    /// Executes the request and closes the connection without a response.
     ClosesWithoutResponse,
-    /// Executes it and resets the connection.
+    /// Executes the request and resets the connection.
     ResetsConnection,
-    /// Executes it and never responds.
+    /// Executes the request and never responds.
     NeverResponds,
-    /// Executes it and responds after that time of work.
+    /// Executes the request and responds after this delay.
     RespondsAfter(Duration),
-    /// Executes it, and responds under another request's id before its own.
+    /// Executes the request, and sends a response with an unknown `Attempt-Id` before the correct one.
     RespondsForAnotherFirst,
-    /// Executes it and responds under another request's id only.
+    /// Executes the request and sends only a response with an unknown `Attempt-Id`.
     RespondsForAnotherOnly,
-    /// Executes it, and repeats the previous request's response before its own.
+    /// Executes the request, and sends a response to the previous request of the connection before the correct one.
     RepeatsPreviousResponse,
-    /// Executes it and responds twice.
+    /// Executes the request and responds twice.
     RespondsTwice,
-    /// Executes it and responds without `Attempt-Id`.
+    /// Executes the request and responds without `Attempt-Id`.
     OmitsAttemptId,
-    /// Executes it and responds without `Backend-Seal`.
+    /// Executes the request and responds without `Backend-Seal`.
     OmitsSeal,
-    /// Executes it and sends bytes that are not HTTP.
+    /// Executes the request and sends bytes that are not HTTP.
     SendsGarbage,
-    /// Executes it and closes within the response's body.
+    /// Executes the request and closes the connection in the middle of the response body.
     TruncatesResponse,
-    /// Executes it and responds 500.
+    /// Executes the request and responds 500.
     Fails,
-    /// Executes it and responds with this status, whatever the status claims about the execution.
+    /// Executes the request and responds with this status, even if the status implies that it was not executed.
     ClaimsStatus(u16),
 }
 
 /// A request that a backend has executed.
 #[derive(Clone, Debug)]
 pub struct ExecutedRequest {
-    /// Its `Attempt-Id`.
+    /// The value of its `Attempt-Id` header.
     pub attempt: String,
-    /// The tenant's name, as the proxy sent it.
+    /// The name of the tenant, from the `Customer-Name` header that the proxy adds.
     pub customer: Option<String>,
-    /// The access key, where the proxy let one through.
+    /// The access key of the client, if the proxy forwarded it.
     pub access_key: Option<String>,
-    /// The path it was sent to.
+    /// The path of the request.
     pub path: String,
 }
 
 /// One backend instance on a loopback address.
 pub struct FakeBackend {
-    /// The instance's id on the platform.
+    /// The id of the instance on the platform.
     pub id: String,
     /// The service it belongs to.
     pub service: String,
     /// The zone it runs in.
     pub zone: String,
-    /// Where it listens.
+    /// The address on which it listens.
     pub address: SocketAddr,
     state: Arc<BackendState>,
 }
 
-/// Shared by a backend's connections.
+/// State that all connections of a backend share.
 struct BackendState {
     id: String,
     behavior: Mutex<Behavior>,
@@ -86,13 +86,13 @@
 }
 
 impl FakeBackend {
-    /// Starts a backend that serves, on a free port of this address.
+    /// Starts a backend with [`Behavior::Serves`] on a free port of this address.
     ///
     /// # Panics
     ///
-    /// Where the address cannot be bound.
+    /// If the address cannot be bound.
     pub fn start(ip: IpAddr, id: &str, service: &str, zone: &str) -> FakeBackend {
-        let listener = TcpListener::bind((ip, 0)).expect("a free loopback address");
+        let listener = TcpListener::bind((ip, 0)).expect("the address can be bound");
         let address = listener.local_addr().expect("the listener is bound");
         let state = Arc::new(BackendState {
             id: id.to_owned(),
@@ -109,18 +109,18 @@
         FakeBackend { id: id.to_owned(), service: service.to_owned(), zone: zone.to_owned(), address, state }
     }
 
-    /// From the next request on it behaves like this.
+    /// Sets the behavior for all later requests.
     pub fn set_behavior(&self, behavior: Behavior) {
         *lock(&self.state.behavior) = behavior;
     }
 
-    /// The requests it has executed, in order.
+    /// Returns the requests that it has executed, in order.
     pub fn executed_requests(&self) -> Vec<ExecutedRequest> {
         lock(&self.state.executed).clone()
     }
 }
 
-/// Whether a connection goes on after a response.
+/// Whether a connection is used again after a response.
 enum Connection {
     KeepAlive,
     Close,
@@ -181,7 +181,7 @@
                 return Ok(Connection::Close);
             }
             Behavior::NeverResponds => {
-                // Returns when the peer closes.
+                // Waits until the proxy closes the connection.
                 let _ = http::read_message(self.stream);
                 return Ok(Connection::Close);
             }
@@ -222,19 +222,19 @@
         Ok(Connection::KeepAlive)
     }
 
-    /// A response with this request's id.
+    /// Writes a response with the `Attempt-Id` of this request.
     fn write_own(&mut self, status_line: &str, body: &str) -> io::Result<()> {
         let headers = [("Attempt-Id", self.attempt), ("Backend-Seal", "s.1")];
         http::write_message(self.stream, status_line, &headers, body)
     }
 
-    /// A response with another request's id.
+    /// Writes a response with the `Attempt-Id` of a different request.
     fn write_foreign(&mut self, attempt: &str) -> io::Result<()> {
         let headers = [("Attempt-Id", attempt), ("Backend-Seal", "s.2")];
         http::write_message(self.stream, STATUS_OK, &headers, FOREIGN_BODY)
     }
 
-    /// A head that announces more bytes than follow.
+    /// Writes a response with a body shorter than its `Content-Length`.
     fn write_truncated_response(&mut self) -> io::Result<()> {
         let attempt = self.attempt;
         let head = format!(
--- a/crates/testkit/src/cluster.rs
+++ b/crates/testkit/src/cluster.rs
@@ -1,7 +1,8 @@
-//! A test cluster: machines with a loopback address each, the programs on them, and what clients and operators do.
+//! A test cluster: machines with one loopback address each, the programs that run on them, and the requests of clients
+//! and operators.
 //!
-//! Controllers are machines `0..controllers`; proxies follow them. Methods that take a `machine` count over both,
-//! those that take a `proxy` or a `controller` count from the first of its kind.
+//! Machines are numbered with the controllers first, as `0..controllers`, and the proxies after them. A `machine`
+//! argument is this number; a `proxy` or `controller` argument counts only machines of that kind, from 0.
 
 use crate::backend::FakeBackend;
 use crate::http::{self, Message};
@@ -21,19 +22,19 @@
 use tempfile::TempDir;
 use vanewharf_config::settings::Settings;
 
-/// How many controllers a cluster has unless a test asks for another number; also the number of seed nodes.
+/// The default number of controllers in a cluster, and the number of seed nodes in every cluster.
 pub const CONTROLLERS: usize = 3;
 
-/// Longer than any condition that a test waits for takes to hold.
+/// Exceeds the time that any condition in the tests takes to hold.
 const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
-/// How many redirections an operator follows before it tries another controller.
+/// Redirections that an operator follows before it tries the next controller.
 const MAX_REDIRECTIONS: usize = 2;
 const SERVICES: [&str; 2] = ["reads", "writes"];
-/// The platform's host in a cluster's subnet.
+/// Host number of the fake platform in the subnet of a cluster.
 pub const PLATFORM_HOST: usize = 100;
 const FIRST_BACKEND_HOST: usize = 110;
 
-/// A machine and its programs; a program without a process is not running.
+/// A machine and its programs. A program that is not running has no process.
 struct Machine {
     name: String,
     ip: IpAddr,
@@ -41,12 +42,12 @@
     programs: Vec<(Program, Option<Process>)>,
 }
 
-/// A running cluster with its fakes. Dropping it kills all programs and deletes their disks.
+/// A running cluster with its fake platform and backends. Dropping it kills all programs and deletes their disks.
 pub struct TestCluster {
     machines: Vec<Machine>,
     /// The cloud platform that the controllers poll.
     pub platform: FakePlatform,
-    /// One backend for each service in each zone.
+    /// One fake backend for each service in each zone.
     pub backends: Vec<FakeBackend>,
     disks: TempDir,
     subnet: Subnet,
@@ -55,37 +56,40 @@
     controllers: usize,
 }
 
-/// The random 127.x.y.0/24 of a cluster, so that clusters of parallel tests do not meet.
+/// The subnet 127.x.y.0/24 of a cluster. It is chosen at random so that tests that run in parallel use different
+/// addresses.
 #[derive(Clone, Copy, Debug)]
 pub struct Subnet([u8; 2]);
 
 impl Subnet {
-    /// One that is unlikely to be in use.
+    /// Returns a random subnet, which is unlikely to be in use.
     pub fn random() -> Subnet {
         Subnet([rand::rng().random_range(1..250), rand::rng().random_range(1..250)])
     }
 
-    /// The address of one of its hosts, of which there are 255.
+    /// Returns the address of a host of the subnet; host numbers go up to 255.
     pub fn ip(self, host: usize) -> IpAddr {
         IpAddr::from([127, self.0[0], self.0[1], host as u8])
     }
 }
 
 impl TestCluster {
-    /// Starts three controllers and this many proxies in two zones, and a backend of each of two services in each
-    /// zone. `change` may alter the limits table of the settings.
+    /// Starts three controllers and `proxies` proxies in two zones, and one backend for each of two services in each
+    /// zone. `change` can modify the limits table of the settings.
     pub fn start(proxies: usize, change: impl FnOnce(&mut Value)) -> TestCluster {
         TestCluster::with_controllers(CONTROLLERS, proxies, change)
     }
 
-    /// Like [`TestCluster::start`] with this many controllers, of which a minority may be lost at once.
+    /// Starts a cluster like [`TestCluster::start`], but with `controllers` controllers. The settings tolerate the loss
+    /// of any minority of them.
     pub fn with_controllers(
         controllers: usize,
         proxies: usize,
         change: impl FnOnce(&mut Value),
     ) -> TestCluster {
         let subnet = Subnet::random();
-        let machines = (0..controllers + proxies).map(|no| new_machine(no, controllers, subnet)).collect();
+        let machines =
+            (0..controllers + proxies).map(|number| new_machine(number, controllers, subnet)).collect();
         let platform = FakePlatform::start(subnet.ip(PLATFORM_HOST));
         let backends = start_backends(subnet);
         let available: Vec<_> = backends.iter().map(|backend| (backend, Lifecycle::Available)).collect();
@@ -96,7 +100,7 @@
             machines,
             platform,
             backends,
-            disks: TempDir::new().expect("a temporary directory"),
+            disks: TempDir::new().expect("a temporary directory can be created"),
             subnet,
             limits_table,
             initial_start: true,
@@ -107,7 +111,7 @@
         cluster
     }
 
-    /// Starts those of a machine's programs that are not running.
+    /// Starts the programs of a machine that are not running.
     pub fn start_machine(&mut self, machine: usize) {
         let settings = self.settings(machine);
         for (program, process) in &mut self.machines[machine].programs {
@@ -120,21 +124,22 @@
         self.machines[machine].programs.iter_mut().for_each(|(_, process)| *process = None);
     }
 
-    /// Asks all programs of a machine to shut down in order, as SIGTERM would. They stay the machine's until it is killed.
+    /// Asks all programs of a machine to shut down gracefully, as SIGTERM does. They are not started again until the
+    /// machine has been killed.
     pub fn shut_down_machine(&mut self, machine: usize) {
         let processes =
             self.machines[machine].programs.iter_mut().filter_map(|(_, process)| process.as_mut());
         processes.for_each(Process::shut_down);
     }
 
-    /// Whether all programs of a machine have ended by themselves.
+    /// Returns whether all programs of a machine have exited since they were started.
     pub fn has_exited(&self, machine: usize) -> bool {
         let mut processes =
             self.machines[machine].programs.iter().filter_map(|(_, process)| process.as_ref());
         processes.all(Process::has_exited)
     }
 
-    /// Kills only the agent, so that the proxy on the same machine gets no updates.
+    /// Kills only the agent of a proxy, so that the proxy receives no updates.
     pub fn kill_agent(&mut self, proxy: usize) {
         let programs = &mut self.machines[self.controllers + proxy].programs;
         programs
@@ -143,54 +148,55 @@
             .for_each(|(_, process)| *process = None);
     }
 
-    /// Deletes a controller's disk.
+    /// Deletes the data directory of a controller.
     ///
     /// # Panics
     ///
-    /// Where it has none.
+    /// If the directory cannot be deleted.
     pub fn wipe_disk(&self, controller: usize) {
-        std::fs::remove_dir_all(self.disk(controller)).expect("the controller has a disk");
+        std::fs::remove_dir_all(self.disk(controller)).expect("the data directory can be deleted");
     }
 
-    /// Where a machine listens for the system's own RPC.
+    /// Returns the address on which a machine accepts RPCs from other machines.
     pub fn internal_address(&self, machine: usize) -> SocketAddr {
         SocketAddr::new(self.machines[machine].ip, INTERNAL_PORT)
     }
 
-    /// Where a proxy's agent listens for other agents, and for the proxy on its machine.
+    /// Returns the two addresses on which the agent of a proxy accepts RPCs: from other agents, and from the proxy on
+    /// its machine.
     pub fn agent_addresses(&self, proxy: usize) -> [SocketAddr; 2] {
         let ip = self.machines[self.controllers + proxy].ip;
         [INTERNAL_PORT + 1, INTERNAL_PORT + 2].map(|port| SocketAddr::new(ip, port))
     }
 
-    /// Where a controller listens for operators.
+    /// Returns the address on which a controller accepts requests of operators.
     pub fn controller_address(&self, controller: usize) -> SocketAddr {
         SocketAddr::new(self.machines[controller].ip, CONTROL_PORT)
     }
 
-    /// Where a proxy listens for clients.
+    /// Returns the address on which a proxy accepts requests of clients.
     pub fn frontend_address(&self, proxy: usize) -> SocketAddr {
         SocketAddr::new(self.machines[self.controllers + proxy].ip, FRONTEND_PORT)
     }
 
-    /// Where a proxy answers readiness probes.
+    /// Returns the address on which a proxy answers readiness probes.
     pub fn readiness_address(&self, proxy: usize) -> SocketAddr {
         SocketAddr::new(self.machines[self.controllers + proxy].ip, READINESS_PORT)
     }
 
-    /// Where a controller's directory service listens.
+    /// Returns the address of the directory service of a controller.
     pub fn directory_address(&self, controller: usize) -> SocketAddr {
         SocketAddr::new(self.machines[controller].ip, DIRECTORY_PORT)
     }
 
-    /// Sends an operator's command: to each controller in turn, following redirections, and again after a 5xx or no
-    /// response, until the outcome is known.
+    /// Sends the request of an operator to each controller in turn, following redirections, until one of them returns
+    /// a definite outcome. After a 5xx or a missing response it tries the next controller.
     ///
     /// # Panics
     ///
-    /// Where it is not known after 20 s.
+    /// If there is no definite outcome after 20 s.
     pub fn send_command(&self, method: &str, path: &str, body: &str) -> Message {
-        self.wait_until("an order is answered", || {
+        self.wait_until("a controller responds to the command", || {
             (0..self.controllers).find_map(|controller| {
                 let to = self.controller_address(controller);
                 follow_redirections(to, method, path, body)
@@ -200,11 +206,11 @@
         })
     }
 
-    /// Sends a client's request with a random `Attempt-Id` to a proxy.
+    /// Sends the request of a client to a proxy, with a random `Attempt-Id`.
     ///
     /// # Errors
     ///
-    /// Where no response comes back.
+    /// If the request cannot be sent or receives no response.
     pub fn send_request(
         &self,
         proxy: usize,
@@ -216,11 +222,11 @@
         self.send_request_as(proxy, method, path, access_key, &attempt)
     }
 
-    /// Sends a client's request with this `Attempt-Id` to a proxy.
+    /// Sends the request of a client to a proxy, with `attempt` as its `Attempt-Id`.
     ///
     /// # Errors
     ///
-    /// Where no response comes back.
+    /// If the request cannot be sent or receives no response.
     pub fn send_request_as(
         &self,
         proxy: usize,
@@ -239,7 +245,7 @@
     ///
     /// # Panics
     ///
-    /// Where it has returned none after 20 s; `description` says what was waited for.
+    /// If it has returned none after 20 s. The message contains `description` and the subnet of the cluster.
     pub fn wait_until<T>(&self, description: &str, mut condition: impl FnMut() -> Option<T>) -> T {
         let started = Instant::now();
         loop {
@@ -249,7 +255,7 @@
             let subnet = self.subnet.0;
             assert!(
                 started.elapsed() < WAIT_TIMEOUT,
-                "not in time: {description} (127.{}.{})",
+                "timed out waiting until {description} (subnet 127.{}.{})",
                 subnet[0],
                 subnet[1]
             );
@@ -257,11 +263,11 @@
         }
     }
 
-    /// Sends GET requests to a proxy until one is answered with that status.
+    /// Sends GET requests to a proxy until a response has this status.
     ///
     /// # Panics
     ///
-    /// Where none is after 20 s.
+    /// If no response has it after 20 s.
     pub fn wait_for_status(
         &self,
         proxy: usize,
@@ -269,7 +275,7 @@
         access_key: Option<&str>,
         status: u16,
     ) -> Message {
-        self.wait_until(&format!("{path} is answered {status}"), || {
+        self.wait_until(&format!("GET {path} returns {status}"), || {
             self.send_request(proxy, "GET", path, access_key)
                 .ok()
                 .filter(|response| response.status() == status)
@@ -298,33 +304,37 @@
     }
 }
 
-fn new_machine(no: usize, controllers: usize, subnet: Subnet) -> Machine {
-    let is_controller = no < controllers;
-    let name = if is_controller { format!("central-{no}") } else { format!("frontend-{}", no - controllers) };
+fn new_machine(number: usize, controllers: usize, subnet: Subnet) -> Machine {
+    let is_controller = number < controllers;
+    let name = if is_controller {
+        format!("central-{number}")
+    } else {
+        format!("frontend-{}", number - controllers)
+    };
     let programs: &[Program] =
         if is_controller { &[Program::Controller] } else { &[Program::Agent, Program::Proxy] };
     Machine {
         name,
-        ip: subnet.ip(no + 1),
-        zone: ZONES[no % ZONES.len()].0,
+        ip: subnet.ip(number + 1),
+        zone: ZONES[number % ZONES.len()].0,
         programs: programs.iter().map(|program| (*program, None)).collect(),
     }
 }
 
-/// Starts a backend of each of two services in each zone.
+/// Starts one fake backend for each of two services in each zone.
 pub fn start_backends(subnet: Subnet) -> Vec<FakeBackend> {
     let services_by_zone =
         SERVICES.iter().flat_map(|service| ZONES.iter().map(move |(zone, _)| (service, zone)));
     services_by_zone
         .enumerate()
-        .map(|(no, (service, zone))| {
+        .map(|(number, (service, zone))| {
             let id = format!("i-{service}-{zone}");
-            FakeBackend::start(subnet.ip(FIRST_BACKEND_HOST + no), &id, service, zone)
+            FakeBackend::start(subnet.ip(FIRST_BACKEND_HOST + number), &id, service, zone)
         })
         .collect()
 }
 
-/// Sends a command, and again to where a 307 names another controller.
+/// Sends a command to a controller, and again to the controllers that 307 responses name.
 fn follow_redirections(to: SocketAddr, method: &str, path: &str, body: &str) -> io::Result<Message> {
     let mut response = http::send_request(to, method, path, &[], body);
     for _ in 0..MAX_REDIRECTIONS {
@@ -333,7 +343,7 @@
             break;
         };
         let authority = location.trim_start_matches("http://").split('/').next().unwrap_or_default();
-        let to = authority.parse().expect("a Location with an address and a port");
+        let to = authority.parse().expect("the Location header has an address and a port");
         response = http::send_request(to, method, path, &[], body);
     }
     response
--- a/crates/testkit/src/config.rs
+++ b/crates/testkit/src/config.rs
@@ -1,9 +1,9 @@
-//! The operator's configuration that the tests install.
+//! The configuration that the tests send as the operator.
 
 use serde_json::{Value, json};
 
-/// A configuration `r{revision}` with one route to each service: `/read/` is read-only and may be repeated, `/write/`
-/// is mutating. `change` may alter it before it is written as JSON.
+/// Returns a configuration `r{revision}` as JSON, with one route to each service: `/read/` is read-only and may be
+/// retried, `/write/` is mutating. `change` can modify it before it is serialised.
 pub fn config(revision: u64, change: impl FnOnce(&mut Value)) -> String {
     let route = |prefix: &str, kind: &str, service: &str| {
         json!({"hostname": "shop.example", "path_prefix": prefix, "route_kind": kind, "deadline": "2000ms",
--- a/crates/testkit/src/http.rs
+++ b/crates/testkit/src/http.rs
@@ -1,4 +1,4 @@
-//! HTTP/1.1 as the fakes and the tests use it: blocking, one message at a time, with a read timeout.
+//! A minimal HTTP/1.1 implementation for the fakes and the tests: blocking, one message at a time, with a read timeout.
 
 use std::io::{self, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -10,37 +10,37 @@
 /// A request or a response.
 #[derive(Clone, Debug, Default)]
 pub struct Message {
-    /// The words of the request line or status line.
+    /// The words of the request line or status line, split at spaces.
     pub start_line: Vec<String>,
-    /// Header names and values, as they were sent and in that order.
+    /// Header names and values as received, in order.
     pub headers: Vec<(String, String)>,
-    /// The body, as far as it is UTF-8.
+    /// The body. Invalid UTF-8 is replaced.
     pub body: String,
 }
 
 impl Message {
-    /// The value of the first header with that name, in any case.
+    /// Returns the value of the first header with this name, compared case-insensitively.
     pub fn header(&self, name: &str) -> Option<&str> {
         let found = self.headers.iter().find(|(known, _)| known.eq_ignore_ascii_case(name));
         found.map(|(_, value)| value.as_str())
     }
 
-    /// A response's status; 0 where the message has none.
+    /// Returns the status of a response, or 0 if the message has none.
     pub fn status(&self) -> u16 {
         self.start_line.get(1).and_then(|status| status.parse().ok()).unwrap_or(0)
     }
 
-    /// A request's path.
+    /// Returns the path of a request.
     pub fn path(&self) -> &str {
         self.start_line.get(1).map_or("", String::as_str)
     }
 }
 
-/// Reads the next message; `None` where the peer has closed the connection.
+/// Reads the next message. Returns `None` if the peer closes the connection before the head is complete.
 ///
 /// # Errors
 ///
-/// Where the stream fails, times out, or ends within the body.
+/// If reading fails or times out, or the connection ends within the body.
 pub fn read_message(stream: &mut TcpStream) -> io::Result<Option<Message>> {
     let (mut head, mut byte) = (Vec::new(), [0; 1]);
     while !head.ends_with(b"\r\n\r\n") {
@@ -64,11 +64,11 @@
     Message { start_line, headers: lines.filter_map(header).collect(), body: String::new() }
 }
 
-/// Writes one message; the `Content-Length` header is added.
+/// Writes one message and adds its `Content-Length` header.
 ///
 /// # Errors
 ///
-/// Where the stream fails.
+/// If writing fails.
 pub fn write_message(
     stream: &mut TcpStream,
     start_line: &str,
@@ -83,11 +83,12 @@
     stream.write_all(text.as_bytes())
 }
 
-/// Sends one request on a connection of its own and reads its response. A `Host` header is added where there is none.
+/// Sends one request on a new connection and reads the response. Adds a `Host` header if `headers` has none.
 ///
 /// # Errors
 ///
-/// Where the peer cannot be reached in 0.5 s, closes without a response, or sends nothing for 6 s.
+/// If the connection is not established within 0.5 s, the peer closes it without a response, or no data arrives for
+/// 6 s.
 pub fn send_request(
     to: SocketAddr,
     method: &str,
--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -1,6 +1,6 @@
 //! A test cluster on loopback: the real programs of the system, each on its own thread and loopback address, connected
-//! to fake backends and a fake cloud platform. The fakes record what they receive, so that a test can check the
-//! history after the fact.
+//! to fake backends and a fake cloud platform. The fake backends record the requests that they execute, so that a test
+//! can check them afterwards.
 
 #![forbid(unsafe_code)]
 
--- a/crates/testkit/src/platform.rs
+++ b/crates/testkit/src/platform.rs
@@ -1,4 +1,4 @@
-//! A fake cloud platform: serves the list of backend instances that a test has set.
+//! A fake cloud platform: an API that serves the list of backend instances that a test sets.
 
 use crate::backend::FakeBackend;
 use crate::http;
@@ -7,36 +7,36 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::thread;
 
-/// A lock whose data stays usable after a thread that held it has panicked.
+/// Locks a mutex even if a thread has panicked while holding the lock.
 pub(crate) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// What the platform says of an instance's lifecycle.
+/// The lifecycle state that the platform reports for an instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Lifecycle {
-    /// It takes new requests.
+    /// The instance accepts new requests.
     Available,
-    /// It finishes the requests it has and takes no new ones.
+    /// The instance completes its current requests and accepts no new ones.
     Draining,
 }
 
-/// The platform's API with the instances it lists. Clones share the list.
+/// The API of the platform and the instances that it lists. Clones share the list.
 #[derive(Clone)]
 pub struct FakePlatform {
-    /// Where the API listens.
+    /// The address on which the API listens.
     pub address: SocketAddr,
     instances: Arc<Mutex<Vec<serde_json::Value>>>,
 }
 
 impl FakePlatform {
-    /// Starts the API with an empty list on a free port of this address.
+    /// Starts the API on a free port of this address, with an empty list.
     ///
     /// # Panics
     ///
-    /// Where the address cannot be bound.
+    /// If the address cannot be bound.
     pub fn start(ip: IpAddr) -> FakePlatform {
-        let listener = TcpListener::bind((ip, 0)).expect("a free loopback address");
+        let listener = TcpListener::bind((ip, 0)).expect("the address can be bound");
         let address = listener.local_addr().expect("the listener is bound");
         let platform = FakePlatform { address, instances: Arc::default() };
         let server = platform.clone();
@@ -49,7 +49,7 @@
         platform
     }
 
-    /// Replaces the list by these backends.
+    /// Replaces the list with these backends.
     pub fn set_instances(&self, backends: &[(&FakeBackend, Lifecycle)]) {
         let instance = |(backend, lifecycle): &(&FakeBackend, Lifecycle)| {
             let lifecycle = match lifecycle {
@@ -63,7 +63,7 @@
         *lock(&self.instances) = backends.iter().map(instance).collect();
     }
 
-    /// Answers every request on the connection with the whole list, whatever its path.
+    /// Responds to every request on the connection with the complete list, whatever its path.
     fn serve_connection(&self, mut stream: TcpStream) {
         while let Ok(Some(_)) = http::read_message(&mut stream) {
             let body = json!({"instances": {"all": *lock(&self.instances)}, "next_token": null});
--- a/crates/testkit/src/process.rs
+++ b/crates/testkit/src/process.rs
@@ -1,7 +1,7 @@
-//! One program of the system on a thread and a tokio runtime of its own, so that it can be killed and started again
-//! without the others.
+//! Runs one program of the system on its own thread and tokio runtime, so that it can be killed and restarted
+//! independently of the others.
 //!
-//! Killing a program drops its runtime with every task, connection and file it has open, as SIGKILL would.
+//! Killing a program drops its runtime with every task, connection and file that it has open, as SIGKILL would.
 
 use std::error::Error;
 use std::thread::{self, JoinHandle};
@@ -16,16 +16,16 @@
 pub(crate) enum Program {
     /// Forwards clients' requests to backends.
     Proxy,
-    /// Pulls the cluster's state for the proxy on the same machine.
+    /// Pulls the state of the cluster for the proxy on the same machine.
     Agent,
-    /// Holds a replica of the cluster's state.
+    /// Stores a replica of the state of the cluster.
     Controller,
 }
 
 /// A running program. Dropping it kills the program and waits for its thread.
 pub(crate) struct Process {
     kill: Option<oneshot::Sender<()>>,
-    /// Taken once the program was asked to shut down.
+    /// `None` once the program has been asked to shut down.
     shutdown: Option<oneshot::Sender<()>>,
     thread: Option<JoinHandle<()>>,
 }
@@ -39,15 +39,15 @@
         Process { kill: Some(kill), shutdown: Some(shutdown), thread: Some(thread) }
     }
 
-    /// Asks the program to shut down in order, as SIGTERM would.
+    /// Asks the program to shut down gracefully, as SIGTERM does.
     pub(crate) fn shut_down(&mut self) {
         if let Some(shutdown) = self.shutdown.take() {
-            // A program that has ended already needs no signal.
+            // Fails if the program has already exited.
             let _ = shutdown.send(());
         }
     }
 
-    /// Whether the program has ended by itself.
+    /// Returns whether the program has exited.
     pub(crate) fn has_exited(&self) -> bool {
         self.thread.as_ref().is_none_or(JoinHandle::is_finished)
     }
@@ -73,7 +73,7 @@
         return;
     };
     runtime.block_on(async move {
-        // Cancel safety: whichever branch loses is dropped for good, and nothing is awaited after it.
+        // Cancel safety: the branch that loses is dropped and never polled again.
         tokio::select! {
             _ = killed => {}
             result = run(program, settings, shutdown) => if let Err(error) = result {
--- a/crates/testkit/src/settings.rs
+++ b/crates/testkit/src/settings.rs
@@ -1,58 +1,58 @@
-//! The settings file of each machine of a test cluster.
+//! Generates the settings file of each machine of a test cluster.
 
 use serde_json::{Map, Value, json};
 use std::net::{IpAddr, SocketAddr};
 use std::path::PathBuf;
 use vanewharf_config::settings::Settings;
 
-/// The operators' port of a controller.
+/// Port on which a controller accepts requests of operators.
 pub const CONTROL_PORT: u16 = 8200;
-/// The directory service's port of a controller.
+/// Port of the directory service of a controller.
 pub const DIRECTORY_PORT: u16 = 8201;
-/// The clients' port of a proxy.
+/// Port on which a proxy accepts requests of clients.
 pub const FRONTEND_PORT: u16 = 8206;
-/// The readiness port of a proxy.
+/// Port on which a proxy answers readiness probes.
 pub const READINESS_PORT: u16 = 8207;
-/// The first of the ports for the system's own RPC.
+/// First port of the range for RPCs between machines.
 pub const INTERNAL_PORT: u16 = 7600;
 const LAST_INTERNAL_PORT: u16 = 7615;
 
 /// The zones of a test cluster, each with its region.
 pub const ZONES: [(&str, &str); 2] = [("east-a", "east"), ("west-a", "west")];
 
-/// What a machine's settings are made of.
+/// The inputs from which the settings of a machine are generated.
 pub struct MachineSettings<'a> {
-    /// The machine's name.
+    /// The name of the machine.
     pub name: &'a str,
-    /// Its address.
+    /// The address of the machine.
     pub ip: IpAddr,
     /// One of [`ZONES`].
     pub zone: &'a str,
-    /// Controllers have one, proxies have none.
+    /// The data directory: set for controllers, `None` for proxies.
     pub data_directory: Option<PathBuf>,
-    /// The controllers that it is told of.
+    /// The addresses of the controllers that are seed nodes.
     pub seed_ips: Vec<IpAddr>,
-    /// Whether the whole cluster starts for the first time.
+    /// Whether the cluster is being started for the first time.
     pub initial_start: bool,
-    /// See [`default_limits_table`].
+    /// The limits table; see [`default_limits_table`].
     pub limits_table: &'a Value,
-    /// How many controllers may be lost at once.
+    /// The number of controllers whose simultaneous loss must be tolerated.
     pub machine_losses: usize,
-    /// Where the cloud platform's API listens.
+    /// The address of the API of the cloud platform.
     pub platform: SocketAddr,
 }
 
 impl MachineSettings<'_> {
-    /// The settings as a program has them after reading its file.
+    /// Returns the settings as a program parses them from its file.
     ///
     /// # Panics
     ///
-    /// Where the limits table is not valid.
+    /// If the limits table is not valid.
     pub fn parse(&self) -> Settings {
-        Settings::parse(self.to_text().as_bytes()).expect("valid settings")
+        Settings::parse(self.to_text().as_bytes()).expect("the settings are valid")
     }
 
-    /// The settings file's text.
+    /// Returns the text of the settings file.
     pub fn to_text(&self) -> String {
         let zones: Map<_, _> = ZONES.iter().map(|(zone, region)| (zone.to_string(), json!(region))).collect();
         let seed_nodes: Vec<_> =
@@ -66,7 +66,7 @@
             "limits_table": self.limits_table,
             "fault_tolerance": {"machine_losses": self.machine_losses, "zones": 0, "region_losses": 0},
             "cloud_api": {"address": self.platform.to_string(), "rate_per_s": 20.0, "allowed_lag": "500ms"},
-            // A field that this release does not know must be ignored.
+            // Unknown fields must be ignored.
             "a_field_of_tomorrow": 1})
         .to_string()
     }
@@ -81,7 +81,7 @@
     }
 }
 
-/// The limits table of the settings, unless a test changes it.
+/// Returns the limits table that the settings contain unless a test changes it.
 pub fn default_limits_table() -> Value {
     json!({"revocation_global": false, "revocation": "5000ms", "grace_period": "2s",
         "ttl_max": "5s", "rate_allowance": 20, "retry_ratio": 0.2, "retry_window": "10s", "retry_allowance": 50,
--- a/crates/testkit/tests/backends.rs
+++ b/crates/testkit/tests/backends.rs
@@ -1,5 +1,5 @@
-//! Faulty backends: whatever a backend does wrong, a mutating request that may have executed is neither retried nor
-//! reported as not executed, and no response reaches another client.
+//! Faulty backends: with every kind of fault, a mutating request that may have been executed is neither retried nor
+//! reported as not executed, and no client receives the response to another request.
 
 use vanewharf_testkit::backend::{Behavior, FakeBackend};
 use vanewharf_testkit::cluster::TestCluster;
@@ -12,8 +12,8 @@
     assert_eq!(cluster.send_command("POST", "/-/Configuration.Replace", &config(1, |_| {})).status(), 200);
     cluster.wait_for_status(0, "/read/x", Some("key-a"), 200);
     cluster.wait_until("the mutating route is served", || {
-        let answer = cluster.send_request_as(0, "POST", "/write/x", Some("key-a"), "first").ok()?;
-        (answer.status() == 200).then_some(())
+        let response = cluster.send_request_as(0, "POST", "/write/x", Some("key-a"), "first").ok()?;
+        (response.status() == 200).then_some(())
     });
     cluster
 }
@@ -40,33 +40,36 @@
     all.filter(|request| request.attempt == attempt).count()
 }
 
-/// Statuses that assert that a request has not executed and never will.
+/// Statuses that assert that a request was not executed and will not be.
 const NOT_EXECUTED_STATUSES: [u16; 4] = [408, 421, 429, 503];
 
-/// Sends a request and checks its response; returns the status and how often the request executed.
+/// Sends a request and checks its response. Returns the status, and how often the request was executed.
 fn send_and_check(cluster: &TestCluster, behavior: Behavior, mutating: bool, attempt: &str) -> (u16, usize) {
     let path = if mutating { "/write/x" } else { "/read/x" };
-    let answer = send(cluster, path, attempt);
+    let response = send(cluster, path, attempt);
     let executions = count_executions(cluster, attempt);
-    let context = format!("{behavior:?} {path} executed {executions} times: {answer:?}");
-    let Some(answer) = answer else {
-        panic!("no answer: {context}");
+    let context = format!("{behavior:?} {path} executed {executions} times: {response:?}");
+    let Some(response) = response else {
+        panic!("no response: {context}");
     };
-    if answer.status() == 200 {
-        assert_eq!(answer.header("Attempt-Id"), Some(attempt), "{context}");
-        assert!(answer.body.starts_with("i-") && answer.header("Backend-Seal") == Some("s.1"), "{context}");
+    if response.status() == 200 {
+        assert_eq!(response.header("Attempt-Id"), Some(attempt), "{context}");
+        assert!(
+            response.body.starts_with("i-") && response.header("Backend-Seal") == Some("s.1"),
+            "{context}"
+        );
         assert!(executions >= 1, "{context}");
     }
     if mutating {
-        assert!(executions <= 1, "sent twice: {context}");
+        assert!(executions <= 1, "executed more than once: {context}");
         assert!(
-            executions == 0 || !NOT_EXECUTED_STATUSES.contains(&answer.status()),
-            "it has executed: {context}"
+            executions == 0 || !NOT_EXECUTED_STATUSES.contains(&response.status()),
+            "the request was executed: {context}"
         );
     } else {
         assert!(executions <= 2, "{context}");
     }
-    (answer.status(), executions)
+    (response.status(), executions)
 }
 
 #[parameterized(
@@ -98,10 +101,14 @@
             assert_eq!(served, status == 200, "{behavior:?}, mutating {mutating}, round {round}: {status}");
             total += executions;
         }
-        assert_eq!(total > 0, behavior != Behavior::Sheds, "{behavior:?} reached a backend");
+        assert_eq!(
+            total > 0,
+            behavior != Behavior::Sheds,
+            "whether any request is executed with {behavior:?}"
+        );
     }
     cluster.backends.iter().for_each(|backend| backend.set_behavior(Behavior::Serves));
-    // Bytes left over on a connection must not reach a client.
+    // Bytes left on backend connections by the faulty responses must not reach a client.
     let mut sent = 0;
     cluster.wait_until("all backends serve again", || {
         sent += 1;
--- a/crates/testkit/tests/bad_input.rs
+++ b/crates/testkit/tests/bad_input.rs
@@ -1,4 +1,4 @@
-//! Malformed input on every port of a cluster: each is rejected with a 4xx that names the fault and changes no state.
+//! Malformed input on every port of a cluster is rejected with a 4xx that names the fault, and changes no state.
 
 use serde_json::{Value, json};
 use std::io::Write;
@@ -10,16 +10,16 @@
 use vanewharf_testkit::http::{self, Message, send_request};
 use yare::parameterized;
 
-/// Sends these bytes on a connection of their own; `None` where it is closed without a response.
+/// Sends these bytes on a new connection and reads the response. Returns `None` if the connection is closed without one.
 fn send_raw(to: SocketAddr, bytes: &[u8], half_close: bool) -> Option<Message> {
-    let mut stream = TcpStream::connect(to).expect("it listens");
-    stream.set_read_timeout(Some(Duration::from_secs(8))).expect("a time");
-    // A request that is too large may be answered before all of it is written.
+    let mut stream = TcpStream::connect(to).expect("the port accepts connections");
+    stream.set_read_timeout(Some(Duration::from_secs(8))).expect("the timeout is valid");
+    // Ignores write errors: the server may respond to a request that is too large before all of it is written.
     let _ = stream.write_all(bytes);
     if half_close {
-        stream.shutdown(Shutdown::Write).expect("it is connected");
+        stream.shutdown(Shutdown::Write).expect("the connection can be half-closed");
     }
-    http::read_message(&mut stream).expect("no reset overtakes the answer")
+    http::read_message(&mut stream).expect("the connection is not reset before the response is read")
 }
 
 fn request(method: &str, path: &str, headers: &str, body: &[u8]) -> Vec<u8> {
@@ -45,14 +45,18 @@
 
 impl Port {
     fn address(self, cluster: &TestCluster) -> SocketAddr {
-        let leaseholder = (0..CONTROLLERS).find(|no| {
-            send_request(cluster.controller_address(*no), "GET", "/-/Configuration.Read", &[], "")
+        let leaseholder = (0..CONTROLLERS).find(|controller| {
+            send_request(cluster.controller_address(*controller), "GET", "/-/Configuration.Read", &[], "")
                 .is_ok_and(|read| read.status() == 200)
         });
         match self {
-            Port::ControlPlane => cluster.controller_address(leaseholder.expect("one holds the lease")),
-            Port::DirectoryService => cluster.directory_address(leaseholder.expect("one holds the lease")),
-            Port::Internal => cluster.internal_address(leaseholder.expect("one holds the lease")),
+            Port::ControlPlane => {
+                cluster.controller_address(leaseholder.expect("a controller holds the lease"))
+            }
+            Port::DirectoryService => {
+                cluster.directory_address(leaseholder.expect("a controller holds the lease"))
+            }
+            Port::Internal => cluster.internal_address(leaseholder.expect("a controller holds the lease")),
             Port::AgentForPeers => cluster.agent_addresses(0)[0],
             Port::AgentForProxy => cluster.agent_addresses(0)[1],
             Port::Frontend => cluster.frontend_address(0),
@@ -60,7 +64,7 @@
         }
     }
 
-    /// The method and path of a request that is valid there.
+    /// Returns the method and path of a valid request to the port.
     fn valid_request(self) -> (&'static str, &'static str) {
         match self {
             Port::ControlPlane | Port::DirectoryService => ("POST", "/-/Configuration.Replace"),
@@ -71,25 +75,26 @@
     }
 }
 
-/// A pull by an agent that has no state yet.
+/// The body of a pull request from an agent that has no state yet.
 const PULL: &str = r#"{"have":{"register":0,"list":{"ballot":0,"no":0},"ledger":{"ballot":0,"no":0}},"wait_ms":0,
     "office":null,"lent":null,"reports":[]}"#;
 
-/// What malformed input must not change: each controller's register and membership, and what each backend executed.
+/// Returns the state that malformed input must not change: the register and membership of each controller, and how many
+/// requests each backend has executed.
 fn state(cluster: &TestCluster) -> Value {
-    let register = |no: usize| {
-        let response =
-            send_request(cluster.internal_address(no), "POST", endpoints::PULL, &[], PULL).expect("answered");
-        let response: Value = serde_json::from_str(&response.body).expect("JSON");
+    let register = |controller: usize| {
+        let response = send_request(cluster.internal_address(controller), "POST", endpoints::PULL, &[], PULL)
+            .expect("a response");
+        let response: Value = serde_json::from_str(&response.body).expect("the body is JSON");
         response["register"].clone()
     };
-    let members = |no: usize| {
-        send_request(cluster.internal_address(no), "GET", endpoints::MEMBERSHIP, &[], "")
-            .expect("answered")
+    let members = |controller: usize| {
+        send_request(cluster.internal_address(controller), "GET", endpoints::MEMBERSHIP, &[], "")
+            .expect("a response")
             .body
     };
     let executed: Vec<_> = cluster.backends.iter().map(|backend| backend.executed_requests().len()).collect();
-    json!({"registers": (0..CONTROLLERS).map(register).collect::<Vec<_>>(), "ran": executed,
+    json!({"registers": (0..CONTROLLERS).map(register).collect::<Vec<_>>(), "executed": executed,
         "members": (0..CONTROLLERS).map(members).collect::<Vec<_>>()})
 }
 
@@ -97,9 +102,9 @@
     let cluster = TestCluster::start(1, |_| {});
     assert_eq!(cluster.send_command("POST", "/-/Configuration.Replace", &config(1, |_| {})).status(), 200);
     cluster.wait_for_status(0, "/read/x", Some("key-a"), 200);
-    cluster.wait_until("all controllers have the register", || {
+    cluster.wait_until("all controllers have the same register", || {
         let state = state(&cluster);
-        let all = state["registers"].as_array().expect("a list");
+        let all = state["registers"].as_array().expect("registers is an array");
         all.iter().all(|register| *register == all[0] && !register["config"].is_null()).then_some(())
     });
     cluster
@@ -110,15 +115,21 @@
 struct Failures(Vec<String>);
 
 impl Failures {
-    fn expect_rejection(&mut self, to: SocketAddr, port: Port, bytes: &[u8], (status, named): (u16, &str)) {
+    fn expect_rejection(
+        &mut self,
+        to: SocketAddr,
+        port: Port,
+        bytes: &[u8],
+        (status, expected_text): (u16, &str),
+    ) {
         let sent = String::from_utf8_lossy(&bytes[..bytes.len().min(160)]).into_owned();
-        let answer = send_raw(to, bytes, false);
-        let is_expected = |answer: &Message| {
-            answer.status() == status
-                && answer.body.to_ascii_lowercase().contains(&named.to_ascii_lowercase())
+        let response = send_raw(to, bytes, false);
+        let is_expected = |response: &Message| {
+            response.status() == status
+                && response.body.to_ascii_lowercase().contains(&expected_text.to_ascii_lowercase())
         };
-        if !answer.as_ref().is_some_and(is_expected) {
-            self.0.push(format!("{port:?}, {status} {named:?}: {answer:?} to {sent}"));
+        if !response.as_ref().is_some_and(is_expected) {
+            self.0.push(format!("{port:?}, {status} {expected_text:?}: {response:?} to {sent}"));
         }
     }
 
@@ -127,7 +138,7 @@
     }
 }
 
-/// What HTTP itself forbids, on each port.
+/// Requests that violate HTTP are rejected on each port.
 #[parameterized(
     control_plane = { Port::ControlPlane },
     directory_service = { Port::DirectoryService },
@@ -140,47 +151,48 @@
 fn malformed_http_is_rejected_on(port: Port) {
     let cluster = start_cluster();
     let (method, path) = port.valid_request();
-    let large = "x".repeat(70_000);
-    let with = |fields: &str| request(method, path, fields, b"");
-    let huge =
+    let large_value = "x".repeat(70_000);
+    let with_headers = |headers: &str| request(method, path, headers, b"");
+    let huge_length =
         format!("{method} {path} HTTP/1.1\r\nHost: shop.example\r\nContent-Length: 99999999999\r\n\r\n");
-    let chunks = format!("{method} {path} HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\nso\r\n");
-    let mut garbled = with("");
+    let invalid_chunk =
+        format!("{method} {path} HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\nso\r\n");
+    let mut garbled = with_headers("");
     garbled[1] = 0xff;
-    let (to, mut failures, before) = (port.address(&cluster), Failures::default(), state(&cluster));
-    for (bytes, status, named) in [
+    let (address, mut failures, before) = (port.address(&cluster), Failures::default(), state(&cluster));
+    for (bytes, status, expected_text) in [
         (b"nonsense\r\n\r\n".to_vec(), 400, "head"),
         (garbled, 400, "head"),
-        (with(&format!("X-Large: {large}\r\n")), 431, "head is too large"),
-        (with(&"X-Many: 1\r\n".repeat(70)), 431, "head is too large"),
-        (huge.into_bytes(), 413, "body is too large"),
+        (with_headers(&format!("X-Large: {large_value}\r\n")), 431, "head is too large"),
+        (with_headers(&"X-Many: 1\r\n".repeat(70)), 431, "head is too large"),
+        (huge_length.into_bytes(), 413, "body is too large"),
         (request(method, path, "", &vec![b'x'; 25 << 20]), 413, "body is too large"),
-        (with("Content-Length: 3\r\n"), 400, "length"),
-        (with("Content-Length: +3\r\n"), 400, "length"),
-        (with("Transfer-Encoding: chunked\r\n"), 400, "transfer coding"),
-        (with("Transfer-Encoding: gzip\r\n"), 400, "transfer coding"),
-        (with("Host: another\r\n"), 400, "host"),
-        (with("X-Spaced : 1\r\n"), 400, "head"),
-        (chunks.into_bytes(), 400, "chunk"),
+        (with_headers("Content-Length: 3\r\n"), 400, "length"),
+        (with_headers("Content-Length: +3\r\n"), 400, "length"),
+        (with_headers("Transfer-Encoding: chunked\r\n"), 400, "transfer coding"),
+        (with_headers("Transfer-Encoding: gzip\r\n"), 400, "transfer coding"),
+        (with_headers("Host: another\r\n"), 400, "host"),
+        (with_headers("X-Spaced : 1\r\n"), 400, "head"),
+        (invalid_chunk.into_bytes(), 400, "chunk"),
     ] {
-        failures.expect_rejection(to, port, &bytes, (status, named));
+        failures.expect_rejection(address, port, &bytes, (status, expected_text));
     }
     failures.assert_none();
-    // Closed within the body: not a request, and not answered.
-    let mut cut = request(method, path, "", config(9, |_| {}).as_bytes());
-    cut.truncate(cut.len() - 9);
-    assert!(send_raw(to, &cut, true).is_none());
+    // A request that ends within its body gets no response.
+    let mut truncated = request(method, path, "", config(9, |_| {}).as_bytes());
+    truncated.truncate(truncated.len() - 9);
+    assert!(send_raw(address, &truncated, true).is_none());
     assert_eq!(state(&cluster), before);
 }
 
-/// A request that must be rejected: its port, method, path and body, the expected status, and a part of the text that
-/// must come with it.
+/// A request that must be rejected: port, method, path, body, expected status, and a text that the response body must
+/// contain.
 type Case = (Port, &'static str, &'static str, Vec<u8>, u16, &'static str);
 
 const REPLACE: &str = "/-/Configuration.Replace";
 const LEASE_VOTE: &str = r#"{"Lease":{"ballot":99999999999999,"holder":"10.0.0.1:7600"}}"#;
 
-/// JSON nested deeper than a parser may recurse.
+/// Returns JSON nested more deeply than a recursive parser can handle.
 fn deeply_nested() -> Vec<u8> {
     [b"[".repeat(100_000), b"]".repeat(100_000)].concat()
 }
@@ -190,12 +202,12 @@
     text.replacen(from, to, 1).into_bytes()
 }
 
-/// Configurations that the operators' ports must reject.
+/// Returns configurations that the ports for operators must reject, each with a text that the response must contain.
 fn invalid_configurations() -> Vec<(Vec<u8>, &'static str)> {
     let valid = config(9, |_| {}).into_bytes();
     let mut not_utf8 = valid.clone();
-    let host = config(9, |_| {}).find("shop.example").expect("a host");
-    not_utf8[host] = 0xff;
+    let host_position = config(9, |_| {}).find("shop.example").expect("the configuration has the hostname");
+    not_utf8[host_position] = 0xff;
     let invalid = |change: fn(&mut Value)| config(9, change).into_bytes();
     vec![
         (Vec::new(), "whole JSON"),
@@ -220,7 +232,7 @@
     let valid = config(9, |_| {}).into_bytes();
     let mut cases: Vec<Case> = invalid_configurations()
         .into_iter()
-        .map(|(body, named)| (port, "POST", REPLACE, body, 400, named))
+        .map(|(body, expected_text)| (port, "POST", REPLACE, body, 400, expected_text))
         .collect();
     cases.extend([
         (port, "GET", REPLACE, Vec::new(), 404, "no such call"),
@@ -239,7 +251,7 @@
     cases
 }
 
-/// Malformed versions of a valid RPC.
+/// Returns malformed variants of a valid RPC.
 fn malformed_rpc_cases(port: Port, path: &'static str, valid: &str) -> Vec<Case> {
     let valid = valid.as_bytes();
     vec![
@@ -290,7 +302,7 @@
     cases
 }
 
-/// Clients' requests: path, headers, expected status, and a part of the expected text.
+/// Returns invalid requests of clients: path, headers, expected status, and a text that the response body must contain.
 fn client_cases() -> Vec<(&'static str, String, u16, &'static str)> {
     let headers = "Attempt-Id: 1\r\nX-Api-Key: key-a\r\nRemaining-Milliseconds: 900\r\n";
     let long_id = format!("Id: {}", "1".repeat(129));
@@ -308,28 +320,33 @@
     ]
 }
 
-/// Valid HTTP that the program behind the port cannot accept.
+/// Requests that are valid HTTP but invalid for the program that receives them are rejected.
 #[test]
 fn invalid_requests_are_rejected_with_the_fault_named() {
     let cluster = start_cluster();
     let (mut failures, before) = (Failures::default(), state(&cluster));
     let operator_ports = [Port::ControlPlane, Port::DirectoryService];
     let cases = operator_ports.into_iter().flat_map(operator_cases).chain(rpc_cases());
-    for (port, method, path, body, status, named) in cases {
+    for (port, method, path, body, status, expected_text) in cases {
         let bytes = request(method, path, "", &body);
-        failures.expect_rejection(port.address(&cluster), port, &bytes, (status, named));
+        failures.expect_rejection(port.address(&cluster), port, &bytes, (status, expected_text));
     }
     for port in [Port::Internal, Port::AgentForPeers, Port::AgentForProxy] {
         let bytes = request("POST", endpoints::PULL, "Call-Id: seven\r\n", PULL.as_bytes());
         failures.expect_rejection(port.address(&cluster), port, &bytes, (400, "call's id"));
     }
-    for (path, headers, status, named) in client_cases() {
+    for (path, headers, status, expected_text) in client_cases() {
         let bytes = request("GET", path, &headers, b"");
-        failures.expect_rejection(cluster.frontend_address(0), Port::Frontend, &bytes, (status, named));
+        failures.expect_rejection(
+            cluster.frontend_address(0),
+            Port::Frontend,
+            &bytes,
+            (status, expected_text),
+        );
     }
     failures.assert_none();
     assert_eq!(state(&cluster), before);
     let read = cluster.send_command("GET", "/-/Configuration.Read", "");
     assert_eq!(read.body, config(1, |_| {}));
-    assert_eq!(cluster.send_request(0, "GET", "/read/x", Some("key-a")).expect("answered").status(), 200);
+    assert_eq!(cluster.send_request(0, "GET", "/read/x", Some("key-a")).expect("a response").status(), 200);
 }
--- a/crates/testkit/tests/shutdown.rs
+++ b/crates/testkit/tests/shutdown.rs
@@ -1,5 +1,5 @@
-//! Programs that are asked to shut down: whoever sent a request that was read gets an answer, and a proxy breaks off no
-//! request that it has read after the signal.
+//! Graceful shutdown: every request that a program has read gets a response. A proxy also completes or rejects the
+//! requests that it reads after the shutdown signal.
 
 use std::io;
 use std::net::TcpStream;
@@ -14,18 +14,20 @@
 const GRACE_PERIOD: Duration = Duration::from_secs(2);
 /// The proxy under test.
 const PROXY: usize = 0;
-/// When requests are sent, as shares of the grace period. New connections are accepted for longer than that.
-const SEND_AT: [f64; 5] = [0.05, 0.2, 0.35, 0.5, 0.65];
-/// How much sooner than its client's deadline a request may be given up: the proxy keeps a margin for the way back.
-const ANSWER_MARGIN: Duration = Duration::from_millis(100);
+/// Times after the signal at which requests are sent, as fractions of the grace period. The proxy accepts new
+/// connections for longer than the last of them.
+const SEND_TIMES: [f64; 5] = [0.05, 0.2, 0.35, 0.5, 0.65];
+/// How long before the deadline of the client the proxy may give up a request: it reserves time for the response to
+/// travel back.
+const RESPONSE_MARGIN: Duration = Duration::from_millis(100);
 
 fn start_cluster() -> TestCluster {
     let cluster = TestCluster::start(1, |_| {});
     assert_eq!(cluster.send_command("POST", "/-/Configuration.Replace", &config(1, |_| {})).status(), 200);
     cluster.wait_for_status(PROXY, "/read/x", Some("key-a"), 200);
     cluster.wait_until("the mutating route is served", || {
-        let answer = cluster.send_request_as(PROXY, "POST", "/write/x", Some("key-a"), "first").ok()?;
-        (answer.status() == 200).then_some(())
+        let response = cluster.send_request_as(PROXY, "POST", "/write/x", Some("key-a"), "first").ok()?;
+        (response.status() == 200).then_some(())
     });
     cluster
 }
@@ -35,13 +37,13 @@
     method: &str,
     path: &str,
     attempt: &str,
-    left: Duration,
+    remaining: Duration,
 ) -> io::Result<Message> {
-    let left = left.as_millis().to_string();
+    let remaining = remaining.as_millis().to_string();
     let headers = [
         ("Host", "shop.example"),
         ("Attempt-Id", attempt),
-        ("Remaining-Milliseconds", left.as_str()),
+        ("Remaining-Milliseconds", remaining.as_str()),
         ("X-Api-Key", "key-a"),
     ];
     send_request(cluster.frontend_address(PROXY), method, path, &headers, "")
@@ -52,46 +54,46 @@
     all.filter(|request| request.attempt == attempt).count()
 }
 
-/// A kind of request, and how much time its client leaves.
+/// A request and its remaining time.
 #[derive(Clone, Copy, Debug)]
 struct Case {
     method: &'static str,
     path: &'static str,
-    left: Duration,
+    remaining: Duration,
 }
 
 const CASES: [Case; 4] = [
-    Case { method: "POST", path: "/write/x", left: Duration::from_millis(500) },
-    Case { method: "POST", path: "/write/x", left: Duration::from_millis(2000) },
-    Case { method: "GET", path: "/read/x", left: Duration::from_millis(500) },
-    Case { method: "GET", path: "/read/x", left: Duration::from_millis(2000) },
+    Case { method: "POST", path: "/write/x", remaining: Duration::from_millis(500) },
+    Case { method: "POST", path: "/write/x", remaining: Duration::from_millis(2000) },
+    Case { method: "GET", path: "/read/x", remaining: Duration::from_millis(500) },
+    Case { method: "GET", path: "/read/x", remaining: Duration::from_millis(2000) },
 ];
 
-/// Sends a request at a time after the signal, and checks what its client gets.
+/// Sends a request `after` the signal, and checks its response.
 fn send_after(cluster: &TestCluster, case: Case, signalled: Instant, after: Duration) {
-    cluster.wait_until("it is time to send", || (signalled.elapsed() >= after).then_some(()));
-    let Case { method, path, left } = case;
-    let attempt = format!("{method}-{}-{}", left.as_millis(), after.as_millis());
+    cluster.wait_until("the request is due", || (signalled.elapsed() >= after).then_some(()));
+    let Case { method, path, remaining } = case;
+    let attempt = format!("{method}-{}-{}", remaining.as_millis(), after.as_millis());
     let sent = Instant::now();
-    let answer = send(cluster, method, path, &attempt, left);
+    let response = send(cluster, method, path, &attempt, remaining);
     let (took, executions) = (sent.elapsed(), count_executions(cluster, &attempt));
-    let context = format!("{attempt}, executed {executions} times, after {took:?}: {answer:?}");
-    let Ok(answer) = answer else {
-        panic!("no answer: {context}");
+    let context = format!("{attempt}, executed {executions} times, after {took:?}: {response:?}");
+    let Ok(response) = response else {
+        panic!("no response: {context}");
     };
-    if took + ANSWER_MARGIN < left {
-        assert_eq!((answer.status(), executions), (503, 0), "given up before its time: {context}");
-        assert!(answer.header("Retry-After").is_some(), "{context}");
+    if took + RESPONSE_MARGIN < remaining {
+        assert_eq!((response.status(), executions), (503, 0), "rejected before the deadline: {context}");
+        assert!(response.header("Retry-After").is_some(), "{context}");
     } else if method == "POST" {
-        assert_eq!((answer.status(), executions), (502, 1), "it has run: {context}");
+        assert_eq!((response.status(), executions), (502, 1), "the request was executed: {context}");
     } else {
-        assert!([502, 503].contains(&answer.status()), "the backends never respond: {context}");
+        assert!([502, 503].contains(&response.status()), "the backends never respond: {context}");
     }
-    assert_eq!(answer.header("Connection"), Some("close"), "{context}");
+    assert_eq!(response.header("Connection"), Some("close"), "{context}");
 }
 
 #[test]
-fn a_request_read_after_the_signal_is_answered_in_its_time_or_refused_unrun() {
+fn a_request_read_after_the_signal_is_served_or_rejected_without_execution() {
     let mut cluster = start_cluster();
     cluster.backends.iter().for_each(|backend| backend.set_behavior(Behavior::NeverResponds));
     cluster.shut_down_machine(CONTROLLERS + PROXY);
@@ -99,23 +101,23 @@
     let cluster = &cluster;
     thread::scope(|scope| {
         for case in CASES {
-            for share in SEND_AT {
-                scope.spawn(move || send_after(cluster, case, signalled, GRACE_PERIOD.mul_f64(share)));
+            for fraction in SEND_TIMES {
+                scope.spawn(move || send_after(cluster, case, signalled, GRACE_PERIOD.mul_f64(fraction)));
             }
         }
     });
-    assert_exited_in_order(cluster);
+    assert_exited_without_violations(cluster);
 }
 
-fn assert_exited_in_order(cluster: &TestCluster) {
-    cluster.wait_until("the machine's programs have ended", || {
+fn assert_exited_without_violations(cluster: &TestCluster) {
+    cluster.wait_until("the programs of the machine have exited", || {
         cluster.has_exited(CONTROLLERS + PROXY).then_some(())
     });
-    assert_eq!(total_violations(), 0, "invariants");
+    assert_eq!(total_violations(), 0, "invariant violations");
 }
 
 #[test]
-fn a_request_in_flight_at_the_end_of_the_grace_period_gets_an_answer() {
+fn a_request_in_flight_at_the_end_of_the_grace_period_gets_a_response() {
     let mut cluster = start_cluster();
     cluster.backends.iter().for_each(|backend| backend.set_behavior(Behavior::NeverResponds));
     let frontend = cluster.frontend_address(PROXY);
@@ -128,31 +130,33 @@
         ];
         send_request(frontend, "POST", "/write/x", &headers, "")
     });
-    cluster.wait_until("it reaches a backend", || (count_executions(&cluster, "long") == 1).then_some(()));
+    cluster.wait_until("the request reaches a backend", || {
+        (count_executions(&cluster, "long") == 1).then_some(())
+    });
     cluster.shut_down_machine(CONTROLLERS + PROXY);
-    let answer = client.join().expect("the client does not panic");
-    let answer = answer.unwrap_or_else(|error| panic!("no answer: {error}"));
-    assert_eq!(answer.status(), 502, "it has run: {answer:?}");
-    assert_exited_in_order(&cluster);
+    let response = client.join().expect("the client thread does not panic");
+    let response = response.unwrap_or_else(|error| panic!("no response: {error}"));
+    assert_eq!(response.status(), 502, "the request was executed: {response:?}");
+    assert_exited_without_violations(&cluster);
 }
 
 fn holds_lease(cluster: &TestCluster, controller: usize) -> bool {
     let read = send_request(cluster.controller_address(controller), "GET", "/-/Configuration.Read", &[], "");
-    read.is_ok_and(|answer| answer.status() == 200)
+    read.is_ok_and(|response| response.status() == 200)
 }
 
 #[test]
-fn an_order_in_flight_at_a_controller_that_shuts_down_is_answered_as_uncertain() {
+fn a_command_in_flight_at_a_controller_that_shuts_down_gets_an_unknown_outcome() {
     let mut cluster = TestCluster::start(0, |_| {});
     assert_eq!(cluster.send_command("POST", "/-/Configuration.Replace", &config(1, |_| {})).status(), 200);
-    let leaseholder = cluster.wait_until("there is a leaseholder", || {
+    let leaseholder = cluster.wait_until("a controller holds the lease", || {
         (0..CONTROLLERS).find(|controller| holds_lease(&cluster, *controller))
     });
-    // Without the others no majority can accept the order.
+    // Without the other controllers there is no majority to accept the command.
     let others: Vec<_> = (0..CONTROLLERS).filter(|controller| *controller != leaseholder).collect();
     others.into_iter().for_each(|other| cluster.kill_machine(other));
     let address = cluster.controller_address(leaseholder);
-    let mut operator = TcpStream::connect(address).expect("it listens");
+    let mut operator = TcpStream::connect(address).expect("the controller accepts connections");
     let host = address.to_string();
     write_message(
         &mut operator,
@@ -160,12 +164,15 @@
         &[("Host", &host)],
         &config(2, |_| {}),
     )
-    .expect("sent");
-    assert!(holds_lease(&cluster, leaseholder), "the order was read before this call, while the lease held");
+    .expect("the command can be sent");
+    assert!(
+        holds_lease(&cluster, leaseholder),
+        "the leaseholder has read the command and still holds the lease"
+    );
     cluster.shut_down_machine(leaseholder);
-    let answer = read_message(&mut operator).expect("the connection does not break");
-    let answer = answer.expect("an answer before the connection ends");
-    assert_eq!((answer.status(), answer.header("Connection")), (503, Some("close")), "{answer:?}");
-    cluster.wait_until("the controller has ended", || cluster.has_exited(leaseholder).then_some(()));
-    assert_eq!(total_violations(), 0, "invariants");
+    let response = read_message(&mut operator).expect("the connection is not reset");
+    let response = response.expect("a response arrives before the connection closes");
+    assert_eq!((response.status(), response.header("Connection")), (503, Some("close")), "{response:?}");
+    cluster.wait_until("the controller has exited", || cluster.has_exited(leaseholder).then_some(()));
+    assert_eq!(total_violations(), 0, "invariant violations");
 }
