--- a/crates/compatibility/tests/documents.rs
+++ b/crates/compatibility/tests/documents.rs
@@ -1,4 +1,5 @@
-//! The documents that others write: an operator's configuration, the platform's settings file and `deploy/*.toml`.
+//! Formats of the documents that the programs and the deployment read: the configuration of the operator, the settings
+//! file of the platform, and `deploy/*.toml`.
 
 mod support;
 
@@ -13,38 +14,42 @@
 const CONFIGURATION: &str = "configuration/valid.json";
 const SETTINGS: &str = "configuration/settings.json";
 
-/// A place in a document, and what stands there in place of what is right; null leaves it out.
+/// The JSON pointer of a field, and the invalid value that replaces it. Null stands for a missing field.
 type Fault = (&'static str, Value);
 
-/// The valid document with each fault alone, and the exact text of what is said to it.
-fn refusals<T: Debug>(golden: &str, faults: Vec<Fault>, read: impl Fn(&[u8]) -> Result<T, String>) -> String {
-    let valid: Value = serde_json::from_slice(&read_golden(golden)).expect("JSON");
-    let refusal = |(place, value): Fault| {
+/// Applies each fault on its own to the valid document, and returns the resulting error messages, one per line.
+fn error_messages<T: Debug>(
+    golden: &str,
+    faults: Vec<Fault>,
+    parse: impl Fn(&[u8]) -> Result<T, String>,
+) -> String {
+    let valid: Value = serde_json::from_slice(&read_golden(golden)).expect("the golden file is JSON");
+    let error_message = |(pointer, value): Fault| {
         let mut document = valid.clone();
         let text = value.to_string();
-        let (parent, name) = place.rsplit_once('/').expect("a place begins with a slash");
-        document.pointer_mut(parent).expect("its parent is there")[name] = value;
-        let error = read(document.to_string().as_bytes()).expect_err(place);
-        format!("{place} = {text}: {error}\n")
+        let (parent, name) = pointer.rsplit_once('/').expect("a JSON pointer begins with a slash");
+        document.pointer_mut(parent).expect("the parent exists")[name] = value;
+        let error = parse(document.to_string().as_bytes()).expect_err(pointer);
+        format!("{pointer} = {text}: {error}\n")
     };
-    faults.into_iter().map(refusal).collect()
+    faults.into_iter().map(error_message).collect()
 }
 
-fn read_configuration(text: &[u8]) -> Result<Config, String> {
+fn parse_configuration(text: &[u8]) -> Result<Config, String> {
     Config::parse(text).map_err(|error| error.to_string())
 }
 
-fn read_settings(text: &[u8]) -> Result<Settings, String> {
+fn parse_settings(text: &[u8]) -> Result<Settings, String> {
     Settings::parse(text).map_err(|error| error.to_string())
 }
 
-fn weighted(service: &str, weight: f64) -> WeightedService {
+fn weighted_service(service: &str, weight: f64) -> WeightedService {
     WeightedService { service: service.to_owned(), weight }
 }
 
 #[test]
 fn valid_configuration() {
-    let config = read_configuration(&read_golden(CONFIGURATION)).expect("it is valid");
+    let config = parse_configuration(&read_golden(CONFIGURATION)).expect("the configuration is valid");
     assert_eq!(config.revision.0, 7);
     let (read, split) = (&config.routes["r-read"], &config.routes["r-split"]);
     assert_eq!((read.hostname.as_str(), read.path_prefix.as_str()), ("shop.example", "/read/"));
@@ -53,8 +58,8 @@
     assert_eq!((read.precedence, read.max_attempts, read.public), (1, 2, false));
     assert_eq!((split.precedence, split.max_attempts, split.public), (0, 1, false));
     assert_eq!(read.home_regions, ["east"]);
-    assert_eq!(read.services, [weighted("reads", 1.0)]);
-    assert_eq!(split.services, [weighted("reads", 1.0), weighted("writes", 2.5)]);
+    assert_eq!(read.services, [weighted_service("reads", 1.0)]);
+    assert_eq!(split.services, [weighted_service("reads", 1.0), weighted_service("writes", 2.5)]);
     let (reads, writes) = (&config.services["reads"], &config.services["writes"]);
     assert_eq!((reads.health_path.as_str(), reads.connection_limit), ("/health", 100));
     assert_eq!((reads.warmup.as_millis(), reads.warmup_per_s), (3000, 20.0));
@@ -62,7 +67,7 @@
     let limits = &config.limits;
     assert_eq!((limits.max_header_bytes, limits.max_body_bytes), (16384, 1_048_576));
     assert_eq!((limits.header_deadline.as_millis(), limits.idle_timeout.as_millis()), (3000, 15000));
-    let customers = config.customers.expect("keys are asked for");
+    let customers = config.customers.expect("the configuration has customers");
     let (ana, bor) = (&customers["ana"], &customers["bor"]);
     assert_eq!(ana.access_keys, ["key-a", "key-b"]);
     assert_eq!((ana.rate_per_s, ana.burst_allowance), (500.0, 500.0));
@@ -112,27 +117,27 @@
         ("/customers/ana/rate_per_s", json!(-1)),
         ("/customers", json!([])),
     ];
-    let mut refused = refusals(CONFIGURATION, faults, read_configuration);
+    let mut messages = error_messages(CONFIGURATION, faults, parse_configuration);
     for text in ["", "{", "[]", "{} {}"] {
-        let error = read_configuration(text.as_bytes()).expect_err(text);
-        refused.push_str(&format!("{text}: {error}\n"));
+        let error = parse_configuration(text.as_bytes()).expect_err(text);
+        messages.push_str(&format!("{text}: {error}\n"));
     }
-    assert_golden("configuration/refused_configurations.txt", refused.as_bytes());
+    assert_golden("configuration/refused_configurations.txt", messages.as_bytes());
 }
 
 #[test]
 fn valid_settings() {
-    let settings = read_settings(&read_golden(SETTINGS)).expect("they are valid");
+    let settings = parse_settings(&read_golden(SETTINGS)).expect("the settings are valid");
     assert_eq!((settings.name.as_str(), settings.ip.to_string().as_str()), ("central-0", "10.0.0.1"));
     assert_eq!((settings.zone.as_str(), settings.region.as_str()), ("east-a", "east"));
     assert_eq!(settings.zones["west-a"], "west");
-    let listens = |kind| settings.listen_address(kind).expect("it listens there").to_string();
-    assert_eq!(listens("control_plane"), "10.0.0.1:8200");
-    assert_eq!(listens("directory_service"), "10.0.0.1:8201");
-    assert_eq!(listens("frontend"), "10.0.0.1:8206");
-    assert_eq!(listens("readiness"), "10.0.0.1:8207");
+    let listen_address = |kind| settings.listen_address(kind).expect("the address is configured").to_string();
+    assert_eq!(listen_address("control_plane"), "10.0.0.1:8200");
+    assert_eq!(listen_address("directory_service"), "10.0.0.1:8201");
+    assert_eq!(listen_address("frontend"), "10.0.0.1:8206");
+    assert_eq!(listen_address("readiness"), "10.0.0.1:8207");
     assert_eq!(settings.internal_ports, PortRange { first: 7600, last: 7615 });
-    let peer = "10.0.0.2".parse().expect("an address");
+    let peer = "10.0.0.2".parse().expect("the address is valid");
     assert_eq!(settings.controller_address(peer).to_string(), "10.0.0.2:7600");
     assert_eq!(settings.agent_address(peer).to_string(), "10.0.0.2:7601");
     assert_eq!(settings.agent_loopback_address().to_string(), "127.0.0.1:7602");
@@ -140,20 +145,20 @@
     assert_eq!((settings.initial_start, settings.memory_mb, settings.file_descriptors), (true, 200, 1024));
     assert_eq!(settings.data_directory.as_deref(), Some(Path::new("/var/lib/vanewharf")));
     assert_eq!(settings.tolerated_machine_losses, 2);
-    let bounds = &settings.limits_table;
-    assert!(!bounds.revocation_global);
-    let spans = [bounds.revocation, bounds.grace_period, bounds.ttl_max, bounds.retry_window];
-    assert_eq!(spans.map(|span| span.as_millis()), [5000, 2000, 5000, 10000]);
-    assert_eq!((bounds.rate_allowance, bounds.retry_ratio, bounds.retry_allowance), (20.0, 0.2, 50.0));
-    assert_eq!((bounds.warmup_overshoot, bounds.warmup_allowance), (1.5, 5.0));
-    let cloud = settings.cloud_api.expect("a platform");
+    let limits = &settings.limits_table;
+    assert!(!limits.revocation_global);
+    let durations = [limits.revocation, limits.grace_period, limits.ttl_max, limits.retry_window];
+    assert_eq!(durations.map(|duration| duration.as_millis()), [5000, 2000, 5000, 10000]);
+    assert_eq!((limits.rate_allowance, limits.retry_ratio, limits.retry_allowance), (20.0, 0.2, 50.0));
+    assert_eq!((limits.warmup_overshoot, limits.warmup_allowance), (1.5, 5.0));
+    let cloud = settings.cloud_api.expect("the settings have cloud_api");
     assert_eq!((cloud.address.to_string().as_str(), cloud.rate_per_s), ("10.0.0.9:80", 20.0));
     assert_eq!(cloud.allowed_lag.as_millis(), 500);
 }
 
 #[test]
 fn refused_settings() {
-    let needed = [
+    let required = [
         "/node_name",
         "/ip_address",
         "/zone",
@@ -182,7 +187,7 @@
         "/cloud_api/rate_per_s",
         "/cloud_api/allowed_lag",
     ];
-    let mut faults: Vec<Fault> = needed.into_iter().map(|place| (place, json!(null))).collect();
+    let mut faults: Vec<Fault> = required.into_iter().map(|pointer| (pointer, json!(null))).collect();
     faults.extend([
         ("/ip_address", json!("nowhere")),
         ("/internal_ports", json!([7600])),
@@ -194,18 +199,19 @@
         ("/data_directory", json!(1)),
         ("/limits_table/grace_period", json!("2")),
     ]);
-    let refused = refusals(SETTINGS, faults, read_settings);
-    assert_golden("configuration/refused_settings.txt", refused.as_bytes());
+    let messages = error_messages(SETTINGS, faults, parse_settings);
+    assert_golden("configuration/refused_settings.txt", messages.as_bytes());
 }
 
-/// Left out, these have their defaults.
+/// Optional settings that are missing have their defaults.
 #[test]
 fn optional_settings() {
-    let mut document: Value = serde_json::from_slice(&read_golden(SETTINGS)).expect("JSON");
+    let mut document: Value =
+        serde_json::from_slice(&read_golden(SETTINGS)).expect("the golden file is JSON");
     for name in ["data_directory", "fault_tolerance", "cloud_api", "a_field_of_tomorrow"] {
-        document.as_object_mut().expect("an object").remove(name);
+        document.as_object_mut().expect("the settings are an object").remove(name);
     }
-    let settings = read_settings(document.to_string().as_bytes()).expect("they are valid");
+    let settings = parse_settings(document.to_string().as_bytes()).expect("the settings are valid");
     assert_eq!(
         (settings.data_directory, settings.tolerated_machine_losses, settings.cloud_api.is_none()),
         (None, 1, true)
@@ -213,83 +219,93 @@
     let readiness =
         |settings: &Settings| settings.listen_address("readiness").map_err(|error| error.to_string());
     document["listen_addresses"] = json!({});
-    let settings = read_settings(document.to_string().as_bytes()).expect("they are valid");
+    let settings = parse_settings(document.to_string().as_bytes()).expect("the settings are valid");
     assert_eq!(readiness(&settings), Err("listen_addresses.readiness is missing".to_owned()));
 }
 
-/// The folder of the workspace: the nearest one above that has `deploy`.
-fn workspace() -> PathBuf {
-    let above = Path::new(env!("CARGO_MANIFEST_DIR")).ancestors();
-    above.into_iter().find(|folder| folder.join("deploy").is_dir()).expect("the workspace").to_owned()
+/// Returns the root directory of the workspace: the nearest parent directory that contains `deploy`.
+fn workspace_root() -> PathBuf {
+    let ancestors = Path::new(env!("CARGO_MANIFEST_DIR")).ancestors();
+    ancestors
+        .into_iter()
+        .find(|directory| directory.join("deploy").is_dir())
+        .expect("the workspace root exists")
+        .to_owned()
 }
 
-fn deployed(file: &str) -> toml::Table {
-    let text = std::fs::read_to_string(workspace().join("deploy").join(file)).expect("a file");
-    text.parse().expect("TOML")
+fn read_deploy_file(file: &str) -> toml::Table {
+    let text =
+        std::fs::read_to_string(workspace_root().join("deploy").join(file)).expect("the file can be read");
+    text.parse().expect("the file is TOML")
 }
 
-/// The keys of a table, each with the type of its value.
-fn forms(table: &toml::Table) -> BTreeSet<String> {
+/// Returns the keys of a table, each with the type of its value.
+fn key_types(table: &toml::Table) -> BTreeSet<String> {
     table.iter().map(|(key, value)| format!("{key}: {}", value.type_str())).collect()
 }
 
-fn form_set(expected: &[&str]) -> BTreeSet<String> {
-    expected.iter().map(|form| form.to_string()).collect()
+fn type_set(expected: &[&str]) -> BTreeSet<String> {
+    expected.iter().map(|key_type| key_type.to_string()).collect()
 }
 
 #[track_caller]
 fn assert_names_program(command: &toml::Value) {
-    let words: Vec<_> = command.as_str().expect("text").split(' ').collect();
+    let words: Vec<_> = command.as_str().expect("the command is a string").split(' ').collect();
     let program = words.strip_prefix(&["exec"]).unwrap_or(&words);
     assert!(matches!(program, [path] if path.starts_with("target/release/")), "{words:?}");
 }
 
 #[test]
 fn deployed_balancer() {
-    let table = deployed("balancer.toml");
+    let table = read_deploy_file("balancer.toml");
     let expected =
         ["build: string", "run: string", "sim: string", "policy: array", "node: array", "packages: array"];
-    assert_eq!(forms(&table), form_set(&expected));
+    assert_eq!(key_types(&table), type_set(&expected));
     assert_names_program(&table["run"]);
     assert_names_program(&table["sim"]);
 }
 
 #[test]
 fn deployed_gateway_operator_file() {
-    let table = deployed("door.toml");
-    assert_eq!(forms(&table), form_set(&["kill_after_s: float", "settings: table", "peers: table"]));
-    let part = |name: &str| table[name].as_table().expect("a table");
-    assert_eq!(forms(part("peers")), form_set(&["listen: string", "doors: array"]));
+    let table = read_deploy_file("door.toml");
+    assert_eq!(key_types(&table), type_set(&["kill_after_s: float", "settings: table", "peers: table"]));
+    let section = |name: &str| table[name].as_table().expect("the section is a table");
+    assert_eq!(key_types(section("peers")), type_set(&["listen: string", "doors: array"]));
     let expected =
         ["me: integer", "balancers: integer", "locality: string", "allowed: table", "family_info: table"];
-    assert_eq!(forms(part("settings")), form_set(&expected));
-    let below = |name: &str| forms(part("settings")[name].as_table().expect("a table"));
-    assert_eq!(below("allowed"), form_set(&["peer_messages: boolean"]));
-    assert_eq!(below("family_info"), form_set(&["most_units: integer", "peer_in_per_s: integer"]));
+    assert_eq!(key_types(section("settings")), type_set(&expected));
+    let settings_section =
+        |name: &str| key_types(section("settings")[name].as_table().expect("the section is a table"));
+    assert_eq!(settings_section("allowed"), type_set(&["peer_messages: boolean"]));
+    assert_eq!(settings_section("family_info"), type_set(&["most_units: integer", "peer_in_per_s: integer"]));
 }
 
-/// The value is a list of texts, none of them empty.
+/// Asserts that the value is an array of strings that are not empty.
 #[track_caller]
-fn assert_lists_texts(value: &toml::Value) {
-    let texts = value.as_array().expect("a list");
-    assert!(texts.iter().all(|text| text.as_str().is_some_and(|text| !text.is_empty())), "{texts:?}");
+fn assert_nonempty_strings(value: &toml::Value) {
+    let strings = value.as_array().expect("the value is an array");
+    assert!(
+        strings.iter().all(|string| string.as_str().is_some_and(|string| !string.is_empty())),
+        "{strings:?}"
+    );
 }
 
 #[test]
 fn deployed_system() {
-    let table = deployed("system.toml");
-    assert_eq!(forms(&table), form_set(&["build: string", "packages: array", "roles: table"]));
-    assert_lists_texts(&table["packages"]);
-    let mut places = Vec::new();
-    for (name, role) in table["roles"].as_table().expect("a table") {
-        let role = role.as_table().expect("a table");
+    let table = read_deploy_file("system.toml");
+    assert_eq!(key_types(&table), type_set(&["build: string", "packages: array", "roles: table"]));
+    assert_nonempty_strings(&table["packages"]);
+    let mut placements = Vec::new();
+    for (name, role) in table["roles"].as_table().expect("roles is a table") {
+        let role = role.as_table().expect("the role is a table");
         let expected = ["run: string", "on: string", "share: float", "serves: array"];
-        assert_eq!(forms(role), form_set(&expected), "{name}");
+        assert_eq!(key_types(role), type_set(&expected), "{name}");
         assert_names_program(&role["run"]);
-        let serves = role["serves"].as_array().expect("a list");
-        let serves: Vec<_> = serves.iter().map(|kind| kind.as_str().expect("text")).collect();
-        places.push(format!("{} {}", role["on"].as_str().expect("text"), serves.join(" ")));
+        let serves = role["serves"].as_array().expect("serves is an array");
+        let serves: Vec<_> =
+            serves.iter().map(|kind| kind.as_str().expect("serves contains strings")).collect();
+        placements.push(format!("{} {}", role["on"].as_str().expect("on is a string"), serves.join(" ")));
     }
-    places.sort_unstable();
-    assert_eq!(places, ["central controller registry", "frontend ", "frontend frontend"]);
+    placements.sort_unstable();
+    assert_eq!(placements, ["central controller registry", "frontend ", "frontend frontend"]);
 }
--- a/crates/compatibility/tests/messages.rs
+++ b/crates/compatibility/tests/messages.rs
@@ -1,4 +1,4 @@
-//! Every message between the system's own processes, as bytes.
+//! Serialised forms of every message between the processes of the system.
 
 mod support;
 
@@ -19,20 +19,20 @@
     format!("messages/{name}.json")
 }
 
-/// The value is written as the golden file, and what is read from that file is written as the same bytes.
+/// Asserts that the value serialises to the golden file, and that the golden file is unchanged by a round trip.
 #[track_caller]
 fn assert_message<T: Serialize + DeserializeOwned>(name: &str, value: &T) {
     let name = golden_name(name);
-    assert_golden(&name, &serde_json::to_vec(value).expect("a message can be written"));
-    let read: T = serde_json::from_slice(&read_golden(&name)).expect("the golden file can be read");
-    assert_golden(&name, &serde_json::to_vec(&read).expect("a message can be written"));
+    assert_golden(&name, &serde_json::to_vec(value).expect("a message can be serialised"));
+    let read: T = serde_json::from_slice(&read_golden(&name)).expect("the golden file can be deserialised");
+    assert_golden(&name, &serde_json::to_vec(&read).expect("a message can be serialised"));
 }
 
-/// The text of an older build is read as the message whose present form is the golden file.
+/// Asserts that text written by another build deserialises to the message in the golden file.
 #[track_caller]
-fn assert_older_form<T: Serialize + DeserializeOwned>(name: &str, older: &str) {
-    let read: T = serde_json::from_str(older).expect("the older form can be read");
-    assert_golden(&golden_name(name), &serde_json::to_vec(&read).expect("a message can be written"));
+fn assert_deserialises_to<T: Serialize + DeserializeOwned>(name: &str, text: &str) {
+    let read: T = serde_json::from_str(text).expect("the form can be deserialised");
+    assert_golden(&golden_name(name), &serde_json::to_vec(&read).expect("a message can be serialised"));
 }
 
 fn socket_address(host: u8) -> SocketAddr {
@@ -44,7 +44,7 @@
 }
 
 fn raw_json(text: &str) -> Box<RawValue> {
-    RawValue::from_string(text.to_owned()).expect("JSON")
+    RawValue::from_string(text.to_owned()).expect("the text is JSON")
 }
 
 fn text_set(texts: &[&str]) -> BTreeSet<String> {
@@ -59,7 +59,7 @@
     Membership { outgoing: vec![socket_address(3)], ..settled_membership() }
 }
 
-/// The configuration is kept as it was sent, spaces and key order included.
+/// A register whose configuration has unusual spacing and key order, which must be preserved.
 fn full_register() -> Register {
     Register {
         ballot: Ballot(0x0102_0304),
@@ -90,7 +90,7 @@
     Backend {
         id: "i-1".to_owned(),
         service: "reads".to_owned(),
-        address: "10.0.1.1:8080".parse().expect("an address"),
+        address: "10.0.1.1:8080".parse().expect("the address is valid"),
         zone: "east-a".to_owned(),
         capacity: 250,
         draining: true,
@@ -105,7 +105,7 @@
 fn proxy_entry() -> ProxyEntry {
     ProxyEntry {
         name: "frontend-0".to_owned(),
-        address: "10.0.0.9:8206".parse().expect("an address"),
+        address: "10.0.0.9:8206".parse().expect("the address is valid"),
         zone: "east-a".to_owned(),
         region: "east".to_owned(),
         ready: true,
@@ -277,7 +277,7 @@
 #[test]
 fn peers() {
     let row = PeerEntry { ip: ip_address(9), region: "east".to_owned(), last_contact_ms: 400 };
-    let over_ipv6 = PeerEntry { ip: "2001:db8::9".parse().expect("an address"), ..row.clone() };
+    let over_ipv6 = PeerEntry { ip: "2001:db8::9".parse().expect("the address is valid"), ..row.clone() };
     assert_message("neighbour", &row);
     assert_message("neighbours", &vec![row, over_ipv6]);
     assert_message("neighbours_none", &Vec::<PeerEntry>::new());
@@ -291,7 +291,7 @@
 
 #[test]
 fn pull_request() {
-    let by_nobody = PullRequest {
+    let empty = PullRequest {
         versions: VersionVector::default(),
         wait_ms: 0,
         follower: None,
@@ -302,14 +302,14 @@
         versions: version_vector(),
         wait_ms: 300,
         reports: vec![full_report()],
-        ..by_nobody.clone()
+        ..empty.clone()
     };
     let by_controller = PullRequest {
         follower: Some(follower()),
         token_leases: Some(token_lease_report()),
         ..by_agent.clone()
     };
-    assert_message("pull_empty", &by_nobody);
+    assert_message("pull_empty", &empty);
     assert_message("pull_door", &by_agent);
     assert_message("pull_office", &by_controller);
 }
@@ -358,10 +358,10 @@
 
 #[test]
 fn vote_requests() {
-    let (ballot, holder) = (Ballot(9), socket_address(2));
-    assert_message("vote_request_pre_vote", &VoteRequest::PreVote { candidate: holder });
-    assert_message("vote_request_lease", &VoteRequest::Lease { ballot, candidate: holder });
-    assert_message("vote_request_renew", &VoteRequest::Renew { ballot, leaseholder: holder });
+    let (ballot, candidate) = (Ballot(9), socket_address(2));
+    assert_message("vote_request_pre_vote", &VoteRequest::PreVote { candidate });
+    assert_message("vote_request_lease", &VoteRequest::Lease { ballot, candidate });
+    assert_message("vote_request_renew", &VoteRequest::Renew { ballot, leaseholder: candidate });
     assert_message("vote_request_accept", &VoteRequest::Accept { register: full_register() });
     assert_message("vote_request_release", &VoteRequest::Release { ballot });
     let recover = VoteRequest::Recover { member: socket_address(3), incarnation: 2 };
@@ -394,37 +394,37 @@
     assert_message("cast_full", &full);
 }
 
-/// What older builds left out has its default.
+/// Fields that older builds omit have their defaults.
 #[test]
 fn older_forms() {
-    let door =
+    let proxy =
         r#"{"name":"frontend-0","address":"10.0.0.9:8206","zone":"east-a","region":"east","ready":true}"#;
     let report =
-        format!(r#"{{"door":{door},"life":77,"age_ms":0,"let_through":{{}},"slices":{{}},"hosts":{{}}}}"#);
-    assert_older_form::<ProxyReport>("report_plain", &report);
+        format!(r#"{{"door":{proxy},"life":77,"age_ms":0,"let_through":{{}},"slices":{{}},"hosts":{{}}}}"#);
+    assert_deserialises_to::<ProxyReport>("report_plain", &report);
     let register = r#"{"ballot":0,"no":0,"config":null,"evacuated":[],"membership":{"epoch":0,"voters":[]}}"#;
-    assert_older_form::<Register>("register_none", register);
+    assert_deserialises_to::<Register>("register_none", register);
     let granted = format!(r#"{{"Granted":{{"register":{register}}}}}"#);
-    assert_older_form::<Vote>("vote_granted_older", &granted);
-    assert_older_form::<VoteResponse>("cast_plain", r#"{"incarnation":0,"vote":"Accepted"}"#);
-    assert_older_form::<ConfigEdit>("edit_gone", r#"{"part":"routes","entry":"r-old"}"#);
-    assert_older_form::<PullResponse>("mail_empty", r#"{"held_ms":0}"#);
-    assert_older_form::<PullRequest>(
+    assert_deserialises_to::<Vote>("vote_granted_older", &granted);
+    assert_deserialises_to::<VoteResponse>("cast_plain", r#"{"incarnation":0,"vote":"Accepted"}"#);
+    assert_deserialises_to::<ConfigEdit>("edit_gone", r#"{"part":"routes","entry":"r-old"}"#);
+    assert_deserialises_to::<PullResponse>("mail_empty", r#"{"held_ms":0}"#);
+    assert_deserialises_to::<PullRequest>(
         "pull_empty",
         r#"{"have":{"register":0,"list":{"ballot":0,"no":0},"ledger":{"ballot":0,"no":0}},"wait_ms":0,"reports":[]}"#,
     );
-    assert_older_form::<FleetSummary>(
+    assert_deserialises_to::<FleetSummary>(
         "ledger_empty",
         r#"{"version":{"ballot":9,"no":4},"doors":[],"counted":0,"tenants":{},"homed":[],"offices":[]}"#,
     );
 }
 
-/// What a newer build adds is passed over.
+/// Fields that newer builds add are ignored.
 #[test]
 fn newer_fields() {
-    assert_older_form::<Ballot>("ballot", "18446744073709551615");
+    assert_deserialises_to::<Ballot>("ballot", "18446744073709551615");
     let newer = r#"{"incarnation":0,"vote":"Accepted","a_field_of_tomorrow":[1]}"#;
-    assert_older_form::<VoteResponse>("cast_plain", newer);
+    assert_deserialises_to::<VoteResponse>("cast_plain", newer);
     let newer = r#"{"held_ms":0,"a_field_of_tomorrow":{"a":null}}"#;
-    assert_older_form::<PullResponse>("mail_empty", newer);
+    assert_deserialises_to::<PullResponse>("mail_empty", newer);
 }
--- a/crates/compatibility/tests/support/mod.rs
+++ b/crates/compatibility/tests/support/mod.rs
@@ -1,6 +1,6 @@
-//! Golden files: where they are, and how a test compares with them.
+//! Reads the golden files and compares values with them.
 
-// Each test program uses a part of this module.
+// No test target uses all of this module.
 #![allow(dead_code)]
 
 use std::fs;
@@ -9,36 +9,38 @@
 pub mod programs;
 pub mod wire;
 
-/// Set to `1`, the tests rewrite the golden files in place of comparing with them.
-const BLESS: &str = "VANEWHARF_BLESS";
+/// Environment variable that, if set to `1`, makes the tests rewrite the golden files instead of comparing with them.
+const BLESS_VARIABLE: &str = "VANEWHARF_BLESS";
 
-/// The path of a golden file or directory.
+/// Returns the path of a golden file or directory.
 pub fn golden_path(name: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(name)
 }
 
-/// Whether the golden files are to be rewritten.
-pub fn blessing() -> bool {
-    std::env::var_os(BLESS).is_some_and(|value| value == "1")
+/// Returns whether the golden files are to be rewritten.
+pub fn rewrites_golden_files() -> bool {
+    std::env::var_os(BLESS_VARIABLE).is_some_and(|value| value == "1")
 }
 
-/// The bytes of a golden file.
+/// Returns the bytes of a golden file.
 pub fn read_golden(name: &str) -> Vec<u8> {
     let path = golden_path(name);
     fs::read(&path).unwrap_or_else(|error| panic!("cannot read {}: {error}", path.display()))
 }
 
-/// Writes a golden file and the directories above it.
+/// Writes a golden file and creates its parent directories.
 pub fn write_golden(name: &str, actual: &[u8]) {
     let path = golden_path(name);
-    fs::create_dir_all(path.parent().expect("a golden file is in a directory")).expect("a directory");
-    fs::write(&path, actual).expect("a golden file can be written");
+    fs::create_dir_all(path.parent().expect("the golden file has a parent directory"))
+        .expect("the parent directories can be created");
+    fs::write(&path, actual).expect("the golden file can be written");
 }
 
-/// Fails unless `actual` equals the golden file byte for byte.
+/// Asserts that `actual` equals the golden file byte for byte. Rewrites the golden file instead if the environment
+/// variable is set.
 #[track_caller]
 pub fn assert_golden(name: &str, actual: &[u8]) {
-    if blessing() {
+    if rewrites_golden_files() {
         write_golden(name, actual);
         return;
     }
--- a/crates/compatibility/tests/support/programs.rs
+++ b/crates/compatibility/tests/support/programs.rs
@@ -1,6 +1,6 @@
-//! The real programs, each on a thread and a runtime of its own.
+//! Runs the real programs, each on its own thread and runtime.
 
-// Each test program uses a part of this module.
+// No test target uses all of this module.
 #![allow(dead_code)]
 
 use serde_json::{Value, json};
@@ -12,69 +12,69 @@
 use vanewharf_config::settings::Settings;
 use vanewharf_runtime::environment::Environment;
 
-/// A program, by what it does.
+/// A program of the system.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub enum Program {
-    DataPlane,
+    Proxy,
     Agent,
-    ControlPlane,
+    Controller,
 }
 
-/// A program on its thread.
-pub struct Running {
-    end: Option<oneshot::Sender<()>>,
+/// A program that runs on its own thread. Dropping it asks the program to shut down.
+pub struct RunningProgram {
+    shutdown: Option<oneshot::Sender<()>>,
     thread: Option<JoinHandle<()>>,
 }
 
-impl Running {
-    pub fn start(program: Program, settings: &Value) -> Running {
-        let settings = Settings::parse(settings.to_string().as_bytes()).expect("settings that can be read");
-        let (end, ended) = oneshot::channel();
+impl RunningProgram {
+    pub fn start(program: Program, settings: &Value) -> RunningProgram {
+        let settings = Settings::parse(settings.to_string().as_bytes()).expect("the settings are valid");
+        let (shutdown, signalled) = oneshot::channel();
         let thread = thread::spawn(move || {
             let runtime = Builder::new_current_thread().enable_all().build_local(LocalOptions::default());
-            let outcome = runtime.expect("a runtime").block_on(async move {
+            let outcome = runtime.expect("a runtime can be built").block_on(async move {
                 let environment = Environment::of_machine(settings.data_directory.clone())
                     .map_err(|error| error.to_string())?;
                 match program {
-                    Program::DataPlane => vanewharf_proxy::run(settings, environment, ended)
+                    Program::Proxy => vanewharf_proxy::run(settings, environment, signalled)
                         .await
                         .map_err(|error| error.to_string()),
-                    Program::Agent => vanewharf_agent::run(settings, environment, ended)
+                    Program::Agent => vanewharf_agent::run(settings, environment, signalled)
                         .await
                         .map_err(|error| error.to_string()),
-                    Program::ControlPlane => vanewharf_controller::run(settings, environment, ended)
+                    Program::Controller => vanewharf_controller::run(settings, environment, signalled)
                         .await
                         .map_err(|error| error.to_string()),
                 }
             });
-            outcome.expect("the program runs");
+            outcome.expect("the program exits without an error");
         });
-        Running { end: Some(end), thread: Some(thread) }
+        RunningProgram { shutdown: Some(shutdown), thread: Some(thread) }
     }
 
-    /// Tells it to end, and waits until it has.
+    /// Asks the program to shut down and waits until it has exited.
     pub fn stop(&mut self) {
-        self.end.take();
+        self.shutdown.take();
         if let Some(thread) = self.thread.take() {
-            thread.join().expect("the program ends well");
+            thread.join().expect("the thread of the program does not panic");
         }
     }
 }
 
-impl Drop for Running {
-    /// The thread ends by itself soon after; nobody waits for it here.
+impl Drop for RunningProgram {
+    /// Does not wait for the thread, which ends soon after the shutdown signal.
     fn drop(&mut self) {
-        self.end.take();
+        self.shutdown.take();
     }
 }
 
-/// A settings file for a program at that address.
+/// Returns a settings file for a program at this address.
 pub fn settings(ip: IpAddr, seeds: &[SocketAddr]) -> Value {
-    let at = |port: u16| SocketAddr::new(ip, port).to_string();
+    let address = |port: u16| SocketAddr::new(ip, port).to_string();
     json!({"node_name": "node-0", "ip_address": ip.to_string(), "zone": "east-a", "region": "east",
         "zones": {"east-a": "east", "west-a": "west"},
-        "listen_addresses": {"control_plane": at(8200), "directory_service": at(8201), "frontend": at(8206),
-            "readiness": at(8207)},
+        "listen_addresses": {"control_plane": address(8200), "directory_service": address(8201), "frontend": address(8206),
+            "readiness": address(8207)},
         "internal_ports": [7600, 7615],
         "seed_nodes": seeds.iter().map(SocketAddr::to_string).collect::<Vec<_>>(),
         "initial_start": true, "limits": {"memory_mb": 200, "file_descriptors": 1024},
@@ -83,8 +83,8 @@
             "warmup_overshoot": 1.5, "warmup_allowance": 5}})
 }
 
-/// The same for a program with a disk.
-pub fn with_data(mut settings: Value, data: &Path) -> Value {
-    settings["data_directory"] = json!(data);
+/// Adds a data directory to a settings file.
+pub fn with_data_directory(mut settings: Value, directory: &Path) -> Value {
+    settings["data_directory"] = json!(directory);
     settings
 }
--- a/crates/compatibility/tests/support/wire.rs
+++ b/crates/compatibility/tests/support/wire.rs
@@ -1,6 +1,6 @@
-//! Raw HTTP over loopback TCP: what a client writes, what a server answers, and how varying values are normalised.
+//! Raw HTTP over loopback TCP: sends and records messages byte for byte, and normalises values that vary between runs.
 
-// Each test program uses a part of this module.
+// No test target uses all of this module.
 #![allow(dead_code)]
 
 use rand::Rng;
@@ -10,57 +10,61 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Longer than anything here takes.
-const PATIENCE: Duration = Duration::from_secs(20);
-/// Fields of messages whose numbers vary from run to run.
+/// Exceeds the time that any condition or response in these tests takes.
+const TIMEOUT: Duration = Duration::from_secs(20);
+/// Message fields whose numbers vary between runs.
 const VARYING_NUMBERS: [&str; 9] =
     ["life", "age_ms", "held_ms", "sure_ms", "ballot", "promised", "heard_ms", "cold_ms", "digest"];
 const CALL_ID: &str = "Call-Id: ";
 const CONTENT_LENGTH: &str = "Content-Length: ";
 
-/// A part of the loopback network that no other test uses; all its addresses are equally long.
+/// The subnet 127.x.y.0/24 of a test, chosen at random so that parallel tests use different addresses. Its numbers have
+/// three digits so that the length of an address does not vary between runs.
 #[derive(Clone, Copy)]
 pub struct Subnet([u8; 2]);
 
 impl Subnet {
-    pub fn draw() -> Subnet {
-        let mut random = rand::rng();
-        Subnet([random.random_range(100..250), random.random_range(100..250)])
+    pub fn random() -> Subnet {
+        let mut rng = rand::rng();
+        Subnet([rng.random_range(100..250), rng.random_range(100..250)])
     }
 
     pub fn ip(self, host: u8) -> IpAddr {
         IpAddr::from([127, self.0[0], self.0[1], host])
     }
 
-    pub fn socket(self, host: u8, port: u16) -> SocketAddr {
+    pub fn socket_address(self, host: u8, port: u16) -> SocketAddr {
         SocketAddr::new(self.ip(host), port)
     }
 
-    fn without_addresses(self, text: &str) -> String {
+    fn normalise_addresses(self, text: &str) -> String {
         text.replace(&format!("127.{}.{}.", self.0[0], self.0[1]), "127.N.N.")
     }
 
-    /// The message with this subnet's addresses, call ids and the varying numbers of the body replaced by names.
+    /// Replaces the addresses of this subnet, the call id, and the varying numbers of the body with placeholders.
     pub fn normalise(self, message: &[u8]) -> Vec<u8> {
-        let text = std::str::from_utf8(message).expect("the message is text");
-        let (head, body) = text.split_once("\r\n\r\n").expect("a head and a body");
-        let (head, normal_body) = (self.without_addresses(head), self.without_addresses(body));
-        let normal_body = VARYING_NUMBERS.iter().fold(normal_body, |body, key| without_numbers(&body, key));
-        let same_body = normal_body == self.without_addresses(body);
-        let lines = head.split("\r\n").map(|line| normal_line(line, body.len(), same_body));
-        format!("{}\r\n\r\n{normal_body}", lines.collect::<Vec<_>>().join("\r\n")).into_bytes()
+        let text = std::str::from_utf8(message).expect("the message is UTF-8");
+        let (head, body) = text.split_once("\r\n\r\n").expect("the message has a head and a body");
+        let (head, body_without_addresses) = (self.normalise_addresses(head), self.normalise_addresses(body));
+        let normalised_body = VARYING_NUMBERS
+            .iter()
+            .fold(body_without_addresses.clone(), |body, key| normalise_numbers(&body, key));
+        let same_body = normalised_body == body_without_addresses;
+        let lines = head.split("\r\n").map(|line| normalise_header_line(line, body.len(), same_body));
+        format!("{}\r\n\r\n{normalised_body}", lines.collect::<Vec<_>>().join("\r\n")).into_bytes()
     }
 }
 
-/// The length is checked, and kept where the body is as it came; a call id is checked for its form.
-fn normal_line(line: &str, body_length: usize, same_body: bool) -> String {
+/// Normalises a line of the head. Checks the `Content-Length`, and keeps it if no number in the body was replaced.
+/// Checks the format of the call id.
+fn normalise_header_line(line: &str, body_length: usize, same_body: bool) -> String {
     if let Some(length) = line.strip_prefix(CONTENT_LENGTH) {
-        assert_eq!(length, body_length.to_string(), "the length of the body");
+        assert_eq!(length, body_length.to_string(), "Content-Length");
         return if same_body { line.to_owned() } else { format!("{CONTENT_LENGTH}<length>") };
     }
     if let Some(id) = line.strip_prefix(CALL_ID) {
-        let (life, number) = id.split_once('-').expect("a call id has two parts");
-        for part in [life, number] {
+        let (incarnation, number) = id.split_once('-').expect("the call id has two parts");
+        for part in [incarnation, number] {
             assert!(is_lower_hexadecimal(part), "{line}");
         }
         return format!("{CALL_ID}<life>-<number>");
@@ -73,8 +77,8 @@
     !text.is_empty() && text.bytes().all(digit)
 }
 
-/// Each `"key":123` becomes `"key":<number>`.
-fn without_numbers(body: &str, key: &str) -> String {
+/// Replaces the number after each occurrence of the key, so that `"key":123` becomes `"key":<number>`.
+fn normalise_numbers(body: &str, key: &str) -> String {
     let marker = format!("\"{key}\":");
     let mut parts = body.split(&marker);
     let mut normal = parts.next().unwrap_or_default().to_owned();
@@ -87,19 +91,19 @@
     normal
 }
 
-/// Asks again until it is so.
-pub fn until<T>(what: &str, mut attempt: impl FnMut() -> Option<T>) -> T {
-    let begun = Instant::now();
+/// Calls `attempt` until it returns a value. Panics with `description` if it does not within the timeout.
+pub fn wait_until<T>(description: &str, mut attempt: impl FnMut() -> Option<T>) -> T {
+    let started = Instant::now();
     loop {
         if let Some(value) = attempt() {
             return value;
         }
-        assert!(begun.elapsed() < PATIENCE, "not in time: {what}");
+        assert!(started.elapsed() < TIMEOUT, "timed out waiting until {description}");
         thread::yield_now();
     }
 }
 
-/// One whole HTTP message with its raw bytes; none where the connection ends first.
+/// Reads the raw bytes of one HTTP message. Returns `None` if the connection ends before it is complete.
 fn read_message(stream: &mut TcpStream) -> Option<Vec<u8>> {
     let (mut message, mut byte) = (Vec::new(), [0; 1]);
     while !message.ends_with(b"\r\n\r\n") {
@@ -110,108 +114,112 @@
     }
     let head = String::from_utf8_lossy(&message).into_owned();
     let length = head.lines().find_map(|line| line.strip_prefix(CONTENT_LENGTH));
-    let mut body = vec![0; length.map_or(0, |length| length.parse().expect("a length"))];
+    let mut body =
+        vec![0; length.map_or(0, |length| length.parse().expect("the Content-Length is a number"))];
     stream.read_exact(&mut body).ok()?;
     message.extend_from_slice(&body);
     Some(message)
 }
 
-/// Writes these bytes on a connection of their own and gives the raw answer.
-pub fn raw_call(to: SocketAddr, request: &str) -> Option<Vec<u8>> {
+/// Sends these bytes on a new connection and returns the raw response.
+pub fn send_raw(to: SocketAddr, request: &str) -> Option<Vec<u8>> {
     let mut stream = TcpStream::connect(to).ok()?;
-    stream.set_read_timeout(Some(PATIENCE)).ok()?;
+    stream.set_read_timeout(Some(TIMEOUT)).ok()?;
     stream.write_all(request.as_bytes()).ok()?;
     read_message(&mut stream)
 }
 
-/// A request as bytes, with further header lines that each end in `\r\n`.
-pub fn request(method: &str, path: &str, fields: &str, body: &str) -> String {
+/// Returns a request as text. `headers` contains additional header lines that each end with `\r\n`.
+pub fn request(method: &str, path: &str, headers: &str, body: &str) -> String {
     format!(
-        "{method} {path} HTTP/1.1\r\nHost: shop.example\r\n{fields}Content-Length: {}\r\n\r\n{body}",
+        "{method} {path} HTTP/1.1\r\nHost: shop.example\r\n{headers}Content-Length: {}\r\n\r\n{body}",
         body.len()
     )
 }
 
-/// The body of an HTTP message.
+/// Returns the body of an HTTP message.
 pub fn body(message: &[u8]) -> String {
     let text = String::from_utf8_lossy(message);
     text.split_once("\r\n\r\n").map(|(_, body)| body.to_owned()).unwrap_or_default()
 }
 
-/// The status of a raw answer.
+/// Returns the status of a raw response.
 pub fn status(message: &[u8]) -> u16 {
     let text = String::from_utf8_lossy(message);
-    text.split(' ').nth(1).and_then(|status| status.parse().ok()).expect("a status line")
+    text.split(' ').nth(1).and_then(|status| status.parse().ok()).expect("the response has a status line")
 }
 
-/// Stands in for a server: keeps the raw bytes of each request and answers by a script, under the request's id.
-pub struct Recorder {
+/// A fake server that records the raw bytes of each request, and responds with the body that a function returns and the
+/// call id of the request.
+pub struct RecordingServer {
     requests: Arc<(Mutex<Vec<Vec<u8>>>, Condvar)>,
 }
 
-impl Recorder {
-    /// `answer` gives the body for a request line and a body, or none for a 404.
+impl RecordingServer {
+    /// Starts the server. `respond` returns the response body for a request line and a request body, or `None` for a 404.
     pub fn start(
-        at: SocketAddr,
-        answer: impl Fn(&str, &str) -> Option<String> + Send + Sync + 'static,
-    ) -> Recorder {
-        let listener = TcpListener::bind(at).expect("a loopback address of our own");
+        address: SocketAddr,
+        respond: impl Fn(&str, &str) -> Option<String> + Send + Sync + 'static,
+    ) -> RecordingServer {
+        let listener = TcpListener::bind(address).expect("the address can be bound");
         let requests = Arc::<(Mutex<Vec<Vec<u8>>>, Condvar)>::default();
-        let (kept, answer) = (Arc::clone(&requests), Arc::new(answer));
+        let (recorded, respond) = (Arc::clone(&requests), Arc::new(respond));
         thread::spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
-                let (kept, answer) = (Arc::clone(&kept), Arc::clone(&answer));
-                thread::spawn(move || attend(stream, &kept, &*answer));
+                let (recorded, respond) = (Arc::clone(&recorded), Arc::clone(&respond));
+                thread::spawn(move || serve_connection(stream, &recorded, &*respond));
             }
         });
-        Recorder { requests }
+        RecordingServer { requests }
     }
 
-    /// The first request whose line and body fit, where it has come.
-    pub fn find(&self, line: &str, body_begins: &str) -> Option<Vec<u8>> {
-        let requests = self.requests.0.lock().expect("the recorder's threads do not fail");
-        requests.iter().find(|request| fits(request, line, body_begins)).cloned()
+    /// Returns the first recorded request with this request line whose body starts with this text, if there is one.
+    pub fn find(&self, line: &str, body_prefix: &str) -> Option<Vec<u8>> {
+        let requests = self.requests.0.lock().expect("no server thread panics");
+        requests.iter().find(|request| matches_request(request, line, body_prefix)).cloned()
     }
 
-    /// The first request whose line and body fit, as soon as it has come.
-    pub fn first(&self, line: &str, body_begins: &str) -> Vec<u8> {
-        let begun = Instant::now();
+    /// Waits for the first request with this request line whose body starts with this text, and returns it.
+    pub fn wait_for(&self, line: &str, body_prefix: &str) -> Vec<u8> {
+        let started = Instant::now();
         let (requests, arrived) = &*self.requests;
-        let mut requests = requests.lock().expect("the recorder's threads do not fail");
+        let mut requests = requests.lock().expect("no server thread panics");
         loop {
-            if let Some(found) = requests.iter().find(|request| fits(request, line, body_begins)) {
+            if let Some(found) = requests.iter().find(|request| matches_request(request, line, body_prefix)) {
                 return found.clone();
             }
-            let left = PATIENCE.checked_sub(begun.elapsed());
-            let left = left.unwrap_or_else(|| panic!("not in time: {line} {body_begins}"));
-            requests = arrived.wait_timeout(requests, left).expect("the recorder's threads do not fail").0;
+            let remaining = TIMEOUT.checked_sub(started.elapsed());
+            let remaining = remaining.unwrap_or_else(|| {
+                panic!("timed out waiting for the request {line} with a body {body_prefix}...")
+            });
+            requests = arrived.wait_timeout(requests, remaining).expect("no server thread panics").0;
         }
     }
 }
 
-fn fits(request: &[u8], line: &str, body_begins: &str) -> bool {
+fn matches_request(request: &[u8], line: &str, body_prefix: &str) -> bool {
     let text = String::from_utf8_lossy(request);
-    text.starts_with(&format!("{line} HTTP/1.1\r\n")) && body(request).starts_with(body_begins)
+    text.starts_with(&format!("{line} HTTP/1.1\r\n")) && body(request).starts_with(body_prefix)
 }
 
-fn attend(
+fn serve_connection(
     mut stream: TcpStream,
     (requests, arrived): &(Mutex<Vec<Vec<u8>>>, Condvar),
-    answer: &dyn Fn(&str, &str) -> Option<String>,
+    respond: &dyn Fn(&str, &str) -> Option<String>,
 ) {
     while let Some(request) = read_message(&mut stream) {
         let text = String::from_utf8_lossy(&request).into_owned();
-        requests.lock().expect("the recorder's threads do not fail").push(request.clone());
+        requests.lock().expect("no server thread panics").push(request.clone());
         arrived.notify_all();
         let line = text.lines().next().unwrap_or_default().trim_end_matches(" HTTP/1.1");
-        let (status, body) = match answer(line, &body(&request)) {
+        let (status, body) = match respond(line, &body(&request)) {
             Some(body) => ("200 OK", body),
             None => ("404 Not Found", "{}".to_owned()),
         };
-        let id = text.lines().find(|line| line.starts_with(CALL_ID)).map(|line| format!("{line}\r\n"));
-        let id = id.unwrap_or_default();
-        let reply = format!("HTTP/1.1 {status}\r\n{id}Content-Length: {}\r\n\r\n{body}", body.len());
-        if stream.write_all(reply.as_bytes()).is_err() {
+        let call_id = text.lines().find(|line| line.starts_with(CALL_ID)).map(|line| format!("{line}\r\n"));
+        let call_id = call_id.unwrap_or_default();
+        let response = format!("HTTP/1.1 {status}\r\n{call_id}Content-Length: {}\r\n\r\n{body}", body.len());
+        if stream.write_all(response.as_bytes()).is_err() {
             return;
         }
     }
