--- a/programs/soak/src/checker.rs
+++ b/programs/soak/src/checker.rs
@@ -1,113 +1,123 @@
-//! Judges a run by what was seen of it from outside.
+//! Checks the recorded history of a run for violations.
 
 use crate::history::{ClientOutcome, ClientRequest, History};
 use std::collections::BTreeMap;
 use std::fmt;
 use std::time::{Duration, Instant};
 
-/// Statuses that promise that a request has not run and never will.
-const NOT_RUN_STATUSES: [u16; 4] = [408, 421, 429, 503];
-/// A kill may be recorded so much after or before its effect.
+/// Statuses that assert that a request was not executed and will not be.
+const NOT_EXECUTED_STATUSES: [u16; 4] = [408, 421, 429, 503];
+/// Maximum difference between the time at which a kill is recorded and the time at which clients observe it.
 const KILL_RECORD_TOLERANCE: Duration = Duration::from_millis(100);
 
-/// What must hold.
+/// A property that every run must satisfy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Rule {
-    /// A request that a backend has run is answered, unless its proxy was killed.
+    /// A request that a backend has executed receives a response, unless its proxy was killed.
     Answered,
-    /// A request that was answered with a promise not to run has not run.
+    /// A mutating request whose response asserts that it was not executed was not executed.
     PromiseKept,
-    /// A mutating request runs at most once.
+    /// A mutating request is executed at most once.
     RunOnce,
-    /// An answer belongs to the request that it is given to.
+    /// A client receives the response to its own request.
     OwnAnswer,
-    /// What is read is no older than what was acknowledged before.
+    /// A read returns no configuration older than one that was acknowledged before the read was sent.
     AcknowledgedIsRead,
-    /// A valid configuration is not refused.
+    /// A valid configuration is not rejected.
     NotRefused,
-    /// The programs' own invariants hold, and they end only when told to, in order.
+    /// The programs report no violated invariants, and exit only when asked to, gracefully.
     Invariants,
 }
 
-/// One violation.
+/// A violation of a rule.
 #[derive(Clone, Debug)]
 pub struct Violation {
-    /// The rule.
+    /// The violated rule.
     pub rule: Rule,
-    /// What was seen.
-    pub seen: String,
+    /// The request, command, read or log line that violates the rule.
+    pub observation: String,
 }
 
 impl fmt::Display for Violation {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(formatter, "{:?}: {}", self.rule, self.seen)
+        write!(formatter, "{:?}: {}", self.rule, self.observation)
     }
 }
 
-/// How often each request was run, by its `Attempt-Id`.
+/// How often each request was executed, by its `Attempt-Id`.
 pub type Executions = BTreeMap<String, usize>;
 
-/// All violations in a history.
+/// Returns all violations in a history.
 pub fn check(history: &History, executions: &Executions) -> Vec<Violation> {
     let mut violations = Vec::new();
     for request in &history.requests {
-        let ran = executions.get(&request.attempt).copied().unwrap_or(0);
-        if let Some(rule) = broken_by_request(history, request, ran) {
-            violations.push(Violation { rule, seen: format!("{request:?}, run {ran} times") });
+        let execution_count = executions.get(&request.attempt).copied().unwrap_or(0);
+        if let Some(rule) = rule_violated_by_request(history, request, execution_count) {
+            violations.push(Violation {
+                rule,
+                observation: format!("{request:?}, executed {execution_count} times"),
+            });
         }
     }
     check_reads(history, &mut violations);
-    for order in history.orders.iter().filter(|order| order.refused.is_some()) {
-        violations.push(Violation { rule: Rule::NotRefused, seen: format!("{order:?}") });
+    for replacement in history.replacements.iter().filter(|replacement| replacement.rejected.is_some()) {
+        violations.push(Violation { rule: Rule::NotRefused, observation: format!("{replacement:?}") });
     }
-    let complaints = history.complaints.iter().cloned();
-    violations.extend(complaints.map(|seen| Violation { rule: Rule::Invariants, seen }));
+    let process_violations = history.process_violations.iter().cloned();
+    violations
+        .extend(process_violations.map(|observation| Violation { rule: Rule::Invariants, observation }));
     violations
 }
 
-fn broken_by_request(history: &History, request: &ClientRequest, ran: usize) -> Option<Rule> {
-    if request.mutating && ran > 1 {
+fn rule_violated_by_request(
+    history: &History,
+    request: &ClientRequest,
+    execution_count: usize,
+) -> Option<Rule> {
+    if request.mutating && execution_count > 1 {
         return Some(Rule::RunOnce);
     }
     match &request.outcome {
         ClientOutcome::Answered { status, .. }
-            if request.mutating && ran > 0 && NOT_RUN_STATUSES.contains(status) =>
+            if request.mutating && execution_count > 0 && NOT_EXECUTED_STATUSES.contains(status) =>
         {
             Some(Rule::PromiseKept)
         }
         ClientOutcome::Answered { status: 200, attempt }
-            if ran == 0 || attempt.as_deref() != Some(&request.attempt) =>
+            if execution_count == 0 || attempt.as_deref() != Some(&request.attempt) =>
         {
             Some(Rule::OwnAnswer)
         }
-        ClientOutcome::Unanswered if ran > 0 && !was_killed(history, request) => Some(Rule::Answered),
+        ClientOutcome::Unanswered if execution_count > 0 && !was_proxy_killed(history, request) => {
+            Some(Rule::Answered)
+        }
         _ => None,
     }
 }
 
-/// Whether the request's proxy was killed while it was under way.
-fn was_killed(history: &History, request: &ClientRequest) -> bool {
+/// Returns whether the proxy was killed while the request was in flight.
+fn was_proxy_killed(history: &History, request: &ClientRequest) -> bool {
     let (from, until) = (request.sent - KILL_RECORD_TOLERANCE, request.completed + KILL_RECORD_TOLERANCE);
     history.kills.iter().any(|kill| kill.machine == request.machine && (from..=until).contains(&kill.at))
 }
 
-/// The newest configuration that was acknowledged before that moment.
-fn acknowledged_before(history: &History, at: Instant) -> Option<u64> {
+/// Returns the newest revision that was acknowledged before this time.
+fn newest_acknowledged_before(history: &History, at: Instant) -> Option<u64> {
     let acknowledged = history
-        .orders
+        .replacements
         .iter()
-        .filter(|order| order.acknowledged.is_some_and(|acknowledged| acknowledged < at));
-    acknowledged.map(|order| order.revision).max()
+        .filter(|replacement| replacement.acknowledged.is_some_and(|acknowledged| acknowledged < at));
+    acknowledged.map(|replacement| replacement.revision).max()
 }
 
 fn check_reads(history: &History, violations: &mut Vec<Violation>) {
     for read in &history.reads {
-        let Some(acknowledged) = acknowledged_before(history, read.sent) else {
+        let Some(acknowledged) = newest_acknowledged_before(history, read.sent) else {
             continue;
         };
         if read.revision < acknowledged {
-            let seen = format!("r{} was read after r{acknowledged} was acknowledged", read.revision);
-            violations.push(Violation { rule: Rule::AcknowledgedIsRead, seen });
+            let observation = format!("r{} was read after r{acknowledged} was acknowledged", read.revision);
+            violations.push(Violation { rule: Rule::AcknowledgedIsRead, observation });
         }
     }
 }
--- a/programs/soak/src/clients.rs
+++ b/programs/soak/src/clients.rs
@@ -1,4 +1,4 @@
-//! Clients that send requests to one proxy, one after the other, and record how each ended.
+//! Clients that send requests to one proxy sequentially and record the outcome of each.
 
 use crate::history::{ClientOutcome, ClientRequest, SharedHistory};
 use rand::Rng;
@@ -11,27 +11,27 @@
 use vanewharf_testkit::http::{Message, read_message, write_message};
 
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// Longer than a request's own time and any pause of a proxy.
-const ANSWER_TIMEOUT: Duration = Duration::from_secs(8);
-/// How long a client waits for each of its requests; the longest is all of the grace period.
-const TIME_LEFT_MS: [&str; 3] = ["500", "1000", "2000"];
+/// Exceeds the deadline of any request plus the longest suspension of a proxy.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(8);
+/// Values of `Remaining-Milliseconds` from which each request uses one at random. The longest equals the grace period.
+const REMAINING_TIMES_MS: [&str; 3] = ["500", "1000", "2000"];
 const PAUSE_BETWEEN_REQUESTS: Duration = Duration::from_millis(4);
 const PAUSE_AFTER_FAILURE: Duration = Duration::from_millis(50);
 
 /// A client of one proxy.
 pub struct Client {
-    /// Where the proxy listens.
+    /// The address on which the proxy accepts requests.
     pub proxy: SocketAddr,
-    /// The proxy's machine.
+    /// The number of the machine of the proxy.
     pub machine: usize,
-    /// Whether it keeps its connections, as far as the proxy does.
+    /// Whether the client reuses its connection unless the proxy closes it.
     pub reuses_connections: bool,
-    /// Where it records what it sees.
+    /// The history in which the client records its requests.
     pub history: SharedHistory,
 }
 
 impl Client {
-    /// Sends requests until told to stop.
+    /// Sends requests until `stop` is set.
     pub fn run(&self, stop: &AtomicBool) {
         let mut connection = None;
         while !stop.load(Ordering::Relaxed) {
@@ -50,38 +50,38 @@
         ClientRequest { attempt, mutating, machine: self.machine, sent, completed: Instant::now(), outcome }
     }
 
-    fn exchange(&self, mutating: bool, attempt: &str, kept: &mut Option<TcpStream>) -> ClientOutcome {
-        let Ok(mut stream) = kept.take().map_or_else(|| self.connect(), Ok) else {
+    fn exchange(&self, mutating: bool, attempt: &str, connection: &mut Option<TcpStream>) -> ClientOutcome {
+        let Ok(mut stream) = connection.take().map_or_else(|| self.connect(), Ok) else {
             return ClientOutcome::NotSent;
         };
-        let time_left = TIME_LEFT_MS.choose(&mut rand::rng()).copied().unwrap_or_default();
+        let remaining_time = REMAINING_TIMES_MS.choose(&mut rand::rng()).copied().unwrap_or_default();
         let request_line = if mutating { "POST /write/x HTTP/1.1" } else { "GET /read/x HTTP/1.1" };
         let headers = [
             ("Host", "shop.example"),
             ("Attempt-Id", attempt),
-            ("Remaining-Milliseconds", time_left),
+            ("Remaining-Milliseconds", remaining_time),
             ("X-Api-Key", "key-a"),
         ];
         if write_message(&mut stream, request_line, &headers, "").is_err() {
             return ClientOutcome::NotSent;
         }
-        let Ok(Some(answer)) = read_message(&mut stream) else {
+        let Ok(Some(response)) = read_message(&mut stream) else {
             return ClientOutcome::Unanswered;
         };
-        if self.reuses_connections && !closes(&answer) {
-            *kept = Some(stream);
+        if self.reuses_connections && !closes_connection(&response) {
+            *connection = Some(stream);
         }
-        let attempt = answer.header("Attempt-Id").map(str::to_owned);
-        ClientOutcome::Answered { status: answer.status(), attempt }
+        let attempt = response.header("Attempt-Id").map(str::to_owned);
+        ClientOutcome::Answered { status: response.status(), attempt }
     }
 
     fn connect(&self) -> io::Result<TcpStream> {
         let stream = TcpStream::connect_timeout(&self.proxy, CONNECT_TIMEOUT)?;
-        stream.set_read_timeout(Some(ANSWER_TIMEOUT))?;
+        stream.set_read_timeout(Some(RESPONSE_TIMEOUT))?;
         Ok(stream)
     }
 }
 
-fn closes(answer: &Message) -> bool {
-    answer.header("Connection").is_some_and(|value| value.eq_ignore_ascii_case("close"))
+fn closes_connection(response: &Message) -> bool {
+    response.header("Connection").is_some_and(|value| value.eq_ignore_ascii_case("close"))
 }
--- a/programs/soak/src/cluster.rs
+++ b/programs/soak/src/cluster.rs
@@ -1,10 +1,11 @@
-//! The processes of one run: controllers, and proxies with their agents, each machine on a loopback address of its own.
+//! The cluster of one run: processes for controllers, and for proxies with their agents. Each machine has its own loopback
+//! address.
 
 use crate::fault_plan::{Action, CONTROLLERS, MACHINES};
 use crate::faulty_network::NetworkFaults;
 use crate::history::{Kill, SharedHistory};
 use crate::node::NodeProgram;
-use crate::process::{NodeFiles, NodeProcess, complaints};
+use crate::process::{NodeFiles, NodeProcess, logged_violations};
 use rustix::process::Signal;
 use std::io;
 use std::net::{IpAddr, SocketAddr};
@@ -22,13 +23,13 @@
     name: String,
     ip: IpAddr,
     zone: &'static str,
-    /// Whether its programs are started again when they end.
+    /// Whether programs of the machine are restarted when they exit.
     is_up: bool,
     faults: NetworkFaults,
     programs: Vec<(NodeProgram, Option<NodeProcess>)>,
 }
 
-/// The cluster of one run. Dropping it kills all processes.
+/// The cluster of one run. Dropping it kills all processes and deletes their files.
 pub struct SoakCluster {
     executable: PathBuf,
     directory: TempDir,
@@ -40,11 +41,11 @@
 }
 
 impl SoakCluster {
-    /// Starts all processes on empty disks.
+    /// Starts all processes with empty data directories.
     ///
     /// # Errors
     ///
-    /// Where files cannot be written or processes cannot be started.
+    /// If a file cannot be written or a process cannot be started.
     pub fn start(executable: &Path, history: SharedHistory) -> io::Result<SoakCluster> {
         let subnet = Subnet::random();
         let backends = start_backends(subnet);
@@ -65,71 +66,71 @@
         Ok(cluster)
     }
 
-    /// The backends, which record what they run.
+    /// Returns the backends, which record the requests that they execute.
     pub fn backends(&self) -> &[FakeBackend] {
         &self.backends
     }
 
-    /// Where the controllers listen for operators.
+    /// Returns the addresses on which the controllers accept requests of operators.
     pub fn controller_addresses(&self) -> Vec<SocketAddr> {
         self.machines[..CONTROLLERS].iter().map(|machine| SocketAddr::new(machine.ip, CONTROL_PORT)).collect()
     }
 
-    /// The proxies' machines, and where they listen for clients.
+    /// Returns the machine number of each proxy and the address on which it accepts requests of clients.
     pub fn proxy_addresses(&self) -> Vec<(usize, SocketAddr)> {
         let proxies = self.machines.iter().enumerate().skip(CONTROLLERS);
         proxies.map(|(number, machine)| (number, SocketAddr::new(machine.ip, FRONTEND_PORT))).collect()
     }
 
-    /// Carries out an action.
+    /// Executes an action.
     ///
     /// # Errors
     ///
-    /// Where files cannot be written or processes cannot be started.
+    /// If a file cannot be written or deleted, or a process cannot be started.
     pub fn execute(&mut self, action: Action) -> io::Result<()> {
         match action {
             Action::Kill(machine) => self.kill_machine(machine),
             Action::Terminate(machine) => self.terminate_machine(machine),
             Action::Start(machine) => return self.start_machine(machine),
-            Action::Pause(machine) => self.hold_up(machine, Signal::STOP),
-            Action::Resume(machine) => self.hold_up(machine, Signal::CONT),
+            Action::Pause(machine) => self.signal_machine(machine, Signal::STOP),
+            Action::Resume(machine) => self.signal_machine(machine, Signal::CONT),
             Action::WipeDisk(controller) => return self.wipe_disk(controller),
-            Action::Cut(machine, peer) => {
+            Action::Partition(machine, peer) => {
                 let peer = self.machines[peer].ip;
-                return self.change_faults(machine, |faults| faults.set_cut_off(peer, true));
+                return self.change_faults(machine, |faults| faults.set_partitioned(peer, true));
             }
             Action::Heal(machine, peer) => {
                 let peer = self.machines[peer].ip;
-                return self.change_faults(machine, |faults| faults.set_cut_off(peer, false));
+                return self.change_faults(machine, |faults| faults.set_partitioned(peer, false));
             }
-            Action::LoseAnswers(machine, part) => {
-                return self.change_faults(machine, |faults| faults.answer_loss = part);
+            Action::LoseResponses(machine, rate) => {
+                return self.change_faults(machine, |faults| faults.response_loss_rate = rate);
             }
             Action::SetBackends(behavior) => self.set_backends(behavior),
         }
         Ok(())
     }
 
-    /// Ends all faults, and starts what does not run.
+    /// Ends all faults and starts all programs that are not running.
     ///
     /// # Errors
     ///
-    /// Where files cannot be written or processes cannot be started.
-    pub fn heal(&mut self) -> io::Result<()> {
+    /// If a file cannot be written or a process cannot be started.
+    pub fn end_all_faults(&mut self) -> io::Result<()> {
         self.set_backends(Behavior::Serves);
         for machine in 0..MACHINES {
-            self.hold_up(machine, Signal::CONT);
+            self.signal_machine(machine, Signal::CONT);
             self.change_faults(machine, |faults| *faults = NetworkFaults::default())?;
             self.start_machine(machine)?;
         }
         Ok(())
     }
 
-    /// Records processes that have ended without having been told to, or not in order, and starts them again.
+    /// Records unexpected exits of processes, and restarts the programs of all machines that are up.
     ///
     /// # Errors
     ///
-    /// Where processes cannot be started.
+    /// If a file cannot be written or a process cannot be started.
     pub fn supervise(&mut self) -> io::Result<()> {
         for machine in 0..MACHINES {
             self.record_exits(machine);
@@ -140,21 +141,21 @@
         Ok(())
     }
 
-    /// Whether no process of a machine runs.
+    /// Returns whether all processes of a machine have exited. Records unexpected exits.
     pub fn has_exited(&mut self, machine: usize) -> bool {
         self.record_exits(machine);
         self.machines[machine].programs.iter().all(|(_, process)| process.is_none())
     }
 
-    /// The lines of all logs that say that a process did what it must never do.
-    pub fn complaints(&self) -> Vec<String> {
+    /// Returns the lines of all logs that report a violation.
+    pub fn logged_violations(&self) -> Vec<String> {
         let programs = self.machines.iter().flat_map(|machine| {
             machine.programs.iter().map(move |(program, _)| (machine.name.as_str(), *program))
         });
-        programs.flat_map(|(name, program)| complaints(&self.log_path(name, program))).collect()
+        programs.flat_map(|(name, program)| logged_violations(&self.log_path(name, program))).collect()
     }
 
-    /// Keeps the directory with all logs and disks, and returns its path.
+    /// Kills all processes, but keeps the directory with their logs and data. Returns its path.
     pub fn keep_directory(self) -> PathBuf {
         let SoakCluster { directory, machines, .. } = self;
         drop(machines);
@@ -168,7 +169,7 @@
         for position in 0..self.machines[number].programs.len() {
             let (program, process) = &self.machines[number].programs[position];
             if process.is_none() {
-                let process = NodeProcess::start(*program, &self.files_of(&name, *program))?;
+                let process = NodeProcess::start(*program, &self.node_files(&name, *program))?;
                 self.machines[number].programs[position].1 = Some(process);
             }
         }
@@ -176,7 +177,7 @@
         Ok(())
     }
 
-    fn files_of(&self, machine: &str, program: NodeProgram) -> NodeFiles {
+    fn node_files(&self, machine: &str, program: NodeProgram) -> NodeFiles {
         NodeFiles {
             executable: self.executable.clone(),
             settings: self.path(machine, "settings.json"),
@@ -189,7 +190,7 @@
         self.record_exits(number);
         let machine = &mut self.machines[number];
         machine.is_up = false;
-        // Dropped: killed and waited for.
+        // Dropping a process kills it and waits until it has exited.
         machine.programs.iter_mut().for_each(|(_, process)| *process = None);
         self.history.lock().kills.push(Kill { machine: number, at: Instant::now() });
     }
@@ -201,7 +202,7 @@
         processes.for_each(NodeProcess::terminate);
     }
 
-    fn hold_up(&self, number: usize, signal: Signal) {
+    fn signal_machine(&self, number: usize, signal: Signal) {
         let processes = self.machines[number].programs.iter().filter_map(|(_, process)| process.as_ref());
         processes.for_each(|process| process.signal(signal));
     }
@@ -222,7 +223,7 @@
         faults.write(&self.path(name, "faults"))
     }
 
-    /// Forgets processes that have ended. One that was not told to end, or ended with a failure, is recorded.
+    /// Removes processes that have exited. Records exits that were not requested or not graceful.
     fn record_exits(&mut self, number: usize) {
         let Machine { name, programs, .. } = &mut self.machines[number];
         for (program, slot) in programs {
@@ -232,8 +233,8 @@
                 continue;
             };
             if let Err(unexpected) = process.check_exit(status) {
-                let complaint = format!("{name}/{}: {unexpected}", program.name());
-                self.history.lock().complaints.push(complaint);
+                let violation = format!("{name}/{}: {unexpected}", program.name());
+                self.history.lock().process_violations.push(violation);
             }
             *slot = None;
         }
--- a/programs/soak/src/fault_plan.rs
+++ b/programs/soak/src/fault_plan.rs
@@ -1,4 +1,4 @@
-//! The faults of one run, drawn by its seed.
+//! Generates the faults of one run from its seed.
 
 use rand::rngs::StdRng;
 use rand::seq::IndexedRandom;
@@ -6,54 +6,57 @@
 use std::time::Duration;
 use vanewharf_testkit::backend::Behavior;
 
-/// How many controllers a cluster has.
+/// Number of controllers in a cluster.
 pub const CONTROLLERS: usize = 3;
-/// How many proxies, each with its agent.
+/// Number of proxies in a cluster, each with its agent.
 pub const PROXIES: usize = 2;
-/// Machines: the controllers, and then the proxies'.
+/// Number of machines. The controllers have the first numbers, the proxies the following ones.
 pub const MACHINES: usize = CONTROLLERS + PROXIES;
-/// Before the first fault.
-const LEAD_TIME: Duration = Duration::from_millis(500);
-/// The longest time between two faults. They last longer, so that two or three overlap.
-const MAX_GAP_MS: u64 = 700;
-const SPAN_MS: std::ops::Range<u64> = 300..2500;
-const SLOW_WORK_MS: std::ops::Range<u64> = 100..1500;
-/// A machine that was killed or ended is started again after this time.
-const DOWN_MS: std::ops::Range<u64> = 50..1200;
-/// Longer than a program may take to end in order.
-pub const TERMINATION_TIME: Duration = Duration::from_millis(2600);
-
-/// What is done to the cluster.
+/// Time before the first fault.
+const INITIAL_DELAY: Duration = Duration::from_millis(500);
+/// Upper bound of the time between the starts of two faults. Faults last longer, so that two or three overlap.
+const MAX_FAULT_INTERVAL_MS: u64 = 700;
+const FAULT_DURATION_MS: std::ops::Range<u64> = 300..2500;
+/// Response times of slow backends.
+const SLOW_RESPONSE_MS: std::ops::Range<u64> = 100..1500;
+/// Time after which a killed machine is restarted.
+const DOWNTIME_MS: std::ops::Range<u64> = 50..1200;
+/// Time after SIGTERM within which every program must have exited. Exceeds the grace period.
+pub const SHUTDOWN_TIMEOUT: Duration = Duration::from_millis(2600);
+/// Probability of [`Action::LoseResponses`] while responses are lost.
+const RESPONSE_LOSS_RATE: f64 = 0.2;
+
+/// An action on the cluster.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Action {
-    /// SIGKILL to all programs of a machine.
+    /// Sends SIGKILL to all programs of a machine.
     Kill(usize),
-    /// SIGTERM to all programs of a machine.
+    /// Sends SIGTERM to all programs of a machine.
     Terminate(usize),
-    /// Starts those of a machine's programs that do not run.
+    /// Starts the programs of a machine that are not running.
     Start(usize),
-    /// SIGSTOP to all programs of a machine.
+    /// Sends SIGSTOP to all programs of a machine.
     Pause(usize),
-    /// SIGCONT.
+    /// Sends SIGCONT to all programs of a machine.
     Resume(usize),
-    /// Deletes the disk of a controller that was killed.
+    /// Kills a controller and deletes its data directory.
     WipeDisk(usize),
-    /// Holds up the connections that the first machine opens to the second.
-    Cut(usize, usize),
-    /// Ends that.
+    /// Blocks the connections that the first machine opens to the second.
+    Partition(usize, usize),
+    /// Ends the partition between the first machine and the second.
     Heal(usize, usize),
-    /// A machine's connections lose this part of the answers.
-    LoseAnswers(usize, f64),
-    /// All backends behave like this.
+    /// Sets the probability with which connections that a machine opens are reset instead of delivering a response.
+    LoseResponses(usize, f64),
+    /// Sets the behavior of all backends.
     SetBackends(Behavior),
 }
 
-/// An action and when it is due.
+/// An action and its time.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ScheduledAction {
-    /// Since the start of the run.
+    /// Time of the action since the start of the fault phase.
     pub at: Duration,
-    /// What is done.
+    /// The action.
     pub action: Action,
 }
 
@@ -63,56 +66,57 @@
     Kill,
     Termination,
     Pause,
-    Cut,
-    LostAnswers,
+    Partition,
+    LostResponses,
     LostDisk,
     Backends,
 }
 
-/// Faults of even seeds: all kinds.
-const MIXED: [FaultKind; 11] = [
+/// Faults of even seeds: all kinds, weighted by the number of occurrences.
+const MIXED_FAULTS: [FaultKind; 11] = [
     FaultKind::Kill,
     FaultKind::Kill,
     FaultKind::Termination,
     FaultKind::Termination,
     FaultKind::Pause,
-    FaultKind::Cut,
-    FaultKind::Cut,
-    FaultKind::LostAnswers,
+    FaultKind::Partition,
+    FaultKind::Partition,
+    FaultKind::LostResponses,
     FaultKind::LostDisk,
     FaultKind::Backends,
     FaultKind::Backends,
 ];
-/// Faults of odd seeds: machines are restarted in order while backends are slow or silent.
-const ROLLING: [FaultKind; 8] = [
+/// Faults of odd seeds: mostly graceful restarts of machines while backends are faulty.
+const ROLLING_RESTART_FAULTS: [FaultKind; 8] = [
     FaultKind::Termination,
     FaultKind::Termination,
     FaultKind::Termination,
     FaultKind::Backends,
     FaultKind::Backends,
     FaultKind::Backends,
-    FaultKind::Cut,
-    FaultKind::LostAnswers,
+    FaultKind::Partition,
+    FaultKind::LostResponses,
 ];
 
-/// Draws the faults of a run.
+/// Generates the actions of a run.
 struct Planner {
     kinds: &'static [FaultKind],
     random: StdRng,
     actions: Vec<ScheduledAction>,
-    /// No more than one disk may be lost in a run.
+    /// Whether a disk has been lost. At most one may be lost in a run.
     has_wiped: bool,
 }
 
-/// The actions of a run of that length, in their order. All faults are over at its end.
+/// Returns the actions of a run in order of time. Faults begin before `length`, and those with a duration end by then;
+/// restarts of machines may follow later.
 pub fn plan(seed: u64, length: Duration) -> Vec<ScheduledAction> {
-    let kinds: &[FaultKind] = if seed.is_multiple_of(2) { &MIXED } else { &ROLLING };
+    let kinds: &[FaultKind] = if seed.is_multiple_of(2) { &MIXED_FAULTS } else { &ROLLING_RESTART_FAULTS };
     let random = StdRng::seed_from_u64(seed);
     let mut planner = Planner { kinds, random, actions: Vec::new(), has_wiped: false };
-    let mut at = LEAD_TIME;
+    let mut at = INITIAL_DELAY;
     while at < length {
         planner.add_fault(at, length);
-        at += Duration::from_millis(planner.random.random_range(0..MAX_GAP_MS));
+        at += Duration::from_millis(planner.random.random_range(0..MAX_FAULT_INTERVAL_MS));
     }
     planner.actions.sort_by_key(|scheduled| scheduled.at);
     planner.actions
@@ -120,17 +124,18 @@
 
 impl Planner {
     fn add_fault(&mut self, at: Duration, length: Duration) {
-        let until = (at + self.draw(SPAN_MS)).min(length);
+        let until = (at + self.random_duration(FAULT_DURATION_MS)).min(length);
         let machine = self.random.random_range(0..MACHINES);
         let controller = self.random.random_range(0..CONTROLLERS);
         match self.kinds[self.random.random_range(0..self.kinds.len())] {
             FaultKind::Kill => self.add_kill(at, machine),
             FaultKind::Termination => self.add_termination(at, machine),
-            FaultKind::Pause => self.add_span(at, until, Action::Pause(machine), Action::Resume(machine)),
-            FaultKind::Cut => self.add_cut(at, until, controller),
-            FaultKind::LostAnswers => {
-                let (begin, end) = (Action::LoseAnswers(machine, 0.2), Action::LoseAnswers(machine, 0.0));
-                self.add_span(at, until, begin, end);
+            FaultKind::Pause => self.add_pair(at, until, Action::Pause(machine), Action::Resume(machine)),
+            FaultKind::Partition => self.add_partition(at, until, controller),
+            FaultKind::LostResponses => {
+                let (begin, end) =
+                    (Action::LoseResponses(machine, RESPONSE_LOSS_RATE), Action::LoseResponses(machine, 0.0));
+                self.add_pair(at, until, begin, end);
             }
             FaultKind::LostDisk if !self.has_wiped => self.add_wipe(at, controller),
             FaultKind::LostDisk => self.add_kill(at, controller),
@@ -139,14 +144,14 @@
     }
 
     fn add_backend_fault(&mut self, at: Duration, until: Duration) {
-        let slow = Behavior::RespondsAfter(self.draw(SLOW_WORK_MS));
+        let slow = Behavior::RespondsAfter(self.random_duration(SLOW_RESPONSE_MS));
         let behaviors =
             [Behavior::NeverResponds, Behavior::ClosesWithoutResponse, Behavior::Sheds, slow, slow];
         let behavior = *behaviors.choose(&mut self.random).unwrap_or(&slow);
-        self.add_span(at, until, Action::SetBackends(behavior), Action::SetBackends(Behavior::Serves));
+        self.add_pair(at, until, Action::SetBackends(behavior), Action::SetBackends(Behavior::Serves));
     }
 
-    fn draw(&mut self, milliseconds: std::ops::Range<u64>) -> Duration {
+    fn random_duration(&mut self, milliseconds: std::ops::Range<u64>) -> Duration {
         Duration::from_millis(self.random.random_range(milliseconds))
     }
 
@@ -154,37 +159,47 @@
         self.actions.push(ScheduledAction { at, action });
     }
 
-    fn add_span(&mut self, from: Duration, until: Duration, begin: Action, end: Action) {
+    fn add_pair(&mut self, from: Duration, until: Duration, begin: Action, end: Action) {
         self.add(from, begin);
         self.add(until, end);
     }
 
     fn add_kill(&mut self, at: Duration, machine: usize) {
-        let down = self.draw(DOWN_MS);
-        self.add_span(at, at + down, Action::Kill(machine), Action::Start(machine));
+        let down = self.random_duration(DOWNTIME_MS);
+        self.add_pair(at, at + down, Action::Kill(machine), Action::Start(machine));
     }
 
     fn add_termination(&mut self, at: Duration, machine: usize) {
-        self.add_span(at, at + TERMINATION_TIME, Action::Terminate(machine), Action::Start(machine));
+        self.add_pair(at, at + SHUTDOWN_TIMEOUT, Action::Terminate(machine), Action::Start(machine));
     }
 
     fn add_wipe(&mut self, at: Duration, controller: usize) {
         self.has_wiped = true;
         self.add(at, Action::Kill(controller));
         self.add(at, Action::WipeDisk(controller));
-        let down = self.draw(DOWN_MS);
+        let down = self.random_duration(DOWNTIME_MS);
         self.add(at + down, Action::Start(controller));
     }
 
-    /// One controller is cut off from the others: in both directions, or in one.
-    fn add_cut(&mut self, from: Duration, until: Duration, controller: usize) {
+    /// Partitions one controller from the others, in one direction or in both.
+    fn add_partition(&mut self, from: Duration, until: Duration, controller: usize) {
         let direction = self.random.random_range(0..3);
         for other in (0..CONTROLLERS).filter(|other| *other != controller) {
             if direction != 1 {
-                self.add_span(from, until, Action::Cut(controller, other), Action::Heal(controller, other));
+                self.add_pair(
+                    from,
+                    until,
+                    Action::Partition(controller, other),
+                    Action::Heal(controller, other),
+                );
             }
             if direction != 2 {
-                self.add_span(from, until, Action::Cut(other, controller), Action::Heal(other, controller));
+                self.add_pair(
+                    from,
+                    until,
+                    Action::Partition(other, controller),
+                    Action::Heal(other, controller),
+                );
             }
         }
     }
--- a/programs/soak/src/fault_plan/tests.rs
+++ b/programs/soak/src/fault_plan/tests.rs
@@ -5,7 +5,7 @@
 const SEEDS: u64 = 200;
 
 #[test]
-fn a_seed_has_one_plan_and_no_plan_loses_two_disks() {
+fn plans_are_deterministic_and_lose_at_most_one_disk() {
     let mut kinds = BTreeSet::new();
     for seed in 0..SEEDS {
         let actions = plan(seed, LENGTH);
@@ -18,11 +18,11 @@
             text.split('(').next().unwrap_or_default().to_owned()
         }));
     }
-    assert_eq!(kinds.len(), 10, "all kinds of actions are drawn: {kinds:?}");
+    assert_eq!(kinds.len(), 10, "all kinds of actions are generated: {kinds:?}");
 }
 
 #[test]
-fn whatever_a_plan_begins_it_ends() {
+fn every_stopped_or_paused_machine_is_started_or_resumed() {
     for seed in 0..SEEDS {
         let actions = plan(seed, LENGTH);
         for machine in 0..MACHINES {
--- a/programs/soak/src/faulty_network.rs
+++ b/programs/soak/src/faulty_network.rs
@@ -1,8 +1,7 @@
-//! The network of a process under test: the machine's own, but for peers that the process is cut off from and answers that
-//! are lost.
+//! The network of a process under test: the real network with injected partitions and lost responses.
 //!
-//! The faults are read from a file, which the soak replaces. A cut holds up the connections that this process has opened;
-//! the other side holds up its own.
+//! The faults are read from a file that the soak replaces. A partition blocks only the connections that this process opens
+//! to a peer. Connections that the peer opens are blocked by the faults of the peer.
 
 use rand::Rng;
 use std::cell::RefCell;
@@ -18,47 +17,47 @@
 use tokio::time::{Sleep, sleep};
 use vanewharf_runtime::environment::{BoxFuture, Listener, Network, Stream};
 
-/// How often the file is read, and a connection that is held up looks whether the cut is over.
+/// Interval at which the file is read, and at which a blocked connection checks whether the partition has ended.
 const CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// What is wrong with a process's network.
+/// The network faults of a process.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct NetworkFaults {
-    /// Peers whose connections are held up.
-    pub cut_off: BTreeSet<IpAddr>,
-    /// The part of reads at which the connection is reset instead.
-    pub answer_loss: f64,
+    /// Peers to which connections are blocked.
+    pub partitioned_peers: BTreeSet<IpAddr>,
+    /// Probability with which the connection is reset when a read returns data.
+    pub response_loss_rate: f64,
 }
 
 impl NetworkFaults {
-    /// Sets whether connections to a peer are held up.
-    pub fn set_cut_off(&mut self, peer: IpAddr, is_cut_off: bool) {
-        if is_cut_off {
-            self.cut_off.insert(peer);
+    /// Sets whether connections to a peer are blocked.
+    pub fn set_partitioned(&mut self, peer: IpAddr, is_partitioned: bool) {
+        if is_partitioned {
+            self.partitioned_peers.insert(peer);
         } else {
-            self.cut_off.remove(&peer);
+            self.partitioned_peers.remove(&peer);
         }
     }
 
-    /// The file's text: the part of lost answers, then a line for each peer.
+    /// Returns the text of the file: a line with the loss rate, then a line for each partitioned peer.
     pub fn to_text(&self) -> String {
-        let peers = self.cut_off.iter().map(|peer| format!("{peer}\n"));
-        format!("{}\n{}", self.answer_loss, peers.collect::<String>())
+        let peers = self.partitioned_peers.iter().map(|peer| format!("{peer}\n"));
+        format!("{}\n{}", self.response_loss_rate, peers.collect::<String>())
     }
 
-    /// None where the text is none of [`NetworkFaults::to_text`].
+    /// Parses the text that [`NetworkFaults::to_text`] returns. Returns `None` if it is not valid.
     pub fn parse(text: &str) -> Option<NetworkFaults> {
         let mut lines = text.lines();
-        let answer_loss = lines.next()?.parse().ok()?;
-        let cut_off = lines.map(|line| line.parse().ok()).collect::<Option<_>>()?;
-        Some(NetworkFaults { cut_off, answer_loss })
+        let response_loss_rate = lines.next()?.parse().ok()?;
+        let partitioned_peers = lines.map(|line| line.parse().ok()).collect::<Option<_>>()?;
+        Some(NetworkFaults { partitioned_peers, response_loss_rate })
     }
 
-    /// Replaces the file at once, so that no reader sees a part of it.
+    /// Replaces the file atomically, so that no reader sees an incomplete file.
     ///
     /// # Errors
     ///
-    /// Where it cannot be written.
+    /// If the file cannot be written.
     pub fn write(&self, path: &Path) -> io::Result<()> {
         let new = path.with_extension("new");
         std::fs::write(&new, self.to_text())?;
@@ -68,23 +67,23 @@
 
 type SharedFaults = Rc<RefCell<NetworkFaults>>;
 
-/// A network that goes by the faults in a file.
+/// A network that applies the faults in a file.
 pub struct FaultyNetwork {
     inner: Rc<dyn Network>,
     faults: SharedFaults,
 }
 
 impl FaultyNetwork {
-    /// Starts to follow the file, on the current local set.
+    /// Starts a task that reads the file periodically, on the local task set of the caller.
     pub fn start(inner: Rc<dyn Network>, file: PathBuf) -> FaultyNetwork {
         let faults = SharedFaults::default();
-        let followed = Rc::clone(&faults);
+        let updated = Rc::clone(&faults);
         tokio::task::spawn_local(async move {
             loop {
                 if let Some(read) =
                     std::fs::read_to_string(&file).ok().as_deref().and_then(NetworkFaults::parse)
                 {
-                    *followed.borrow_mut() = read;
+                    *updated.borrow_mut() = read;
                 }
                 sleep(CHECK_INTERVAL).await;
             }
@@ -97,11 +96,12 @@
     fn connect(&self, to: SocketAddr) -> BoxFuture<'static, io::Result<Stream>> {
         let (connecting, faults) = (self.inner.connect(to), Rc::clone(&self.faults));
         Box::pin(async move {
-            while faults.borrow().cut_off.contains(&to.ip()) {
+            while faults.borrow().partitioned_peers.contains(&to.ip()) {
                 sleep(CHECK_INTERVAL).await;
             }
             let inner = connecting.await?;
-            Ok(Box::new(FaultyStream { inner, peer: to.ip(), faults, retry: None, reset: false }) as Stream)
+            Ok(Box::new(FaultyStream { inner, peer: to.ip(), faults, next_check: None, is_reset: false })
+                as Stream)
         })
     }
 
@@ -118,25 +118,26 @@
     inner: Stream,
     peer: IpAddr,
     faults: SharedFaults,
-    /// While held up: when to look again.
-    retry: Option<Pin<Box<Sleep>>>,
-    reset: bool,
+    /// Timer for the next check while the connection is blocked.
+    next_check: Option<Pin<Box<Sleep>>>,
+    /// Whether a response was lost, after which all operations fail.
+    is_reset: bool,
 }
 
 impl FaultyStream {
-    /// Pending while the peer is cut off.
+    /// Returns `Pending` while the peer is partitioned, and an error after a lost response.
     fn poll_open(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        while self.faults.borrow().cut_off.contains(&self.peer) {
-            let retry = self.retry.get_or_insert_with(|| Box::pin(sleep(CHECK_INTERVAL)));
-            ready!(retry.as_mut().poll(cx));
-            self.retry = None;
+        while self.faults.borrow().partitioned_peers.contains(&self.peer) {
+            let next_check = self.next_check.get_or_insert_with(|| Box::pin(sleep(CHECK_INTERVAL)));
+            ready!(next_check.as_mut().poll(cx));
+            self.next_check = None;
         }
-        Poll::Ready(if self.reset { Err(io::ErrorKind::ConnectionReset.into()) } else { Ok(()) })
+        Poll::Ready(if self.is_reset { Err(io::ErrorKind::ConnectionReset.into()) } else { Ok(()) })
     }
 
-    fn loses_answer(&self) -> bool {
-        let loss = self.faults.borrow().answer_loss;
-        loss > 0.0 && rand::rng().random_bool(loss)
+    fn loses_response(&self) -> bool {
+        let rate = self.faults.borrow().response_loss_rate;
+        rate > 0.0 && rand::rng().random_bool(rate)
     }
 }
 
@@ -149,8 +150,8 @@
         ready!(self.poll_open(cx))?;
         let read_before = buffer.filled().len();
         ready!(Pin::new(&mut self.inner).poll_read(cx, buffer))?;
-        if buffer.filled().len() > read_before && self.loses_answer() {
-            self.reset = true;
+        if buffer.filled().len() > read_before && self.loses_response() {
+            self.is_reset = true;
             return Poll::Ready(Err(io::ErrorKind::ConnectionReset.into()));
         }
         Poll::Ready(Ok(()))
--- a/programs/soak/src/history.rs
+++ b/programs/soak/src/history.rs
@@ -1,4 +1,4 @@
-//! What clients and operators saw in a run, and what was done to the processes.
+//! The history of a run: outcomes observed by clients and operators, kills, and violations by processes.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Instant;
@@ -6,86 +6,86 @@
 /// How a client's request ended.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ClientOutcome {
-    /// No connection, or not all of the request was sent.
+    /// The connection could not be established, or the request could not be sent completely.
     NotSent,
-    /// A complete answer.
+    /// A complete response was received.
     Answered {
-        /// Its status.
+        /// The status of the response.
         status: u16,
-        /// Its `Attempt-Id`.
+        /// The `Attempt-Id` of the response.
         attempt: Option<String>,
     },
-    /// The connection ended, or nothing came for seconds.
+    /// The request was sent, but the connection ended or timed out before a complete response.
     Unanswered,
 }
 
-/// A request of a client.
+/// A request of a client and its outcome.
 #[derive(Clone, Debug)]
 pub struct ClientRequest {
-    /// Its `Attempt-Id`.
+    /// The `Attempt-Id` of the request.
     pub attempt: String,
-    /// Whether it must not run twice.
+    /// Whether the request is mutating and must not be executed twice.
     pub mutating: bool,
-    /// The machine of the proxy that it was sent to.
+    /// The number of the machine whose proxy received the request.
     pub machine: usize,
-    /// When it was sent.
+    /// Time at which the client started to send it.
     pub sent: Instant,
-    /// When its outcome was known.
+    /// Time at which the outcome was known.
     pub completed: Instant,
-    /// How it ended.
+    /// The outcome.
     pub outcome: ClientOutcome,
 }
 
-/// A configuration that an operator has sent, until its outcome was clear.
+/// A configuration that an operator sent until its outcome was definite or the run ended.
 #[derive(Clone, Copy, Debug)]
-pub struct Order {
-    /// The configuration's number.
+pub struct ConfigurationReplacement {
+    /// The revision of the configuration.
     pub revision: u64,
-    /// When it was acknowledged.
+    /// Time of the acknowledgement, if there was one.
     pub acknowledged: Option<Instant>,
-    /// The status by which it was refused.
-    pub refused: Option<u16>,
+    /// The status of the rejection, if there was one.
+    pub rejected: Option<u16>,
 }
 
-/// A configuration that was read.
+/// A successful read of the configuration.
 #[derive(Clone, Copy, Debug)]
 pub struct ConfigurationRead {
-    /// When the read was sent.
+    /// Time at which the read was sent.
     pub sent: Instant,
-    /// The configuration's number.
+    /// The revision that was read.
     pub revision: u64,
 }
 
-/// A machine whose programs were killed.
+/// A kill of all programs of a machine.
 #[derive(Clone, Copy, Debug)]
 pub struct Kill {
-    /// The machine.
+    /// The number of the machine.
     pub machine: usize,
-    /// When.
+    /// Time at which the kill was recorded.
     pub at: Instant,
 }
 
-/// All that was seen.
+/// Everything recorded in a run.
 #[derive(Clone, Debug, Default)]
 pub struct History {
-    /// In the order in which they ended.
+    /// Requests of clients, in the order of completion.
     pub requests: Vec<ClientRequest>,
-    /// Configurations.
-    pub orders: Vec<Order>,
-    /// Successful reads.
+    /// Configurations sent by operators.
+    pub replacements: Vec<ConfigurationReplacement>,
+    /// Successful reads of the configuration.
     pub reads: Vec<ConfigurationRead>,
-    /// SIGKILLs.
+    /// Kills by SIGKILL.
     pub kills: Vec<Kill>,
-    /// What processes did that they must not: how they ended, and lines of their logs.
-    pub complaints: Vec<String>,
+    /// Violations by processes: unexpected exits, and log lines that report violations.
+    pub process_violations: Vec<String>,
 }
 
-/// A history that threads add to. Clones share it.
+/// A history that several threads append to. Clones share it.
 #[derive(Clone, Default)]
 pub struct SharedHistory(Arc<Mutex<History>>);
 
 impl SharedHistory {
-    /// The history. The guard must not be held for long.
+    /// Locks the history. Other threads wait while the guard is held.
     pub fn lock(&self) -> MutexGuard<'_, History> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
--- a/programs/soak/src/lib.rs
+++ b/programs/soak/src/lib.rs
@@ -1,13 +1,13 @@
-//! The soak: the system's programs as processes of their own on loopback, under random faults that overlap, with clients and
-//! operators whose histories are checked afterwards.
+//! The soak test: runs the programs of the system as processes on loopback under random, overlapping faults, and checks
+//! the recorded history of clients and operators afterwards.
 //!
-//! - [`fault_plan`] draws the faults of a seed, and [`run`] carries them out on a [`cluster::SoakCluster`];
-//! - [`clients`] and [`operators`] record what they saw in a [`history::History`];
-//! - [`checker`] judges the history;
+//! - [`fault_plan`] generates the faults of a seed, and [`run`] executes them on a [`cluster::SoakCluster`];
+//! - [`clients`] and [`operators`] record the outcomes of their requests in a [`history::History`];
+//! - [`checker`] checks the history for violations;
 //! - [`node`] runs one program in each process, on a [`faulty_network`].
 //!
-//! Unlike in the system simulator, processes, sockets, signals and files are the operating system's. A kill keeps what was
-//! written, so losses of power are left to the simulator.
+//! Unlike the system simulator, the soak uses real processes, sockets, signals and files. A killed process does not lose
+//! data that it has written but not synced, so only the simulator tests losses of power.
 #![forbid(unsafe_code)]
 
 pub mod checker;
--- a/programs/soak/src/main.rs
+++ b/programs/soak/src/main.rs
@@ -1,4 +1,4 @@
-//! The soak's executable. The processes that it starts run the same executable, as one program of the system each.
+//! Command line of the soak. The processes that it starts run the same executable as one program of the system each.
 
 #![forbid(unsafe_code)]
 
@@ -12,12 +12,12 @@
 use vanewharf_soak::node::NodeProgram;
 use vanewharf_soak::run::{SoakOptions, run};
 
-/// Clusters at a time, unless the command line says otherwise.
+/// Default number of clusters that run in parallel.
 const DEFAULT_JOBS: u64 = 3;
 const DEFAULT_SEEDS: u64 = 10;
 const DEFAULT_SECONDS: u64 = 8;
 
-/// What the command line asks for.
+/// The parsed command line.
 struct Arguments {
     first_seed: u64,
     seeds: u64,
@@ -25,28 +25,28 @@
     options: SoakOptions,
 }
 
-/// Why nothing is run.
+/// An error that prevents the soak from starting.
 #[derive(Debug, Error)]
 enum ArgumentError {
     #[error("{0}; see --help")]
     Options(#[from] getopts::Fail),
-    #[error("not a number: {0}")]
+    #[error("invalid number: {0}")]
     Number(#[from] ParseIntError),
-    #[error("the executable's path is not known: {0}")]
+    #[error("cannot determine the path of the executable: {0}")]
     Executable(#[from] std::io::Error),
 }
 
 fn options() -> Options {
     let mut options = Options::new();
-    options.optopt("f", "from", "the first seed (1)", "SEED");
-    options.optopt("n", "seeds", "how many seeds are run (10)", "N");
-    options.optopt("s", "seconds", "how long faults begin (8)", "N");
-    options.optopt("j", "jobs", "clusters at a time, seven processes each (3)", "N");
-    options.optflag("h", "help", "print this");
+    options.optopt("f", "from", "first seed (default 1)", "SEED");
+    options.optopt("n", "seeds", "number of seeds (default 10)", "N");
+    options.optopt("s", "seconds", "length of the fault phase in seconds (default 8)", "N");
+    options.optopt("j", "jobs", "clusters that run in parallel, with seven processes each (default 3)", "N");
+    options.optflag("h", "help", "print this help");
     options
 }
 
-/// None where only the help was asked for.
+/// Parses the command line. Returns `None` if it asks for help.
 fn parse_arguments() -> Result<Option<Arguments>, ArgumentError> {
     let matches = options().parse(std::env::args_os().skip(1))?;
     if matches.opt_present("help") {
@@ -79,31 +79,31 @@
     }
 }
 
-/// Runs all seeds, some at a time, and prints a line for each.
+/// Runs all seeds, several in parallel, and prints one line for each.
 fn run_seeds(arguments: &Arguments) -> ExitCode {
     let Arguments { first_seed, seeds, jobs, options } = arguments;
-    let (next, broken) = (AtomicU64::new(*first_seed), AtomicU64::new(0));
+    let (next_seed, failed) = (AtomicU64::new(*first_seed), AtomicU64::new(0));
     thread::scope(|scope| {
         for _ in 0..*jobs {
             scope.spawn(|| {
                 loop {
-                    let seed = next.fetch_add(1, Ordering::Relaxed);
+                    let seed = next_seed.fetch_add(1, Ordering::Relaxed);
                     if seed >= first_seed + seeds {
                         return;
                     }
                     if !run_seed(seed, options) {
-                        broken.fetch_add(1, Ordering::Relaxed);
+                        failed.fetch_add(1, Ordering::Relaxed);
                     }
                 }
             });
         }
     });
-    let broken = broken.into_inner();
-    println!("{seeds} seeds from {first_seed}, {broken} broken");
-    if broken == 0 { ExitCode::SUCCESS } else { ExitCode::FAILURE }
+    let failed = failed.into_inner();
+    println!("{seeds} seeds from {first_seed}, {failed} broken");
+    if failed == 0 { ExitCode::SUCCESS } else { ExitCode::FAILURE }
 }
 
-/// Runs a seed and prints what came of it; whether all held.
+/// Runs a seed and prints its outcome. Returns whether there were no violations.
 fn run_seed(seed: u64, options: &SoakOptions) -> bool {
     let outcome = match run(seed, options) {
         Ok(outcome) => outcome,
@@ -112,16 +112,16 @@
             return false;
         }
     };
-    let holds = outcome.violations.is_empty();
+    let has_held = outcome.violations.is_empty();
     println!(
         "seed {seed}: {}, {} actions, {} requests, {} served, {} configurations acknowledged",
-        if holds { "held" } else { "BROKEN" },
+        if has_held { "held" } else { "BROKEN" },
         outcome.actions,
         outcome.requests,
         outcome.served,
         outcome.acknowledged
     );
     outcome.violations.iter().for_each(|violation| println!("  {violation}"));
-    outcome.retained.iter().for_each(|retained| println!("  logs and disks: {}", retained.display()));
-    holds
+    outcome.retained.iter().for_each(|retained| println!("  logs and data: {}", retained.display()));
+    has_held
 }
--- a/programs/soak/src/process.rs
+++ b/programs/soak/src/process.rs
@@ -1,4 +1,4 @@
-//! A process of the soak, with its log and the signals that it was sent.
+//! A process under test: starts it with its log file, sends signals, and checks how it exits.
 
 use crate::node::{FAULTS_VARIABLE, NodeProgram, PROGRAM_VARIABLE};
 use rustix::process::{Pid, Signal, kill_process};
@@ -10,24 +10,24 @@
 use std::time::{Duration, Instant};
 use thiserror::Error;
 
-/// Within this time of its start a process may not handle signals yet.
+/// Time after its start within which a process may not have installed its signal handlers.
 const STARTUP_TIME: Duration = Duration::from_millis(500);
 
-/// A process exited as it must not.
+/// An exit of a process that violates the rules of shutdown.
 #[derive(Debug, Error)]
 pub enum UnexpectedExit {
-    /// Nobody told it to.
-    #[error("it exited by itself: {status}")]
+    /// The process was not asked to exit.
+    #[error("process exited without SIGTERM: {status}")]
     NotRequested {
-        /// How.
+        /// The exit status.
         status: ExitStatus,
     },
-    /// It was told to, and did not end in order.
-    #[error("told to exit {age:?} after its start, it ended with {status}")]
-    NotInOrder {
-        /// How.
+    /// The process was asked to exit, but failed.
+    #[error("process failed after SIGTERM at {age:?} from its start: {status}")]
+    NotGraceful {
+        /// The exit status.
         status: ExitStatus,
-        /// How long it had run.
+        /// How long the process had run when it received SIGTERM.
         age: Duration,
     },
 }
@@ -36,28 +36,28 @@
 pub struct NodeProcess {
     child: Child,
     started_at: Instant,
-    /// Its age when it was told to exit.
+    /// How long the process had run when it was asked to exit, if it was.
     terminated_after: Option<Duration>,
 }
 
-/// What a process is started with.
+/// The files with which a process is started.
 pub struct NodeFiles {
-    /// The soak's executable.
+    /// The executable of the soak.
     pub executable: PathBuf,
-    /// The program's settings.
+    /// The settings of the program.
     pub settings: PathBuf,
-    /// The process's network faults.
+    /// The network faults of the process.
     pub faults: PathBuf,
-    /// Takes what the process writes to standard error, after what is in it.
+    /// The log file, to which the standard error of the process is appended.
     pub log: PathBuf,
 }
 
 impl NodeProcess {
-    /// Starts a program.
+    /// Starts a process that runs this program.
     ///
     /// # Errors
     ///
-    /// Where a file cannot be opened or the process cannot be started.
+    /// If the log cannot be opened or the process cannot be started.
     pub fn start(program: NodeProgram, files: &NodeFiles) -> io::Result<NodeProcess> {
         let log = OpenOptions::new().create(true).append(true).open(&files.log)?;
         let child = Command::new(&files.executable)
@@ -71,25 +71,25 @@
         Ok(NodeProcess { child, started_at: Instant::now(), terminated_after: None })
     }
 
-    /// Sends a signal. One that has ended needs none.
+    /// Sends a signal. Does nothing if the process has already exited.
     pub fn signal(&self, signal: Signal) {
         if let Some(pid) = i32::try_from(self.child.id()).ok().and_then(Pid::from_raw) {
             let _ = kill_process(pid, signal);
         }
     }
 
-    /// Tells the process to end in order.
+    /// Asks the process to shut down gracefully, with SIGTERM.
     pub fn terminate(&mut self) {
         self.terminated_after = Some(self.started_at.elapsed());
         self.signal(Signal::TERM);
     }
 
-    /// What is wrong with how it exited: it was not told to, or did not do so in order. A process that is told to exit
-    /// before it handles signals has read nothing.
+    /// Checks that the process was asked to exit, and exited successfully. A process that receives SIGTERM before it has
+    /// installed its signal handlers may be terminated by the signal, because it has not read any requests yet.
     ///
     /// # Errors
     ///
-    /// How it exited instead.
+    /// If the exit was not requested, or the process failed.
     pub fn check_exit(&self, status: ExitStatus) -> Result<(), UnexpectedExit> {
         let Some(age) = self.terminated_after else {
             return Err(UnexpectedExit::NotRequested { status });
@@ -97,11 +97,11 @@
         let was_starting = age < STARTUP_TIME && status.signal() == Some(Signal::TERM.as_raw());
         match status.success() || was_starting {
             true => Ok(()),
-            false => Err(UnexpectedExit::NotInOrder { status, age }),
+            false => Err(UnexpectedExit::NotGraceful { status, age }),
         }
     }
 
-    /// How it ended, if it has.
+    /// Returns the exit status if the process has exited.
     pub fn exit_status(&mut self) -> Option<ExitStatus> {
         self.child.try_wait().ok().flatten()
     }
@@ -109,15 +109,18 @@
 
 impl Drop for NodeProcess {
     fn drop(&mut self) {
-        // Also ends a process that is stopped.
+        // SIGKILL also ends a process that is stopped by SIGSTOP.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 }
 
-/// The lines of a log that say that the process did something that it must never do.
-pub fn complaints(log: &Path) -> Vec<String> {
-    const MARKS: [&str; 3] = ["invariant_violated", "request_unanswered", "panicked"];
+/// Returns the lines of a log that report a violation: a violated invariant, a request without a response, or a panic.
+pub fn logged_violations(log: &Path) -> Vec<String> {
+    const MARKERS: [&str; 3] = ["invariant_violated", "request_unanswered", "panicked"];
     let text = std::fs::read_to_string(log).unwrap_or_default();
-    text.lines().filter(|line| MARKS.iter().any(|mark| line.contains(mark))).map(str::to_owned).collect()
+    text.lines()
+        .filter(|line| MARKERS.iter().any(|marker| line.contains(marker)))
+        .map(str::to_owned)
+        .collect()
 }
--- a/programs/soak/tests/short.rs
+++ b/programs/soak/tests/short.rs
@@ -1,4 +1,4 @@
-//! The soak's short form: a few seeds of the system's own processes under overlapping faults.
+//! A short soak: a few seeds with overlapping faults.
 
 use std::path::PathBuf;
 use std::thread;
@@ -9,7 +9,7 @@
 const LENGTH: Duration = Duration::from_secs(5);
 
 #[test]
-fn a_few_seeds_hold() {
+fn a_few_seeds_run_without_violations() {
     let options = SoakOptions {
         executable: PathBuf::from(env!("CARGO_BIN_EXE_vanewharf-soak")),
         length: LENGTH,
--- a/programs/soak/tests/suspended_leaseholder.rs
+++ b/programs/soak/tests/suspended_leaseholder.rs
@@ -1,5 +1,5 @@
-//! A leaseholder that is suspended (SIGSTOP) at any point of its work, also between its last look at the lease and the write
-//! of an answer, and continued when another one holds the lease.
+//! A leaseholder that is suspended with SIGSTOP must not return outdated responses after SIGCONT, when another controller
+//! may hold the lease. The suspension can fall between its last check of the lease and the write of a response.
 
 use rand::Rng;
 use std::net::{SocketAddr, TcpStream};
@@ -15,53 +15,53 @@
 use vanewharf_testkit::config::config;
 use vanewharf_testkit::http::{read_message, write_message};
 
-/// How often a leaseholder is suspended; `SUSPENSIONS` asks for more.
-const SUSPENSIONS: u64 = 3;
+/// Default number of suspensions in each test. The environment variable `SUSPENSIONS` overrides it.
+const DEFAULT_SUSPENSIONS: u64 = 3;
 const READERS: usize = 6;
-/// Longer than a lease and an election last.
+/// Exceeds the duration of a lease plus an election.
 const SUSPENSION_TIME: Duration = Duration::from_millis(2500);
-/// Shorter than a lease lasts.
+/// Shorter than the duration of a lease.
 const SHORT_SUSPENSION_TIME: Duration = Duration::from_millis(500);
-/// Between two suspensions: all pending reads are answered, and the controllers follow one leaseholder again.
-const CALM_TIME: Duration = Duration::from_millis(1500);
-/// A reader waits for longer than a suspension lasts.
-const ANSWER_TIMEOUT: Duration = Duration::from_secs(6);
-/// For anything that must come about.
-const RECOVERY_TIME: Duration = Duration::from_secs(20);
-
-/// When each revision was acknowledged, in that order.
+/// Time after a suspension in which pending reads complete and all controllers follow one leaseholder again.
+const SETTLE_TIME: Duration = Duration::from_millis(1500);
+/// Exceeds the duration of a suspension, so that readers wait for the response of a suspended controller.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(6);
+/// Time within which a controller must hold the lease or acknowledge a configuration.
+const RECOVERY_TIMEOUT: Duration = Duration::from_secs(20);
+
+/// Revisions with the times of their acknowledgements, in the order of time.
 #[derive(Default)]
 struct Acknowledged(Mutex<Vec<(Instant, u64)>>);
 
 impl Acknowledged {
     fn record(&self, revision: u64) {
-        self.0.lock().expect("no panic").push((Instant::now(), revision));
+        self.0.lock().expect("no thread panics with the lock held").push((Instant::now(), revision));
     }
 
-    /// The newest revision that was acknowledged before.
-    fn newest_before(&self, moment: Instant) -> u64 {
-        let acknowledged = self.0.lock().expect("no panic");
-        acknowledged.iter().filter(|(at, _)| *at < moment).map(|(_, revision)| *revision).max().unwrap_or(0)
+    /// Returns the newest revision that was acknowledged before this time, or 0.
+    fn newest_before(&self, time: Instant) -> u64 {
+        let acknowledged = self.0.lock().expect("no thread panics with the lock held");
+        acknowledged.iter().filter(|(at, _)| *at < time).map(|(_, revision)| *revision).max().unwrap_or(0)
     }
 }
 
-/// What readers have seen.
+/// Numbers of reads that returned a configuration.
 #[derive(Default)]
 struct ReadCounts {
-    certain: AtomicU64,
-    /// Older than what was acknowledged by the time that the answer came, though not than what was when it was sent.
+    completed: AtomicU64,
+    /// Reads that were up to date when they were sent, but older than a revision acknowledged before the response arrived.
     overtaken: AtomicU64,
 }
 
 fn call(to: SocketAddr, method: &str, path: &str) -> Option<(u16, String)> {
-    let mut stream = TcpStream::connect_timeout(&to, ANSWER_TIMEOUT).ok()?;
-    stream.set_read_timeout(Some(ANSWER_TIMEOUT)).ok()?;
+    let mut stream = TcpStream::connect_timeout(&to, RESPONSE_TIMEOUT).ok()?;
+    stream.set_read_timeout(Some(RESPONSE_TIMEOUT)).ok()?;
     write_message(&mut stream, &format!("{method} {path} HTTP/1.1"), &[("Host", "any")], "").ok()?;
-    let answer = read_message(&mut stream).ok()??;
-    Some((answer.status(), answer.body))
+    let response = read_message(&mut stream).ok()??;
+    Some((response.status(), response.body))
 }
 
-/// The revision that a controller is certain of.
+/// Reads the configuration from a controller. Returns its revision, or `None` if the controller did not return it.
 fn read_revision(controller: SocketAddr) -> Option<u64> {
     let (status, body) = call(controller, "GET", "/-/Configuration.Read")?;
     let configuration: serde_json::Value = serde_json::from_str(&body).ok().filter(|_| status == 200)?;
@@ -77,7 +77,7 @@
         };
         let before = acknowledged.newest_before(sent);
         assert!(revision >= before, "r{revision} was read after r{before} was acknowledged");
-        counts.certain.fetch_add(1, Ordering::Relaxed);
+        counts.completed.fetch_add(1, Ordering::Relaxed);
         let is_overtaken = revision < acknowledged.newest_before(Instant::now());
         counts.overtaken.fetch_add(u64::from(is_overtaken), Ordering::Relaxed);
     }
@@ -86,24 +86,29 @@
 fn leaseholder(controllers: &[SocketAddr]) -> usize {
     let started = Instant::now();
     loop {
-        let holder = controllers.iter().position(|controller| read_revision(*controller).is_some());
-        if let Some(holder) = holder {
-            return holder;
+        let leaseholder = controllers.iter().position(|controller| read_revision(*controller).is_some());
+        if let Some(leaseholder) = leaseholder {
+            return leaseholder;
         }
-        assert!(started.elapsed() < RECOVERY_TIME, "a controller holds the lease");
+        assert!(
+            started.elapsed() < RECOVERY_TIMEOUT,
+            "no controller holds the lease after {RECOVERY_TIMEOUT:?}"
+        );
         sleep(Duration::from_millis(20));
     }
 }
 
-/// Sends a configuration to a controller that is suspended, and gives up: the connection is closed.
-fn send_and_give_up(controller: SocketAddr, revision: u64) {
-    let mut stream = TcpStream::connect_timeout(&controller, ANSWER_TIMEOUT).expect("the kernel accepts");
+/// Sends a configuration to a suspended controller and closes the connection without waiting for a response.
+fn send_and_close(controller: SocketAddr, revision: u64) {
+    let mut stream =
+        TcpStream::connect_timeout(&controller, RESPONSE_TIMEOUT).expect("the kernel accepts the connection");
     let body = config(revision, |_| {});
     let request_line = "POST /-/Configuration.Replace HTTP/1.1";
-    write_message(&mut stream, request_line, &[("Host", "any")], &body).expect("the kernel takes it");
+    write_message(&mut stream, request_line, &[("Host", "any")], &body)
+        .expect("the kernel buffers the request");
 }
 
-/// An operator whose acknowledgements are recorded.
+/// An operator that records its acknowledged revisions.
 struct RecordingOperator {
     operator: Operator,
     acknowledged: Acknowledged,
@@ -112,13 +117,16 @@
 impl RecordingOperator {
     fn replace(&self, revision: u64) {
         let started = Instant::now();
-        let gives_up = || started.elapsed() > RECOVERY_TIME;
-        assert!(self.operator.replace_configuration(revision, gives_up), "r{revision} is acknowledged");
+        let gives_up = || started.elapsed() > RECOVERY_TIMEOUT;
+        assert!(
+            self.operator.replace_configuration(revision, gives_up),
+            "r{revision} is not acknowledged after {RECOVERY_TIMEOUT:?}"
+        );
         self.acknowledged.record(revision);
     }
 }
 
-/// A cluster with one configuration.
+/// A cluster with its operator and a first configuration.
 struct TestCluster {
     cluster: SoakCluster,
     controllers: Vec<SocketAddr>,
@@ -129,7 +137,7 @@
     fn start() -> TestCluster {
         let history = SharedHistory::default();
         let executable = Path::new(env!("CARGO_BIN_EXE_vanewharf-soak"));
-        let cluster = SoakCluster::start(executable, history.clone()).expect("a cluster");
+        let cluster = SoakCluster::start(executable, history.clone()).expect("the cluster starts");
         let controllers = cluster.controller_addresses();
         let operator = Operator { controllers: controllers.clone(), history };
         let operator = RecordingOperator { operator, acknowledged: Acknowledged::default() };
@@ -139,20 +147,21 @@
 }
 
 fn suspensions() -> u64 {
-    let asked_for = std::env::var("SUSPENSIONS").ok().and_then(|text| text.parse().ok());
-    asked_for.unwrap_or(SUSPENSIONS)
+    let requested = std::env::var("SUSPENSIONS").ok().and_then(|text| text.parse().ok());
+    requested.unwrap_or(DEFAULT_SUSPENSIONS)
 }
 
-/// A read is never older than what was acknowledged before it was sent, at whatever point the process was suspended.
+/// A read must not return a revision older than one acknowledged before it was sent, at whatever point the leaseholder was
+/// suspended.
 #[test]
-fn a_suspended_leaseholder_answers_nothing_older_than_was_acknowledged_before() {
+fn a_suspended_leaseholder_returns_no_revision_older_than_one_acknowledged_before() {
     let mut test = TestCluster::start();
     let counts = ReadCounts::default();
     for suspension in 1..=suspensions() {
         let revision = 1 + suspension;
         let suspended = leaseholder(&test.controllers);
         let controller = test.controllers[suspended];
-        // At any moment of their work.
+        // Suspends the leaseholder at a random point of its work.
         let work_time = Duration::from_micros(rand::rng().random_range(0..200_000));
         let stop = &AtomicBool::new(false);
         thread::scope(|scope| {
@@ -161,37 +170,37 @@
                 scope.spawn(|| read_until(stop, controller, &operator.acknowledged, &counts));
             }
             sleep(work_time);
-            cluster.execute(Action::Pause(suspended)).expect("a signal");
+            cluster.execute(Action::Pause(suspended)).expect("the signal can be sent");
             let suspended_at = Instant::now();
             operator.replace(revision);
             sleep(SUSPENSION_TIME.saturating_sub(suspended_at.elapsed()));
-            cluster.execute(Action::Resume(suspended)).expect("a signal");
-            sleep(CALM_TIME);
+            cluster.execute(Action::Resume(suspended)).expect("the signal can be sent");
+            sleep(SETTLE_TIME);
             stop.store(true, Ordering::Relaxed);
         });
-        let holder = leaseholder(&test.controllers);
-        assert_eq!(read_revision(test.controllers[holder]), Some(revision));
+        let current = leaseholder(&test.controllers);
+        assert_eq!(read_revision(test.controllers[current]), Some(revision));
     }
-    let (certain, overtaken) = (counts.certain.into_inner(), counts.overtaken.into_inner());
-    println!("{} suspensions: {certain} reads, {overtaken} overtaken on their way", suspensions());
-    assert!(certain > 0);
+    let (completed, overtaken) = (counts.completed.into_inner(), counts.overtaken.into_inner());
+    println!("{} suspensions: {completed} reads, {overtaken} overtaken by an acknowledgement", suspensions());
+    assert!(completed > 0);
 }
 
-/// The caller has gone by the time that the process, which holds the lease all the while, goes on: the end of the connection
-/// is there with the order.
+/// A command whose sender closes the connection while the leaseholder is suspended must not be executed. The suspension is
+/// shorter than the lease, so the leaseholder still holds it when it reads the command and the end of the connection.
 #[test]
-fn an_order_whose_caller_has_gone_meanwhile_is_not_carried_out() {
+fn a_command_whose_sender_has_disconnected_is_not_executed() {
     let mut test = TestCluster::start();
     for suspension in 1..=suspensions() {
-        let (newest, given_up) = (10 * suspension, 10 * suspension + 5);
+        let (newest, abandoned) = (10 * suspension, 10 * suspension + 5);
         test.operator.replace(newest);
-        let holder = leaseholder(&test.controllers);
-        test.cluster.execute(Action::Pause(holder)).expect("a signal");
-        send_and_give_up(test.controllers[holder], given_up);
+        let current = leaseholder(&test.controllers);
+        test.cluster.execute(Action::Pause(current)).expect("the signal can be sent");
+        send_and_close(test.controllers[current], abandoned);
         sleep(SHORT_SUSPENSION_TIME);
-        test.cluster.execute(Action::Resume(holder)).expect("a signal");
-        sleep(CALM_TIME);
-        let holder = leaseholder(&test.controllers);
-        assert_eq!(read_revision(test.controllers[holder]), Some(newest), "suspension {suspension}");
+        test.cluster.execute(Action::Resume(current)).expect("the signal can be sent");
+        sleep(SETTLE_TIME);
+        let current = leaseholder(&test.controllers);
+        assert_eq!(read_revision(test.controllers[current]), Some(newest), "suspension {suspension}");
     }
 }
