--- a/crates/testkit/src/cluster.rs
+++ b/crates/testkit/src/cluster.rs
@@ -124,8 +124,8 @@
         self.machines[machine].programs.iter_mut().for_each(|(_, process)| *process = None);
     }
 
-    /// Asks all programs of a machine to shut down gracefully, as SIGTERM does. They are not started again until the
-    /// machine has been killed.
+    /// Asks all programs of a machine to shut down gracefully, as SIGTERM does. [`TestCluster::start_machine`] does not
+    /// start them again until the machine has been killed.
     pub fn shut_down_machine(&mut self, machine: usize) {
         let processes =
             self.machines[machine].programs.iter_mut().filter_map(|(_, process)| process.as_mut());
--- a/crates/testkit/tests/shutdown.rs
+++ b/crates/testkit/tests/shutdown.rs
@@ -17,8 +17,8 @@
 /// Times after the signal at which requests are sent, as fractions of the grace period. The proxy accepts new
 /// connections for longer than the last of them.
 const SEND_TIMES: [f64; 5] = [0.05, 0.2, 0.35, 0.5, 0.65];
-/// How long before the deadline of the client the proxy may give up a request: it reserves time for the response to
-/// travel back.
+/// How long before the deadline of the client the proxy may give up a request: it reserves time for sending
+/// the response.
 const RESPONSE_MARGIN: Duration = Duration::from_millis(100);
 
 fn start_cluster() -> TestCluster {
--- a/programs/soak/src/process.rs
+++ b/programs/soak/src/process.rs
@@ -23,7 +23,7 @@
         status: ExitStatus,
     },
     /// The process was asked to exit, but failed.
-    #[error("process failed after SIGTERM at {age:?} from its start: {status}")]
+    #[error("process received SIGTERM {age:?} after its start and failed: {status}")]
     NotGraceful {
         /// The exit status.
         status: ExitStatus,
