--- a/crates/consensus/src/group_commit.rs
+++ b/crates/consensus/src/group_commit.rs
@@ -9,8 +9,7 @@
 use vanewharf_config::configuration::ConfigRevision;
 use vanewharf_protocol::messages::{AcceptedConfig, Register};
 
-/// How many accepted configurations a register lists. They take at most 7 KB. More were never observed
-/// within a day.
+/// How many accepted configurations a register lists: more than were observed within a day. They take at most 7 KB.
 const RETAINED_REVISIONS: usize = 256;
 
 /// A change requested by an operator.
@@ -53,7 +52,7 @@
     Conflict,
 }
 
-/// The result of a group of changes.
+/// The result of applying a group of changes, which is not committed yet.
 #[derive(Clone, Debug)]
 pub struct GroupCommit {
     /// The register with all changes applied, still under the ballot and the revision of the base register.
--- a/crates/consensus/src/membership/tests.rs
+++ b/crates/consensus/src/membership/tests.rs
@@ -8,7 +8,7 @@
     assert_eq!(change, membership(5, &[2, 3, 4], &[1, 2, 3]));
     assert!(
         has_quorum(&change, &address_set(&[2, 3])),
-        "majorities of both sets without the newcomer's vote are a quorum"
+        "majorities of both sets without the joining voter's vote are a quorum"
     );
     assert!(!has_quorum(&change, &address_set(&[1, 2])) && !has_quorum(&change, &address_set(&[3, 4])));
     let after = finish_change(&change);
--- a/crates/consensus/src/planner.rs
+++ b/crates/consensus/src/planner.rs
@@ -3,7 +3,7 @@
 //! The number of voters is always odd: a set of four tolerates no more losses than one of three. A failed voter is
 //! replaced only by a machine that is in sync, so that the number of tolerated losses does not shrink during the
 //! change: joint consensus needs a majority of the old set, which is available already, and a majority of the new one,
-//! which need not include the newcomer.
+//! which need not include the joining machine.
 
 use crate::follower_tracker::SYNC_TIMEOUT;
 use crate::membership::majority;
@@ -102,14 +102,14 @@
         let mut voters = self.voters.clone();
         let mut standbys = self.standbys.clone();
         while voters.len() < target_size
-            && let Some(newcomer) = self.best_standby(&voters, &standbys)
+            && let Some(joining) = self.best_standby(&voters, &standbys)
         {
-            voters.insert(newcomer);
-            standbys.retain(|standby| *standby != newcomer);
+            voters.insert(joining);
+            standbys.retain(|standby| *standby != joining);
         }
         if voters.len().is_multiple_of(2) {
-            let last_newcomer = voters.difference(&self.voters).max().copied();
-            voters.retain(|voter| Some(*voter) != last_newcomer);
+            let last_added = voters.difference(&self.voters).max().copied();
+            voters.retain(|voter| Some(*voter) != last_added);
         }
         let is_larger = voters.len() > self.voters.len();
         (is_larger && majority_in_sync(&voters, self.candidates)).then_some(voters)
@@ -125,13 +125,13 @@
     fn replace_voter(&self, failed: SocketAddr) -> Option<BTreeSet<SocketAddr>> {
         let mut voters = self.voters.clone();
         voters.remove(&failed);
-        let newcomer = self.best_standby(&voters, &self.standbys)?;
-        voters.insert(newcomer);
+        let joining = self.best_standby(&voters, &self.standbys)?;
+        voters.insert(joining);
         majority_in_sync(&voters, self.candidates).then_some(voters)
     }
 
-    /// Moves one voter out of the zone that has the most voters. All voters and the newcomer have to have been in sync
-    /// for [`REBALANCE_DELAY`].
+    /// Moves one voter out of the zone that has the most voters. All voters and the joining machine have to have been
+    /// in sync for [`REBALANCE_DELAY`].
     fn rebalance_zones(&self) -> Option<BTreeSet<SocketAddr>> {
         let is_stable = |address: &SocketAddr| {
             self.candidate(address).is_some_and(|candidate| candidate.in_sync_for >= REBALANCE_DELAY)
@@ -148,10 +148,10 @@
             .min_by_key(|voters| self.max_voters_per_zone(voters))
     }
 
-    fn swap(&self, leaving: &SocketAddr, newcomer: SocketAddr) -> BTreeSet<SocketAddr> {
+    fn swap(&self, leaving: &SocketAddr, joining: SocketAddr) -> BTreeSet<SocketAddr> {
         let mut voters = self.voters.clone();
         voters.remove(leaving);
-        voters.insert(newcomer);
+        voters.insert(joining);
         voters
     }
 
--- a/crates/consensus/tests/model/restart.rs
+++ b/crates/consensus/tests/model/restart.rs
@@ -33,8 +33,8 @@
     }
 
     /// Asks the candidate to which a restarted voter had promised its ballot whether it holds the lease, as the
-    /// replica's `query_earlier_leaseholder` does. The query is answered immediately.
-    pub fn query_earlier_leaseholder(&self, state: &mut ClusterState, asker: usize) {
+    /// replica's `query_previous_leaseholder` does. The query is answered immediately.
+    pub fn query_previous_leaseholder(&self, state: &mut ClusterState, asker: usize) {
         let Some(record) = state.members[asker].record_on_disk.clone() else {
             return;
         };
--- a/crates/consensus/tests/model/transitions.rs
+++ b/crates/consensus/tests/model/transitions.rs
@@ -38,7 +38,7 @@
             Action::Restart(index) => self.restart(&mut next, index),
             Action::QueryLease(index) => {
                 next.remaining.lease_queries -= 1;
-                self.query_earlier_leaseholder(&mut next, index);
+                self.query_previous_leaseholder(&mut next, index);
             }
             Action::TimeOut(index) => self.time_out(&mut next, index),
             Action::Adopt(index, publisher) => self.adopt(&mut next, index, publisher)?,
