--- a/crates/discovery/src/admission_rates.rs
+++ b/crates/discovery/src/admission_rates.rs
@@ -137,7 +137,7 @@
         }
     }
     for (tenant, sum) in &mut tenants {
-        // An owner without a bucket for the tenant may create one at any time, with an equal share of the quota.
+        // An owner without a bucket for the tenant may create one at any time, with the even share of the quota.
         let with_bucket =
             owners.clone().filter(|owner| owner.latest.quota_shares.contains_key(tenant)).count();
         sum.quota_shares += owner_count.saturating_sub(with_bucket) as f64 / owner_count as f64;
--- a/crates/discovery/src/aggregator.rs
+++ b/crates/discovery/src/aggregator.rs
@@ -2,7 +2,7 @@
 //!
 //! Each controller records the reports that reach it; the leaseholder, to which the other controllers forward theirs,
 //! publishes the summary. A proxy that stops reporting is soon no longer listed as ready, but it still counts towards
-//! the quota divisor until its quota shares have shrunk to their floor: it may be cut off only from the control plane
+//! the quota divisor until its quota shares have shrunk to the minimum: it may be cut off only from the control plane
 //! and still admit requests.
 
 use crate::admission_rates::{AdmissionRates, CounterSnapshot, sum_usage};
@@ -20,8 +20,8 @@
 /// waits up to 300 ms.
 const PROXY_LIVENESS_TIMEOUT: Duration = Duration::from_millis(1000);
 
-/// An owner of quota shares is counted for this long after its last report; by then its shares have shrunk to their
-/// floor. The shares of a failed proxy stay unused during this time, which does not affect tenants well below their
+/// An owner of quota shares is counted for this long after its last report; by then its shares have shrunk to the
+/// minimum. The shares of a failed proxy stay unused during this time, which does not affect tenants well below their
 /// quotas.
 const OWNER_EXPIRY: Duration = Duration::from_secs(60);
 
@@ -30,7 +30,7 @@
 
 /// If more than this fraction of a host's requests are on routes with home regions, its clients are sent directly to a
 /// home region, which saves the hop between regions.
-const HOMED_HOST_THRESHOLD: f64 = 0.6;
+const HOME_REGION_REQUESTS_THRESHOLD: f64 = 0.6;
 
 /// Smallest number of requests beyond the quotas that each proxy must be allowed for proxies to hold quota shares. With
 /// less, a share either admits nothing or, through the token debts of all proxies together, too much; controllers then
@@ -221,7 +221,7 @@
             quota_divisor: quota_divisor as u32,
             tenants,
             token_lenders,
-            home_region_hosts: self.homed_hosts(),
+            home_region_hosts: self.home_region_hosts(),
             controllers: self.controllers.keys().cloned().collect(),
             unhealthy,
         }
@@ -250,16 +250,17 @@
     }
 
     /// Returns the hosts whose requests are mostly on routes with home regions.
-    fn homed_hosts(&self) -> BTreeSet<String> {
+    fn home_region_hosts(&self) -> BTreeSet<String> {
         let mut hosts: BTreeMap<&String, HostCounts> = BTreeMap::new();
         for (host, counts) in self.proxies.values().flat_map(|proxy| &proxy.hosts) {
             let sum = hosts.entry(host).or_default();
             sum.requests += counts.requests;
             sum.home_region_requests += counts.home_region_requests;
         }
-        let mostly_homed =
-            |sum: &HostCounts| sum.home_region_requests as f64 > HOMED_HOST_THRESHOLD * sum.requests as f64;
-        hosts.into_iter().filter(|(_, sum)| mostly_homed(sum)).map(|(host, _)| host.clone()).collect()
+        let is_above_threshold = |sum: &HostCounts| {
+            sum.home_region_requests as f64 > HOME_REGION_REQUESTS_THRESHOLD * sum.requests as f64
+        };
+        hosts.into_iter().filter(|(_, sum)| is_above_threshold(sum)).map(|(host, _)| host.clone()).collect()
     }
 }
 
--- a/crates/discovery/src/aggregator/tests.rs
+++ b/crates/discovery/src/aggregator/tests.rs
@@ -55,15 +55,15 @@
 }
 
 #[test]
-fn a_host_is_homed_when_most_of_its_requests_are_on_routes_with_home_regions() {
+fn a_host_is_listed_if_most_of_its_requests_are_on_routes_with_home_regions() {
     let mut aggregator = FleetAggregator::default();
     let hosts = [
         ("mostly".to_owned(), HostCounts { requests: 10, home_region_requests: 7 }),
         ("hardly".to_owned(), HostCounts { requests: 10, home_region_requests: 5 }),
     ];
     aggregator.record_report(ProxyReport { hosts: hosts.into(), ..report("a", 1, 0, 0) }, START);
-    let homed = aggregator.summarize(Version::default(), 20.0, START).home_region_hosts;
-    assert_eq!(homed.into_iter().collect::<Vec<_>>(), ["mostly"]);
+    let listed = aggregator.summarize(Version::default(), 20.0, START).home_region_hosts;
+    assert_eq!(listed.into_iter().collect::<Vec<_>>(), ["mostly"]);
 }
 
 #[test]
@@ -100,7 +100,7 @@
     assert_eq!(
         (summary.quota_divisor, summary.tenants["t"].quota_shares),
         (9, 1.389),
-        "eight proxies have not reported yet and count with an equal share each"
+        "eight proxies have not reported yet and count with the even share each"
     );
     let later = START.after(OWNER_EXPIRY);
     aggregator.record_report(ProxyReport { quota_divisor: 9, ..report("a", 1, 0, 10) }, later);
