--- a/crates/quota/src/quota.rs
+++ b/crates/quota/src/quota.rs
@@ -31,7 +31,7 @@
 
 /// The error for a request that the quota does not admit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-#[error("not admitted, retry after {retry_after:?}")]
+#[error("request not admitted by the quota; retry after {retry_after:?}")]
 pub struct QuotaExceeded {
     /// The time after which a retry may be admitted.
     pub retry_after: Duration,
--- a/crates/quota/src/token_buckets.rs
+++ b/crates/quota/src/token_buckets.rs
@@ -14,12 +14,12 @@
 use vanewharf_protocol::messages::{FleetSummary, TenantUsage};
 
 /// The fraction of the allowance (requests beyond the quotas that the whole system may admit) by which the buckets of all
-/// processes together are deeper than their shares of the burst. The rest covers the time in which the shares sum to more
+/// processes together are deeper than the burst. The rest of the allowance covers the time in which the shares sum to more
 /// than the quota because readings are late.
 const EXTRA_DEPTH_FRACTION: f64 = 0.6;
 
 /// The retry time given before the divisor of the quotas is known: a process receives a fleet summary soon after it starts.
-const RETRY_BEFORE_FIRST_SUMMARY: Duration = Duration::from_millis(200);
+const RETRY_AFTER_BEFORE_FIRST_SUMMARY: Duration = Duration::from_millis(200);
 
 /// A process that has received no fleet summary for this long counts as cut off and shrinks its shares. This is less than
 /// the 60 s after which the other processes stop counting its shares and take them over.
@@ -45,8 +45,8 @@
 
 impl InitialFill {
     /// Returns `Full` at the first start of the whole system, otherwise `Empty`.
-    pub fn at_start(is_first_of_system: bool) -> InitialFill {
-        if is_first_of_system { InitialFill::Full } else { InitialFill::Empty }
+    pub fn at_start(is_first_start: bool) -> InitialFill {
+        if is_first_start { InitialFill::Full } else { InitialFill::Empty }
     }
 }
 
@@ -87,7 +87,7 @@
 }
 
 impl TokenBuckets {
-    /// Creates an object without buckets. `allowance` is the number of requests beyond the quotas that the whole system
+    /// Creates a set without any buckets. `allowance` is the number of requests beyond the quotas that the whole system
     /// may admit.
     pub fn new(allowance: f64, initial_fill: InitialFill, now: Timestamp) -> TokenBuckets {
         TokenBuckets {
@@ -164,7 +164,7 @@
             return Ok(());
         }
         if !self.is_divisor_known {
-            return Err(QuotaExceeded { retry_after: RETRY_BEFORE_FIRST_SUMMARY });
+            return Err(QuotaExceeded { retry_after: RETRY_AFTER_BEFORE_FIRST_SUMMARY });
         }
         match self.share_owner {
             ShareOwner::Proxies => {
