--- a/programs/controller/src/orders/executor.rs
+++ b/programs/controller/src/orders/executor.rs
@@ -139,9 +139,9 @@
         }
         let ballot = self.replica.ballot();
         let rounds: Vec<&Round> = self.rounds.iter().filter(|round| round.rank.ballot == ballot).collect();
-        let last_is_slow =
+        let next_may_start =
             rounds.last().is_none_or(|round| round.started_at.elapsed() >= SLOW_ROUND_THRESHOLD);
-        if !last_is_slow || rounds.len() >= MAX_CONCURRENT_ROUNDS {
+        if !next_may_start || rounds.len() >= MAX_CONCURRENT_ROUNDS {
             return;
         }
         // A reconfiguration changes the set of voters that persist a register, so it runs while no round is in flight.
@@ -215,27 +215,27 @@
         }
     }
 
-    /// Applies a batch of changes to the newest register of the chain.
+    /// Applies a group of changes to the newest register of the chain.
     fn execute_changes(&mut self, changes: &[OperatorChange], replies: Vec<oneshot::Sender<OrderOutcome>>) {
         let newest = self.replica.newest_register();
-        let batch = apply_changes(&newest, changes);
-        let newest_revision = batch.register.accepted_configs.last().map_or(0, |accepted| accepted.revision);
-        log_conflicts(&batch.outcomes, newest_revision);
+        let group = apply_changes(&newest, changes);
+        let newest_revision = group.register.accepted_configs.last().map_or(0, |accepted| accepted.revision);
+        log_conflicts(&group.outcomes, newest_revision);
         let to_order_outcome = |outcome| match outcome {
             ChangeOutcome::Acknowledged => OrderOutcome::Acknowledged,
             ChangeOutcome::Conflict => OrderOutcome::Conflict { newest_revision },
         };
-        let outcomes = batch.outcomes.into_iter().map(to_order_outcome);
+        let outcomes = group.outcomes.into_iter().map(to_order_outcome);
         let pending: Vec<PendingReply> =
             outcomes.zip(replies).map(|(outcome, reply)| PendingReply { outcome, reply }).collect();
-        if !batch.changed && self.replica.is_committed(&newest) {
+        if !group.changed && self.replica.is_committed(&newest) {
             return pending.into_iter().for_each(PendingReply::send);
         }
         let is_newest = |round: &&mut Round| round.rank == newest.rank();
         match self.rounds.last_mut().filter(is_newest) {
-            // The batch changes nothing, but the register on which its outcomes depend is still being replicated.
-            Some(round) if !batch.changed => round.pending.extend(pending),
-            _ => self.start_round(batch.register, pending),
+            // The group changes nothing, but the register on which its outcomes depend is still being replicated.
+            Some(round) if !group.changed => round.pending.extend(pending),
+            _ => self.start_round(group.register, pending),
         }
     }
 
--- a/programs/controller/src/roles/leaseholder_following.rs
+++ b/programs/controller/src/roles/leaseholder_following.rs
@@ -13,8 +13,8 @@
 use vanewharf_protocol::version_store::AppliedUpdates;
 use vanewharf_rpc::{RpcClient, RpcError};
 
-/// How long the source may hold a pull while it has no updates.
-const LONG_POLL: Duration = Duration::from_millis(400);
+/// How long the source may hold back the answer to a pull until it has an update.
+const LONG_POLL_WAIT: Duration = Duration::from_millis(400);
 /// Delay before the next pull after one that failed or whose source is not the leaseholder.
 const RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
@@ -102,7 +102,7 @@
 fn pull_request(state: &ControllerState) -> PullRequest {
     PullRequest {
         versions: state.publisher.store().versions_for_pull(),
-        wait_ms: LONG_POLL.as_millis() as u64,
+        wait_ms: LONG_POLL_WAIT.as_millis() as u64,
         follower: Some(Follower {
             controller: state.entry.clone(),
             persisted: state.replica.persisted_rank(),
--- a/programs/controller/src/roles/report_aggregation.rs
+++ b/programs/controller/src/roles/report_aggregation.rs
@@ -7,7 +7,7 @@
 use tokio::time::sleep;
 use vanewharf_runtime::invariants::Invariant;
 
-/// Delay before the first summary at the initial start of the cluster. Proxies started together with the controllers have
+/// Delay before the first summary at the first start of the whole system. Proxies started together with the controllers have
 /// reported by then.
 const INITIAL_REPORT_DELAY: Duration = Duration::from_millis(1500);
 /// Interval between summaries, about the interval over which proxies measure rates.
@@ -16,7 +16,7 @@
 /// Publishes summaries while this process holds the lease; never returns.
 pub async fn aggregate_reports(state: Rc<ControllerState>) {
     let mut held_lease = false;
-    // At the initial start the token buckets are full, so quotas must not be divided by fewer proxies than there are.
+    // At the first start the token buckets are full, so quotas must not be divided by fewer proxies than there are.
     if state.settings.initial_start {
         sleep(INITIAL_REPORT_DELAY).await;
     }
--- a/programs/controller/src/roles/token_lending.rs
+++ b/programs/controller/src/roles/token_lending.rs
@@ -17,8 +17,8 @@
 }
 
 impl TokenLender {
-    /// Creates a lender. `allowance` is the number of requests permitted beyond a quota. At the initial start of the cluster
-    /// the token buckets are full.
+    /// Creates a lender. `allowance` is the number of requests beyond the quotas that the whole system may admit. At the
+    /// first start of the whole system the token buckets are full.
     pub fn new(allowance: f64, initial_start: bool, incarnation: u64, now: Timestamp) -> TokenLender {
         TokenLender {
             buckets: TokenBuckets::new(allowance, InitialFill::at_start(initial_start), now),
--- a/programs/controller/src/storage.rs
+++ b/programs/controller/src/storage.rs
@@ -101,7 +101,7 @@
         let task = StorageTask {
             directory,
             write_numbers: stored.write_numbers,
-            synced_names: BTreeSet::new(),
+            files_with_synced_entry: BTreeSet::new(),
             unsynced_files: stored.intact_files.clone(),
             watermarks: stored.watermarks,
             loss_watermarks: stored.loss_watermarks(),
@@ -170,7 +170,7 @@
     /// Number of the last successful write of each record.
     write_numbers: [u64; RECORDS.len()],
     /// Files whose directory entry this process has synced.
-    synced_names: BTreeSet<String>,
+    files_with_synced_entry: BTreeSet<String>,
     /// Files that were loaded at the start and may not be durable yet.
     unsynced_files: Vec<String>,
     /// The watermarks that are known to be on disk.
@@ -255,9 +255,9 @@
         self.ensure_loaded_files_synced().await?;
         let file = synced_marks::FILE_NAME.to_owned();
         let bytes = watermarks.encode()?;
-        let is_new = !self.synced_names.contains(&file);
+        let is_new = !self.files_with_synced_entry.contains(&file);
         self.directory.execute(write_and_sync(file.clone(), bytes, is_new)).await?;
-        self.synced_names.insert(file);
+        self.files_with_synced_entry.insert(file);
         self.watermarks = watermarks;
         Ok(())
     }
@@ -267,11 +267,11 @@
     async fn write(&mut self, record: Record, body: &[u8]) -> io::Result<()> {
         let write_number = self.write_numbers[record as usize] + 1;
         let file_name = record.file_name(write_number);
-        let name_is_synced = self.synced_names.contains(&file_name);
-        let operations = write_operations(record, write_number, body, name_is_synced);
+        let entry_is_synced = self.files_with_synced_entry.contains(&file_name);
+        let operations = write_operations(record, write_number, body, entry_is_synced);
         self.directory.execute(operations).await?;
         self.write_numbers[record as usize] = write_number;
-        self.synced_names.insert(file_name);
+        self.files_with_synced_entry.insert(file_name);
         Ok(())
     }
 }
@@ -282,15 +282,15 @@
     record: Record,
     write_number: u64,
     body: &[u8],
-    name_is_synced: bool,
+    entry_is_synced: bool,
 ) -> Vec<FileOperation> {
-    write_and_sync(record.file_name(write_number), encode_copy(write_number, body), !name_is_synced)
+    write_and_sync(record.file_name(write_number), encode_copy(write_number, body), !entry_is_synced)
 }
 
-fn write_and_sync(file: String, bytes: Vec<u8>, name_is_new: bool) -> Vec<FileOperation> {
+fn write_and_sync(file: String, bytes: Vec<u8>, entry_is_new: bool) -> Vec<FileOperation> {
     let mut operations =
         vec![FileOperation::Write { file: file.clone(), bytes }, FileOperation::Sync { file }];
-    if name_is_new {
+    if entry_is_new {
         operations.push(FileOperation::SyncDirectory);
     }
     operations
