--- a/crates/policy/src/codec.rs
+++ b/crates/policy/src/codec.rs
@@ -1,10 +1,10 @@
-//! The encoding of messages between gateways, used on sockets and on the wire of the users' simulator. A byte with the
-//! format version is followed by the [`PeerMessage`] in postcard encoding. That encoding is positional: it has no names of
-//! fields and variants, so their order is part of the format.
+//! The encoding of messages between gateways, used on sockets and by the adapter of the external simulator. A byte with
+//! the format version is followed by the [`PeerMessage`] in postcard encoding. That encoding is positional: it has no
+//! names of fields and variants, so their order is part of the format.
 
 use crate::interface::PeerMessage;
 
-/// The most bytes that the wire accepts; every message is far smaller.
+/// The most bytes that a receiver accepts as one message; every message is far smaller.
 pub const MAX_BYTES: usize = 256;
 
 /// The first byte of a message. Gateways of different builds drop messages with another version, which they cannot decode.
--- a/crates/policy/src/decide.rs
+++ b/crates/policy/src/decide.rs
@@ -58,7 +58,7 @@
     pub fn decide(&mut self, now: Ticks, events: Vec<Event>) -> Vec<Action> {
         let last_batch_at = self.now;
         self.now = self.now.max(now);
-        // A request is held for other gateways only if its client could wait through another stall as long.
+        // A request waits for a quota owner only if its client would wait through another stall of this length.
         self.quota.longest_stall = self.quota.longest_stall.max(self.now - last_batch_at);
         events.into_iter().for_each(|event| self.dispatch(event));
         self.deliver();
--- a/crates/policy/src/decide/admission.rs
+++ b/crates/policy/src/decide/admission.rs
@@ -7,7 +7,7 @@
 /// The load above which requests of the lowest value are shed; the limit is up to 0.5 higher for more valuable ones.
 const MIN_LOAD_LIMIT: f64 = 0.1;
 /// A client that leaves within this many mean latencies is seldom served, and its retry counts as a new request.
-const MIN_STAY_LATENCIES: f64 = 3.0;
+const MIN_WAIT_FACTOR: f64 = 3.0;
 /// Averages over fewer responses than this are not used.
 const MIN_SAMPLES: f64 = 8.0;
 /// The least weight of a new response in the average latency.
@@ -47,11 +47,11 @@
             arrival.claim.subset_size = ctx.config.gateway_count.max(1);
         }
         let (txn, claim, product) = (arrival.txn, arrival.claim, &ctx.config.products[arrival.product.0]);
-        let (latency, stay) = (self.admission.latencies[arrival.product.0], arrival.deadline - self.now);
+        let (latency, time_left) = (self.admission.latencies[arrival.product.0], arrival.deadline - self.now);
         let plan = ctx.plan(claim.plan);
         // Value per second of work: one long request occupies a backend as long as several short ones.
         let value = product.value * plan.value_factor / latency.mean;
-        let leaves = latency.samples >= MIN_SAMPLES && stay.seconds() < MIN_STAY_LATENCIES * latency.mean;
+        let leaves = latency.samples >= MIN_SAMPLES && time_left.seconds() < MIN_WAIT_FACTOR * latency.mean;
         self.admission.update_load(value, ctx);
         let sheds = self.admission.sheds(value) || leaves;
         let sheds_excess = self.admission.sheds(value * plan.excess_value);
@@ -60,8 +60,9 @@
         if sheds || self.admission.backends.is_empty() {
             return self.reject(txn, None);
         }
-        let (random, timeout) = (self.rng.random(), product.sla_time.min(stay).times(OWNER_TIMEOUT_RATIO));
-        let check = QuotaCheck { txn, claim, random, stay, timeout, sheds_excess, ..Default::default() };
+        let (random, timeout) =
+            (self.rng.random(), product.sla_time.min(time_left).times(OWNER_TIMEOUT_RATIO));
+        let check = QuotaCheck { txn, claim, random, time_left, timeout, sheds_excess, ..Default::default() };
         self.quota.inbox.push_back(QuotaMessage::Check(check));
     }
 
@@ -199,7 +200,7 @@
     }
 
     /// Updates the load. By Little's law a new request waits for the attempts in flight divided by the success rate. All
-    /// products share the queues, so the one with the least time left decides; requests of low value are shed first.
+    /// products share the queues, so the one whose latency is closest to its SLA time decides.
     fn update_load(&mut self, value: f64, ctx: Context) {
         let mean =
             self.latencies.iter().map(|latency| latency.mean).sum::<f64>() / self.latencies.len() as f64;
--- a/crates/policy/src/decide/backend.rs
+++ b/crates/policy/src/decide/backend.rs
@@ -2,8 +2,8 @@
 
 use super::*;
 
-/// Failures that eject a backend: one may be chance, three without a success in between are not.
-const MAX_FAILURES: f64 = 3.0;
+/// The failures that eject a backend: one may be chance, three without a success in between are not.
+const FAILURES_TO_EJECT: f64 = 3.0;
 
 impl Backend {
     pub(crate) fn handle(&mut self, message: BackendMessage, ctx: Context) {
@@ -54,7 +54,7 @@
         self.ticked_at = ctx.now;
         let budget = ready_rate * self.capacity * self.warm_up_ratio(ctx);
         self.warm_up_credit = (self.warm_up_credit + budget * gap).min(budget * 0.5);
-        // If the whole fleet has just started, no backend gives a rate to compare with: one attempt at a time.
+        // If all backends have just started, none gives a rate to compare with: one attempt at a time.
         if ready_rate == 0.0 && self.in_flight.is_empty() {
             self.warm_up_credit = self.warm_up_credit.max(1e-6);
         }
@@ -63,7 +63,7 @@
     fn update_ejection(&mut self, overdue_after: Ticks, ejection_time: Ticks, now: Ticks) {
         if self.ejected_until.is_some_and(|until| now >= until) {
             self.ejected_until = None;
-            self.failures = MAX_FAILURES - 1.0;
+            self.failures = FAILURES_TO_EJECT - 1.0;
             self.observed_since = now;
         }
         if self.ejected_until.is_none() && self.is_unhealthy(now, overdue_after) {
@@ -73,16 +73,16 @@
 
     /// Returns whether the snapshot may change with time alone.
     pub(crate) fn is_active(&self, ctx: Context) -> bool {
-        let failing = self.failures >= MAX_FAILURES;
+        let failing = self.failures >= FAILURES_TO_EJECT;
         !self.in_flight.is_empty() || failing || self.ejected_until.is_some() || self.warm_up_ratio(ctx) < 1.0
     }
 
     fn is_unhealthy(&self, now: Ticks, overdue_after: Ticks) -> bool {
-        // One long overdue attempt counts as much as several short ones: in a large fleet a gateway has only one here.
+        // One long overdue attempt counts as much as several short ones: one of many gateways has only one in flight.
         let ages = self.in_flight.values().filter(|&&at| at >= self.observed_since).map(|&at| now - at);
         let late = ages.filter(|&age| age > overdue_after).map(|age| age.seconds() / overdue_after.seconds());
         let unresponsive = now - self.last_success > overdue_after && late.sum::<f64>() >= 2.0;
-        unresponsive || self.failures >= MAX_FAILURES
+        unresponsive || self.failures >= FAILURES_TO_EJECT
     }
 
     pub(crate) fn snapshot(&self, ctx: Context) -> BackendSnapshot {
--- a/crates/policy/src/decide/quota.rs
+++ b/crates/policy/src/decide/quota.rs
@@ -12,10 +12,10 @@
 const EXHAUSTED_REJECTED_FRACTION: f64 = 0.5;
 /// How long gateways act on that notification.
 const EXHAUSTED_SECONDS: f64 = 10.0;
-/// A request waits for an owner only if its client stays at least this many of the longest recent stalls.
-const MIN_STAY_STALLS: f64 = 1.3;
-/// The client must also stay at least this many of the shortest SLA times.
-const MIN_STAY_SLA_TIMES: f64 = 2.25;
+/// A request waits for an owner only if its client waits for at least this many of the longest recent stalls.
+const MIN_STALLS_LEFT: f64 = 1.3;
+/// The client must also wait for at least this many of the shortest SLA times.
+const MIN_SLA_TIMES_LEFT: f64 = 2.25;
 /// The shortest counter window: longer than a call takes.
 const MIN_WINDOW_SECONDS: f64 = 1.0;
 /// The longest counter window: two windows and a reserve must fit into the 60 s that a key lives at most.
@@ -175,8 +175,8 @@
             return self.apply_decision(check, decision, ctx);
         }
         let sla_times = ctx.config.products.iter().map(|product| product.sla_time);
-        let min_stay = sla_times.min().unwrap_or_default().times(MIN_STAY_SLA_TIMES);
-        if check.stay < min_stay.max(self.longest_stall.times(MIN_STAY_STALLS)) {
+        let min_time_left = sla_times.min().unwrap_or_default().times(MIN_SLA_TIMES_LEFT);
+        if check.time_left < min_time_left.max(self.longest_stall.times(MIN_STALLS_LEFT)) {
             return self.query_owner(check, ctx);
         }
         let request = QuotaRequestId(self.requests_sent);
--- a/crates/policy/src/interface.rs
+++ b/crates/policy/src/interface.rs
@@ -146,7 +146,7 @@
     }
 }
 
-/// The result of one call to the shared quota counter (`COUNTER_REPLY` on the simulator's wire).
+/// The result of one call to the shared quota counter (`COUNTER_REPLY` in the external simulator's protocol).
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum CounterReply {
     /// The total of the key after this call, in units.
--- a/crates/policy/src/measure.rs
+++ b/crates/policy/src/measure.rs
@@ -1,5 +1,5 @@
-//! Averages, queues of pending counter calls, and weighted random choice. This module contains no tuned values and makes
-//! no decisions; callers pass time constants and weights.
+//! Averages, queues of pending counter calls, and weighted random choice. This module contains no tuning constants and
+//! makes no decisions; callers pass time constants and weights.
 
 use crate::interface::*;
 use crate::state::{Context, PendingCounterCall};
--- a/crates/policy/src/state.rs
+++ b/crates/policy/src/state.rs
@@ -57,8 +57,8 @@
     pub claim: QuotaClaim,
     /// A random number from 0 to 1, generated once for the request.
     pub random: f64,
-    /// How long the client stays after the request arrives.
-    pub stay: Ticks,
+    /// The time from the arrival of the request to its deadline, when its client stops waiting.
+    pub time_left: Ticks,
     /// The timeout of a query to one owner.
     pub timeout: Ticks,
     /// Whether the load is too high for the request at the value that it has beyond its quota.
@@ -171,7 +171,7 @@
     pub last_success: Ticks,
     /// When the last idle connection to it closes.
     pub connected_until: Ticks,
-    /// Health checks ignore attempts sent before this time.
+    /// Attempts sent before this time do not count for an ejection.
     pub observed_since: Ticks,
     /// The average latency, as a multiple of the mean latency of the product.
     pub relative_latency: f64,
@@ -268,7 +268,7 @@
     pub demand_rate: f64,
     /// The fraction of claims that this gateway rejects as an owner, averaged.
     pub reject_ratio: f64,
-    /// When the customer's gateways were last notified that the quota is exhausted.
+    /// When this gateway, as an owner, last notified the customer's gateways that the quota is exhausted.
     pub exhausted_sent_at: Ticks,
     /// Units left in this gateway's part of the hard limit.
     pub hard_limit_tokens: f64,
@@ -340,7 +340,7 @@
     pub pending_owner_requests: BTreeMap<QuotaRequestId, PendingOwnerRequest>,
     /// The number of quota requests sent; the id of the next one.
     pub requests_sent: u32,
-    /// Customers that demand far more than their quotas, with the time of the last notification.
+    /// Customers that demand far more than their quotas, with the time of the last notification from an owner.
     pub exhausted_customers: BTreeMap<CustomerId, Ticks>,
     /// The longest recent interval between two batches of events; each heartbeat reduces it a little.
     pub longest_stall: Ticks,
@@ -351,8 +351,8 @@
     pub call_ratio_at: Ticks,
     /// The mean cost of a check, in units. If not all checks call the counter, those with a higher cost are preferred.
     pub mean_cost: f64,
-    /// From 0 to 1: the larger it is, the larger the shares whose customers are checked by the counter. It is reduced with
-    /// `call_ratio`, but recovers over minutes.
+    /// From 0 to 1: the larger it is, the larger a customer's share may be for its checks to call the counter. It is
+    /// reduced with `call_ratio`, but recovers over minutes.
     pub coverage: f64,
     /// The fraction of the checks that the counter answered, averaged.
     pub counted_ratio: f64,
--- a/crates/policy/tests/quota_owners.rs
+++ b/crates/policy/tests/quota_owners.rs
@@ -58,7 +58,7 @@
     Event::BackendList((0..4).map(backend).collect())
 }
 
-fn arrival(txn: u64, customer: u64, at: Ticks, stay: Ticks) -> Event {
+fn arrival(txn: u64, customer: u64, at: Ticks, time_left: Ticks) -> Event {
     Event::RequestArrived(Arrival {
         txn: TxnId(txn),
         product: ProductId(0),
@@ -70,7 +70,7 @@
             cost: 1.0,
             retry: false,
         },
-        deadline: at + stay,
+        deadline: at + time_left,
     })
 }
 
@@ -243,21 +243,23 @@
 }
 
 #[test]
-fn after_a_stall_a_gateway_holds_only_requests_of_clients_that_stay_longer() {
+fn after_a_stall_a_gateway_holds_only_requests_of_clients_that_wait_longer() {
     let mut gateway = Balancer::new(config(0));
     gateway.decide(Ticks(0), vec![backend_list()]);
-    let is_held = |gateway: &mut Balancer, txn, now: Ticks, stay| {
-        let actions = gateway.decide(now, vec![arrival(txn, 100 + txn, now, stay)]);
+    let is_held = |gateway: &mut Balancer, txn, now: Ticks, time_left| {
+        let actions = gateway.decide(now, vec![arrival(txn, 100 + txn, now, time_left)]);
         let sends_messages = !sent_messages(&actions).is_empty();
         assert_eq!(answer_count(&actions) + usize::from(sends_messages), 1, "{actions:?}");
         answer_count(&actions) == 0
     };
     // Heartbeats are on time, and most customers have their owners at other gateways.
-    let held_count = |gateway: &mut Balancer, from: i64, stay| {
-        (0..20).filter(|no| is_held(gateway, (from + no) as u64, Ticks(from * 10 + no), stay)).count()
+    let held_count = |gateway: &mut Balancer, from: i64, time_left| {
+        (0..20)
+            .filter(|index| is_held(gateway, (from + index) as u64, Ticks(from * 10 + index), time_left))
+            .count()
     };
     assert!(held_count(&mut gateway, 100, Ticks(30_000)) >= 15);
-    assert_eq!(held_count(&mut gateway, 130, Ticks(20_000)), 0, "clients that stay only two SLA times");
+    assert_eq!(held_count(&mut gateway, 130, Ticks(20_000)), 0, "clients that wait only two SLA times");
     // No event arrives for almost 4 s, not even the gateway's own heartbeat.
     assert_eq!(held_count(&mut gateway, 4_000, Ticks(30_000)), 0, "the gateway may stall as long again");
     assert!(held_count(&mut gateway, 4_100, Ticks(60_000)) >= 15);
@@ -378,22 +380,22 @@
 }
 
 /// A gateway that owners have granted many claims, so that it admits requests that no owner answers.
-struct TrustingGateway {
+struct GatewayWithGrants {
     gateway: Balancer,
     txn: u64,
     now: Ticks,
 }
 
-impl TrustingGateway {
-    fn new() -> TrustingGateway {
+impl GatewayWithGrants {
+    fn new() -> GatewayWithGrants {
         let mut gateway = Balancer::new(config(0));
         gateway.decide(Ticks(0), vec![backend_list()]);
-        let mut trusting = TrustingGateway { gateway, txn: 1_000, now: Ticks(10) };
+        let mut granted = GatewayWithGrants { gateway, txn: 1_000, now: Ticks(10) };
         for customer in 1_000..1_040 {
-            let query = trusting.request(customer);
-            trusting.receive_decision(&query, Ok(()));
+            let query = granted.request(customer);
+            granted.receive_decision(&query, Ok(()));
         }
-        trusting
+        granted
     }
 
     /// Advances the time in a step too small to count as a stall.
@@ -434,7 +436,7 @@
 
 #[test]
 fn a_rejection_stands_if_the_other_owner_is_unresponsive() {
-    let mut gateway = TrustingGateway::new();
+    let mut gateway = GatewayWithGrants::new();
     let first = gateway.request(5);
     let second = gateway.time_out(&first);
     assert!(sends_attempt(&gateway.time_out(&second)), "no owner rejected the claim, so it is admitted");
@@ -447,7 +449,7 @@
 
 #[test]
 fn an_exhausted_customer_is_rejected_for_a_while_if_no_owner_answers() {
-    let mut gateway = TrustingGateway::new();
+    let mut gateway = GatewayWithGrants::new();
     let customer = CustomerId(7);
     let exhausted =
         Event::PeerMessageReceived { from: GatewayId(3), message: PeerMessage::QuotaExhausted { customer } };
