--- a/crates/consensus/tests/model/exploration.rs
+++ b/crates/consensus/tests/model/exploration.rs
@@ -7,10 +7,10 @@
 use stateright::{Checker, HasDiscoveries, Model};
 use std::time::Instant;
 
-/// The highest share of a walk's steps for which actions are preferred that complete operations in progress. Each walk
-/// draws its own share: with a low one a walk exhausts its budget of faults before much is decided, with a high one
+/// The highest probability with which a step of a walk prefers actions that complete operations in progress. Each walk
+/// draws its own probability: with a low one it exhausts its budget of faults before much is decided, with a high one
 /// faults rarely occur in the middle of an operation.
-const MAX_PROGRESS_SHARE: f64 = 0.95;
+const MAX_PROGRESS_PROBABILITY: f64 = 0.95;
 
 /// Returns whether an action completes an operation in progress.
 fn is_progress(action: &Action) -> bool {
@@ -83,14 +83,14 @@
 fn walk_once(model: &ClusterModel, seed: u64, max_steps: usize) -> WalkReport {
     let mut random = SmallRng::seed_from_u64(seed);
     let is_described = number_from_environment("MODEL_WALK").is_some();
-    let progress_share = random.random_range(0.0..MAX_PROGRESS_SHARE);
+    let progress_probability = random.random_range(0.0..MAX_PROGRESS_PROBABILITY);
     let properties = model.properties();
     let mut state = model.init_states().swap_remove(0);
     for _ in 0..max_steps {
         let mut actions = Vec::new();
         model.actions(&state, &mut actions);
         actions.shuffle(&mut random);
-        if random.random_bool(progress_share) {
+        if random.random_bool(progress_probability) {
             // The sort is stable. Other actions remain as a fallback if no action of this kind changes the state.
             actions.sort_by_key(|action| !is_progress(action));
         }
