--- a/programs/controller/src/replica.rs
+++ b/programs/controller/src/replica.rs
@@ -70,7 +70,7 @@
     /// Controllers listed in the settings, contacted while no membership is known.
     seeds: Vec<SocketAddr>,
     /// Number of proxies by which quotas were divided, as recorded by the voters that granted the lease.
-    elected_proxy_count: Cell<u32>,
+    quota_divisor_at_election: Cell<u32>,
     /// Set while this process holds the lease.
     lease: Cell<Option<HeldLease>>,
     /// Ballot of this process's last campaign.
@@ -110,7 +110,7 @@
             voter: RefCell::new(voter),
             voter_commands,
             seeds,
-            elected_proxy_count: Cell::new(0),
+            quota_divisor_at_election: Cell::new(0),
             lease: Cell::new(None),
             claim: Cell::default(),
             clients,
@@ -197,8 +197,8 @@
 
     /// Returns the number of proxies by which quotas were divided before this process won its lease, or 0 if no voter
     /// knew.
-    pub fn elected_proxy_count(&self) -> u32 {
-        self.elected_proxy_count.get()
+    pub fn quota_divisor_at_election(&self) -> u32 {
+        self.quota_divisor_at_election.get()
     }
 
     /// Answers the query of a restarted voter that had promised `ballot` to this process: whether this process holds
--- a/programs/controller/src/replica/election.rs
+++ b/programs/controller/src/replica/election.rs
@@ -86,7 +86,7 @@
             self.back_off().await;
             return NextCampaign::WhenVacant;
         };
-        self.elected_proxy_count.set(election.quota_divisor());
+        self.quota_divisor_at_election.set(election.quota_divisor());
         self.lease.set(Some(HeldLease::granted(ballot, requested_at)));
         let lease_end = self.hold_lease(ballot, inherited).await;
         self.lease.set(None);
--- a/programs/controller/src/replica/voter_task.rs
+++ b/programs/controller/src/replica/voter_task.rs
@@ -22,7 +22,7 @@
         reply: oneshot::Sender<VoteResponse>,
     },
     /// Persists the number of proxies by which quotas are divided.
-    RecordProxyCount(u32),
+    RecordQuotaDivisor(u32),
     /// Persists a register that the leaseholder has published as committed.
     PersistRegister(Rc<Register>),
 }
@@ -48,9 +48,9 @@
                 VoterCommand::HandleRequest { request, reply } => {
                     self.handle_request(request, reply, &mut commands).await;
                 }
-                VoterCommand::RecordProxyCount(proxy_count) => {
-                    let write = self.replica.voter.borrow_mut().update_quota_divisor(proxy_count);
-                    self.persist_in_background(write, "proxy count");
+                VoterCommand::RecordQuotaDivisor(quota_divisor) => {
+                    let write = self.replica.voter.borrow_mut().update_quota_divisor(quota_divisor);
+                    self.persist_in_background(write, "quota divisor");
                 }
                 VoterCommand::PersistRegister(register) => {
                     let write = self.replica.voter.borrow_mut().adopt_committed_register(&register);
@@ -188,10 +188,10 @@
 
     /// Persists the number of proxies by which quotas are divided, so that a leaseholder elected after all processes were
     /// lost can read it.
-    pub fn record_proxy_count(&self, proxy_count: u32) {
-        if proxy_count != self.voter.borrow().quota_divisor() {
+    pub fn record_quota_divisor(&self, quota_divisor: u32) {
+        if quota_divisor != self.voter.borrow().quota_divisor() {
             // Sending cannot fail: the voter task runs until the program exits.
-            let _ = self.voter_commands.send(VoterCommand::RecordProxyCount(proxy_count));
+            let _ = self.voter_commands.send(VoterCommand::RecordQuotaDivisor(quota_divisor));
         }
     }
 
--- a/programs/controller/src/replica/voter_task/random_schedules_tests.rs
+++ b/programs/controller/src/replica/voter_task/random_schedules_tests.rs
@@ -109,7 +109,7 @@
     Request(VoteRequest),
     /// A register published by the leaseholder, which this process has pulled.
     LearnRegister(Register),
-    RecordProxyCount(u32),
+    RecordQuotaDivisor(u32),
 }
 
 fn draw_register(rng: &mut SmallRng, replica: &Replica) -> Register {
@@ -125,7 +125,7 @@
         0 => VoteRequest::Lease { ballot, candidate: peer },
         1 => VoteRequest::Renew { ballot, leaseholder: peer },
         2 => VoteRequest::Recover { member: peer, incarnation: rng.random_range(1..9) },
-        3 => return Input::RecordProxyCount(rng.random_range(1..9)),
+        3 => return Input::RecordQuotaDivisor(rng.random_range(1..9)),
         4 | 5 => return Input::LearnRegister(draw_register(rng, replica)),
         _ => VoteRequest::Accept { register: draw_register(rng, replica) },
     })
@@ -150,7 +150,7 @@
                 replica.persist_published_register();
             }
         }
-        Input::RecordProxyCount(count) => replica.record_proxy_count(count),
+        Input::RecordQuotaDivisor(divisor) => replica.record_quota_divisor(divisor),
     }
 }
 
--- a/programs/controller/src/replica/voter_task/tests.rs
+++ b/programs/controller/src/replica/voter_task/tests.rs
@@ -17,7 +17,7 @@
 /// Nothing listens on these addresses, so the voter under test hears from no peer.
 const SEEDS: [&str; 3] = ["127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3"];
 const BALLOT: Ballot = Ballot(1 << 20);
-const PROXY_COUNT: u32 = 7;
+const QUOTA_DIVISOR: u32 = 7;
 const INCARNATION: u64 = 9;
 
 fn seeds() -> Vec<SocketAddr> {
@@ -104,9 +104,9 @@
     assert!(matches!(response.vote, Vote::Accepted), "{response:?}");
 }
 
-/// Records a proxy count, then promises a ballot.
-async fn count_and_promise(voter: Rc<TestVoter>) {
-    voter.replica.record_proxy_count(PROXY_COUNT);
+/// Records a quota divisor, then promises a ballot.
+async fn record_divisor_and_promise(voter: Rc<TestVoter>) {
+    voter.replica.record_quota_divisor(QUOTA_DIVISOR);
     let response = voter.replica.handle_vote_request(lease_request()).await;
     assert!(matches!(response.vote, Vote::Granted { .. }), "{response:?}");
 }
@@ -126,9 +126,9 @@
         stored_records_after(learn_and_accept).decode(Record::Register).expect("a decodable record");
     assert_eq!(register.map(|register| register.revision), Some(Revision(6)));
     let record: Option<VoterRecord> =
-        stored_records_after(count_and_promise).decode(Record::Voter).expect("a decodable record");
+        stored_records_after(record_divisor_and_promise).decode(Record::Voter).expect("a decodable record");
     let promised = record.map(|record| (record.ballot, record.quota_divisor));
-    assert_eq!(promised, Some((BALLOT, PROXY_COUNT)));
+    assert_eq!(promised, Some((BALLOT, QUOTA_DIVISOR)));
     let record: Option<VoterRecord> =
         stored_records_after(recover_and_promise).decode(Record::Voter).expect("a decodable record");
     let promised = record.map(|record| (record.ballot, record.peer_incarnations.get(&seeds()[2]).copied()));
--- a/programs/controller/src/roles/report_aggregation.rs
+++ b/programs/controller/src/roles/report_aggregation.rs
@@ -40,7 +40,7 @@
 fn begin_aggregation(state: &ControllerState) {
     let now = state.publisher.now();
     let mut aggregator = state.aggregator.borrow_mut();
-    aggregator.start_aggregating(state.replica.elected_proxy_count(), now);
+    aggregator.start_aggregating(state.replica.quota_divisor_at_election(), now);
     if let Some(summary) = &state.publisher.store().fleet_summary {
         aggregator.inherit_summary(summary, now);
     }
--- a/programs/controller/src/state.rs
+++ b/programs/controller/src/state.rs
@@ -82,7 +82,7 @@
         let Some(summary) = self.publisher.store().fleet_summary.clone() else {
             return;
         };
-        self.replica.record_proxy_count(summary.quota_divisor);
+        self.replica.record_quota_divisor(summary.quota_divisor);
         let config = self.replica.config();
         self.token_lender.borrow_mut().apply_summary(&summary, config.as_deref(), self.publisher.now());
     }
