--- a/programs/controller/src/internal_api.rs
+++ b/programs/controller/src/internal_api.rs
@@ -36,7 +36,7 @@
             RpcResponse::json(&state.replica.handle_vote_request(vote_request).await)
         }
         ("POST", endpoints::HOLDS_LEASE) => {
-            RpcResponse::json(&state.replica.confirm_lease(decode_body(request)?))
+            RpcResponse::json(&state.replica.answer_lease_query(decode_body(request)?))
         }
         ("GET", endpoints::PEERS) => RpcResponse::json(&choose_peers(state)),
         ("GET", endpoints::MEMBERSHIP) => RpcResponse::json(&state.replica.membership()),
--- a/programs/controller/src/replica.rs
+++ b/programs/controller/src/replica.rs
@@ -203,7 +203,7 @@
 
     /// Answers the query of a restarted voter that had promised `ballot` to this process: whether this process holds
     /// the lease under it. After answering `false` this process never acquires the lease under that ballot.
-    pub fn confirm_lease(&self, ballot: Ballot) -> bool {
+    pub fn answer_lease_query(&self, ballot: Ballot) -> bool {
         let mut claim = self.claim.get();
         let holds_lease = claim.answer_lease_query(ballot, self.lease.get(), self.now());
         self.claim.set(claim);
--- a/programs/controller/src/replica/recovery.rs
+++ b/programs/controller/src/replica/recovery.rs
@@ -28,7 +28,7 @@
         let deadline = self.now().after(LEASE_DURATION);
         while self.now() < deadline {
             let holds_lease = if leaseholder == self.address {
-                Some(self.confirm_lease(record.ballot))
+                Some(self.answer_lease_query(record.ballot))
             } else {
                 let mut client = RpcClient::new(leaseholder, &self.environment.network);
                 client.call(endpoints::HOLDS_LEASE, &record.ballot, LEASE_QUERY_TIMEOUT).await.ok()
