--- a/crates/consensus/src/election.rs
+++ b/crates/consensus/src/election.rs
@@ -79,8 +79,8 @@
 
     /// Returns the highest ballot that a refusing voter has promised, or 0 if none refused. The next attempt has to use
     /// a higher one.
-    pub fn highest_refused_ballot(&self) -> Ballot {
-        self.tally.highest_refused_ballot()
+    pub fn highest_ballot_in_refusals(&self) -> Ballot {
+        self.tally.highest_ballot_in_refusals()
     }
 
     /// Returns the highest quota divisor known to the voters that granted the lease, or 0 if none knows one.
--- a/crates/consensus/src/election/tests.rs
+++ b/crates/consensus/src/election/tests.rs
@@ -19,7 +19,7 @@
     let newer = register(2, 4, voters(&[1, 2, 3]));
     let outcome = election.record_response(address(3), granted(newer.clone()));
     assert_eq!(outcome, ControlFlow::Break(ElectionOutcome::Won(Box::new(newer))));
-    assert_eq!((election.highest_refused_ballot(), election.quota_divisor()), (Ballot(9), 8));
+    assert_eq!((election.highest_ballot_in_refusals(), election.quota_divisor()), (Ballot(9), 8));
 }
 
 #[test]
--- a/crates/consensus/src/quorum.rs
+++ b/crates/consensus/src/quorum.rs
@@ -76,7 +76,7 @@
     }
 
     /// Returns the highest ballot that a refusing voter has promised, or 0 if none refused.
-    pub(crate) fn highest_refused_ballot(&self) -> Ballot {
+    pub(crate) fn highest_ballot_in_refusals(&self) -> Ballot {
         let refused = self.votes().filter_map(|vote| match vote {
             Vote::Refused { promised, .. } => Some(*promised),
             _ => None,
--- a/crates/consensus/src/renewal.rs
+++ b/crates/consensus/src/renewal.rs
@@ -51,7 +51,7 @@
     pub fn outcome(&self) -> RenewalOutcome {
         if self.tally.has_quorum() {
             RenewalOutcome::Renewed
-        } else if self.tally.highest_refused_ballot() > self.ballot {
+        } else if self.tally.highest_ballot_in_refusals() > self.ballot {
             RenewalOutcome::Superseded
         } else {
             RenewalOutcome::Incomplete
--- a/crates/consensus/tests/model/delivery.rs
+++ b/crates/consensus/tests/model/delivery.rs
@@ -89,7 +89,7 @@
         let outcome = pending.election.record_response(address(message.voter), response);
         let member = &mut state.members[candidate];
         member.highest_ballot_seen =
-            member.highest_ballot_seen.max(pending.election.highest_refused_ballot());
+            member.highest_ballot_seen.max(pending.election.highest_ballot_in_refusals());
         match outcome {
             ControlFlow::Continue(()) if state.has_messages_of(candidate, round) => {
                 state.members[candidate].election = Some(pending);
--- a/programs/controller/src/replica.rs
+++ b/programs/controller/src/replica.rs
@@ -84,7 +84,7 @@
     is_shutting_down: Cell<bool>,
     /// Highest promised ballot returned by a voter that refused a request. That voter accepts nothing under a lower
     /// ballot.
-    highest_refused_ballot: Cell<Ballot>,
+    highest_ballot_in_refusals: Cell<Ballot>,
     parsed_config: RefCell<ParsedConfig>,
 }
 
@@ -117,7 +117,7 @@
             next_revision: Cell::new(Revision(0)),
             proposed: RefCell::default(),
             is_shutting_down: Cell::new(false),
-            highest_refused_ballot: Cell::default(),
+            highest_ballot_in_refusals: Cell::default(),
             parsed_config: RefCell::default(),
         });
         let voter_task = VoterTask::new(Rc::clone(&replica), storage);
--- a/programs/controller/src/replica/election.rs
+++ b/programs/controller/src/replica/election.rs
@@ -112,7 +112,7 @@
     /// Returns a ballot above every ballot known to this process.
     fn ballot_above(&self, highest_promised: Ballot) -> Ballot {
         let own_promise = self.voter.borrow().promised_ballot();
-        let highest = highest_promised.max(self.highest_refused_ballot.get()).max(own_promise);
+        let highest = highest_promised.max(self.highest_ballot_in_refusals.get()).max(own_promise);
         next_ballot(highest, self.address)
     }
 
--- a/programs/controller/src/replica/renewal.rs
+++ b/programs/controller/src/replica/renewal.rs
@@ -67,11 +67,11 @@
             if self.lease.get().is_none_or(|lease| !lease.is_valid(self.now())) {
                 return LeaseEnd::Lost;
             }
-            let refused_ballot = self.highest_refused_ballot.get();
-            if refused_ballot > ballot {
+            let promised_ballot = self.highest_ballot_in_refusals.get();
+            if promised_ballot > ballot {
                 spdlog::info!(
                     "voter has promised a higher ballot; giving up the lease and campaigning again",
-                    kv: { event = "lease_preempted", ballot = ballot.0, promised_ballot = refused_ballot.0 }
+                    kv: { event = "lease_preempted", ballot = ballot.0, promised_ballot = promised_ballot.0 }
                 );
                 return LeaseEnd::Preempted;
             }
--- a/programs/controller/src/replica/vote_rpc.rs
+++ b/programs/controller/src/replica/vote_rpc.rs
@@ -65,7 +65,7 @@
             self.call_voter(voter, request, response_timeout).await?
         };
         if let Vote::Refused { promised, .. } = response.vote {
-            self.highest_refused_ballot.set(promised.max(self.highest_refused_ballot.get()));
+            self.highest_ballot_in_refusals.set(promised.max(self.highest_ballot_in_refusals.get()));
         }
         Some(response)
     }
