--- a/crates/policy/src/decide.rs
+++ b/crates/policy/src/decide.rs
@@ -90,14 +90,14 @@
     /// Ticks only backends that are ejected, failing, warming up or have attempts in flight: few in a large fleet.
     fn tick(&mut self) {
         let ctx = Context { now: self.now, config: &self.config };
-        let ready = self.admission.backends.values().filter(|backend| backend.is_ready());
-        let (rate, capacity) = ready.fold((0.0, 1e-6), |(rate, capacity), backend| {
+        let warm = self.admission.backends.values().filter(|backend| backend.is_warm());
+        let (rate, capacity) = warm.fold((0.0, 1e-6), |(rate, capacity), backend| {
             (rate + backend.sent_rate.value(RATE_EMA_SECONDS, ctx), capacity + backend.capacity)
         });
-        let (ready_rate, overdue_after) = (rate / capacity, self.admission.overdue_after());
+        let (warm_rate, overdue_after) = (rate / capacity, self.admission.overdue_after());
         // Random times keep gateways that ejected a backend together from returning to it together.
         let ejection_time = MIN_EJECTION_TIME.times(1.0 + 0.5 * self.rng.random::<f64>());
-        self.backends.notify_active(BackendMessage::Tick { overdue_after, ready_rate, ejection_time });
+        self.backends.notify_active(BackendMessage::Tick { overdue_after, warm_rate, ejection_time });
     }
 
     /// Empties the inboxes: backends first, then quotas, so that admission control never uses outdated snapshots.
--- a/crates/policy/src/decide/backend.rs
+++ b/crates/policy/src/decide/backend.rs
@@ -20,10 +20,10 @@
                     self.record_outcome(outcome, sent_at, relative_latency, ctx);
                 }
             }
-            BackendMessage::Tick { overdue_after, ready_rate, ejection_time } => {
+            BackendMessage::Tick { overdue_after, warm_rate, ejection_time } => {
                 let stuck = self.in_flight.values().filter(|&&at| ctx.now - at > overdue_after.times(2.0));
                 self.stuck = stuck.count() as f64;
-                self.refill_warm_up_credit(ready_rate, ctx);
+                self.refill_warm_up_credit(warm_rate, ctx);
                 self.update_ejection(overdue_after, ejection_time, ctx.now);
             }
         }
@@ -49,13 +49,13 @@
         ctx.config.warm_up.capacity_after(age)
     }
 
-    fn refill_warm_up_credit(&mut self, ready_rate: f64, ctx: Context) {
+    fn refill_warm_up_credit(&mut self, warm_rate: f64, ctx: Context) {
         let gap = ctx.since(self.ticked_at);
         self.ticked_at = ctx.now;
-        let budget = ready_rate * self.capacity * self.warm_up_ratio(ctx);
+        let budget = warm_rate * self.capacity * self.warm_up_ratio(ctx);
         self.warm_up_credit = (self.warm_up_credit + budget * gap).min(budget * 0.5);
         // If all backends have just started, none gives a rate to compare with: one attempt at a time.
-        if ready_rate == 0.0 && self.in_flight.is_empty() {
+        if warm_rate == 0.0 && self.in_flight.is_empty() {
             self.warm_up_credit = self.warm_up_credit.max(1e-6);
         }
     }
--- a/crates/policy/src/state.rs
+++ b/crates/policy/src/state.rs
@@ -241,7 +241,7 @@
 
 impl BackendSnapshot {
     /// Returns whether the backend has warmed up and is not ejected.
-    pub fn is_ready(&self) -> bool {
+    pub fn is_warm(&self) -> bool {
         !self.warming_up && !self.ejected
     }
 }
