--- a/crates/health/src/outlier.rs
+++ b/crates/health/src/outlier.rs
@@ -72,7 +72,7 @@
     }
 
     /// Updates the failure shares from the current reports of the proxies. Each report contains only the backends of
-    /// which that proxy saw failures.
+    /// which that proxy saw failures. `proxies` is the number of all proxies, whether or not they have reported.
     ///
     /// Returns the unhealthy backends by id, each with the fraction of attempts that fail, rounded to hundredths.
     pub fn update<'a>(
--- a/crates/policy/src/decide/account.rs
+++ b/crates/policy/src/decide/account.rs
@@ -41,7 +41,7 @@
         let gap = ctx.since(self.refilled_at);
         self.refilled_at = ctx.now;
         self.tokens = (self.tokens + plan.rate * self.share * gap).min(plan.burst * self.share);
-        // Readings are late: half of a surge is assumed at the others at once; without readings, their even part.
+        // Readings are late: half of a surge here is assumed at the other gateways; without readings, their even part.
         self.demand_rate *= (-gap / SURGE_EMA_SECONDS).exp();
         let surging = 0.5 * self.demand_rate * (1.0 / self.share - 1.0);
         let others = surging.max(self.metered_usage * plan.rate - self.lagged_rate);
--- a/crates/policy/src/decide/admission.rs
+++ b/crates/policy/src/decide/admission.rs
@@ -205,7 +205,7 @@
         let mean =
             self.latencies.iter().map(|latency| latency.mean).sum::<f64>() / self.latencies.len() as f64;
         self.mean_value += 0.02 * (value - self.mean_value);
-        // Attempts stuck at an unresponsive backend delay no others; a congested backend looks unresponsive too.
+        // Stuck attempts delay no others. All others count, also at ejected backends: congestion can cause an ejection.
         let in_flight: f64 = self.backends.values().map(|backend| backend.in_flight - backend.stuck).sum();
         let weight = 1.0 - ctx.decay(self.in_flight_at, IN_FLIGHT_EMA_LATENCIES * mean);
         self.mean_in_flight += weight * (in_flight - self.mean_in_flight);
--- a/crates/policy/src/messages.rs
+++ b/crates/policy/src/messages.rs
@@ -60,7 +60,7 @@
     Tick {
         /// The age after which an attempt in flight is overdue, a sign of an unresponsive backend.
         overdue_after: Ticks,
-        /// Work (seconds per second) that this gateway sends to warmed-up, not ejected backends, per unit of their capacity.
+        /// Work (seconds per second) that this gateway sends to warm, not ejected backends, per unit of their capacity.
         warm_rate: f64,
         /// How long an ejection that starts now lasts.
         ejection_time: Ticks,
--- a/programs/controller/src/replica/reconfiguration.rs
+++ b/programs/controller/src/replica/reconfiguration.rs
@@ -29,7 +29,7 @@
             if is_final_step {
                 let Membership { epoch, voters, .. } = self.membership();
                 spdlog::info!(
-                    "membership change is committed",
+                    "membership change committed",
                     kv: { event = "reconfiguration_end", epoch, voters:? }
                 );
             }
