--- a/crates/policy/src/decide/account.rs
+++ b/crates/policy/src/decide/account.rs
@@ -87,7 +87,7 @@
     /// Charges a request if the share or the unused quota admits it, and the hard limit too.
     pub(super) fn try_charge(&mut self, cost: f64, retry: bool, plan: &Plan) -> QuotaDecision {
         self.demand_rate += cost / SURGE_EMA_SECONDS;
-        // The SLA time of a retry runs from its first try and has often passed, so a retry needs more tokens.
+        // The SLA time of a retry runs from the first request and has often passed, so a retry needs more tokens.
         let retry = f64::from(u8::from(retry));
         // After a rejection the client may retry at any of its gateways, one of which has refilled earlier.
         let others = (self.subset_size - 1.0).max(1.0);
--- a/programs/controller/src/replica/voter_task.rs
+++ b/programs/controller/src/replica/voter_task.rs
@@ -65,7 +65,7 @@
     async fn sync_storage(&self) {
         while let Err(error) = self.writer.sync_loaded().await {
             spdlog::warn!(
-                "cannot sync the stored records to disk; the voter does not vote until a retry succeeds",
+                "fsync of the data directory failed; the voter does not vote until a retry succeeds",
                 kv: { event = "directory_sync_failed", error: }
             );
             sleep(PERSIST_RETRY_INTERVAL).await;
