--- a/crates/policy/src/decide/account.rs
+++ b/crates/policy/src/decide/account.rs
@@ -41,7 +41,7 @@
         let gap = ctx.since(self.refilled_at);
         self.refilled_at = ctx.now;
         self.tokens = (self.tokens + plan.rate * self.share * gap).min(plan.burst * self.share);
-        // Readings are late: half of a surge is assumed at the others at once; without readings, their even part.
+        // Readings are late: half of a surge here is assumed at the other gateways; without readings, their even part.
         self.demand_rate *= (-gap / SURGE_EMA_SECONDS).exp();
         let surging = 0.5 * self.demand_rate * (1.0 / self.share - 1.0);
         let others = surging.max(self.metered_usage * plan.rate - self.lagged_rate);
@@ -87,7 +87,7 @@
     /// Charges a request if the share or the unused quota admits it, and the hard limit too.
     pub(super) fn try_charge(&mut self, cost: f64, retry: bool, plan: &Plan) -> QuotaDecision {
         self.demand_rate += cost / SURGE_EMA_SECONDS;
-        // The SLA time of a retry runs from its first try and has often passed, so a retry needs more tokens.
+        // The SLA time of a retry runs from the first request and has often passed, so a retry needs more tokens.
         let retry = f64::from(u8::from(retry));
         // After a rejection the client may retry at any of its gateways, one of which has refilled earlier.
         let others = (self.subset_size - 1.0).max(1.0);
--- a/programs/controller/src/replica.rs
+++ b/programs/controller/src/replica.rs
@@ -70,7 +70,7 @@
     /// Controllers listed in the settings, contacted while no membership is known.
     seeds: Vec<SocketAddr>,
     /// Number of proxies by which quotas were divided, as recorded by the voters that granted the lease.
-    elected_proxy_count: Cell<u32>,
+    quota_divisor_at_election: Cell<u32>,
     /// Set while this process holds the lease.
     lease: Cell<Option<HeldLease>>,
     /// Ballot of this process's last campaign.
@@ -84,7 +84,7 @@
     is_shutting_down: Cell<bool>,
     /// Highest promised ballot returned by a voter that refused a request. That voter accepts nothing under a lower
     /// ballot.
-    highest_refused_ballot: Cell<Ballot>,
+    highest_ballot_in_refusals: Cell<Ballot>,
     parsed_config: RefCell<ParsedConfig>,
 }
 
@@ -110,14 +110,14 @@
             voter: RefCell::new(voter),
             voter_commands,
             seeds,
-            elected_proxy_count: Cell::new(0),
+            quota_divisor_at_election: Cell::new(0),
             lease: Cell::new(None),
             claim: Cell::default(),
             clients,
             next_revision: Cell::new(Revision(0)),
             proposed: RefCell::default(),
             is_shutting_down: Cell::new(false),
-            highest_refused_ballot: Cell::default(),
+            highest_ballot_in_refusals: Cell::default(),
             parsed_config: RefCell::default(),
         });
         let voter_task = VoterTask::new(Rc::clone(&replica), storage);
@@ -197,13 +197,13 @@
 
     /// Returns the number of proxies by which quotas were divided before this process won its lease, or 0 if no voter
     /// knew.
-    pub fn elected_proxy_count(&self) -> u32 {
-        self.elected_proxy_count.get()
+    pub fn quota_divisor_at_election(&self) -> u32 {
+        self.quota_divisor_at_election.get()
     }
 
     /// Answers the query of a restarted voter that had promised `ballot` to this process: whether this process holds
     /// the lease under it. After answering `false` this process never acquires the lease under that ballot.
-    pub fn confirm_lease(&self, ballot: Ballot) -> bool {
+    pub fn answer_lease_query(&self, ballot: Ballot) -> bool {
         let mut claim = self.claim.get();
         let holds_lease = claim.answer_lease_query(ballot, self.lease.get(), self.now());
         self.claim.set(claim);
--- a/programs/controller/src/replica/election.rs
+++ b/programs/controller/src/replica/election.rs
@@ -86,7 +86,7 @@
             self.back_off().await;
             return NextCampaign::WhenVacant;
         };
-        self.elected_proxy_count.set(election.quota_divisor());
+        self.quota_divisor_at_election.set(election.quota_divisor());
         self.lease.set(Some(HeldLease::granted(ballot, requested_at)));
         let lease_end = self.hold_lease(ballot, inherited).await;
         self.lease.set(None);
@@ -112,7 +112,7 @@
     /// Returns a ballot above every ballot known to this process.
     fn ballot_above(&self, highest_promised: Ballot) -> Ballot {
         let own_promise = self.voter.borrow().promised_ballot();
-        let highest = highest_promised.max(self.highest_refused_ballot.get()).max(own_promise);
+        let highest = highest_promised.max(self.highest_ballot_in_refusals.get()).max(own_promise);
         next_ballot(highest, self.address)
     }
 
