--- a/programs/controller/src/replica/voter_task.rs
+++ b/programs/controller/src/replica/voter_task.rs
@@ -50,7 +50,7 @@
                 }
                 VoterCommand::RecordQuotaDivisor(quota_divisor) => {
                     let write = self.replica.voter.borrow_mut().update_quota_divisor(quota_divisor);
-                    self.persist_in_background(write, "quota divisor");
+                    self.persist_in_background(write, "proxy count");
                 }
                 VoterCommand::PersistRegister(register) => {
                     let write = self.replica.voter.borrow_mut().adopt_committed_register(&register);
