--- a/programs/gateway/src/drain.rs
+++ b/programs/gateway/src/drain.rs
@@ -6,10 +6,12 @@
 use std::time::Duration;
 use tokio::time::{Instant, timeout_at};
 
-/// Share of the time until the kill after which requests still in flight are answered with the outcome known so far.
-pub const FINISH_SHARE: f64 = 0.95;
-/// Share of the time until the kill after which the process exits even if clients have not received their answers.
-const EXIT_SHARE: f64 = 0.98;
+/// The fraction of the time until the kill after which requests still in flight are answered with the outcome known so
+/// far.
+pub const FINISH_GRACE_FRACTION: f64 = 0.95;
+/// The fraction of the time until the kill after which the process exits even if clients have not received their
+/// answers.
+const EXIT_GRACE_FRACTION: f64 = 0.98;
 
 /// The deadlines of a shutdown.
 #[derive(Clone, Copy, Debug)]
@@ -21,11 +23,11 @@
 }
 
 impl DrainDeadlines {
-    /// The deadlines if the process is asked to terminate at `asked_at` and killed `kill_after` later.
-    pub fn within(asked_at: Instant, kill_after: Duration) -> DrainDeadlines {
+    /// The deadlines if the process receives SIGTERM at `shutdown_at` and is killed `kill_after` later.
+    pub fn within(shutdown_at: Instant, kill_after: Duration) -> DrainDeadlines {
         DrainDeadlines {
-            finish_at: asked_at + kill_after.mul_f64(FINISH_SHARE),
-            exit_at: asked_at + kill_after.mul_f64(EXIT_SHARE),
+            finish_at: shutdown_at + kill_after.mul_f64(FINISH_GRACE_FRACTION),
+            exit_at: shutdown_at + kill_after.mul_f64(EXIT_GRACE_FRACTION),
         }
     }
 }
--- a/programs/proxy/src/server.rs
+++ b/programs/proxy/src/server.rs
@@ -16,7 +16,7 @@
 use tokio::time::{Instant, sleep, sleep_until, timeout_at};
 use vanewharf_config::settings::Settings;
 use vanewharf_gateway::clock::Clock;
-use vanewharf_gateway::drain::{DrainDeadlines, FINISH_SHARE, answer_clients};
+use vanewharf_gateway::drain::{DrainDeadlines, FINISH_GRACE_FRACTION, answer_clients};
 use vanewharf_gateway::listener::accept_clients;
 use vanewharf_gateway::messages::{BackendUpdate, RouterMessage};
 use vanewharf_gateway::open_requests::{OpenRequestState, RequestStage};
@@ -77,7 +77,7 @@
     status.draining.set(true);
     let grace = settings.limits_table.grace_period;
     // Requests that may not be answered before this deadline are no longer admitted.
-    gate_state.admission_deadline.set(Some(shutdown_at + to_ticks(grace.mul_f64(FINISH_SHARE))));
+    gate_state.admission_deadline.set(Some(shutdown_at + to_ticks(grace.mul_f64(FINISH_GRACE_FRACTION))));
     drain(&shared, accepting, &stop_accepting, grace).await;
     check_answered(&shared, shutdown_at);
     Ok(())
