--- a/programs/gateway/src/backend_connection/connection.rs
+++ b/programs/gateway/src/backend_connection/connection.rs
@@ -1,6 +1,6 @@
 //! The socket of a backend connection: connecting, exchanging a request and its reply, and waiting while idle.
 
-use crate::clock::to_duration;
+use crate::clock::{TICKS_PER_MS, to_duration};
 use crate::counters::Counter;
 use crate::dialect::ReplyMatch;
 use crate::messages::Attempt;
@@ -53,7 +53,7 @@
 }
 
 impl Connection {
-    /// Connects to a backend. The error tells a lack of local sockets from a failure to connect.
+    /// Connects to a backend. The error distinguishes a lack of local sockets from a failure to connect.
     pub(super) async fn dial(address: SocketAddr, shared: &Shared) -> Result<Connection, ConnectionEvent> {
         let resources = &shared.resources;
         if !resources.can_dial() {
@@ -85,7 +85,7 @@
     }
 
     async fn write_request(&mut self, attempt: &mut Attempt, shared: &Shared) -> Result<(), Exchange> {
-        let ms_left = (attempt.deadline - shared.clock.now()).0.max(0) / 10;
+        let ms_left = (attempt.deadline - shared.clock.now()).0.max(0) / TICKS_PER_MS;
         let ms_left = ms_left.to_string();
         let options = shared.dialect.forwarding_options();
         let extra = attempt.extra_headers.iter().map(|(name, value)| (*name, value.as_str()));
--- a/programs/gateway/src/clock.rs
+++ b/programs/gateway/src/clock.rs
@@ -4,6 +4,10 @@
 use tokio::time::Instant;
 use vanewharf_policy::interface::Ticks;
 
+/// The number of ticks in a millisecond.
+pub const TICKS_PER_MS: i64 = Ticks::SECOND.0 / 1000;
+const MICROS_PER_TICK: i64 = 1000 / TICKS_PER_MS;
+
 /// A clock that never goes back, even if the system's clock is set.
 #[derive(Clone, Copy)]
 pub struct Clock {
@@ -30,10 +34,10 @@
 }
 
 fn to_ticks(duration: Duration) -> Ticks {
-    Ticks((duration.as_micros() / 100) as i64)
+    Ticks((duration.as_micros() / MICROS_PER_TICK as u128) as i64)
 }
 
 /// Converts ticks to a duration; negative ticks give zero.
 pub fn to_duration(ticks: Ticks) -> Duration {
-    Duration::from_micros(ticks.0.clamp(0, i64::MAX / 100) as u64 * 100)
+    Duration::from_micros((ticks.0.clamp(0, i64::MAX / MICROS_PER_TICK) * MICROS_PER_TICK) as u64)
 }
--- a/programs/gateway/src/connection_pool.rs
+++ b/programs/gateway/src/connection_pool.rs
@@ -9,10 +9,10 @@
 use vanewharf_gateway_settings::idle_reuse_limit;
 use vanewharf_policy::interface::{BackendId, BackendInfo, BackendStatus, Ticks};
 
-/// Raising starts at this limit at least, because doubling a limit close to zero would take too long.
+/// The value (0.5 ms) from which a lower limit is raised, because doubling a limit close to zero would take too long.
 const MIN_RAISE_START: Ticks = Ticks(5);
-/// After a loss, the limit is at most this share of the time for which the lost connection had been idle.
-const LIMIT_SHARE_AFTER_LOSS: f64 = 0.5;
+/// After a loss, the limit is at most this fraction of the time for which the lost connection had been idle.
+const LIMIT_FRACTION_AFTER_LOSS: f64 = 0.5;
 /// Each sweep multiplies a lowered limit by this factor.
 const LIMIT_GROWTH_FACTOR: f64 = 2.0;
 
@@ -98,7 +98,7 @@
     /// Lowers the limit after a reused connection that had been idle for `idle` was lost, because its request may have
     /// run.
     pub fn record_idle_loss(&mut self, idle: Ticks) {
-        self.idle_limit = self.idle_limit.min(idle.times(LIMIT_SHARE_AFTER_LOSS));
+        self.idle_limit = self.idle_limit.min(idle.times(LIMIT_FRACTION_AFTER_LOSS));
     }
 
     /// Raises the limit, then removes the connections beyond it and those that have ended. Returns how many it removed.
--- a/programs/gateway/src/discovery.rs
+++ b/programs/gateway/src/discovery.rs
@@ -34,9 +34,9 @@
 /// Why a call returned no list.
 #[derive(Debug, Error)]
 enum CallError {
-    /// A reply other than 200: the agent is reachable but refuses calls.
-    #[error("the discovery agent refused the call")]
-    Refused,
+    /// A reply with a status other than 200: the agent is reachable but refuses calls.
+    #[error("the discovery agent refused the call with status {0}")]
+    Refused(u16),
     /// The connection or the reply failed. Changes may have been missed, so the complete list must be requested.
     #[error("{0}")]
     Failed(&'static str),
@@ -131,7 +131,7 @@
     fn pause_after(&mut self, error: &CallError) -> Duration {
         match error {
             // The next long poll starts from the same version, so no change is missed.
-            CallError::Refused => {
+            CallError::Refused(_) => {
                 tracing::debug!("{error}");
                 self.pacing.pause_after_refusal()
             }
@@ -163,13 +163,13 @@
         };
         let request = Request::get(&address.to_string(), &target);
         let reply = timeout(reply_timeout, exchange(connection, &request)).await;
-        let reply = reply.map_err(|_| CallError::Failed("no reply in time"))?;
+        let reply = reply.map_err(|_| CallError::Failed("no reply within the timeout"))?;
         let reply = reply.ok_or(CallError::Failed("connection lost"))?;
         if reply.closes_connection() {
             self.connection = None;
         }
         if reply.status() != STATUS_OK {
-            return Err(CallError::Refused);
+            return Err(CallError::Refused(reply.status()));
         }
         serde_json::from_slice(reply.body()).map_err(|_| CallError::Failed("invalid list"))
     }
--- a/programs/gateway/src/discovery/backend_table.rs
+++ b/programs/gateway/src/discovery/backend_table.rs
@@ -1,5 +1,6 @@
 //! The published backends by name, and the ids that this process assigns to them.
 
+use crate::clock::TICKS_PER_MS;
 use crate::messages::{BackendEntry, BackendUpdate};
 use serde::Deserialize;
 use std::collections::{BTreeMap, HashSet};
@@ -25,6 +26,7 @@
     status: String,
     #[serde(default)]
     weight: f64,
+    /// When the backend started, in Unix time; 0 if that is not known.
     #[serde(default)]
     since_ms: f64,
 }
@@ -35,7 +37,7 @@
     }
 
     fn started_at(&self) -> Option<Ticks> {
-        (self.since_ms > 0.0).then_some(Ticks((self.since_ms * 10.0) as i64))
+        (self.since_ms > 0.0).then_some(Ticks((self.since_ms * TICKS_PER_MS as f64) as i64))
     }
 
     fn status(&self) -> BackendStatus {
--- a/programs/gateway/src/messages.rs
+++ b/programs/gateway/src/messages.rs
@@ -58,7 +58,7 @@
     AttemptEnded(AttemptResult),
     /// Discovery published a backend list or changes to it.
     BackendsChanged(BackendUpdate),
-    /// Sockets are short: close the backend connection that has been idle longest.
+    /// Few sockets are left: close the backend connection that has been idle longest.
     CloseIdleConnection,
     /// The shared quota counter's reply to one call.
     QuotaCounterReply(CounterKey, CounterReply),
--- a/programs/gateway/src/platform_dialect.rs
+++ b/programs/gateway/src/platform_dialect.rs
@@ -1,6 +1,7 @@
 //! The stand-alone gateway's [`HttpDialect`]: the header fields and the query key that a request must have, and the
 //! header fields of backends' replies.
 
+use crate::clock::TICKS_PER_MS;
 use crate::dialect::{Admission, ForwardingOptions, HttpDialect, ReplyMatch, ReportedUsage};
 use std::time::Duration;
 use vanewharf_gateway_settings::{PolicyNames, RequestBounds};
@@ -21,19 +22,19 @@
 const UNPROCESSED_HEADER: &str = "X-Unprocessed";
 
 const HEALTH_PATH: &str = "/healthz";
-/// Limits the memory for the ids of requests in flight.
+/// The maximum length of a request id, which limits the memory for the ids of requests in flight.
 const MAX_REQUEST_ID_BYTES: usize = 64;
 /// The number of hexadecimal digits in a customer's key.
 const CUSTOMER_KEY_DIGITS: usize = 16;
 /// Customer numbers are below this limit.
 const CUSTOMER_LIMIT: u64 = 1 << 33;
 
-/// Bounds the time of clients that send nothing or never complete a request. Well-behaved clients write a request at
-/// once.
+/// How long a client may take to send a request. Well-behaved clients write a request at once; the timeout disconnects
+/// those that send nothing or never complete a request.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(2500);
-/// Bounds the time of clients that stay connected after a request. If they used up the sockets, well-behaved clients
-/// would lose their connections sooner than after this timeout. A well-behaved client whose connection is closed must
-/// open a new one.
+/// How long a client connection may stay open without a request. A shorter timeout would make well-behaved clients
+/// reconnect. Without any, idle clients would use up the sockets, and connections would be closed even sooner to free
+/// some.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(4);
 
 /// The stand-alone gateway's dialect, with the settings that requests are validated against.
@@ -131,7 +132,7 @@
         let quota = request.unique_field(QUOTA_HEADER).and_then(|field| QuotaField::parse(field, bounds));
         let QuotaField { cost, subset_size, subset_start } = quota.ok_or(InvalidRequest::InvalidQuota)?;
         let ms_left: Option<u32> = request.unique_field(TIME_LEFT_HEADER).and_then(|text| text.parse().ok());
-        let left = Ticks(i64::from(ms_left.ok_or(InvalidRequest::InvalidTimeLeft)?) * 10);
+        let left = Ticks(i64::from(ms_left.ok_or(InvalidRequest::InvalidTimeLeft)?) * TICKS_PER_MS);
         if left > bounds.max_expiries[product.0] {
             return Err(InvalidRequest::TooMuchTimeLeft);
         }
--- a/programs/gateway/src/quota_counter.rs
+++ b/programs/gateway/src/quota_counter.rs
@@ -5,7 +5,7 @@
 //! executed or may yet be; its late reply is discarded. When the connection ends, all unanswered calls on it are
 //! unknown.
 
-use crate::clock::to_duration;
+use crate::clock::{TICKS_PER_MS, to_duration};
 use crate::messages::RouterMessage;
 use crate::shared::Shared;
 use futures_util::{SinkExt, StreamExt};
@@ -38,7 +38,7 @@
 
 impl Call {
     fn to_frame(&self) -> BytesFrame {
-        let ttl_ms = (self.expire_after.0 / 10).clamp(*KEY_TTL_MS.start(), *KEY_TTL_MS.end());
+        let ttl_ms = (self.expire_after.0 / TICKS_PER_MS).clamp(*KEY_TTL_MS.start(), *KEY_TTL_MS.end());
         let arguments =
             ["ADDGET".to_owned(), self.key.0.to_string(), self.amount.to_string(), ttl_ms.to_string()];
         BytesFrame::Array(
--- a/programs/gateway/src/router.rs
+++ b/programs/gateway/src/router.rs
@@ -29,14 +29,15 @@
 use vanewharf_http1::{Reply, Request};
 use vanewharf_policy::interface::{AttemptNumber, AttemptReport, CounterReply, Event, Outcome, Ticks, TxnId};
 
-/// Subtracted from each request's deadline, for the answer's transmission and one tick of the runtime's timers: the
-/// client counts its time from sending the request, the gateway from having read it.
+/// The time (5 ms) subtracted from each request's deadline. It covers the transmission of request and answer, because
+/// the client counts its time from sending the request and the gateway from having read it, and one tick of the
+/// runtime's timers.
 const ANSWER_MARGIN: Ticks = Ticks(50);
-/// How long after its expiry a request is answered even if its cancelled attempts have not ended.
+/// The time (100 ms) after its expiry at which a request is answered even if its cancelled attempts have not ended.
 const OVERDUE_MARGIN: Ticks = Ticks(1_000);
 /// How often the pool is swept for connections that were idle too long.
 const SWEEP_INTERVAL: Ticks = Ticks::SECOND;
-/// The most messages that are handled in one batch.
+/// The maximum number of messages that are handled in one batch.
 const MAX_BATCH_MESSAGES: usize = 1024;
 
 /// The router's data of a request in flight, besides its state in [`Txns`].
@@ -118,7 +119,8 @@
             for message in batch.drain(..) {
                 self.handle_message(message, now);
             }
-            // Before the timers, so that the policy decides on a request that arrived with no time left too.
+            // The policy decides before the timers are handled, so that it also sees a request that arrived with no
+            // time left.
             self.decide(now);
             self.handle_due_timers(now);
             self.decide(now);
--- a/programs/gateway/tests/discovery.rs
+++ b/programs/gateway/tests/discovery.rs
@@ -50,7 +50,7 @@
         .agent
         .lists
         .send(list(5, false, &[old.entry("DRAINING"), new.entry("SERVING")]))
-        .expect("it runs");
+        .expect("the agent runs");
     assert_eq!(gateway.agent.next_call(), "GET /v1/servers?index=5&wait=2000 HTTP/1.1");
     assert_eq!(client.request(&look_request()).body, b"new");
 }
--- a/programs/gateway/tests/support/gateway.rs
+++ b/programs/gateway/tests/support/gateway.rs
@@ -121,7 +121,7 @@
             free = free_port();
             config["listen"] = json!(free.to_string());
         }
-        panic!("no free port in five tries");
+        panic!("no free port in five attempts");
     }
 
     /// Waits for a log line that contains `text`.
--- a/programs/proxy/src/server.rs
+++ b/programs/proxy/src/server.rs
@@ -15,7 +15,7 @@
 use tokio::task::JoinHandle;
 use tokio::time::{Instant, sleep, sleep_until, timeout_at};
 use vanewharf_config::settings::Settings;
-use vanewharf_gateway::clock::Clock;
+use vanewharf_gateway::clock::{Clock, TICKS_PER_MS};
 use vanewharf_gateway::drain::{DrainDeadlines, FINISH_GRACE_FRACTION, answer_clients};
 use vanewharf_gateway::listener::accept_clients;
 use vanewharf_gateway::messages::{BackendUpdate, RouterMessage};
@@ -34,13 +34,13 @@
 const ACCEPT_BACKLOG: u32 = 1024;
 /// The number of file descriptors reserved for listeners, logs and calls to the control plane.
 const RESERVED_DESCRIPTORS: u64 = 256;
-/// Timeouts of backend connections. The idle timeout is the shortest known one of backends.
+/// Timeouts of backend connections: 8 s without a request, the shortest idle timeout known of any backend, and 300 ms
+/// for connecting.
 const CONNECTION_TIMEOUTS: ConnectionTimeouts =
     ConnectionTimeouts { idle: Ticks(80_000), dial: Ticks(3_000) };
 /// The fraction of the grace period during which new connections are still accepted, because clients use an outdated
 /// list of proxies for a while.
 const ACCEPT_GRACE_FRACTION: f64 = 0.7;
-const TICKS_PER_MS: i64 = Ticks::SECOND.0 / 1000;
 /// The time allowed for the last answers to leave the socket buffers.
 const FLUSH_DELAY: Duration = Duration::from_millis(10);
 
@@ -144,8 +144,8 @@
     sleep(FLUSH_DELAY).await;
 }
 
-/// Checks that no request was read but left without a decision at the end of the process. Logs each unanswered request,
-/// with the time at which it was read and its stage.
+/// Checks, just before the process exits, that a decision was made on every request that was read. Logs each unanswered
+/// request, with the time at which it was read and its stage.
 fn check_answered(shared: &Shared, shutdown_at: Ticks) {
     let now = shared.clock.now();
     let unanswered = shared.open_requests.states();
