--- a/crates/protocol/src/history.rs
+++ b/crates/protocol/src/history.rs
@@ -1,5 +1,5 @@
-//! The most recent changes of each published source. A reader that is only a few versions behind receives these
-//! changes instead of a snapshot.
+//! The most recent changes of the register and of the list of backends. A reader that is only a few versions behind
+//! receives these changes instead of a snapshot.
 //!
 //! Each process that serves readers keeps its own history of the replacements and changes that it has applied. A
 //! reader that is further behind, or whose result differs from the publisher's, receives a snapshot.
--- a/crates/protocol/src/messages.rs
+++ b/crates/protocol/src/messages.rs
@@ -1,8 +1,8 @@
 //! The JSON messages that the vanewharf programs exchange.
 //!
-//! State is distributed by pulling: a reader sends the versions that it has of each source ([`VersionVector`])
-//! and receives what is newer ([`PullResponse`]). Controllers additionally run the consensus protocol
-//! ([`VoteRequest`], [`VoteResponse`]).
+//! Three datasets are distributed by pulling: the register, the list of backends and the fleet summary. A reader sends
+//! the versions that it has of each ([`VersionVector`]) and receives what is newer ([`PullResponse`]). Controllers
+//! additionally run the consensus protocol ([`VoteRequest`], [`VoteResponse`]).
 //!
 //! Invariants:
 //! - Durations are whole milliseconds (`_ms`). A message never contains an absolute time, only an age, because
--- a/crates/protocol/src/messages/pull.rs
+++ b/crates/protocol/src/messages/pull.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 use vanewharf_clock::Timestamp;
 
-/// The version of a source that successive leaseholders publish. The versions of a later leaseholder are
+/// The version of a dataset that successive leaseholders publish. The versions of a later leaseholder are
 /// always greater, because its ballot is.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Version {
@@ -25,7 +25,7 @@
     const HIGHEST: Version = Version { ballot: Ballot(u64::MAX), number: u64::MAX };
 }
 
-/// The version that a reader has of each source. The default stands for a reader that has nothing.
+/// The version that a reader has of each dataset. The default stands for a reader that has nothing.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VersionVector {
     /// The revision of the register.
@@ -39,7 +39,7 @@
 }
 
 impl VersionVector {
-    /// Versions above all that can be published: a reader that sends these receives no source.
+    /// Versions above all that can be published: a reader that sends these receives no dataset.
     pub const HIGHEST: VersionVector = VersionVector {
         register: Revision(u64::MAX),
         backend_list: Version::HIGHEST,
@@ -77,7 +77,7 @@
     pub reports: Vec<ProxyReport>,
 }
 
-/// Everything that is newer than the reader's versions, each source as a snapshot or as changes.
+/// Everything that is newer than the reader's versions, each dataset as a snapshot or as changes.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct PullResponse {
     /// A snapshot of the register.
--- a/crates/protocol/src/messages/register.rs
+++ b/crates/protocol/src/messages/register.rs
@@ -73,8 +73,8 @@
     pub outgoing: Vec<SocketAddr>,
 }
 
-/// The identity of an accepted configuration. It tells a configuration that is sent again from a different one
-/// with the same revision.
+/// The identity of an accepted configuration. It distinguishes a configuration that is sent again from a
+/// different one with the same revision.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AcceptedConfig {
     /// The revision that the configuration contains.
--- a/crates/protocol/src/version_store.rs
+++ b/crates/protocol/src/version_store.rs
@@ -1,6 +1,7 @@
-//! The current version of each source in one process, updated from pull responses and served to readers.
+//! The current version of each dataset in one process, updated from pull responses and served to readers. The datasets
+//! are the register, the list of backends and the fleet summary.
 //!
-//! Invariants: no source is replaced by an older version, and the current register was the newest acknowledged
+//! Invariants: no dataset is replaced by an older version, and the current register was the newest acknowledged
 //! one at [`VersionStore::attested_at`].
 
 use crate::history::{BackendListHistory, RegisterHistory, TimedBackendList};
@@ -13,7 +14,7 @@
 use std::time::Duration;
 use vanewharf_clock::Timestamp;
 
-/// The current version of each source, with the histories of recent changes.
+/// The current version of each dataset, with the histories of recent changes.
 #[derive(Clone, Debug, Default)]
 pub struct VersionStore {
     /// The current register; `None` until one is set.
@@ -56,7 +57,7 @@
 }
 
 impl AppliedUpdates {
-    /// Whether any source was replaced.
+    /// Whether any dataset was replaced.
     pub fn any(self) -> bool {
         self.register || self.backend_list || self.fleet_summary
     }
@@ -72,7 +73,7 @@
 }
 
 impl VersionStore {
-    /// Returns the current version of each source.
+    /// Returns the current version of each dataset.
     pub fn versions(&self) -> VersionVector {
         VersionVector {
             register: self.register.as_ref().map_or(Revision(0), |register| register.revision),
@@ -81,7 +82,7 @@
         }
     }
 
-    /// Returns the versions to send in a pull request: the current ones, but the lowest version for each source of
+    /// Returns the versions to send in a pull request: the current ones, but the lowest version for each dataset of
     /// which a snapshot is needed. To learn what this process has, use [`versions`](Self::versions).
     pub fn versions_for_pull(&self) -> VersionVector {
         let mut versions = self.versions();
@@ -94,7 +95,7 @@
         versions
     }
 
-    /// Whether this store has a newer version of any source than the reader.
+    /// Whether this store has a newer version of any dataset than the reader.
     pub fn is_newer_than(&self, reader: &VersionVector) -> bool {
         let own = self.versions();
         own.register > reader.register
@@ -143,7 +144,7 @@
         self.attested_at = self.attested_at.max(Some(at));
     }
 
-    /// Applies every newer source in the response to a pull that was sent at `sent_at`.
+    /// Applies every newer dataset in the response to a pull that was sent at `sent_at`.
     pub fn apply(&mut self, response: PullResponse, sent_at: Timestamp, now: Timestamp) -> AppliedUpdates {
         let attested_at = response.attested_at(sent_at);
         let leaseholder = response.leaseholder;
@@ -224,7 +225,7 @@
         is_applied
     }
 
-    /// Returns the response to a reader with these versions, which contains every newer source. `delay` is the
+    /// Returns the response to a reader with these versions, which contains every newer dataset. `delay` is the
     /// time for which the response was delayed.
     pub fn response_to(
         &self,
--- a/crates/protocol/src/version_store/tests.rs
+++ b/crates/protocol/src/version_store/tests.rs
@@ -8,7 +8,7 @@
 }
 
 #[test]
-fn no_source_is_replaced_by_an_older_version() {
+fn no_dataset_is_replaced_by_an_older_version() {
     let mut store = VersionStore::default();
     let response = |number| PullResponse { register: Some(register(number)), ..PullResponse::default() };
     assert!(store.apply(response(3), START, START).register);
--- a/crates/rpc/src/publisher.rs
+++ b/crates/rpc/src/publisher.rs
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Returns the response to a pull as soon as any source is newer than the reader's, or the requested wait is over.
+    /// Returns the response to a pull as soon as any dataset is newer than the reader's, or the requested wait is over.
     ///
     /// # Cancel safety
     ///
@@ -98,7 +98,7 @@
         Ok(response.attested_at(sent_at))
     }
 
-    /// Pulls once from another process and applies every newer source.
+    /// Pulls once from another process and applies every newer dataset.
     ///
     /// # Errors
     ///
