--- a/programs/agent/src/peer_api.rs
+++ b/programs/agent/src/peer_api.rs
@@ -12,8 +12,8 @@
 /// Serves other agents; never returns.
 pub(crate) async fn serve(listener: Box<dyn Listener>, state: Rc<AgentState>) {
     let handler = move |request| {
-        // Drawn on the arrival of every request, whatever its kind, so that a simulated run makes the same
-        // draws when it is repeated.
+        // Drawn for every request, whether or not its handler uses it, so that a simulation draws the same random
+        // numbers when it is repeated.
         let random_offset = state.random_offset();
         handle_request(Rc::clone(&state), random_offset, request)
     };
@@ -28,8 +28,7 @@
     }
 }
 
-/// Answers with a sample of the known peers, then merges the peers of the request. The sample is taken first,
-/// so that it does not contain them.
+/// Merges the peers in the request into the view, and answers with a sample of the peers that were known before.
 fn handle_shuffle(state: &AgentState, random_offset: usize, request: &Request) -> RpcResponse {
     let received: Vec<PeerEntry> = match serde_json::from_slice(request.body()) {
         Ok(received) => received,
--- a/programs/agent/src/state.rs
+++ b/programs/agent/src/state.rs
@@ -35,7 +35,7 @@
     }
 
     /// Returns the known controllers, nearest first: those in this zone, in this region and elsewhere, each
-    /// group in the order of addresses. Seeds from the settings that are not in the fleet summary belong to the
+    /// group in the order of their addresses. Seeds from the settings that are not in the fleet summary belong to the
     /// last group.
     pub(crate) fn controllers(&self) -> Vec<IpAddr> {
         let store = self.publisher.store();
--- a/programs/proxy/src/gate_state.rs
+++ b/programs/proxy/src/gate_state.rs
@@ -17,7 +17,7 @@
 pub struct AuthorizedRequest {
     /// The route that the request matched.
     pub rule: Rc<RouteRule>,
-    /// The owner of the request's API key; `None` on public routes.
+    /// The owner of the request's access key; `None` on public routes.
     pub tenant: Option<Rc<Tenant>>,
     /// The time at which the client stops waiting.
     pub expiry: Ticks,
@@ -42,7 +42,7 @@
 }
 
 impl GateState {
-    /// Creates the state without routing tables. `limits` determine how long API keys are accepted without a
+    /// Creates the state without routing tables. `limits` determine how long access keys are accepted without a
     /// new attestation.
     pub fn new(clock: MonotonicClock, limits: &LimitsTable) -> GateState {
         GateState {
@@ -66,8 +66,8 @@
         request
     }
 
-    /// Returns whether API keys may no longer be accepted, because the last attestation of the configuration is so old
-    /// that a key may have been revoked since.
+    /// Returns whether access keys may no longer be accepted, because the last attestation of the configuration is so
+    /// old that a key may have been revoked since.
     pub fn key_authorization_expired(&self) -> bool {
         key_authorization_lapsed(
             self.revocation_global,
--- a/programs/proxy/src/lib.rs
+++ b/programs/proxy/src/lib.rs
@@ -1,4 +1,4 @@
-//! The data plane proxy: admits client requests by route, API key and tenant quota, forwards each to a backend, and
+//! The data plane proxy: admits client requests by route, access key and tenant quota, forwards each to a backend, and
 //! relays the answer.
 //!
 //! The stages of the gateway (`vanewharf_gateway`) handle client and backend connections. This crate provides what
--- a/programs/proxy/src/pools.rs
+++ b/programs/proxy/src/pools.rs
@@ -215,7 +215,7 @@
         if !pools.contains_key(key) {
             pools.insert(key.clone(), BackendPool::new(tables, &key.service, random, now));
         }
-        pools.get_mut(key).expect("it was inserted where it was missing")
+        pools.get_mut(key).expect("the pool was just inserted if it was missing")
     }
 
     /// Removes concluded requests that have no attempts in flight.
--- a/programs/proxy/src/pools/backend_pool.rs
+++ b/programs/proxy/src/pools/backend_pool.rs
@@ -27,7 +27,7 @@
 const INITIAL_CAPACITY_FRACTION: f64 = 0.2;
 /// The maximum number of attempts per request within one pool.
 const MAX_ATTEMPTS_IN_POOL: usize = 4;
-/// The time for which the balancer expects an idle connection to a backend to stay open.
+/// The time (2 s) for which the balancer expects an idle connection to a backend to stay open.
 const IDLE_TIMEOUT: Ticks = Ticks(20_000);
 
 /// The pool of one service in one region.
--- a/programs/proxy/src/pools/dispatch.rs
+++ b/programs/proxy/src/pools/dispatch.rs
@@ -176,7 +176,7 @@
     }
 
     /// Returns whether one more attempt may be sent, and spends the tokens for it. The attempt is limited by
-    /// the route's maximum, by the backend's slow start and, once an attempt has reached a backend, by the
+    /// the route's maximum, by the limit on a backend that warms up and, once an attempt has reached a backend, by the
     /// service's retry budget.
     fn try_reserve_attempt(&mut self, txn: TxnId, backend: BackendId) -> bool {
         let at = self.clock.now();
--- a/programs/proxy/src/pools/warm_up.rs
+++ b/programs/proxy/src/pools/warm_up.rs
@@ -1,4 +1,4 @@
-//! The slow start of a backend. Until it has warmed up, the rate of attempts is limited over all proxies, and
+//! The warm-up of a backend. Until it has ended, the rate of attempts at the backend is limited over all proxies, and
 //! each proxy has an equal share of that limit.
 
 use crate::ticks::to_ticks;
--- a/programs/proxy/src/readiness.rs
+++ b/programs/proxy/src/readiness.rs
@@ -28,7 +28,7 @@
     }
 
     /// Returns whether the configuration, the backend list and the fleet summary have arrived, the proxy is not
-    /// draining, and API keys may still be accepted.
+    /// draining, and access keys may still be accepted.
     pub fn is_ready(&self) -> bool {
         let store = self.publisher.store();
         let initialized = self.gate_state.tables.borrow().is_some()
--- a/programs/proxy/src/request_gate.rs
+++ b/programs/proxy/src/request_gate.rs
@@ -15,7 +15,8 @@
 
 const REQUEST_ID_HEADER: &str = "Attempt-Id";
 const TIME_LEFT_HEADER: &str = "Remaining-Milliseconds";
-const API_KEY_HEADER: &str = "X-Api-Key";
+/// The header that carries the client's access key.
+const ACCESS_KEY_HEADER: &str = "X-Api-Key";
 /// The header by which a backend proves that a success is its answer to this request.
 const BACKEND_SEAL_HEADER: &str = "Backend-Seal";
 /// The header by which a backend guarantees that the request did not run and never will.
@@ -26,11 +27,13 @@
 const MAX_REQUEST_ID_BYTES: usize = 128;
 /// The exclusive upper bound of valid values of [`TIME_LEFT_HEADER`].
 const MAX_TIME_LEFT_MS: f64 = 1e9;
-/// The `Retry-After` time of a proxy that has no configuration yet or whose authorization of API keys has expired.
+/// The `Retry-After` time (100 ms) of a proxy that has no configuration yet or whose authorization of access keys has
+/// expired.
 const RETRY_AFTER_NOT_READY: Ticks = Ticks(1_000);
-/// The `Retry-After` time of a proxy that is shutting down. It is short, because any other proxy can serve the request.
+/// The `Retry-After` time (10 ms) of a proxy that is shutting down. It is short, because any other proxy can serve the
+/// request.
 const RETRY_AFTER_SHUTTING_DOWN: Ticks = Ticks(100);
-/// The `Retry-After` time after a rejection for lack of capacity.
+/// The `Retry-After` time (150 ms) after a rejection for lack of capacity.
 const RETRY_AFTER_BUSY: Ticks = Ticks(1_500);
 /// The timeout of clients' requests until the first configuration arrives.
 const DEFAULT_REQUEST_TIMEOUT: Duration = Duration::from_secs(3);
@@ -59,7 +62,7 @@
         let host = request
             .unique_field("Host")
             .ok_or(Admission::Reject { status: 400, reason: "Host is missing or there are two" })?;
-        let route = tables.resolve(host, path, request.unique_field(API_KEY_HEADER));
+        let route = tables.resolve(host, path, request.unique_field(ACCESS_KEY_HEADER));
         let route = route.map_err(|error| self.rejection(error))?;
         // The key may have been revoked since the configuration was last attested.
         if route.tenant.is_some() && self.gate_state.key_authorization_expired() {
@@ -115,7 +118,7 @@
         let limits = tables.as_ref().map(|tables| &tables.limits);
         ForwardingOptions {
             time_left_header: TIME_LEFT_HEADER,
-            request_headers_removed: &[API_KEY_HEADER, "Customer-Name", "Expected-Instance"],
+            request_headers_removed: &[ACCESS_KEY_HEADER, "Customer-Name", "Expected-Instance"],
             response_headers_removed: &["Backend-Load", NOT_EXECUTED_HEADER, "Instance-Id"],
             busy_retry_after: Some(RETRY_AFTER_BUSY),
             request_timeout: limits.map_or(DEFAULT_REQUEST_TIMEOUT, |limits| limits.header_deadline * 2),
--- a/programs/proxy/src/request_gate/tests.rs
+++ b/programs/proxy/src/request_gate/tests.rs
@@ -25,7 +25,7 @@
     sheds_with_id = { "503", "Not-Executed: 1\r\nAttempt-Id: 9c41d07be2a35f68\r\n", ReplyMatch::Current(Outcome::Rejected) },
     over_a_limit = { "429", "Not-Executed: 1\r\n", ReplyMatch::Current(Outcome::Rejected) },
     other_instance = { "421", "Instance-Id: i-02d9e6b4\r\n", ReplyMatch::Current(Outcome::Rejected) },
-    without_promise = { "503", "", ReplyMatch::Current(Outcome::Error) },
+    without_guarantee = { "503", "", ReplyMatch::Current(Outcome::Error) },
     own_error = { "500", "Attempt-Id: 9c41d07be2a35f68\r\n", ReplyMatch::Current(Outcome::Error) },
     late_rejection_of_another = { "503", "Not-Executed: 1\r\nAttempt-Id: 77\r\n", ReplyMatch::OtherRequest },
     late_success_of_another = { "200", "Attempt-Id: 77\r\nBackend-Seal: s\r\n", ReplyMatch::OtherRequest },
--- a/programs/proxy/src/routing.rs
+++ b/programs/proxy/src/routing.rs
@@ -38,7 +38,7 @@
     pub services: Vec<WeightedService>,
     /// The maximum number of attempts per request, including the first.
     pub max_attempts: usize,
-    /// Whether requests without an API key are admitted.
+    /// Whether requests without an access key are admitted.
     pub public: bool,
     /// The regions that may serve the route's requests; empty if all may.
     pub home_regions: Vec<String>,
@@ -94,7 +94,7 @@
 pub struct ResolvedRoute {
     /// The route that the request matched.
     pub rule: Rc<RouteRule>,
-    /// The owner of the request's API key; `None` on public routes.
+    /// The owner of the request's access key; `None` on public routes.
     pub tenant: Option<Rc<Tenant>>,
 }
 
@@ -104,8 +104,8 @@
     /// No route matches the host and path of the request.
     #[error("no route matches host and path")]
     NoRoute,
-    /// The route requires an API key, and the request has no known key.
-    #[error("the API key is missing or unknown")]
+    /// The route requires an access key, and the request has no known key.
+    #[error("the access key is missing or unknown")]
     UnknownKey,
 }
 
