--- a/programs/agent/src/peer_shuffle.rs
+++ b/programs/agent/src/peer_shuffle.rs
@@ -1,5 +1,5 @@
-//! Periodically exchanges known peers with one of them, so that each agent's view of the peers stays random and
-//! current.
+//! Gossip: periodically exchanges a sample of the known peers with one of them, so that each agent's view of the peers
+//! stays random and current.
 
 use crate::state::AgentState;
 use std::net::IpAddr;
@@ -18,7 +18,7 @@
 /// The timeout of a call to a peer or controller. It covers a connection setup and a round trip between regions.
 const CALL_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Exchanges peers periodically; never returns.
+/// Exchanges peers with one of them periodically, or requests the first peers from a controller; never returns.
 pub(crate) async fn shuffle_peers(state: Rc<AgentState>) {
     loop {
         let random_offset = state.random_offset();
--- a/programs/gateway/src/discovery.rs
+++ b/programs/gateway/src/discovery.rs
@@ -110,7 +110,7 @@
                 self.pacing.record_success();
                 if self.requested == Requested::CompleteList {
                     self.requested = Requested::Changes;
-                    tracing::info!("received the complete list from the discovery agent again");
+                    tracing::info!("received the complete backend list from the discovery agent");
                 }
                 let update = self.table.apply(published);
                 if matches!(update, BackendUpdate::Snapshot(_)) || !update.entries().is_empty() {
--- a/programs/gateway/tests/command_line.rs
+++ b/programs/gateway/tests/command_line.rs
@@ -66,7 +66,7 @@
 
 #[test]
 fn check() {
-    let path = write_file("door-valid.json", VALID);
+    let path = write_file("gateway-valid.json", VALID);
     let output = run(&["--check"], Some(&path));
     assert_eq!((normalized_stdout(&output).as_str(), output.status.code()), ("", Some(0)));
     let message = "the configuration is valid name=\"n0\" peers=false counter=false";
@@ -83,9 +83,9 @@
     refused(None, "ROUTER_CONFIG is not set");
     let absent = "cannot read /nowhere/at-all.json: No such file or directory (os error 2)";
     refused(Some(Path::new("/nowhere/at-all.json")), absent);
-    let path = write_file("door-seed.json", &VALID.replace("8c1f", "seed"));
+    let path = write_file("gateway-seed.json", &VALID.replace("8c1f", "seed"));
     refused(Some(&path), "seed is not a hexadecimal number: 'seed'");
-    let path = write_file("door-text.json", "{");
+    let path = write_file("gateway-text.json", "{");
     let reason = format!("cannot read {}: EOF while parsing an object at line 1 column 1", path.display());
     refused(Some(&path), &reason);
 }
--- a/programs/gateway/tests/requests.rs
+++ b/programs/gateway/tests/requests.rs
@@ -35,7 +35,7 @@
     let chunked =
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nin p\r\n5;x=y\r\narts!\r\n0\r\n\r\n";
     let truncated = "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf";
-    let without_length = "HTTP/1.1 200 OK\r\n\r\nno end told";
+    let without_length = "HTTP/1.1 200 OK\r\n\r\nunknown length";
     let closing = "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 4\r\n\r\nlast";
     let reply = |text: &str| Reaction::Reply(text.to_owned());
     let reply_and_close = |text: &str| Reaction::ReplyAndClose(text.to_owned());
--- a/programs/gateway/tests/support/agent.rs
+++ b/programs/gateway/tests/support/agent.rs
@@ -7,11 +7,11 @@
 use std::sync::mpsc::{Receiver, Sender, channel};
 use std::thread;
 
-/// Sent in place of a list, these make the agent close the connection, wait until the gateway closes it, or refuse the
-/// call.
+/// Sent in place of a list, these make the agent close the connection, send nothing until the gateway closes it, or
+/// refuse the call.
 pub const CLOSE: &str = "close";
-pub const UNRESPONSIVE: &str = "silence";
-pub const REFUSE: &str = "away";
+pub const UNRESPONSIVE: &str = "unresponsive";
+pub const REFUSE: &str = "refuse";
 
 /// A discovery agent that answers each call with the next list from the test.
 pub struct Agent {
--- a/programs/proxy/src/agent_link.rs
+++ b/programs/proxy/src/agent_link.rs
@@ -77,8 +77,8 @@
         }
     }
 
-    /// Forwards the parts that have changed to the routing decisions. The register is sent first, because the
-    /// configuration of backends is part of it.
+    /// Forwards the datasets that have changed to the routing decisions. The register is sent first, because it
+    /// contains the configuration of the services that backends run.
     fn forward_updates(&self, applied: AppliedUpdates) {
         let store = self.readiness.publisher.store();
         self.readiness.gate_state.attested_at.set(store.attested_at);
--- a/programs/proxy/src/update.rs
+++ b/programs/proxy/src/update.rs
@@ -11,7 +11,7 @@
 
 /// An update from the control plane for the routing decisions.
 pub enum Update {
-    /// A newer configuration.
+    /// A newer register, with the configuration and the evacuated zones.
     Register(Rc<Register>),
     /// A newer list of backends.
     BackendList {
