--- a/crates/runtime/src/program.rs
+++ b/crates/runtime/src/program.rs
@@ -22,8 +22,8 @@
     Runtime(io::Error),
     #[error("cannot install signal handlers: {0}")]
     Signals(io::Error),
-    #[error("cannot open the data directory: {0}")]
-    DataDirectory(io::Error),
+    #[error("cannot open the data directory {}: {source}", path.display())]
+    DataDirectory { path: PathBuf, source: io::Error },
     #[error("{0}")]
     Run(E),
 }
@@ -80,8 +80,10 @@
         // Fails only if the program has already ended.
         let _ = shutdown.send(());
     });
-    let environment =
-        Environment::of_machine(settings.data_directory.clone()).map_err(ProgramError::DataDirectory)?;
+    let environment = Environment::of_machine(settings.data_directory.clone()).map_err(|source| {
+        let path = settings.data_directory.clone().unwrap_or_default();
+        ProgramError::DataDirectory { path, source }
+    })?;
     run(settings, environment, shutdown_signal).await.map_err(ProgramError::Run)
 }
 
