--- a/crates/health/src/key_authorization.rs
+++ b/crates/health/src/key_authorization.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 use vanewharf_clock::Timestamp;
 
-/// An authorization lapses this long before the revocation deadline, because a request that is admitted just before
+/// An authorization expires this long before the revocation deadline, because a request that is admitted just before
 /// still has to be forwarded.
 const FORWARDING_MARGIN: Duration = Duration::from_millis(600);
 
@@ -12,9 +12,9 @@
 ///
 /// A revocation takes effect at most `revocation_deadline` after it was acknowledged. If `binds_all_proxies` is set,
 /// this includes proxies that are cut off from the control plane; otherwise it holds only for proxies in contact with
-/// it, and authorizations never lapse. `attested_at` is the time at which the register of this proxy was last
+/// it, and authorizations never expire. `attested_at` is the time at which the register of this proxy was last
 /// attested to be the newest, if it ever was.
-pub fn key_authorization_lapsed(
+pub fn key_authorization_expired(
     binds_all_proxies: bool,
     revocation_deadline: Duration,
     attested_at: Option<Timestamp>,
--- a/crates/health/src/lib.rs
+++ b/crates/health/src/lib.rs
@@ -15,7 +15,7 @@
 mod weighted_choice;
 
 pub use self::attempt_history::AttemptHistory;
-pub use self::key_authorization::key_authorization_lapsed;
+pub use self::key_authorization::key_authorization_expired;
 pub use self::outlier::{OutlierDetector, is_shared_cause, weight_for_failure_share};
 pub use self::retry_budget::{RetryBudget, RetryPolicy};
 pub use self::slow_start::{SlowStart, SlowStartLimit, SlowStartPolicy};
--- a/programs/proxy/src/gate_state.rs
+++ b/programs/proxy/src/gate_state.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 use vanewharf_clock::{MonotonicClock, Timestamp};
 use vanewharf_config::settings::LimitsTable;
-use vanewharf_health::key_authorization_lapsed;
+use vanewharf_health::key_authorization_expired;
 use vanewharf_policy::interface::{Ticks, TxnId};
 
 /// A request that the gate has authorized and that has not been offered to a pool yet.
@@ -69,7 +69,7 @@
     /// Returns whether access keys may no longer be accepted, because the last attestation of the configuration is so
     /// old that a key may have been revoked since.
     pub fn key_authorization_expired(&self) -> bool {
-        key_authorization_lapsed(
+        key_authorization_expired(
             self.revocation_global,
             self.revocation,
             self.attested_at.get(),
