--- a/crates/protocol/src/history/backend_list_history.rs
+++ b/crates/protocol/src/history/backend_list_history.rs
@@ -15,7 +15,7 @@
     /// The list of backends.
     pub list: &'a BackendList,
     /// The latest time at which the list may have been read.
-    pub taken_at: Timestamp,
+    pub read_at: Timestamp,
 }
 
 /// A gapless sequence of changes, the last of which results in the current list.
@@ -28,7 +28,7 @@
 struct TimedChange {
     change: BackendListChange,
     /// When the resulting list was read from the platform API; the warm-up times in the change are as of then.
-    taken_at: Timestamp,
+    read_at: Timestamp,
 }
 
 impl BackendListHistory {
@@ -38,7 +38,7 @@
         let Some(old) = old else {
             return self.changes.clear();
         };
-        let elapsed = new.taken_at.since(old.taken_at);
+        let elapsed = new.read_at.since(old.read_at);
         let old_backends: BTreeMap<&str, &Backend> =
             old.list.backends.iter().map(|backend| (backend.id.as_str(), backend)).collect();
         let new_ids: BTreeSet<&str> = new.list.backends.iter().map(|backend| backend.id.as_str()).collect();
@@ -58,37 +58,37 @@
             upserted,
             removed: removed.map(|id| (*id).to_owned()).collect(),
         };
-        self.retain(change, new.taken_at);
+        self.retain(change, new.read_at);
     }
 
-    /// Returns the changes from that version to the current list, which was read at `taken_at`, or `None` if they
-    /// are not retained. The changes get the age of the current list, and warm-up times as of `taken_at`.
+    /// Returns the changes from that version to the current list, which was read at `read_at`, or `None` if they
+    /// are not retained. The changes get the age of the current list, and warm-up times as of `read_at`.
     pub fn changes_since(
         &self,
         version: Version,
-        taken_at: Timestamp,
+        read_at: Timestamp,
         now: Timestamp,
     ) -> Option<Vec<BackendListChange>> {
         let first = self.changes.iter().position(|timed| timed.change.from == version)?;
-        let age_ms = now.since(taken_at).as_millis() as u64;
+        let age_ms = now.since(read_at).as_millis() as u64;
         let aged = |timed: &TimedChange| {
             let mut change = BackendListChange { age_ms, ..timed.change.clone() };
-            let elapsed = taken_at.since(timed.taken_at);
+            let elapsed = read_at.since(timed.read_at);
             change.upserted.iter_mut().for_each(|backend| advance_warmup(backend, elapsed));
             change
         };
         Some(self.changes.iter().skip(first).map(aged).collect())
     }
 
-    /// Applies the changes to the old list and returns the result, which was read at `taken_at`. Returns `None`,
+    /// Applies the changes to the old list and returns the result, which was read at `read_at`. Returns `None`,
     /// and changes nothing, if they do not start from the old list.
     pub fn apply_changes(
         &mut self,
         old: TimedBackendList<'_>,
         changes: Vec<BackendListChange>,
-        taken_at: Timestamp,
+        read_at: Timestamp,
     ) -> Option<BackendList> {
-        let elapsed = taken_at.since(old.taken_at);
+        let elapsed = read_at.since(old.read_at);
         let mut backends: BTreeMap<String, Backend> = BTreeMap::new();
         for backend in &old.list.backends {
             let mut backend = backend.clone();
@@ -105,12 +105,12 @@
             version = change.version;
         }
         let age_ms = changes.last()?.age_ms;
-        changes.into_iter().for_each(|change| self.retain(change, taken_at));
+        changes.into_iter().for_each(|change| self.retain(change, read_at));
         Some(BackendList { version, age_ms, backends: backends.into_values().collect() })
     }
 
-    fn retain(&mut self, change: BackendListChange, taken_at: Timestamp) {
-        self.changes.push_back(TimedChange { change, taken_at });
+    fn retain(&mut self, change: BackendListChange, read_at: Timestamp) {
+        self.changes.push_back(TimedChange { change, read_at });
         if self.changes.len() > MAX_RETAINED_CHANGES {
             self.changes.pop_front();
         }
--- a/crates/protocol/src/version_store.rs
+++ b/crates/protocol/src/version_store.rs
@@ -28,7 +28,7 @@
     /// The current list of backends; `None` until one is set.
     pub backend_list: Option<Rc<BackendList>>,
     /// The latest time at which the current list may have been read from the platform API.
-    pub backend_list_taken_at: Timestamp,
+    pub backend_list_read_at: Timestamp,
     /// The current fleet summary; `None` until one is set.
     pub fleet_summary: Option<Rc<FleetSummary>>,
     /// When the current fleet summary was received.
@@ -118,12 +118,12 @@
     pub fn set_backend_list(&mut self, list: BackendList, now: Timestamp) -> bool {
         let is_newer = self.backend_list.as_ref().is_none_or(|current| list.version > current.version);
         if is_newer {
-            let taken_at = now.before(Duration::from_millis(list.age_ms));
+            let read_at = now.before(Duration::from_millis(list.age_ms));
             let current = self.backend_list.as_deref();
-            let current = current.map(|list| TimedBackendList { list, taken_at: self.backend_list_taken_at });
-            self.backend_list_history.record_replacement(current, TimedBackendList { list: &list, taken_at });
+            let current = current.map(|list| TimedBackendList { list, read_at: self.backend_list_read_at });
+            self.backend_list_history.record_replacement(current, TimedBackendList { list: &list, read_at });
             self.backend_list = Some(Rc::new(list));
-            self.backend_list_taken_at = taken_at;
+            self.backend_list_read_at = read_at;
             self.needs_backend_list_snapshot = false;
         }
         is_newer
@@ -211,16 +211,15 @@
 
     fn apply_backend_list_changes(&mut self, changes: Vec<BackendListChange>, now: Timestamp) -> bool {
         let age = changes.last().map_or(Duration::ZERO, |last| Duration::from_millis(last.age_ms));
-        let taken_at = now.before(age);
+        let read_at = now.before(age);
         let current = self.backend_list.as_deref();
-        let current = current.map(|list| TimedBackendList { list, taken_at: self.backend_list_taken_at });
-        let result =
-            current.and_then(|list| self.backend_list_history.apply_changes(list, changes, taken_at));
+        let current = current.map(|list| TimedBackendList { list, read_at: self.backend_list_read_at });
+        let result = current.and_then(|list| self.backend_list_history.apply_changes(list, changes, read_at));
         self.needs_backend_list_snapshot = result.is_none();
         let is_applied = result.is_some();
         if let Some(list) = result {
             self.backend_list = Some(Rc::new(list));
-            self.backend_list_taken_at = taken_at;
+            self.backend_list_read_at = read_at;
         }
         is_applied
     }
@@ -282,11 +281,11 @@
         let Some(list) = self.backend_list.as_ref().filter(|list| list.version > reader.backend_list) else {
             return (None, Vec::new());
         };
-        let taken_at = self.backend_list_taken_at;
-        match self.backend_list_history.changes_since(reader.backend_list, taken_at, now) {
+        let read_at = self.backend_list_read_at;
+        match self.backend_list_history.changes_since(reader.backend_list, read_at, now) {
             Some(changes) => (None, changes),
             None => {
-                let age_ms = now.since(taken_at).as_millis() as u64;
+                let age_ms = now.since(read_at).as_millis() as u64;
                 (Some(BackendList { age_ms, ..BackendList::clone(list) }), Vec::new())
             }
         }
--- a/crates/system-simulator/examples/capacity/backend_lists.rs
+++ b/crates/system-simulator/examples/capacity/backend_lists.rs
@@ -80,8 +80,8 @@
 
 fn release_columns(old: &BackendList, new: &BackendList) -> String {
     let now = Timestamp(16_000);
-    let old = TimedBackendList { list: old, taken_at: Timestamp(10_000) };
-    let new = TimedBackendList { list: new, taken_at: now };
+    let old = TimedBackendList { list: old, read_at: Timestamp(10_000) };
+    let new = TimedBackendList { list: new, read_at: now };
     let (mut sender, mut receiver) = (BackendListHistory::default(), BackendListHistory::default());
     let recording = measure(|| sender.record_replacement(Some(old), new));
     let changes = sender.changes_since(old.list.version, now, now).expect("a change");
@@ -106,18 +106,18 @@
 
 fn proxy_columns(old: BackendList, new: BackendList) -> String {
     let (old, new) = (Rc::new(old), Rc::new(new));
-    let update = |list: &Rc<BackendList>, taken_at| Update::BackendList { list: Rc::clone(list), taken_at };
+    let update = |list: &Rc<BackendList>, read_at| Update::BackendList { list: Rc::clone(list), read_at };
     let first_list = |routes: usize| {
         let mut pools = start_pools();
         let register = Rc::new(register(1, config(routes, 10, 1, ConfigVersion::Original)));
         pools.apply_update(Ticks(10), Update::Register(register));
-        let taken_at = MonotonicClock::start().now();
-        let applying = measure(|| pools.apply_update(Ticks(20), update(&old, taken_at)).is_some());
-        (pools, applying, taken_at)
+        let read_at = MonotonicClock::start().now();
+        let applying = measure(|| pools.apply_update(Ticks(20), update(&old, read_at)).is_some());
+        (pools, applying, read_at)
     };
     let (_, with_many_routes, _) = first_list(MANY_ROUTES);
-    let (mut pools, first, taken_at) = first_list(FEW_ROUTES);
-    let next = measure(|| pools.apply_update(Ticks(30), update(&new, taken_at)).is_some());
+    let (mut pools, first, read_at) = first_list(FEW_ROUTES);
+    let next = measure(|| pools.apply_update(Ticks(30), update(&new, read_at)).is_some());
     let summary = Rc::new(FleetSummary { quota_divisor: 5_400, ..FleetSummary::default() });
     let summary = measure(|| pools.apply_update(Ticks(40), Update::FleetSummary(summary)).is_some());
     format!(
--- a/programs/proxy/src/agent_link.rs
+++ b/programs/proxy/src/agent_link.rs
@@ -84,7 +84,7 @@
         self.readiness.gate_state.attested_at.set(store.attested_at);
         let register = store.register.clone().filter(|_| applied.register).map(Update::Register);
         let list = store.backend_list.clone().filter(|_| applied.backend_list);
-        let list = list.map(|list| Update::BackendList { list, taken_at: store.backend_list_taken_at });
+        let list = list.map(|list| Update::BackendList { list, read_at: store.backend_list_read_at });
         let summary = store.fleet_summary.clone().filter(|_| applied.fleet_summary).map(Update::FleetSummary);
         for update in [register, list, summary].into_iter().flatten() {
             // Fails only during shutdown, when the receiver has been dropped.
--- a/programs/proxy/src/pools.rs
+++ b/programs/proxy/src/pools.rs
@@ -258,8 +258,8 @@
     fn apply_update(&mut self, now: Ticks, update: Update) -> Option<BackendUpdate> {
         let backends_changed = match update {
             Update::Register(register) => self.apply_register(register),
-            Update::BackendList { list, taken_at } => {
-                self.backends.set_list(list, taken_at);
+            Update::BackendList { list, read_at } => {
+                self.backends.set_list(list, read_at);
                 true
             }
             Update::FleetSummary(summary) => self.apply_fleet_summary(&summary),
--- a/programs/proxy/src/pools/backend_table.rs
+++ b/programs/proxy/src/pools/backend_table.rs
@@ -46,15 +46,15 @@
 }
 
 /// The newest list of backends, with the latest possible time at which it was read from the platform.
-struct TakenList {
+struct NewestList {
     list: Rc<BackendList>,
-    taken_at: Timestamp,
+    read_at: Timestamp,
 }
 
 /// All known backends.
 #[derive(Default)]
 pub(super) struct BackendTable {
-    newest_list: Option<TakenList>,
+    newest_list: Option<NewestList>,
     pub(super) by_id: BTreeMap<BackendId, PooledBackend>,
     ids: HashMap<String, BackendId>,
     last_id: u32,
@@ -74,8 +74,8 @@
         self.by_id.get_mut(&id)
     }
 
-    pub(super) fn set_list(&mut self, list: Rc<BackendList>, taken_at: Timestamp) {
-        self.newest_list = Some(TakenList { list, taken_at });
+    pub(super) fn set_list(&mut self, list: Rc<BackendList>, read_at: Timestamp) {
+        self.newest_list = Some(NewestList { list, read_at });
     }
 
     pub(super) fn reopen_zones<'a>(&mut self, zones: impl Iterator<Item = &'a String>, at: Timestamp) {
@@ -100,13 +100,13 @@
     /// Adds, updates and removes backends to match the newest list. Returns the removed ones, or `None` if no list has
     /// arrived yet.
     pub(super) fn apply_list(&mut self, location: &Location) -> Option<Vec<RemovedBackend>> {
-        let TakenList { list, taken_at } = self.newest_list.as_ref()?;
-        let (list, taken_at) = (Rc::clone(list), *taken_at);
+        let NewestList { list, read_at } = self.newest_list.as_ref()?;
+        let (list, read_at) = (Rc::clone(list), *read_at);
         let mut listed = BTreeSet::new();
         for backend in &list.backends {
             let id = self.id(&backend.id);
             listed.insert(id);
-            let warm_at = taken_at.after(Duration::from_millis(backend.warmup_left_ms));
+            let warm_at = read_at.after(Duration::from_millis(backend.warmup_left_ms));
             let known = self.by_id.entry(id).or_insert_with(|| PooledBackend {
                 listed: backend.clone(),
                 pool: PoolKey {
--- a/programs/proxy/src/pools/tests.rs
+++ b/programs/proxy/src/pools/tests.rs
@@ -110,7 +110,7 @@
 
     fn set_backends(&mut self, backends: Vec<Backend>) {
         let list = BackendList { backends, ..BackendList::default() };
-        self.apply_update(Update::BackendList { list: Rc::new(list), taken_at: self.gate_state.clock.now() });
+        self.apply_update(Update::BackendList { list: Rc::new(list), read_at: self.gate_state.clock.now() });
     }
 
     fn send_request(&mut self, path: &str) -> (TxnId, Vec<Action>) {
--- a/programs/proxy/src/update.rs
+++ b/programs/proxy/src/update.rs
@@ -18,7 +18,7 @@
         /// All backends of the platform.
         list: Rc<BackendList>,
         /// The latest possible time at which the list was read from the platform.
-        taken_at: Timestamp,
+        read_at: Timestamp,
     },
     /// A newer summary of all proxies.
     FleetSummary(Rc<FleetSummary>),
