--- a/crates/runtime/src/invariants.rs
+++ b/crates/runtime/src/invariants.rs
@@ -14,7 +14,8 @@
     DiskNeverGoesBack,
     /// An operator's order is acknowledged only after the register that contains it has been committed.
     AcknowledgedIsCommitted,
-    /// The proxy's stages, which count violations of their own invariants, have counted none.
+    /// The tasks that the proxy shares with the gateway count violations of their own invariants, and have counted
+    /// none.
     ProxyStages,
     /// Every update that the leaseholder publishes is newer than the one before, so that followers accept it.
     PublishedIsNewer,
--- a/programs/gateway/tests/support/backend.rs
+++ b/programs/gateway/tests/support/backend.rs
@@ -76,7 +76,7 @@
             // Reported before the reaction, so that a test that has the answer finds its request here.
             events.send(Seen::Requested(message)).ok()?;
             let reaction = {
-                let mut reactions = reactions.lock().expect("no panic under the lock");
+                let mut reactions = reactions.lock().expect("the lock is not poisoned");
                 if reactions.len() > 1 { reactions.pop_front() } else { reactions.front().cloned() }?
             };
             match reaction {
--- a/programs/proxy/src/agent_link.rs
+++ b/programs/proxy/src/agent_link.rs
@@ -1,4 +1,4 @@
-//! The link to the agent on this machine: pulls updates for the routing decisions, and reports this proxy's status with
+//! The link to the agent on this machine: pulls updates for the routing policy, and reports this proxy's status with
 //! each pull.
 
 use crate::readiness::Readiness;
@@ -25,7 +25,7 @@
     pub incarnation: u64,
     /// The readiness of this proxy, which is part of each report.
     pub readiness: Readiness,
-    /// The queue of updates for the routing decisions.
+    /// The queue of updates for the routing policy.
     pub updates: mpsc::UnboundedSender<Update>,
 }
 
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Forwards the datasets that have changed to the routing decisions. The register is sent first, because it
+    /// Forwards the datasets that have changed to the routing policy. The register is sent first, because it
     /// contains the configuration of the services that backends run.
     fn forward_updates(&self, applied: AppliedUpdates) {
         let store = self.readiness.publisher.store();
--- a/programs/proxy/src/data_plane.rs
+++ b/programs/proxy/src/data_plane.rs
@@ -1,4 +1,4 @@
-//! The routing decisions of one proxy and the background tasks that update them, without client and backend sockets.
+//! The routing policy of one proxy and the background tasks that update it, without client and backend sockets.
 //!
 //! The program runs a [`DataPlane`] behind sockets; the simulator runs one with simulated clients and backends.
 //! The link to the agent and the token client are the same in both.
@@ -19,7 +19,7 @@
 use vanewharf_rpc::RpcClient;
 use vanewharf_runtime::environment::Environment;
 
-/// The routing decisions, the state that they share with the background tasks, and the queue of updates for them.
+/// The routing policy, the state that it shares with the background tasks, and the queue of updates for it.
 pub struct DataPlane {
     /// State shared with the request gate.
     pub gate_state: Rc<GateState>,
@@ -27,14 +27,14 @@
     pub status: Rc<ProxyStatus>,
     /// The store of everything that was pulled from the local agent.
     pub publisher: Publisher,
-    /// The routing decisions.
+    /// The routing policy.
     pub pools: BackendPools,
     /// The queue of updates for [`DataPlane::pools`], in their order of arrival.
     pub updates: mpsc::UnboundedReceiver<Update>,
 }
 
 impl DataPlane {
-    /// Creates the routing decisions, and spawns the link to the agent and the token client on the current local task
+    /// Creates the routing policy, and spawns the link to the agent and the token client on the current local task
     /// set. `frontend` is the address for clients that is reported to the control plane.
     ///
     /// # Panics
--- a/programs/proxy/src/gate_state.rs
+++ b/programs/proxy/src/gate_state.rs
@@ -1,4 +1,4 @@
-//! The state shared by the request gate and the routing decisions. The routing decisions publish the routing
+//! The state shared by the request gate and the routing policy. The routing policy publishes the routing
 //! tables, and the gate passes on each request that it has authorized.
 //!
 //! Both run on one thread. No borrow of a cell is held across an await.
@@ -25,11 +25,11 @@
     pub abandoned: bool,
 }
 
-/// The state of the request gate, shared with the routing decisions.
+/// The state of the request gate, shared with the routing policy.
 pub struct GateState {
     /// The newest routing tables; `None` until the first configuration arrives.
     pub tables: RefCell<Option<Rc<RoutingTables>>>,
-    /// The requests that the gate has authorized and the routing decisions have not received yet.
+    /// The requests that the gate has authorized and the routing policy has not received yet.
     pub authorized: RefCell<BTreeMap<TxnId, AuthorizedRequest>>,
     /// The time at which the current configuration was last attested to be the newest acknowledged one.
     pub attested_at: Cell<Option<Timestamp>>,
--- a/programs/proxy/src/lib.rs
+++ b/programs/proxy/src/lib.rs
@@ -1,9 +1,9 @@
 //! The data plane proxy: admits client requests by route, access key and tenant quota, forwards each to a backend, and
 //! relays the answer.
 //!
-//! The stages of the gateway (`vanewharf_gateway`) handle client and backend connections. This crate provides what
-//! differs from the gateway: [`request_gate`] authorizes requests against the newest configuration, and [`pools`] makes
-//! the routing decisions. [`data_plane::DataPlane`] connects both to the local agent; the simulator uses it without
+//! The tasks of the gateway (`vanewharf_gateway`) handle client and backend connections. This crate provides what
+//! differs from the gateway: [`request_gate`] authorizes requests against the newest configuration, and [`pools`] is
+//! the routing policy. [`data_plane::DataPlane`] connects both to the local agent; the simulator uses it without
 //! sockets.
 #![forbid(unsafe_code)]
 
--- a/programs/proxy/src/pools.rs
+++ b/programs/proxy/src/pools.rs
@@ -1,4 +1,4 @@
-//! All routing decisions of one proxy. They are deterministic and use no sockets.
+//! The routing policy of one proxy. It is deterministic and uses no sockets.
 //!
 //! The backends of a service in one region form a `BackendPool` with its own policy balancer, which chooses among them.
 //! [`BackendPools`] decides the rest: whether a request is admitted (`admission`), which pools may serve it and in
@@ -89,7 +89,7 @@
     pub seed: u64,
 }
 
-/// The routing decisions of one proxy.
+/// The routing policy of one proxy.
 pub struct BackendPools {
     location: Location,
     limits: LimitsTable,
@@ -116,7 +116,7 @@
 }
 
 impl BackendPools {
-    /// Creates the routing decisions without configuration and backends. Token requests are sent to
+    /// Creates the routing policy without configuration and backends. Token requests are sent to
     /// `token_requests`, and the counters for reports to the control plane are published in `status`.
     pub fn new(
         config: PoolsConfig,
--- a/programs/proxy/src/pools/tests.rs
+++ b/programs/proxy/src/pools/tests.rs
@@ -1,4 +1,4 @@
-//! The routing decisions of one proxy on updates, requests and the ends of attempts, without sockets.
+//! The routing policy's decisions on updates, requests and the ends of attempts, without sockets.
 
 use super::backend_pool::MAX_STALL;
 use super::backend_table::PooledBackend;
@@ -16,7 +16,7 @@
 
 const SECOND: Ticks = Ticks::SECOND;
 
-/// The routing decisions of one proxy in zone east-a, in place of its gate and token client.
+/// The routing policy of a proxy in zone east-a. The fixture takes the place of its request gate and token client.
 struct Fixture {
     pools: BackendPools,
     gate_state: Rc<GateState>,
--- a/programs/proxy/src/request_gate.rs
+++ b/programs/proxy/src/request_gate.rs
@@ -2,7 +2,7 @@
 //! the current request.
 //!
 //! All state is in the shared [`GateState`]: the gate reads the routing tables there, and stores authorized
-//! requests for the routing decisions.
+//! requests for the routing policy.
 
 use crate::gate_state::{AuthorizedRequest, GateState};
 use crate::routing::{RouteRule, RoutingError, RoutingTables};
--- a/programs/proxy/src/server.rs
+++ b/programs/proxy/src/server.rs
@@ -83,7 +83,7 @@
     Ok(())
 }
 
-/// Creates the state shared by the gateway's stages, and the queue of their messages to the router.
+/// Creates the state shared by the gateway's tasks, and the queue of their messages to the router.
 fn shared_state(
     settings: &Settings,
     gate_state: &Rc<GateState>,
@@ -97,7 +97,7 @@
     (Rc::new(shared), received)
 }
 
-/// Creates the router with the given routing decisions. It starts without backends and uses no quota counter or peers.
+/// Creates the router with the given routing policy. It starts without backends and uses no quota counter or peers.
 fn router(shared: &Rc<Shared>, pools: BackendPools) -> Router<BackendPools> {
     Router::new(Rc::clone(shared), pools, BackendUpdate::Changes(Vec::new()), None, None)
 }
@@ -163,8 +163,8 @@
     // An answer that is being written does not count: it is delayed only by its own client, which does not read.
     let all_decided = unanswered.iter().all(|request| request.stage == RequestStage::Answering);
     Invariant::AnsweredBeforeExit.check(all_decided);
-    // The stages log to a subscriber that exists only in the gateway, so the counters are logged here to show which
-    // stage violated its invariant.
+    // The gateway's tasks log through `tracing`, for which only the gateway's program installs a subscriber. Therefore
+    // the counters are logged here, which show the invariant that was violated.
     if !Invariant::ProxyStages.check(shared.resources.violations() == 0) {
         spdlog::error!("counters", kv: { event = "counters", counters: = shared.resources });
     }
--- a/programs/proxy/src/status.rs
+++ b/programs/proxy/src/status.rs
@@ -1,4 +1,4 @@
-//! The counters that a proxy reports to the control plane. The routing decisions update them, and the link to the agent
+//! The counters that a proxy reports to the control plane. The routing policy updates them, and the link to the agent
 //! sends them.
 
 use crate::routing::RouteRule;
--- a/programs/proxy/src/update.rs
+++ b/programs/proxy/src/update.rs
@@ -1,4 +1,4 @@
-//! The messages between the routing decisions, the link to the agent and the token client.
+//! The messages between the routing policy, the link to the agent and the token client.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -9,7 +9,7 @@
 /// The timeout of a call to a controller that leases tokens. It covers a round trip between regions.
 pub const TOKEN_REQUEST_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// An update from the control plane for the routing decisions.
+/// An update from the control plane for the routing policy.
 pub enum Update {
     /// A newer register, with the configuration and the evacuated zones.
     Register(Rc<Register>),
