--- a/crates/exchange/src/connection.rs
+++ b/crates/exchange/src/connection.rs
@@ -6,7 +6,7 @@
 /// The reason for which an attempt is cancelled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum CancelReason {
-    /// The attempt's time limit was exceeded.
+    /// The attempt's timeout or its request's deadline has passed.
     TimedOut,
     /// The routing policy cancelled the attempt.
     Cancelled,
--- a/crates/gateway-settings/src/check.rs
+++ b/crates/gateway-settings/src/check.rs
@@ -61,20 +61,20 @@
 /// Maximum of any other number.
 const MAX_AMOUNT: f64 = 1e9;
 
-/// Validates all settings. `peer_addresses` is the number of gateways in the operator's list of peers, if it has one.
+/// Validates all settings. `peer_count` is the number of gateways in the operator's list of peers, if it has one.
 ///
 /// # Errors
 ///
 /// Returns the first invalid setting. Single values are checked first, in the order of their paths, and combinations of
 /// settings after that.
-pub fn check(options: &Options, peer_addresses: Option<usize>) -> Result<(), InvalidSetting> {
+pub fn check(options: &Options, peer_count: Option<usize>) -> Result<(), InvalidSetting> {
     for (key, value) in options.sorted() {
         check_value(key, value)?;
     }
     check_lists(options)?;
     check_gateway_number(options)?;
     check_shared_counter(options)?;
-    check_quota_sharing(options, peer_addresses)
+    check_quota_sharing(options, peer_count)
 }
 
 fn invalid(key: &str, reason: &str) -> Result<(), InvalidSetting> {
@@ -153,8 +153,8 @@
 }
 
 /// Checks that gateways share quotas either through peer messages, or through the shared counter, or not at all.
-fn check_quota_sharing(options: &Options, peer_addresses: Option<usize>) -> Result<(), InvalidSetting> {
-    let peer_count = match (flag(options, "allowed.peer_messages"), peer_addresses) {
+fn check_quota_sharing(options: &Options, peer_count: Option<usize>) -> Result<(), InvalidSetting> {
+    let peer_count = match (flag(options, "allowed.peer_messages"), peer_count) {
         (false, None) => return Ok(()),
         (true, None) => return invalid("peers.doors", "required if allowed.peer_messages is true"),
         (false, Some(_)) => return invalid("allowed.peer_messages", "must be true if peers.doors is given"),
--- a/crates/rpc/src/lib.rs
+++ b/crates/rpc/src/lib.rs
@@ -1,4 +1,4 @@
-//! HTTP/1.1 calls between the vanewharf programs: a client whose calls have time limits, a server that recognizes
+//! HTTP/1.1 calls between the vanewharf programs: a client whose calls have timeouts, a server that recognizes
 //! repeated calls, and the publisher from which readers pull new versions.
 //!
 //! Each internal call carries a [call id](vanewharf_protocol::deduplication::CallId), and its response repeats it.
--- a/crates/rpc/src/limits.rs
+++ b/crates/rpc/src/limits.rs
@@ -1,14 +1,14 @@
-//! Time and size limits of calls.
+//! Timeouts and size limits of calls.
 
 use std::time::Duration;
 
-/// Limit for establishing a connection, which takes two round trips across regions.
+/// The timeout for establishing a connection, which takes two round trips across regions.
 pub(crate) const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
-/// Limit for the transfer of a request, from its first byte to its last.
+/// The timeout for the transfer of a request, from its first byte to its last.
 pub(crate) const REQUEST_TIMEOUT: Duration = Duration::from_secs(3);
-/// Limit for the transfer of a response, from its first byte to its last, while bytes keep arriving.
+/// The timeout for the transfer of a response, from its first byte to its last, while bytes keep arriving.
 pub(crate) const RESPONSE_TIMEOUT: Duration = Duration::from_secs(12);
-/// Limit for the time between two requests on a connection.
+/// The maximum time between two requests on a connection.
 pub(crate) const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
 /// The maximum size of a body, for internal calls and for configurations.
 pub const MAX_BODY_BYTES: usize = 24 << 20;
--- a/crates/rpc/src/server/drain.rs
+++ b/crates/rpc/src/server/drain.rs
@@ -7,7 +7,7 @@
 use tokio::time::{Instant, timeout, timeout_at};
 use vanewharf_runtime::invariants::Invariant;
 
-/// The time limit for sending the responses to abandoned calls.
+/// The timeout for sending the responses to abandoned calls.
 const FLUSH_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// The phase of the shutdown.
