--- a/crates/system-simulator/examples/capacity/backend_lists.rs
+++ b/crates/system-simulator/examples/capacity/backend_lists.rs
@@ -10,7 +10,7 @@
 use vanewharf_protocol::history::{BackendListHistory, TimedBackendList};
 use vanewharf_protocol::messages::{Backend, BackendList, Ballot, FleetSummary, PullResponse, Version};
 use vanewharf_proxy::gate_state::GateState;
-use vanewharf_proxy::pools::{BackendPools, Location, PoolsConfig};
+use vanewharf_proxy::pools::{Location, ProxyPolicy, ProxyPolicyConfig};
 use vanewharf_proxy::update::Update;
 
 /// How many backends a release replaces at once.
@@ -96,30 +96,30 @@
     )
 }
 
-fn start_pools() -> BackendPools {
+fn start_policy() -> ProxyPolicy {
     let limits = limits_table();
     let gate_state = Rc::new(GateState::new(MonotonicClock::start(), &limits));
     let location = Location { zone: zone(0), region: "region-00".to_owned(), zones: zones() };
-    let config = PoolsConfig { location, limits, initial_start: false, seed: 1 };
-    BackendPools::new(config, gate_state, Rc::default(), mpsc::unbounded_channel().0)
+    let config = ProxyPolicyConfig { location, limits, initial_start: false, seed: 1 };
+    ProxyPolicy::new(config, gate_state, Rc::default(), mpsc::unbounded_channel().0)
 }
 
 fn proxy_columns(old: BackendList, new: BackendList) -> String {
     let (old, new) = (Rc::new(old), Rc::new(new));
     let update = |list: &Rc<BackendList>, read_at| Update::BackendList { list: Rc::clone(list), read_at };
     let first_list = |routes: usize| {
-        let mut pools = start_pools();
+        let mut policy = start_policy();
         let register = Rc::new(register(1, config(routes, 10, 1, ConfigVersion::Original)));
-        pools.apply_update(Ticks(10), Update::Register(register));
+        policy.apply_update(Ticks(10), Update::Register(register));
         let read_at = MonotonicClock::start().now();
-        let applying = measure(|| pools.apply_update(Ticks(20), update(&old, read_at)).is_some());
-        (pools, applying, read_at)
+        let applying = measure(|| policy.apply_update(Ticks(20), update(&old, read_at)).is_some());
+        (policy, applying, read_at)
     };
     let (_, with_many_routes, _) = first_list(MANY_ROUTES);
-    let (mut pools, first, read_at) = first_list(FEW_ROUTES);
-    let next = measure(|| pools.apply_update(Ticks(30), update(&new, read_at)).is_some());
+    let (mut policy, first, read_at) = first_list(FEW_ROUTES);
+    let next = measure(|| policy.apply_update(Ticks(30), update(&new, read_at)).is_some());
     let summary = Rc::new(FleetSummary { quota_divisor: 5_400, ..FleetSummary::default() });
-    let summary = measure(|| pools.apply_update(Ticks(40), Update::FleetSummary(summary)).is_some());
+    let summary = measure(|| policy.apply_update(Ticks(40), Update::FleetSummary(summary)).is_some());
     format!(
         "{:.0}, {:.1} | {:.0} | {:.1} | {:.1}",
         first.milliseconds,
--- a/crates/system-simulator/src/proxy.rs
+++ b/crates/system-simulator/src/proxy.rs
@@ -159,8 +159,8 @@
             self.record_register(register);
         }
         let now = self.now();
-        self.data_plane.pools.apply_update(now, update);
-        let actions = self.data_plane.pools.decide(now, Vec::new());
+        self.data_plane.policy.apply_update(now, update);
+        let actions = self.data_plane.policy.decide(now, Vec::new());
         self.execute_actions(actions);
     }
 
@@ -183,7 +183,7 @@
     fn handle_attempt_report(&mut self, report: AttemptReport) {
         let (txn, succeeded) = (report.txn, report.outcome == Outcome::Succeeded);
         let now = self.now();
-        let actions = self.data_plane.pools.decide(now, vec![Event::AttemptEnded(report)]);
+        let actions = self.data_plane.policy.decide(now, vec![Event::AttemptEnded(report)]);
         if succeeded {
             self.respond(txn, 200);
         }
@@ -199,7 +199,7 @@
         self.transactions.insert(txn, Transaction { request, attempts: 0 });
         match admission {
             Some(Admission::Route(arrival)) => {
-                let actions = self.data_plane.pools.decide(now, vec![Event::RequestArrived(arrival)]);
+                let actions = self.data_plane.policy.decide(now, vec![Event::RequestArrived(arrival)]);
                 self.execute_actions(actions);
             }
             Some(Admission::Reject { status, .. }) => self.respond(txn, status),
@@ -250,7 +250,7 @@
     }
 
     fn send_attempt(&mut self, txn: TxnId, backend: BackendId) {
-        let headers = self.data_plane.pools.extra_headers(txn, backend);
+        let headers = self.data_plane.policy.extra_headers(txn, backend);
         let header = |name: &str| {
             let found = headers.iter().find(|(known, _)| *known == name);
             found.map(|(_, value)| value.clone()).unwrap_or_default()
--- a/programs/proxy/src/data_plane.rs
+++ b/programs/proxy/src/data_plane.rs
@@ -5,7 +5,7 @@
 
 use crate::agent_link::AgentLink;
 use crate::gate_state::GateState;
-use crate::pools::{BackendPools, Location, PoolsConfig};
+use crate::pools::{Location, ProxyPolicy, ProxyPolicyConfig};
 use crate::readiness::Readiness;
 use crate::status::ProxyStatus;
 use crate::token_client::TokenClient;
@@ -28,8 +28,8 @@
     /// The store of everything that was pulled from the local agent.
     pub publisher: Publisher,
     /// The routing policy.
-    pub pools: BackendPools,
-    /// The queue of updates for [`DataPlane::pools`], in their order of arrival.
+    pub policy: ProxyPolicy,
+    /// The queue of updates for [`DataPlane::policy`], in their order of arrival.
     pub updates: mpsc::UnboundedReceiver<Update>,
 }
 
@@ -52,9 +52,9 @@
         };
         let limits = settings.limits_table.clone();
         let config =
-            PoolsConfig { location, limits, initial_start: settings.initial_start, seed: incarnation };
+            ProxyPolicyConfig { location, limits, initial_start: settings.initial_start, seed: incarnation };
         let (token_requests, requested) = mpsc::unbounded_channel();
-        let pools = BackendPools::new(config, Rc::clone(&gate_state), Rc::clone(&status), token_requests);
+        let policy = ProxyPolicy::new(config, Rc::clone(&gate_state), Rc::clone(&status), token_requests);
         let (sender, updates) = mpsc::unbounded_channel();
         let token_client =
             TokenClient::new(publisher.clone(), Rc::clone(settings), environment, sender.clone());
@@ -67,7 +67,7 @@
             updates: sender,
         };
         tokio::task::spawn_local(link.run());
-        DataPlane { gate_state, status, publisher, pools, updates }
+        DataPlane { gate_state, status, publisher, policy, updates }
     }
 }
 
--- a/programs/proxy/src/pools.rs
+++ b/programs/proxy/src/pools.rs
@@ -1,7 +1,7 @@
 //! The routing policy of one proxy. It is deterministic and uses no sockets.
 //!
-//! The backends of a service in one region form a `BackendPool` with its own policy balancer, which chooses among them.
-//! [`BackendPools`] decides the rest: whether a request is admitted (`admission`), which pools may serve it and in
+//! The backends of a service in one region form a `BackendPool` with its own balancer, which chooses among them.
+//! [`ProxyPolicy`] decides the rest: whether a request is admitted (`admission`), which pools may serve it and in
 //! which order (`request`), whether another attempt is allowed (`retry`), and how much traffic a backend receives while
 //! it warms up (`warm_up`). `dispatch` implements the lifecycle of a request with these.
 //!
@@ -76,8 +76,8 @@
     }
 }
 
-/// The configuration of [`BackendPools`].
-pub struct PoolsConfig {
+/// The configuration of [`ProxyPolicy`].
+pub struct ProxyPolicyConfig {
     /// The location of this proxy.
     pub location: Location,
     /// The platform's limits on all proxies together.
@@ -90,7 +90,7 @@
 }
 
 /// The routing policy of one proxy.
-pub struct BackendPools {
+pub struct ProxyPolicy {
     location: Location,
     limits: LimitsTable,
     gate_state: Rc<GateState>,
@@ -115,18 +115,18 @@
     status: Rc<ProxyStatus>,
 }
 
-impl BackendPools {
+impl ProxyPolicy {
     /// Creates the routing policy without configuration and backends. Token requests are sent to
     /// `token_requests`, and the counters for reports to the control plane are published in `status`.
     pub fn new(
-        config: PoolsConfig,
+        config: ProxyPolicyConfig,
         gate_state: Rc<GateState>,
         status: Rc<ProxyStatus>,
         token_requests: mpsc::UnboundedSender<TokenRequest>,
-    ) -> BackendPools {
-        let PoolsConfig { location, limits, initial_start, seed } = config;
+    ) -> ProxyPolicy {
+        let ProxyPolicyConfig { location, limits, initial_start, seed } = config;
         let clock = gate_state.clock;
-        BackendPools {
+        ProxyPolicy {
             gate_state,
             clock,
             random: SmallRng::seed_from_u64(seed),
@@ -228,7 +228,7 @@
     }
 }
 
-impl RoutingPolicy for BackendPools {
+impl RoutingPolicy for ProxyPolicy {
     type Update = Update;
 
     fn decide(&mut self, now: Ticks, events: Vec<Event>) -> Vec<Action> {
--- a/programs/proxy/src/pools/backend_pool.rs
+++ b/programs/proxy/src/pools/backend_pool.rs
@@ -1,4 +1,4 @@
-//! A pool: the policy balancer that chooses among the backends of a service in one region.
+//! A pool: the balancer that chooses among the backends of a service in one region.
 
 use crate::routing::{RequestClass, RouteRule, RoutingTables};
 use crate::ticks::to_ticks;
--- a/programs/proxy/src/pools/dispatch.rs
+++ b/programs/proxy/src/pools/dispatch.rs
@@ -3,7 +3,7 @@
 
 use super::admission::AdmissionDecision;
 use super::request::{Attempt, RequestInFlight};
-use super::{BackendPools, PoolKey, warm_up};
+use super::{PoolKey, ProxyPolicy, warm_up};
 use crate::gate_state::AuthorizedRequest;
 use crate::update::{TokenGrants, WaitingAnswer};
 use rand::Rng;
@@ -13,7 +13,7 @@
     Action, Arrival, AttemptNumber, AttemptReport, BackendId, Event, Outcome, Ticks, TxnId,
 };
 
-impl BackendPools {
+impl ProxyPolicy {
     /// Handles the arrival of a request that the gate has authorized.
     pub(super) fn handle_arrival(&mut self, arrival: &Arrival, now: Ticks, actions: &mut Vec<Action>) {
         let txn = arrival.txn;
--- a/programs/proxy/src/pools/tests.rs
+++ b/programs/proxy/src/pools/tests.rs
@@ -18,7 +18,7 @@
 
 /// The routing policy of a proxy in zone east-a. The fixture takes the place of its request gate and token client.
 struct Fixture {
-    pools: BackendPools,
+    policy: ProxyPolicy,
     gate_state: Rc<GateState>,
     token_requests: mpsc::UnboundedReceiver<TokenRequest>,
     last_txn: u64,
@@ -94,9 +94,9 @@
         };
         let gate_state = Rc::new(GateState::new(MonotonicClock::start(), &limits));
         let (sender, token_requests) = mpsc::unbounded_channel();
-        let config = PoolsConfig { location, limits, initial_start: true, seed: 7 };
-        let pools = BackendPools::new(config, Rc::clone(&gate_state), Rc::default(), sender);
-        let mut fixture = Fixture { pools, gate_state, token_requests, last_txn: 0 };
+        let config = ProxyPolicyConfig { location, limits, initial_start: true, seed: 7 };
+        let policy = ProxyPolicy::new(config, Rc::clone(&gate_state), Rc::default(), sender);
+        let mut fixture = Fixture { policy, gate_state, token_requests, last_txn: 0 };
         fixture.apply_update(Update::Register(register(1, &[])));
         fixture.set_backends(list);
         fixture.apply_update(fleet_summary(lenders));
@@ -104,8 +104,8 @@
     }
 
     fn apply_update(&mut self, update: Update) -> Vec<Action> {
-        self.pools.apply_update(SECOND, update);
-        self.pools.decide(SECOND, Vec::new())
+        self.policy.apply_update(SECOND, update);
+        self.policy.decide(SECOND, Vec::new())
     }
 
     fn set_backends(&mut self, backends: Vec<Backend>) {
@@ -122,7 +122,7 @@
         let authorized = AuthorizedRequest { rule, tenant, expiry, abandoned: false };
         self.gate_state.authorized.borrow_mut().insert(txn, authorized);
         let arrival = Arrival { txn, deadline: expiry, ..Arrival::default() };
-        (txn, self.pools.decide(SECOND, vec![Event::RequestArrived(arrival)]))
+        (txn, self.policy.decide(SECOND, vec![Event::RequestArrived(arrival)]))
     }
 
     fn complete(&mut self, txn: TxnId, attempt: u32, outcome: Outcome) -> Vec<Action> {
@@ -135,7 +135,7 @@
             metered_usage: None,
             actual_cost: None,
         };
-        self.pools.decide(SECOND, vec![Event::AttemptEnded(report)])
+        self.policy.decide(SECOND, vec![Event::AttemptEnded(report)])
     }
 
     /// Returns the name of the backend to which a request is sent, or `None` if it is not sent.
@@ -143,13 +143,13 @@
         let [Action::SendAttempt { txn, backend, .. }] = actions else {
             return None;
         };
-        let headers = self.pools.extra_headers(*txn, *backend);
+        let headers = self.policy.extra_headers(*txn, *backend);
         assert_eq!(headers[1], ("Customer-Name", "t".to_owned()));
         Some(headers[0].1.clone())
     }
 
     fn backend(&self, name: &str) -> Option<&PooledBackend> {
-        self.pools.backends.by_id.values().find(|backend| backend.listed.id == name)
+        self.policy.backends.by_id.values().find(|backend| backend.listed.id == name)
     }
 
     /// Returns the capacity of a backend as published to the balancer.
@@ -208,7 +208,7 @@
 fn retries_are_limited_by_the_budget_that_requests_fill() {
     let mut fixture = Fixture::start(backends(), None);
     // The budget starts empty. It takes seven requests to fill it for one retry.
-    fixture.pools.retry_budgets.by_service.insert(Rc::from("s"), RetryBudget::empty());
+    fixture.policy.retry_budgets.by_service.insert(Rc::from("s"), RetryBudget::empty());
     let mut retried = 0;
     for _ in 0..8 {
         let (txn, _) = fixture.send_request("/read/x");
@@ -241,11 +241,11 @@
     let voter = "10.0.0.9:7600".parse().expect("an address");
     let membership = Membership { epoch: 2, voters: vec![voter], outgoing: Vec::new() };
     let other = Register { revision: Revision(2), membership, ..Register::clone(&register(1, &[])) };
-    let backends_changed = fixture.pools.apply_update(SECOND, Update::Register(Rc::new(other.clone())));
+    let backends_changed = fixture.policy.apply_update(SECOND, Update::Register(Rc::new(other.clone())));
     assert!(backends_changed.is_none(), "backends are not refreshed");
     assert!(Rc::ptr_eq(&before, &tables(&fixture)), "routing tables are not rebuilt");
     let evacuated = Register { revision: Revision(3), evacuated: ["east-a".to_owned()].into(), ..other };
-    assert!(fixture.pools.apply_update(SECOND, Update::Register(Rc::new(evacuated))).is_some());
+    assert!(fixture.policy.apply_update(SECOND, Update::Register(Rc::new(evacuated))).is_some());
     assert!(!Rc::ptr_eq(&before, &tables(&fixture)));
 }
 
@@ -253,7 +253,7 @@
 fn a_backend_that_warms_up_is_limited_and_other_backends_receive_the_rest() {
     let warming_up = Backend { warmup_left_ms: 3_000, ..backend("e1", "s", "east-a") };
     let mut fixture = Fixture::start(vec![warming_up, backend("w1", "s", "west-a")], None);
-    fixture.pools.proxy_count = 4.0;
+    fixture.policy.proxy_count = 4.0;
     let mut requests = BTreeMap::<String, u32>::new();
     for _ in 0..8 {
         let (txn, actions) = fixture.send_request("/read/x");
@@ -305,15 +305,15 @@
     assert!(matches!(actions.as_slice(), [Action::Reject { retry_after: Some(_), .. }]), "{actions:?}");
     // The client disconnects while its request waits. The next request uses the token and requests no other.
     let (abandoned, _) = fixture.send_request("/read/x");
-    fixture.pools.decide(SECOND, vec![Event::ClientDisconnected(abandoned)]);
+    fixture.policy.decide(SECOND, vec![Event::ClientDisconnected(abandoned)]);
     assert_eq!(fixture.apply_update(token_answer(abandoned, TokenAnswer::Granted)), []);
     while fixture.token_requests.try_recv().is_ok() {}
     let (_, actions) = fixture.send_request("/read/x");
     assert!(fixture.chosen_backend(&actions).is_some() && fixture.token_requests.try_recv().is_err());
     // The request expires while it waits. Again, the next request uses the token.
     let (expired, _) = fixture.send_request("/read/x");
-    fixture.pools.apply_update(SECOND + Ticks(20_000), token_answer(expired, TokenAnswer::Granted));
-    assert_eq!(fixture.pools.decide(SECOND, Vec::new()), [], "an expired request is not sent");
+    fixture.policy.apply_update(SECOND + Ticks(20_000), token_answer(expired, TokenAnswer::Granted));
+    assert_eq!(fixture.policy.decide(SECOND, Vec::new()), [], "an expired request is not sent");
     while fixture.token_requests.try_recv().is_ok() {}
     let (_, actions) = fixture.send_request("/read/x");
     assert!(fixture.chosen_backend(&actions).is_some() && fixture.token_requests.try_recv().is_err());
@@ -339,7 +339,7 @@
         }))
     };
     let requests_to_e1 = |fixture: &mut Fixture| {
-        fixture.pools.admission.buckets =
+        fixture.policy.admission.buckets =
             TokenBuckets::new(10_000.0, InitialFill::Full, fixture.gate_state.clock.now());
         fixture.apply_update(fleet_summary(None));
         let mut requests = 0;
@@ -352,8 +352,8 @@
     };
     let requests_while_healthy = requests_to_e1(&mut fixture);
     fixture.apply_update(with_unhealthy(&["e1"], 2));
-    fixture.pools.backends.unhealthy = [("e1".to_owned(), 0.9)].into();
-    fixture.pools.refresh_backends(SECOND);
+    fixture.policy.backends.unhealthy = [("e1".to_owned(), 0.9)].into();
+    fixture.policy.refresh_backends(SECOND);
     assert!(
         fixture.capacity("e1").is_some_and(|capacity| capacity < 0.2) && fixture.capacity("e2") == Some(4.0)
     );
@@ -368,7 +368,7 @@
     let (txn, _) = fixture.send_request("/read/x");
     fixture.complete(txn, 0, Outcome::ConnectionLost);
     fixture.apply_update(with_unhealthy(&[], 4));
-    assert_eq!(fixture.pools.status.attempts.borrow().len(), 1);
+    assert_eq!(fixture.policy.status.attempts.borrow().len(), 1);
 }
 
 #[test]
@@ -388,10 +388,10 @@
                 metered_usage: None,
                 actual_cost: None,
             };
-            fixture.pools.decide(SECOND, vec![Event::AttemptEnded(report)]);
+            fixture.policy.decide(SECOND, vec![Event::AttemptEnded(report)]);
         }
     }
-    fixture.pools.admission.buckets =
+    fixture.policy.admission.buckets =
         TokenBuckets::new(1000.0, InitialFill::Full, fixture.gate_state.clock.now());
     fixture.apply_update(fleet_summary(None));
     let served = |fixture: &mut Fixture| {
@@ -401,7 +401,7 @@
     assert!(!served(&mut fixture), "the balancer rejects every request");
     // Simulates a stall that is longer than `MAX_STALL`.
     let stalled_since = fixture.gate_state.clock.now().before(MAX_STALL * 2);
-    fixture.pools.pools.values_mut().for_each(|pool| pool.stalled_since = Some(stalled_since));
+    fixture.policy.pools.values_mut().for_each(|pool| pool.stalled_since = Some(stalled_since));
     served(&mut fixture);
     assert!(served(&mut fixture), "the new balancer accepts");
 }
@@ -415,12 +415,14 @@
         let mut bytes = bytes::BytesMut::from(text.as_bytes());
         vanewharf_http1::ClientCodec::default().decode(&mut bytes).ok().flatten().expect("a reply")
     };
-    let relayed =
-        |status| match fixture.pools.final_answer(TxnId(1), FinalAnswer::OutcomeUnknown, Some(reply(status)))
-        {
-            FinalAnswer::Forwarded(reply) => Some(reply.status()),
-            _ => None,
-        };
+    let relayed = |status| match fixture.policy.final_answer(
+        TxnId(1),
+        FinalAnswer::OutcomeUnknown,
+        Some(reply(status)),
+    ) {
+        FinalAnswer::Forwarded(reply) => Some(reply.status()),
+        _ => None,
+    };
     assert_eq!((relayed(500), relayed(504)), (Some(500), Some(504)));
     assert_eq!(
         [relayed(503), relayed(429), relayed(421), relayed(408)],
--- a/programs/proxy/src/server.rs
+++ b/programs/proxy/src/server.rs
@@ -3,7 +3,7 @@
 use crate::data_plane::DataPlane;
 use crate::error::ProxyError;
 use crate::gate_state::GateState;
-use crate::pools::BackendPools;
+use crate::pools::ProxyPolicy;
 use crate::readiness::Readiness;
 use crate::request_gate::RequestGate;
 use crate::ticks::to_ticks;
@@ -57,11 +57,11 @@
     let settings = Rc::new(settings);
     let frontend = settings.listen_address("frontend")?;
     let readiness = settings.listen_address("readiness")?;
-    let DataPlane { gate_state, status, publisher, pools, updates } =
+    let DataPlane { gate_state, status, publisher, policy, updates } =
         DataPlane::start(&settings, &environment, frontend);
 
     let (shared, messages) = shared_state(&settings, &gate_state);
-    let mut routing = tokio::task::spawn_local(router(&shared, pools).run(messages, updates));
+    let mut routing = tokio::task::spawn_local(router(&shared, policy).run(messages, updates));
     let listener = listen(frontend).map_err(|source| ProxyError::Listen { address: frontend, source })?;
     let stop_accepting = Rc::new(Notify::new());
     let accepting = accept_clients(listener, Rc::clone(&shared), Rc::clone(&stop_accepting));
@@ -98,8 +98,8 @@
 }
 
 /// Creates the router with the given routing policy. It starts without backends and uses no quota counter or peers.
-fn router(shared: &Rc<Shared>, pools: BackendPools) -> Router<BackendPools> {
-    Router::new(Rc::clone(shared), pools, BackendUpdate::Changes(Vec::new()), None, None)
+fn router(shared: &Rc<Shared>, policy: ProxyPolicy) -> Router<ProxyPolicy> {
+    Router::new(Rc::clone(shared), policy, BackendUpdate::Changes(Vec::new()), None, None)
 }
 
 fn listen(address: SocketAddr) -> std::io::Result<TcpListener> {
