--- a/crates/clock/src/lib.rs
+++ b/crates/clock/src/lib.rs
@@ -10,7 +10,7 @@
 use tokio::time::Instant;
 
 /// The length of a tick, the unit of [`Timestamp`], in microseconds.
-const TICK_MICROS: u64 = 100;
+const MICROS_PER_TICK: u64 = 100;
 
 /// The timestamp at which every clock starts. It is far above 0, so that instants before the start of the process
 /// can be represented.
@@ -33,13 +33,13 @@
 
     /// Returns the time from `earlier` to this instant, or zero if `earlier` is the later one.
     pub fn since(self, earlier: Timestamp) -> Duration {
-        Duration::from_micros(self.0.saturating_sub(earlier.0) * TICK_MICROS)
+        Duration::from_micros(self.0.saturating_sub(earlier.0) * MICROS_PER_TICK)
     }
 }
 
 /// Converts a duration to ticks, rounding down.
 fn ticks(duration: Duration) -> u64 {
-    (duration.as_micros() / u128::from(TICK_MICROS)) as u64
+    (duration.as_micros() / u128::from(MICROS_PER_TICK)) as u64
 }
 
 /// A clock whose timestamps never decrease.
@@ -69,7 +69,7 @@
 
     /// Converts a timestamp to the instant of the async runtime at which this clock reaches it, for use with timers.
     pub fn instant(&self, at: Timestamp) -> Instant {
-        let elapsed = Duration::from_micros(at.0.saturating_sub(START_TICKS) * TICK_MICROS);
+        let elapsed = Duration::from_micros(at.0.saturating_sub(START_TICKS) * MICROS_PER_TICK);
         // The division may round down. A timer that fired before this clock reaches the timestamp would be set again
         // at once by its caller, in a busy loop, so 1 µs is added.
         let rounding = if self.rate == 1.0 { Duration::ZERO } else { Duration::from_micros(1) };
--- a/crates/gateway-settings/src/options.rs
+++ b/crates/gateway-settings/src/options.rs
@@ -136,7 +136,8 @@
 
 /// Converts milliseconds to ticks, rounding down so that an expiry is never extended.
 pub fn ticks_from_ms(milliseconds: f64) -> Ticks {
+    const TICKS_PER_MS: f64 = Ticks::SECOND.0 as f64 / 1000.0;
     // Compensates for decimal fractions whose floating-point value is slightly below the tick that they denote.
     const ROUNDING_TOLERANCE_TICKS: f64 = 1e-6;
-    Ticks((milliseconds * 10.0 + ROUNDING_TOLERANCE_TICKS).floor() as i64)
+    Ticks((milliseconds * TICKS_PER_MS + ROUNDING_TOLERANCE_TICKS).floor() as i64)
 }
--- a/programs/gateway/src/messages.rs
+++ b/programs/gateway/src/messages.rs
@@ -19,7 +19,8 @@
     pub arrival: Arrival,
     /// The request as the client sent it.
     pub request: Rc<Request>,
-    /// Blocks other requests with the same id until this one has finished.
+    /// Keeps the request's id reserved, so that other requests with the same id are rejected until this one has
+    /// finished.
     pub open_id: OpenId,
     /// Sends the final answer to the client connection.
     pub answer: oneshot::Sender<FinalAnswer>,
--- a/programs/gateway/src/server.rs
+++ b/programs/gateway/src/server.rs
@@ -29,8 +29,8 @@
 /// How long clients are accepted after SIGTERM. The load balancer in front keeps sending new ones for a while after
 /// it was notified of the shutdown.
 const ACCEPT_DURING_SHUTDOWN: Duration = Duration::from_millis(500);
-/// Length of the operating system's queue of connections that are not yet accepted.
-const LISTEN_BACKLOG: u32 = 1024;
+/// The length of the operating system's queue of client connections to be accepted.
+const ACCEPT_BACKLOG: u32 = 1024;
 
 /// Why the gateway cannot serve.
 #[derive(Debug, Error)]
@@ -214,7 +214,7 @@
     let socket = if address.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() }?;
     socket.set_reuseaddr(true)?;
     socket.bind(address)?;
-    socket.listen(LISTEN_BACKLOG)
+    socket.listen(ACCEPT_BACKLOG)
 }
 
 fn spawn_quota_counter(
