--- a/crates/protocol/src/version_store.rs
+++ b/crates/protocol/src/version_store.rs
@@ -1,6 +1,7 @@
-//! The current version of each source in one process, updated from pull responses and served to readers.
+//! The current version of each dataset in one process, updated from pull responses and served to readers. The datasets
+//! are the register, the list of backends and the fleet summary.
 //!
-//! Invariants: no source is replaced by an older version, and the current register was the newest acknowledged
+//! Invariants: no dataset is replaced by an older version, and the current register was the newest acknowledged
 //! one at [`VersionStore::attested_at`].
 
 use crate::history::{BackendListHistory, RegisterHistory, TimedBackendList};
@@ -13,7 +14,7 @@
 use std::time::Duration;
 use vanewharf_clock::Timestamp;
 
-/// The current version of each source, with the histories of recent changes.
+/// The current version of each dataset, with the histories of recent changes.
 #[derive(Clone, Debug, Default)]
 pub struct VersionStore {
     /// The current register; `None` until one is set.
@@ -27,7 +28,7 @@
     /// The current list of backends; `None` until one is set.
     pub backend_list: Option<Rc<BackendList>>,
     /// The latest time at which the current list may have been read from the platform API.
-    pub backend_list_taken_at: Timestamp,
+    pub backend_list_read_at: Timestamp,
     /// The current fleet summary; `None` until one is set.
     pub fleet_summary: Option<Rc<FleetSummary>>,
     /// When the current fleet summary was received.
@@ -56,7 +57,7 @@
 }
 
 impl AppliedUpdates {
-    /// Whether any source was replaced.
+    /// Whether any dataset was replaced.
     pub fn any(self) -> bool {
         self.register || self.backend_list || self.fleet_summary
     }
@@ -72,7 +73,7 @@
 }
 
 impl VersionStore {
-    /// Returns the current version of each source.
+    /// Returns the current version of each dataset.
     pub fn versions(&self) -> VersionVector {
         VersionVector {
             register: self.register.as_ref().map_or(Revision(0), |register| register.revision),
@@ -81,7 +82,7 @@
         }
     }
 
-    /// Returns the versions to send in a pull request: the current ones, but the lowest version for each source of
+    /// Returns the versions to send in a pull request: the current ones, but the lowest version for each dataset of
     /// which a snapshot is needed. To learn what this process has, use [`versions`](Self::versions).
     pub fn versions_for_pull(&self) -> VersionVector {
         let mut versions = self.versions();
@@ -94,7 +95,7 @@
         versions
     }
 
-    /// Whether this store has a newer version of any source than the reader.
+    /// Whether this store has a newer version of any dataset than the reader.
     pub fn is_newer_than(&self, reader: &VersionVector) -> bool {
         let own = self.versions();
         own.register > reader.register
@@ -117,12 +118,12 @@
     pub fn set_backend_list(&mut self, list: BackendList, now: Timestamp) -> bool {
         let is_newer = self.backend_list.as_ref().is_none_or(|current| list.version > current.version);
         if is_newer {
-            let taken_at = now.before(Duration::from_millis(list.age_ms));
+            let read_at = now.before(Duration::from_millis(list.age_ms));
             let current = self.backend_list.as_deref();
-            let current = current.map(|list| TimedBackendList { list, taken_at: self.backend_list_taken_at });
-            self.backend_list_history.record_replacement(current, TimedBackendList { list: &list, taken_at });
+            let current = current.map(|list| TimedBackendList { list, read_at: self.backend_list_read_at });
+            self.backend_list_history.record_replacement(current, TimedBackendList { list: &list, read_at });
             self.backend_list = Some(Rc::new(list));
-            self.backend_list_taken_at = taken_at;
+            self.backend_list_read_at = read_at;
             self.needs_backend_list_snapshot = false;
         }
         is_newer
@@ -143,7 +144,7 @@
         self.attested_at = self.attested_at.max(Some(at));
     }
 
-    /// Applies every newer source in the response to a pull that was sent at `sent_at`.
+    /// Applies every newer dataset in the response to a pull that was sent at `sent_at`.
     pub fn apply(&mut self, response: PullResponse, sent_at: Timestamp, now: Timestamp) -> AppliedUpdates {
         let attested_at = response.attested_at(sent_at);
         let leaseholder = response.leaseholder;
@@ -210,21 +211,20 @@
 
     fn apply_backend_list_changes(&mut self, changes: Vec<BackendListChange>, now: Timestamp) -> bool {
         let age = changes.last().map_or(Duration::ZERO, |last| Duration::from_millis(last.age_ms));
-        let taken_at = now.before(age);
+        let read_at = now.before(age);
         let current = self.backend_list.as_deref();
-        let current = current.map(|list| TimedBackendList { list, taken_at: self.backend_list_taken_at });
-        let result =
-            current.and_then(|list| self.backend_list_history.apply_changes(list, changes, taken_at));
+        let current = current.map(|list| TimedBackendList { list, read_at: self.backend_list_read_at });
+        let result = current.and_then(|list| self.backend_list_history.apply_changes(list, changes, read_at));
         self.needs_backend_list_snapshot = result.is_none();
         let is_applied = result.is_some();
         if let Some(list) = result {
             self.backend_list = Some(Rc::new(list));
-            self.backend_list_taken_at = taken_at;
+            self.backend_list_read_at = read_at;
         }
         is_applied
     }
 
-    /// Returns the response to a reader with these versions, which contains every newer source. `delay` is the
+    /// Returns the response to a reader with these versions, which contains every newer dataset. `delay` is the
     /// time for which the response was delayed.
     pub fn response_to(
         &self,
@@ -281,11 +281,11 @@
         let Some(list) = self.backend_list.as_ref().filter(|list| list.version > reader.backend_list) else {
             return (None, Vec::new());
         };
-        let taken_at = self.backend_list_taken_at;
-        match self.backend_list_history.changes_since(reader.backend_list, taken_at, now) {
+        let read_at = self.backend_list_read_at;
+        match self.backend_list_history.changes_since(reader.backend_list, read_at, now) {
             Some(changes) => (None, changes),
             None => {
-                let age_ms = now.since(taken_at).as_millis() as u64;
+                let age_ms = now.since(read_at).as_millis() as u64;
                 (Some(BackendList { age_ms, ..BackendList::clone(list) }), Vec::new())
             }
         }
--- a/programs/proxy/src/agent_link.rs
+++ b/programs/proxy/src/agent_link.rs
@@ -1,4 +1,4 @@
-//! The link to the agent on this machine: pulls updates for the routing decisions, and reports this proxy's status with
+//! The link to the agent on this machine: pulls updates for the routing policy, and reports this proxy's status with
 //! each pull.
 
 use crate::readiness::Readiness;
@@ -25,7 +25,7 @@
     pub incarnation: u64,
     /// The readiness of this proxy, which is part of each report.
     pub readiness: Readiness,
-    /// The queue of updates for the routing decisions.
+    /// The queue of updates for the routing policy.
     pub updates: mpsc::UnboundedSender<Update>,
 }
 
@@ -77,14 +77,14 @@
         }
     }
 
-    /// Forwards the parts that have changed to the routing decisions. The register is sent first, because the
-    /// configuration of backends is part of it.
+    /// Forwards the datasets that have changed to the routing policy. The register is sent first, because it
+    /// contains the configuration of the services that backends run.
     fn forward_updates(&self, applied: AppliedUpdates) {
         let store = self.readiness.publisher.store();
         self.readiness.gate_state.attested_at.set(store.attested_at);
         let register = store.register.clone().filter(|_| applied.register).map(Update::Register);
         let list = store.backend_list.clone().filter(|_| applied.backend_list);
-        let list = list.map(|list| Update::BackendList { list, taken_at: store.backend_list_taken_at });
+        let list = list.map(|list| Update::BackendList { list, read_at: store.backend_list_read_at });
         let summary = store.fleet_summary.clone().filter(|_| applied.fleet_summary).map(Update::FleetSummary);
         for update in [register, list, summary].into_iter().flatten() {
             // Fails only during shutdown, when the receiver has been dropped.
--- a/programs/proxy/src/data_plane.rs
+++ b/programs/proxy/src/data_plane.rs
@@ -1,11 +1,11 @@
-//! The routing decisions of one proxy and the background tasks that update them, without client and backend sockets.
+//! The routing policy of one proxy and the background tasks that update it, without client and backend sockets.
 //!
 //! The program runs a [`DataPlane`] behind sockets; the simulator runs one with simulated clients and backends.
 //! The link to the agent and the token client are the same in both.
 
 use crate::agent_link::AgentLink;
 use crate::gate_state::GateState;
-use crate::pools::{BackendPools, Location, PoolsConfig};
+use crate::pools::{Location, ProxyPolicy, ProxyPolicyConfig};
 use crate::readiness::Readiness;
 use crate::status::ProxyStatus;
 use crate::token_client::TokenClient;
@@ -19,7 +19,7 @@
 use vanewharf_rpc::RpcClient;
 use vanewharf_runtime::environment::Environment;
 
-/// The routing decisions, the state that they share with the background tasks, and the queue of updates for them.
+/// The routing policy, the state that it shares with the background tasks, and the queue of updates for it.
 pub struct DataPlane {
     /// State shared with the request gate.
     pub gate_state: Rc<GateState>,
@@ -27,14 +27,14 @@
     pub status: Rc<ProxyStatus>,
     /// The store of everything that was pulled from the local agent.
     pub publisher: Publisher,
-    /// The routing decisions.
-    pub pools: BackendPools,
-    /// The queue of updates for [`DataPlane::pools`], in their order of arrival.
+    /// The routing policy.
+    pub policy: ProxyPolicy,
+    /// The queue of updates for [`DataPlane::policy`], in their order of arrival.
     pub updates: mpsc::UnboundedReceiver<Update>,
 }
 
 impl DataPlane {
-    /// Creates the routing decisions, and spawns the link to the agent and the token client on the current local task
+    /// Creates the routing policy, and spawns the link to the agent and the token client on the current local task
     /// set. `frontend` is the address for clients that is reported to the control plane.
     ///
     /// # Panics
@@ -52,9 +52,9 @@
         };
         let limits = settings.limits_table.clone();
         let config =
-            PoolsConfig { location, limits, initial_start: settings.initial_start, seed: incarnation };
+            ProxyPolicyConfig { location, limits, initial_start: settings.initial_start, seed: incarnation };
         let (token_requests, requested) = mpsc::unbounded_channel();
-        let pools = BackendPools::new(config, Rc::clone(&gate_state), Rc::clone(&status), token_requests);
+        let policy = ProxyPolicy::new(config, Rc::clone(&gate_state), Rc::clone(&status), token_requests);
         let (sender, updates) = mpsc::unbounded_channel();
         let token_client =
             TokenClient::new(publisher.clone(), Rc::clone(settings), environment, sender.clone());
@@ -67,7 +67,7 @@
             updates: sender,
         };
         tokio::task::spawn_local(link.run());
-        DataPlane { gate_state, status, publisher, pools, updates }
+        DataPlane { gate_state, status, publisher, policy, updates }
     }
 }
 
--- a/programs/proxy/src/gate_state.rs
+++ b/programs/proxy/src/gate_state.rs
@@ -1,4 +1,4 @@
-//! The state shared by the request gate and the routing decisions. The routing decisions publish the routing
+//! The state shared by the request gate and the routing policy. The routing policy publishes the routing
 //! tables, and the gate passes on each request that it has authorized.
 //!
 //! Both run on one thread. No borrow of a cell is held across an await.
@@ -10,14 +10,14 @@
 use std::time::Duration;
 use vanewharf_clock::{MonotonicClock, Timestamp};
 use vanewharf_config::settings::LimitsTable;
-use vanewharf_health::key_authorization_lapsed;
+use vanewharf_health::key_authorization_expired;
 use vanewharf_policy::interface::{Ticks, TxnId};
 
 /// A request that the gate has authorized and that has not been offered to a pool yet.
 pub struct AuthorizedRequest {
     /// The route that the request matched.
     pub rule: Rc<RouteRule>,
-    /// The owner of the request's API key; `None` on public routes.
+    /// The owner of the request's access key; `None` on public routes.
     pub tenant: Option<Rc<Tenant>>,
     /// The time at which the client stops waiting.
     pub expiry: Ticks,
@@ -25,11 +25,11 @@
     pub abandoned: bool,
 }
 
-/// The state of the request gate, shared with the routing decisions.
+/// The state of the request gate, shared with the routing policy.
 pub struct GateState {
     /// The newest routing tables; `None` until the first configuration arrives.
     pub tables: RefCell<Option<Rc<RoutingTables>>>,
-    /// The requests that the gate has authorized and the routing decisions have not received yet.
+    /// The requests that the gate has authorized and the routing policy has not received yet.
     pub authorized: RefCell<BTreeMap<TxnId, AuthorizedRequest>>,
     /// The time at which the current configuration was last attested to be the newest acknowledged one.
     pub attested_at: Cell<Option<Timestamp>>,
@@ -42,7 +42,7 @@
 }
 
 impl GateState {
-    /// Creates the state without routing tables. `limits` determine how long API keys are accepted without a
+    /// Creates the state without routing tables. `limits` determine how long access keys are accepted without a
     /// new attestation.
     pub fn new(clock: MonotonicClock, limits: &LimitsTable) -> GateState {
         GateState {
@@ -66,10 +66,10 @@
         request
     }
 
-    /// Returns whether API keys may no longer be accepted, because the last attestation of the configuration is so old
-    /// that a key may have been revoked since.
+    /// Returns whether access keys may no longer be accepted, because the last attestation of the configuration is so
+    /// old that a key may have been revoked since.
     pub fn key_authorization_expired(&self) -> bool {
-        key_authorization_lapsed(
+        key_authorization_expired(
             self.revocation_global,
             self.revocation,
             self.attested_at.get(),
--- a/programs/proxy/src/pools.rs
+++ b/programs/proxy/src/pools.rs
@@ -1,7 +1,7 @@
-//! All routing decisions of one proxy. They are deterministic and use no sockets.
+//! The routing policy of one proxy. It is deterministic and uses no sockets.
 //!
-//! The backends of a service in one region form a `BackendPool` with its own policy balancer, which chooses among them.
-//! [`BackendPools`] decides the rest: whether a request is admitted (`admission`), which pools may serve it and in
+//! The backends of a service in one region form a `BackendPool` with its own balancer, which chooses among them.
+//! [`ProxyPolicy`] decides the rest: whether a request is admitted (`admission`), which pools may serve it and in
 //! which order (`request`), whether another attempt is allowed (`retry`), and how much traffic a backend receives while
 //! it warms up (`warm_up`). `dispatch` implements the lifecycle of a request with these.
 //!
@@ -76,8 +76,8 @@
     }
 }
 
-/// The configuration of [`BackendPools`].
-pub struct PoolsConfig {
+/// The configuration of [`ProxyPolicy`].
+pub struct ProxyPolicyConfig {
     /// The location of this proxy.
     pub location: Location,
     /// The platform's limits on all proxies together.
@@ -89,8 +89,8 @@
     pub seed: u64,
 }
 
-/// The routing decisions of one proxy.
-pub struct BackendPools {
+/// The routing policy of one proxy.
+pub struct ProxyPolicy {
     location: Location,
     limits: LimitsTable,
     gate_state: Rc<GateState>,
@@ -115,18 +115,18 @@
     status: Rc<ProxyStatus>,
 }
 
-impl BackendPools {
-    /// Creates the routing decisions without configuration and backends. Token requests are sent to
+impl ProxyPolicy {
+    /// Creates the routing policy without configuration and backends. Token requests are sent to
     /// `token_requests`, and the counters for reports to the control plane are published in `status`.
     pub fn new(
-        config: PoolsConfig,
+        config: ProxyPolicyConfig,
         gate_state: Rc<GateState>,
         status: Rc<ProxyStatus>,
         token_requests: mpsc::UnboundedSender<TokenRequest>,
-    ) -> BackendPools {
-        let PoolsConfig { location, limits, initial_start, seed } = config;
+    ) -> ProxyPolicy {
+        let ProxyPolicyConfig { location, limits, initial_start, seed } = config;
         let clock = gate_state.clock;
-        BackendPools {
+        ProxyPolicy {
             gate_state,
             clock,
             random: SmallRng::seed_from_u64(seed),
@@ -215,7 +215,7 @@
         if !pools.contains_key(key) {
             pools.insert(key.clone(), BackendPool::new(tables, &key.service, random, now));
         }
-        pools.get_mut(key).expect("it was inserted where it was missing")
+        pools.get_mut(key).expect("the pool was just inserted if it was missing")
     }
 
     /// Removes concluded requests that have no attempts in flight.
@@ -228,7 +228,7 @@
     }
 }
 
-impl RoutingPolicy for BackendPools {
+impl RoutingPolicy for ProxyPolicy {
     type Update = Update;
 
     fn decide(&mut self, now: Ticks, events: Vec<Event>) -> Vec<Action> {
@@ -258,8 +258,8 @@
     fn apply_update(&mut self, now: Ticks, update: Update) -> Option<BackendUpdate> {
         let backends_changed = match update {
             Update::Register(register) => self.apply_register(register),
-            Update::BackendList { list, taken_at } => {
-                self.backends.set_list(list, taken_at);
+            Update::BackendList { list, read_at } => {
+                self.backends.set_list(list, read_at);
                 true
             }
             Update::FleetSummary(summary) => self.apply_fleet_summary(&summary),
--- a/programs/proxy/src/pools/dispatch.rs
+++ b/programs/proxy/src/pools/dispatch.rs
@@ -3,7 +3,7 @@
 
 use super::admission::AdmissionDecision;
 use super::request::{Attempt, RequestInFlight};
-use super::{BackendPools, PoolKey, warm_up};
+use super::{PoolKey, ProxyPolicy, warm_up};
 use crate::gate_state::AuthorizedRequest;
 use crate::update::{TokenGrants, WaitingAnswer};
 use rand::Rng;
@@ -13,7 +13,7 @@
     Action, Arrival, AttemptNumber, AttemptReport, BackendId, Event, Outcome, Ticks, TxnId,
 };
 
-impl BackendPools {
+impl ProxyPolicy {
     /// Handles the arrival of a request that the gate has authorized.
     pub(super) fn handle_arrival(&mut self, arrival: &Arrival, now: Ticks, actions: &mut Vec<Action>) {
         let txn = arrival.txn;
@@ -176,7 +176,7 @@
     }
 
     /// Returns whether one more attempt may be sent, and spends the tokens for it. The attempt is limited by
-    /// the route's maximum, by the backend's slow start and, once an attempt has reached a backend, by the
+    /// the route's maximum, by the limit on a backend that warms up and, once an attempt has reached a backend, by the
     /// service's retry budget.
     fn try_reserve_attempt(&mut self, txn: TxnId, backend: BackendId) -> bool {
         let at = self.clock.now();
--- a/programs/proxy/src/server.rs
+++ b/programs/proxy/src/server.rs
@@ -3,7 +3,7 @@
 use crate::data_plane::DataPlane;
 use crate::error::ProxyError;
 use crate::gate_state::GateState;
-use crate::pools::BackendPools;
+use crate::pools::ProxyPolicy;
 use crate::readiness::Readiness;
 use crate::request_gate::RequestGate;
 use crate::ticks::to_ticks;
@@ -15,8 +15,8 @@
 use tokio::task::JoinHandle;
 use tokio::time::{Instant, sleep, sleep_until, timeout_at};
 use vanewharf_config::settings::Settings;
-use vanewharf_gateway::clock::Clock;
-use vanewharf_gateway::drain::{DrainDeadlines, FINISH_SHARE, answer_clients};
+use vanewharf_gateway::clock::{Clock, TICKS_PER_MS};
+use vanewharf_gateway::drain::{DrainDeadlines, FINISH_GRACE_FRACTION, answer_clients};
 use vanewharf_gateway::listener::accept_clients;
 use vanewharf_gateway::messages::{BackendUpdate, RouterMessage};
 use vanewharf_gateway::open_requests::{OpenRequestState, RequestStage};
@@ -34,13 +34,13 @@
 const ACCEPT_BACKLOG: u32 = 1024;
 /// The number of file descriptors reserved for listeners, logs and calls to the control plane.
 const RESERVED_DESCRIPTORS: u64 = 256;
-/// Timeouts of backend connections. The idle timeout is the shortest known one of backends.
+/// Timeouts of backend connections: 8 s without a request, the shortest idle timeout known of any backend, and 300 ms
+/// for connecting.
 const CONNECTION_TIMEOUTS: ConnectionTimeouts =
     ConnectionTimeouts { idle: Ticks(80_000), dial: Ticks(3_000) };
 /// The fraction of the grace period during which new connections are still accepted, because clients use an outdated
 /// list of proxies for a while.
 const ACCEPT_GRACE_FRACTION: f64 = 0.7;
-const TICKS_PER_MS: i64 = Ticks::SECOND.0 / 1000;
 /// The time allowed for the last answers to leave the socket buffers.
 const FLUSH_DELAY: Duration = Duration::from_millis(10);
 
@@ -57,11 +57,11 @@
     let settings = Rc::new(settings);
     let frontend = settings.listen_address("frontend")?;
     let readiness = settings.listen_address("readiness")?;
-    let DataPlane { gate_state, status, publisher, pools, updates } =
+    let DataPlane { gate_state, status, publisher, policy, updates } =
         DataPlane::start(&settings, &environment, frontend);
 
     let (shared, messages) = shared_state(&settings, &gate_state);
-    let mut routing = tokio::task::spawn_local(router(&shared, pools).run(messages, updates));
+    let mut routing = tokio::task::spawn_local(router(&shared, policy).run(messages, updates));
     let listener = listen(frontend).map_err(|source| ProxyError::Listen { address: frontend, source })?;
     let stop_accepting = Rc::new(Notify::new());
     let accepting = accept_clients(listener, Rc::clone(&shared), Rc::clone(&stop_accepting));
@@ -77,13 +77,13 @@
     status.draining.set(true);
     let grace = settings.limits_table.grace_period;
     // Requests that may not be answered before this deadline are no longer admitted.
-    gate_state.admission_deadline.set(Some(shutdown_at + to_ticks(grace.mul_f64(FINISH_SHARE))));
+    gate_state.admission_deadline.set(Some(shutdown_at + to_ticks(grace.mul_f64(FINISH_GRACE_FRACTION))));
     drain(&shared, accepting, &stop_accepting, grace).await;
     check_answered(&shared, shutdown_at);
     Ok(())
 }
 
-/// Creates the state shared by the gateway's stages, and the queue of their messages to the router.
+/// Creates the state shared by the gateway's tasks, and the queue of their messages to the router.
 fn shared_state(
     settings: &Settings,
     gate_state: &Rc<GateState>,
@@ -97,9 +97,9 @@
     (Rc::new(shared), received)
 }
 
-/// Creates the router with the given routing decisions. It starts without backends and uses no quota counter or peers.
-fn router(shared: &Rc<Shared>, pools: BackendPools) -> Router<BackendPools> {
-    Router::new(Rc::clone(shared), pools, BackendUpdate::Changes(Vec::new()), None, None)
+/// Creates the router with the given routing policy. It starts without backends and uses no quota counter or peers.
+fn router(shared: &Rc<Shared>, policy: ProxyPolicy) -> Router<ProxyPolicy> {
+    Router::new(Rc::clone(shared), policy, BackendUpdate::Changes(Vec::new()), None, None)
 }
 
 fn listen(address: SocketAddr) -> std::io::Result<TcpListener> {
@@ -144,8 +144,8 @@
     sleep(FLUSH_DELAY).await;
 }
 
-/// Checks that no request was read but left without a decision at the end of the process. Logs each unanswered request,
-/// with the time at which it was read and its stage.
+/// Checks, just before the process exits, that a decision was made on every request that was read. Logs each unanswered
+/// request, with the time at which it was read and its stage.
 fn check_answered(shared: &Shared, shutdown_at: Ticks) {
     let now = shared.clock.now();
     let unanswered = shared.open_requests.states();
@@ -163,8 +163,8 @@
     // An answer that is being written does not count: it is delayed only by its own client, which does not read.
     let all_decided = unanswered.iter().all(|request| request.stage == RequestStage::Answering);
     Invariant::AnsweredBeforeExit.check(all_decided);
-    // The stages log to a subscriber that exists only in the gateway, so the counters are logged here to show which
-    // stage violated its invariant.
+    // The gateway's tasks log through `tracing`, for which only the gateway's program installs a subscriber. Therefore
+    // the counters are logged here, which show the invariant that was violated.
     if !Invariant::ProxyStages.check(shared.resources.violations() == 0) {
         spdlog::error!("counters", kv: { event = "counters", counters: = shared.resources });
     }
