--- a/crates/system-simulator/src/schedule.rs
+++ b/crates/system-simulator/src/schedule.rs
@@ -1,6 +1,6 @@
-//! A schedule of commands and faults: drawn from a seed ([`hard`]) or read from a file ([`mod@file`]).
+//! Schedules of operator commands and faults, generated from a seed ([`hard`]) or read from a TOML file ([`mod@file`]).
 //!
-//! The `Display` texts of its parts are the lines of a run's events.
+//! The `Display` implementations produce the event lines of a run's report.
 
 pub mod file;
 pub mod hard;
@@ -9,14 +9,14 @@
 use crate::topology::SimulationParameters;
 use std::fmt;
 
-/// A controller, by number or by what it does when the schedule gets there.
+/// Selects a machine by its number, or by its role at the time at which the command or fault is executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum MachineSelector {
-    /// This machine.
+    /// The machine with this number.
     Number(usize),
-    /// The leaseholder.
+    /// The controller that holds the lease.
     Leaseholder,
-    /// The first of the operators' list that does not hold the lease.
+    /// The first active controller that does not hold the lease.
     Follower,
 }
 
@@ -30,25 +30,25 @@
     }
 }
 
-/// What an operator is to command.
+/// An operator command whose revision and machines are not resolved yet.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CommandTemplate {
     /// Replace the configuration.
     Replace {
-        /// Routes besides those that every configuration has.
+        /// Number of routes in addition to those that every configuration has.
         extra_routes: usize,
-        /// Whether an access key is revoked by it.
+        /// Whether the new configuration revokes an access key.
         revoke_key: bool,
-        /// How many different bodies of one revision are sent at the same time.
+        /// Number of different bodies that are sent concurrently under the same revision.
         bodies: usize,
     },
     /// Begin the evacuation of a zone.
     BeginEvacuation(String),
     /// End the evacuation of a zone.
     FinishEvacuation(String),
-    /// Replace a voter.
+    /// Replace a voter by another controller.
     ReplaceVoter {
-        /// The voter that is replaced.
+        /// The voter to be replaced.
         outgoing: MachineSelector,
         /// The machine that takes its place.
         incoming: MachineSelector,
@@ -83,56 +83,56 @@
 pub struct ScheduledCommand {
     /// Seconds from the start of the run.
     pub at: f64,
-    /// What is commanded.
+    /// The command that is sent.
     pub command: CommandTemplate,
-    /// How many seconds after its acknowledgement it is sent once more, if at all.
+    /// Seconds after its acknowledgement at which the command is sent again; `None`: it is sent once.
     pub repeat_after: Option<f64>,
 }
 
-/// What a fault does to the machines that it is scheduled for.
+/// The effect of a fault on the machines that it is scheduled for.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FaultKind {
-    /// They are killed and started again.
+    /// Their programs are killed, and started again when the fault ends.
     Kill,
-    /// They lose power.
+    /// They lose power, with this effect on data that was not synced.
     PowerLoss(UnsyncedData),
-    /// They lose power and their disks.
+    /// They lose power and all data on their disks.
     DiskLoss,
-    /// They lose power, and their disks what was written since the fault's time, synced or not: more than a system can
-    /// bear, to show that the checker sees it.
+    /// They lose power, and their disks are reset to their content at the fault's scheduled time, which drops synced
+    /// data too. The system cannot tolerate this fault; tests use it to verify that the checker detects the data loss.
     DiskRollback,
-    /// Their programs stop where they are.
+    /// Their programs are suspended, and resume when the fault ends.
     Freeze,
-    /// They are asked to shut down, and started again.
+    /// Their programs are requested to shut down, and started again when the fault ends.
     Shutdown,
-    /// They and these proxies are cut off from all others.
+    /// They and these proxies cannot exchange messages with any other machine.
     Partition {
-        /// Machine numbers of proxies.
+        /// Machine numbers of the proxies.
         proxies: Vec<usize>,
     },
-    /// What they send is lost.
+    /// Messages from them to all other machines are lost.
     OutboundCut,
-    /// What is sent to them is lost.
+    /// Messages to them from all other machines are lost.
     InboundCut,
-    /// Their disks do not work as they should.
+    /// Their disks are slow, hang, or are full.
     Disk(DiskCondition),
-    /// They send this many bytes per second at most.
+    /// Their outbound bandwidth is limited to this many bytes per second.
     SlowLink(u64),
-    /// They are shut down and removed for good; a spare comes at another address.
+    /// They are shut down and removed permanently; a spare controller with another address is added.
     Replacement {
-        /// Machine number of the spare.
+        /// Machine number of the spare controller.
         new: usize,
     },
-    /// All machines lose power, also proxies and spares; these also their disks.
+    /// All machines, proxies and spares included, lose power; the selected machines also lose all data on their disks.
     Blackout(UnsyncedData),
-    /// They cannot reach the other controllers; all other machines reach both sides.
+    /// They and the other controllers cannot reach each other; all other machines can reach both sides.
     ControllerSplit,
-    /// A proxy is cut off from the controllers.
+    /// A proxy cannot exchange messages with the controllers.
     ProxyCut {
         /// Its machine number.
         proxy: usize,
     },
-    /// A proxy and its agent are killed and started again.
+    /// A proxy and its agent are killed, and started again when the fault ends.
     ProxyKill {
         /// Its machine number.
         proxy: usize,
@@ -163,29 +163,30 @@
     }
 }
 
-/// Whether a fault waits for something besides its time.
+/// The event at which a scheduled fault begins.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FaultTrigger {
-    /// It begins at its time.
+    /// The fault begins at its scheduled time.
     Time,
-    /// It begins with the next acknowledgement after its time.
+    /// The fault begins when an operator receives the next acknowledgement after the scheduled time.
     NextAcknowledgement,
 }
 
-/// A fault and when it happens.
+/// A fault, when it begins and how long it lasts.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ScheduledFault {
     /// Seconds from the start of the run.
     pub at: f64,
-    /// Seconds that it lasts.
+    /// Duration in seconds.
     pub span: f64,
-    /// What it does.
+    /// The effect of the fault.
     pub kind: FaultKind,
-    /// The machines that it is about.
+    /// The affected machines.
     pub machines: Vec<MachineSelector>,
-    /// Seed nodes that these get when they start again; none: the first of the operators' list.
+    /// Seed nodes with which the affected machines start again, or with which a replacement starts. If empty, a machine
+    /// keeps those that an earlier fault gave it, or else gets the first active controllers.
     pub seeds: Vec<MachineSelector>,
-    /// What it waits for.
+    /// The event at which it begins.
     pub trigger: FaultTrigger,
 }
 
@@ -206,25 +207,25 @@
     selectors.iter().map(ToString::to_string).collect::<Vec<_>>().join(", ")
 }
 
-/// Everything that happens in a scheduled run.
+/// The parameters, commands and faults of a scheduled run.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Schedule {
-    /// Its name.
+    /// The name under which the run is reported.
     pub name: String,
-    /// Decides all that the schedule does not say.
+    /// Seeds the random choices that the schedule leaves open.
     pub seed: u64,
     /// The cluster's size and the run's length.
     pub parameters: SimulationParameters,
-    /// Controllers that may be added later.
+    /// Number of spare controllers that a replacement may add.
     pub spares: usize,
-    /// By which part clocks are fast or slow at most.
+    /// Maximum relative deviation of a machine's clock rate from real time; 0.05 is 5 % fast or slow.
     pub clock_drift: f64,
-    /// Which part of the acknowledgements to operators is lost.
+    /// Probability with which an acknowledgement to an operator is lost.
     pub acknowledgement_loss: f64,
-    /// Whether disk operations and messages take times that differ much, so that they complete in any order.
+    /// Whether the latencies of disk operations and messages vary widely, so that they complete out of order.
     pub erratic: bool,
-    /// What operators command.
+    /// Commands that operators send.
     pub commands: Vec<ScheduledCommand>,
-    /// What goes wrong.
+    /// Faults that are injected.
     pub faults: Vec<ScheduledFault>,
 }
--- a/crates/system-simulator/src/schedule/hard.rs
+++ b/crates/system-simulator/src/schedule/hard.rs
@@ -1,8 +1,10 @@
-//! Draws hard schedules from a seed: commands that race, are repeated and change the voters, hundreds of changes, wiped
-//! and replaced machines with other seed nodes, second losses as soon as they are allowed, partitions of the leaseholder,
-//! clocks that drift. No more is lost at once than the system is built to tolerate.
+//! Generates stress schedules from a seed: concurrent and repeated commands, voter replacements, hundreds of
+//! configuration changes, wiped and replaced machines that start with other seed nodes, second losses as soon as the
+//! loss budget allows them, partitions of the leaseholder, and clock drift. Unless losses are meant to overlap, no more
+//! machines are lost at the same time than the system is built to tolerate.
 //!
-//! The order of the draws decides every schedule: a draw that is added, left out or moved changes all outcomes by seed.
+//! Every schedule depends on the order of the random draws: adding, removing or moving a draw changes the outcomes of
+//! all seeds.
 
 mod commands;
 mod faults;
@@ -18,25 +20,28 @@
 use std::collections::BTreeSet;
 use std::fmt;
 
-/// Separates these draws from others of the same seed.
+/// Makes the random stream of the generator independent of other streams of the same seed.
 const SEED_SALT: u64 = 0x4a2d;
-/// Separates the draw of overlapping losses from the others, which are the same with and without it.
+/// Draws overlapping losses from a stream of their own, so that the other draws are the same with and without them.
 const OVERLAP_SEED_SALT: u64 = 0x0e1a;
-/// How often losses overlap beyond what is tolerated.
+/// Probability that a schedule has overlapping losses beyond what the system tolerates.
 const OVERLAP_PROBABILITY: f64 = 0.2;
+/// Draws erratic latencies from a stream of their own, like `OVERLAP_SEED_SALT`.
 const ERRATIC_SEED_SALT: u64 = 0xe44a;
-/// How often disk operations and messages complete in any order.
+/// Probability that disk operations and messages of a run complete out of order.
 const ERRATIC_PROBABILITY: f64 = 0.35;
-/// By which part clocks are off, where they are.
+/// Relative deviation of clock rates in runs with clock drift.
 const CLOCK_DRIFT: f64 = 0.05;
-/// Which part of the acknowledgements is lost, where some are.
+/// Probability with which an acknowledgement is lost in runs that lose acknowledgements.
 const ACKNOWLEDGEMENT_LOSS: f64 = 0.4;
+/// Spare controllers of a run that has any.
 const SPARES: usize = 2;
+/// Seed nodes of a machine that starts again with other ones.
 const SEED_NODES: usize = 3;
-/// Stands in the loss budget for whoever holds the lease then.
+/// Machine number that stands in the loss budget for the controller that holds the lease when the fault begins.
 const ANY_LEASEHOLDER: usize = usize::MAX;
 
-/// What a run is mostly about; each has a little of everything.
+/// The emphasis of a run. Every run may have faults and commands of all kinds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Theme {
     Membership,
@@ -45,11 +50,11 @@
     Partitions,
     Clocks,
     LostAcknowledgements,
-    /// Losses overlap beyond what the system is built to tolerate, but for disks.
+    /// More machines are lost at the same time than the system is built to tolerate, but no more disks than that.
     OverlappingLosses,
 }
 
-/// Each theme and how often it is drawn; runs with hundreds of changes take the longest.
+/// The relative frequency of each theme. `Changes` is rare because runs with hundreds of changes take the longest.
 const THEME_WEIGHTS: [(Theme, u32); 6] = [
     (Theme::Membership, 3),
     (Theme::DiskLosses, 3),
@@ -59,7 +64,7 @@
     (Theme::LostAcknowledgements, 2),
 ];
 
-/// The name that a schedule has.
+/// The theme's name, which is part of the schedule's name.
 impl fmt::Display for Theme {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str(match self {
@@ -77,7 +82,7 @@
 /// A controller that is about to be lost.
 struct Victim {
     selector: MachineSelector,
-    /// As the loss budget counts it.
+    /// The machines that the loss budget counts as lost.
     lost: BTreeSet<usize>,
 }
 
@@ -87,14 +92,15 @@
     theme: Theme,
     losses: LossBudget,
     faults: Vec<ScheduledFault>,
-    /// The active controllers in the order of the operators' list.
+    /// The active controllers, in the order in which operators know them.
     controllers: Vec<usize>,
+    /// Controllers that were removed permanently.
     removed: Vec<usize>,
-    /// The next is the last.
+    /// Unused spare controllers; the last one is used next.
     spares: Vec<usize>,
 }
 
-/// Draws the schedule of a seed.
+/// Generates the schedule of a seed.
 pub fn draw_schedule(parameters: SimulationParameters, seed: u64) -> Schedule {
     let mut rng = SmallRng::seed_from_u64(seed ^ SEED_SALT);
     let drawn = THEME_WEIGHTS.choose_weighted(&mut rng, |(_, weight)| *weight).expect("there are themes").0;
@@ -134,23 +140,23 @@
     }
 }
 
-/// A draw that changes none of the others.
+/// Draws from a stream of its own, so that the other draws do not depend on it.
 fn draw_separately(seed: u64, salt: u64, probability: f64) -> bool {
     SmallRng::seed_from_u64(seed ^ salt).random_bool(probability)
 }
 
 impl ScheduleGenerator {
-    /// When the first fault or command may come, in seconds.
+    /// The earliest time of a fault or command, in seconds from the start of the run.
     fn start(&self) -> f64 {
         TRAFFIC_START.as_secs_f64()
     }
 
-    /// How many seconds after that the last one may come.
+    /// Seconds after `start` in which faults and commands may begin.
     fn span(&self) -> f64 {
         self.parameters.seconds as f64
     }
 
-    /// A time at which a fault or command may come.
+    /// Draws the time of a fault or command.
     fn draw_time(&mut self) -> f64 {
         self.start() + self.rng.random_range(0.0..self.parameters.seconds as f64)
     }
@@ -159,7 +165,7 @@
         *self.controllers.choose(&mut self.rng).expect("there are controllers")
     }
 
-    /// A controller, and often the leaseholder.
+    /// Draws a controller, with increased probability the leaseholder.
     fn draw_victim(&mut self) -> Victim {
         if self.rng.random_bool(0.4) {
             return Victim { selector: MachineSelector::Leaseholder, lost: [ANY_LEASEHOLDER].into() };
@@ -168,12 +174,12 @@
         Victim { selector: MachineSelector::Number(controller), lost: [controller].into() }
     }
 
-    /// Three active controllers in any order; they may be down or cut off.
+    /// Draws distinct active controllers as seed nodes, in random order; they may be down or partitioned.
     fn draw_seeds(&mut self) -> Vec<MachineSelector> {
         self.draw_distinct(SEED_NODES)
     }
 
-    /// This many different active controllers in any order, or all that there are.
+    /// Draws this many distinct active controllers in random order, or all if there are fewer.
     fn draw_distinct(&mut self, count: usize) -> Vec<MachineSelector> {
         let mut remaining = self.controllers.clone();
         let mut drawn = Vec::new();
@@ -184,6 +190,7 @@
         drawn
     }
 
+    /// Draws the machine number of a proxy.
     fn draw_proxy(&mut self) -> usize {
         self.parameters.controllers + self.rng.random_range(0..self.parameters.proxies)
     }
--- a/crates/system-simulator/src/schedule/hard/commands.rs
+++ b/crates/system-simulator/src/schedule/hard/commands.rs
@@ -1,4 +1,4 @@
-//! The commands of a hard schedule.
+//! Generates the commands of a stress schedule.
 
 use super::{ScheduleGenerator, Theme};
 use crate::schedule::{CommandTemplate, MachineSelector, ScheduledCommand};
@@ -6,11 +6,11 @@
 use rand::Rng;
 use rand::seq::IndexedRandom;
 
-/// How many routes the configurations of a run with many changes may have more.
+/// Numbers of extra routes that the configurations of a run with many changes may have.
 const EXTRA_ROUTES: [usize; 4] = [0, 20, 100, 200];
-/// From this many routes on there are half as many changes, so that no run takes minutes.
+/// With at least this many extra routes there are half as many changes, so that no run takes minutes.
 const MANY_ROUTES: usize = 100;
-/// Voter replacements of a run about membership.
+/// Number of voter replacements in a run with the membership theme.
 const MEMBERSHIP_REPLACEMENTS: usize = 3;
 
 fn replace(extra_routes: usize) -> CommandTemplate {
@@ -18,7 +18,7 @@
 }
 
 impl ScheduleGenerator {
-    /// Draws all commands of a schedule, after its faults.
+    /// Draws the commands of a schedule, after its faults have been drawn.
     pub(super) fn draw_commands(&mut self) -> Vec<ScheduledCommand> {
         let mut commands = Vec::new();
         if self.theme == Theme::Changes {
@@ -36,6 +36,7 @@
         commands
     }
 
+    /// Draws hundreds of configuration changes, distributed evenly over the run.
     fn draw_many_changes(&mut self) -> Vec<ScheduledCommand> {
         let count = self.rng.random_range(200..=1000);
         let extra_routes = *EXTRA_ROUTES.choose(&mut self.rng).expect("there are four");
@@ -73,7 +74,7 @@
         }
     }
 
-    /// More commands at the same time than may be in progress.
+    /// Draws almost simultaneous commands, up to more than operators may have in progress.
     fn draw_burst(&mut self, at: f64) -> Vec<ScheduledCommand> {
         const GAP_S: f64 = 0.01;
         let command = |index: i32| ScheduledCommand {
--- a/crates/system-simulator/src/schedule/hard/faults.rs
+++ b/crates/system-simulator/src/schedule/hard/faults.rs
@@ -1,4 +1,4 @@
-//! The faults of a hard schedule.
+//! Generates the faults of a stress schedule, except for overlapping losses.
 
 use super::{ScheduleGenerator, Theme, Victim};
 use crate::disk::{DiskCondition, UnsyncedData};
@@ -9,17 +9,20 @@
 use rand::seq::IndexedRandom;
 use std::collections::BTreeSet;
 
-/// How long a shutdown may take, in seconds.
+/// The maximum duration of a shutdown.
 const SHUTDOWN_GRACE_S: f64 = SHUTDOWN_GRACE.as_secs_f64();
-/// How long a long partition or freeze lasts, in seconds.
+/// The duration of a long partition or freeze.
 const LONG_SPAN_S: f64 = 20.0;
-/// Bytes per second.
-const SLOW_LINK_RATES: [u64; 3] = [20_000, 60_000, 250_000];
+/// The duration of the power loss of all machines at the end of a run.
+const FINAL_BLACKOUT_S: f64 = 1.0;
+/// The time reserved for it in the loss budget, most of which the fault may wait for an acknowledgement.
+const FINAL_BLACKOUT_RESERVED_S: f64 = 4.0;
+const SLOW_LINK_BYTES_PER_SECOND: [u64; 3] = [20_000, 60_000, 250_000];
 const DISK_CONDITIONS: [DiskCondition; 3] = [DiskCondition::Slow, DiskCondition::Hung, DiskCondition::Full];
 
-/// A kind of fault as it is drawn.
+/// The kinds of fault that are drawn.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Drawn {
+enum DrawnFault {
     Kill,
     KillAll,
     PowerLoss,
@@ -37,30 +40,30 @@
     ProxyKill,
 }
 
-/// All kinds by number drawn; one that stands twice is drawn twice as often.
-const ALL: [Drawn; 16] = [
-    Drawn::Kill,
-    Drawn::KillAll,
-    Drawn::PowerLoss,
-    Drawn::DiskLoss,
-    Drawn::Freeze,
-    Drawn::DiskFault,
-    Drawn::Partition,
-    Drawn::OneWayCut,
-    Drawn::KillWithOtherSeeds,
-    Drawn::Replacement,
-    Drawn::ProxyKill,
-    Drawn::SlowLink,
-    Drawn::Blackout,
-    Drawn::Shutdown,
-    Drawn::ProxyCut,
-    Drawn::ProxyKill,
+/// All kinds, indexed by a random number; a kind that is listed twice is drawn twice as often.
+const ALL_FAULTS: [DrawnFault; 16] = [
+    DrawnFault::Kill,
+    DrawnFault::KillAll,
+    DrawnFault::PowerLoss,
+    DrawnFault::DiskLoss,
+    DrawnFault::Freeze,
+    DrawnFault::DiskFault,
+    DrawnFault::Partition,
+    DrawnFault::OneWayCut,
+    DrawnFault::KillWithOtherSeeds,
+    DrawnFault::Replacement,
+    DrawnFault::ProxyKill,
+    DrawnFault::SlowLink,
+    DrawnFault::Blackout,
+    DrawnFault::Shutdown,
+    DrawnFault::ProxyCut,
+    DrawnFault::ProxyKill,
 ];
 
 impl Theme {
-    /// The kinds of fault that it is about.
-    fn fault_kinds(self) -> &'static [Drawn] {
-        use Drawn::*;
+    /// The kinds of fault that a run with this theme has most often.
+    fn fault_kinds(self) -> &'static [DrawnFault] {
+        use DrawnFault::*;
         match self {
             Theme::Membership => {
                 &[Replacement, Replacement, Replacement, KillWithOtherSeeds, Kill, DiskLoss, Partition]
@@ -69,7 +72,7 @@
             Theme::Changes => &[Kill, PowerLoss, KillWithOtherSeeds, SlowLink, Shutdown, Freeze, Partition],
             Theme::Partitions => &[Partition, Partition, OneWayCut, OneWayCut, Freeze],
             Theme::Clocks => &[Partition, Freeze, Freeze, Kill, Shutdown],
-            // It draws its own.
+            // `draw_overlapping_losses` draws the faults of this theme.
             Theme::OverlappingLosses => &[],
             Theme::LostAcknowledgements => {
                 &[Kill, KillAll, PowerLoss, Freeze, DiskFault, Partition, Shutdown]
@@ -79,7 +82,7 @@
 }
 
 impl ScheduleGenerator {
-    /// Draws all faults of a schedule.
+    /// Draws the faults of a schedule.
     pub(super) fn draw_faults(&mut self) {
         let count = self.rng.random_range(1..=self.parameters.max_faults.max(1));
         let mut times: Vec<f64> = (0..count).map(|_| self.draw_time()).collect();
@@ -96,54 +99,56 @@
         let drawn = if self.rng.random_bool(0.7) {
             *self.theme.fault_kinds().choose(&mut self.rng).expect("there are kinds")
         } else {
-            ALL[self.rng.random_range(0..ALL.len() as u32) as usize]
+            ALL_FAULTS[self.rng.random_range(0..ALL_FAULTS.len() as u32) as usize]
         };
         let span = self.rng.random_range(0.3..5.0);
         match drawn {
-            Drawn::Kill | Drawn::KillWithOtherSeeds | Drawn::Shutdown => self.restart(drawn, at, span),
-            Drawn::KillAll => {
+            DrawnFault::Kill | DrawnFault::KillWithOtherSeeds | DrawnFault::Shutdown => {
+                self.restart(drawn, at, span)
+            }
+            DrawnFault::KillAll => {
                 let all = self.controllers.iter().copied().map(MachineSelector::Number).collect();
                 if self.losses.try_delay_recovery(at, span / 4.0) {
                     self.push_fault(at, span / 4.0, FaultKind::Kill, all);
                 }
             }
-            Drawn::PowerLoss => self.power_loss(at, span),
-            Drawn::DiskLoss => self.disk_loss(at, span),
-            Drawn::Freeze => self.freeze(at, span),
-            Drawn::DiskFault => self.disk_fault(at, span),
-            Drawn::Partition => self.partition(at),
-            Drawn::OneWayCut => self.one_way_cut(at, span),
-            Drawn::Replacement => self.replacement(at, span),
-            Drawn::SlowLink => self.slow_link(at, span * 3.0),
-            Drawn::Blackout => {
+            DrawnFault::PowerLoss => self.power_loss(at, span),
+            DrawnFault::DiskLoss => self.disk_loss(at, span),
+            DrawnFault::Freeze => self.freeze(at, span),
+            DrawnFault::DiskFault => self.disk_fault(at, span),
+            DrawnFault::Partition => self.partition(at),
+            DrawnFault::OneWayCut => self.one_way_cut(at, span),
+            DrawnFault::Replacement => self.replacement(at, span),
+            DrawnFault::SlowLink => self.slow_link(at, span * 3.0),
+            DrawnFault::Blackout => {
                 let wiped = self.draw_wiped(at, span / 3.0);
                 if self.losses.try_delay_recovery(at, span / 3.0) {
                     self.push_fault(at, span / 3.0, FaultKind::Blackout(UnsyncedData::Lost), wiped);
                 }
             }
-            Drawn::ProxyCut => {
+            DrawnFault::ProxyCut => {
                 let proxy = self.draw_proxy();
                 self.push_fault(at, span * 2.0, FaultKind::ProxyCut { proxy }, Vec::new());
             }
-            Drawn::ProxyKill => {
+            DrawnFault::ProxyKill => {
                 let proxy = self.draw_proxy();
                 self.push_fault(at, span, FaultKind::ProxyKill { proxy }, Vec::new());
             }
         }
     }
 
-    /// Reserves the loss of these machines, which keep their disks.
-    fn try_lose(&mut self, at: f64, span: f64, lost: BTreeSet<usize>) -> bool {
+    /// Reserves a loss of these machines without their disks; returns whether the loss budget allows it.
+    fn try_reserve_machines(&mut self, at: f64, span: f64, lost: BTreeSet<usize>) -> bool {
         self.losses.try_reserve(at, span, lost, DiskLoss::DiskKept)
     }
 
-    fn restart(&mut self, drawn: Drawn, at: f64, span: f64) {
+    fn restart(&mut self, drawn: DrawnFault, at: f64, span: f64) {
         let Victim { selector, lost } = self.draw_victim();
-        if !self.try_lose(at, span + SHUTDOWN_GRACE_S, lost) {
+        if !self.try_reserve_machines(at, span + SHUTDOWN_GRACE_S, lost) {
             return;
         }
-        let seeds = if drawn == Drawn::KillWithOtherSeeds { self.draw_seeds() } else { Vec::new() };
-        let kind = if drawn == Drawn::Shutdown { FaultKind::Shutdown } else { FaultKind::Kill };
+        let seeds = if drawn == DrawnFault::KillWithOtherSeeds { self.draw_seeds() } else { Vec::new() };
+        let kind = if drawn == DrawnFault::Shutdown { FaultKind::Shutdown } else { FaultKind::Kill };
         self.push_fault(at, span, kind, vec![selector]).seeds = seeds;
     }
 
@@ -151,7 +156,7 @@
         let Victim { selector, lost } = self.draw_victim();
         let choices = [UnsyncedData::Lost, UnsyncedData::Kept, UnsyncedData::Torn(self.rng.random())];
         let unsynced = *choices.choose(&mut self.rng).expect("there are three");
-        if self.try_lose(at, span, lost) {
+        if self.try_reserve_machines(at, span, lost) {
             self.push_fault(at, span, FaultKind::PowerLoss(unsynced), vec![selector]);
         }
     }
@@ -159,7 +164,7 @@
     fn freeze(&mut self, at: f64, span: f64) {
         let Victim { selector, lost } = self.draw_victim();
         let span = if self.rng.random_bool(0.5) { LONG_SPAN_S } else { span };
-        if self.try_lose(at, span, lost) {
+        if self.try_reserve_machines(at, span, lost) {
             self.push_fault(at, span, FaultKind::Freeze, vec![selector]);
         }
     }
@@ -168,15 +173,15 @@
         let Victim { selector, lost } = self.draw_victim();
         let span = *[LONG_SPAN_S, LONG_SPAN_S, span].choose(&mut self.rng).expect("there are three");
         let kind = if self.rng.random_bool(0.5) { FaultKind::OutboundCut } else { FaultKind::InboundCut };
-        if self.try_lose(at, span, lost) {
+        if self.try_reserve_machines(at, span, lost) {
             self.push_fault(at, span, kind, vec![selector]);
         }
     }
 
     fn slow_link(&mut self, at: f64, span: f64) {
         let Victim { selector, lost } = self.draw_victim();
-        let rate = *SLOW_LINK_RATES.choose(&mut self.rng).expect("there are three");
-        if self.try_lose(at, span, lost) {
+        let rate = *SLOW_LINK_BYTES_PER_SECOND.choose(&mut self.rng).expect("there are three");
+        if self.try_reserve_machines(at, span, lost) {
             self.push_fault(at, span, FaultKind::SlowLink(rate), vec![selector]);
         }
     }
@@ -190,7 +195,8 @@
         }
     }
 
-    /// As many controllers as may lose their disks at that time; none where that is too many already.
+    /// Draws as many controllers as may lose their disks at the same time; none if other losses at that time use up the
+    /// budget.
     fn draw_wiped(&mut self, at: f64, span: f64) -> Vec<MachineSelector> {
         let (mut remaining, mut wiped) = (self.controllers.clone(), BTreeSet::new());
         while wiped.len() < self.losses.tolerated() {
@@ -200,7 +206,8 @@
         wiped.into_iter().filter(|_| allowed).map(MachineSelector::Number).collect()
     }
 
-    /// A disk is lost, and often another machine as soon as that one counts no more; another disk may be faulty then.
+    /// Schedules the loss of a disk, often followed by a second loss as soon as the first one does not count as lost
+    /// any more. Another disk may be faulty while the first machine recovers.
     fn disk_loss(&mut self, at: f64, span: f64) {
         let controller = self.draw_controller();
         if !self.losses.try_reserve(at, span, [controller].into(), DiskLoss::DiskLost) {
@@ -218,7 +225,7 @@
         }
     }
 
-    /// The next loss as soon as the previous one counts no more.
+    /// Schedules another loss as soon as the previous one does not count as lost any more.
     fn second_loss(&mut self, earliest: f64) {
         let at = earliest + self.rng.random_range(0.01..0.3);
         let span = self.rng.random_range(0.5..8.0);
@@ -238,7 +245,8 @@
         }
     }
 
-    /// A minority, often with the leaseholder, and some proxies against all others.
+    /// Schedules a partition of a minority of the controllers, often with the leaseholder, and some proxies from all
+    /// other machines.
     fn partition(&mut self, at: f64) {
         let spans = [LONG_SPAN_S, LONG_SPAN_S, 3.0, 8.0];
         let span = *spans.choose(&mut self.rng).expect("there are four");
@@ -251,18 +259,18 @@
         }
         let proxies = (0..self.parameters.proxies).filter(|_| self.rng.random_bool(0.25));
         let proxies = proxies.map(|proxy| proxy + self.parameters.controllers).collect();
-        if self.try_lose(at, span, lost) {
+        if self.try_reserve_machines(at, span, lost) {
             self.push_fault(at, span, FaultKind::Partition { proxies }, machines);
         }
     }
 
-    /// A controller is removed for good, and a spare comes at a new address.
+    /// Schedules the permanent removal of a controller and the addition of a spare with another address.
     fn replacement(&mut self, at: f64, span: f64) {
         let Some(new) = self.spares.last().copied() else {
             return;
         };
         let old = self.draw_controller();
-        // It counts as lost until its successor has had time to recover.
+        // The controller counts as lost until its replacement has had time to recover.
         let lost_for = span + SHUTDOWN_GRACE_S;
         if !self.losses.try_reserve(at, lost_for, [old].into(), DiskLoss::DiskLost) {
             return;
@@ -280,12 +288,12 @@
         }
     }
 
-    /// Right after an acknowledgement all machines lose power, and as many disks are lost as may be.
+    /// Schedules a power loss of all machines after an acknowledgement, with the loss of as many disks as may be lost
+    /// at the same time.
     fn final_blackout(&mut self, at: f64) {
-        let wiped = self.draw_wiped(at, 4.0);
-        // It may wait for an acknowledgement for most of this time.
-        if self.losses.try_delay_recovery(at, 4.0) {
-            self.push_fault(at, 1.0, FaultKind::Blackout(UnsyncedData::Lost), wiped).trigger =
+        let wiped = self.draw_wiped(at, FINAL_BLACKOUT_RESERVED_S);
+        if self.losses.try_delay_recovery(at, FINAL_BLACKOUT_RESERVED_S) {
+            self.push_fault(at, FINAL_BLACKOUT_S, FaultKind::Blackout(UnsyncedData::Lost), wiped).trigger =
                 FaultTrigger::NextAcknowledgement;
         }
     }
--- a/crates/system-simulator/src/schedule/hard/overlapping_losses.rs
+++ b/crates/system-simulator/src/schedule/hard/overlapping_losses.rs
@@ -1,8 +1,9 @@
-//! Losses that overlap beyond what the system is built to tolerate, with no more disks lost than it tolerates: service may
-//! rest then, but nothing that was acknowledged may be lost or shown in an older state.
+//! Generates losses of machines that overlap beyond what the system is built to tolerate, while no more disks are lost
+//! than it tolerates. The system may be unavailable then, but must not lose an acknowledged change or return an older
+//! state.
 //!
-//! Disks are lost at one moment of a run at the most, so that however long the others are away, no second disk is lost
-//! before the first machine has recovered.
+//! Disks are lost at no more than one point of a run, so that no second disk is lost before the first machine has
+//! recovered, however long the other machines are down.
 
 use super::ScheduleGenerator;
 use crate::disk::UnsyncedData;
@@ -10,25 +11,25 @@
 use rand::Rng;
 use rand::seq::IndexedRandom;
 
-/// Within how many seconds of each other the losses begin.
+/// The losses begin within this many seconds of each other.
 const WINDOW_S: f64 = 6.0;
+/// Durations of a loss.
 const SPANS_S: [f64; 4] = [0.5, 3.0, 8.0, 15.0];
-/// Bytes per second.
-const SLOW_LINK_RATE: u64 = 60_000;
+const SLOW_LINK_BYTES_PER_SECOND: u64 = 60_000;
 
-/// When disks are lost.
+/// The point of a run at which disks are lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum DiskLossMoment {
-    /// Among the other losses.
+    /// Between the other losses.
     Amid,
-    /// When all machines lose power.
+    /// When all machines lose power between the other losses.
     Blackout,
-    /// Right after an acknowledgement at the end, when all machines lose power.
+    /// When all machines lose power after an acknowledgement at the end of the run.
     End,
 }
 
 impl ScheduleGenerator {
-    /// Draws all faults of a schedule.
+    /// Draws the faults of a schedule.
     pub(super) fn draw_overlapping_losses(&mut self) {
         let moments = [DiskLossMoment::Amid, DiskLossMoment::Blackout, DiskLossMoment::End];
         let moment = *moments.choose(&mut self.rng).expect("there are three");
@@ -67,7 +68,7 @@
         }
     }
 
-    /// One half of the controllers cannot reach the other one.
+    /// Partitions the controllers into two halves that cannot reach each other.
     fn split_controllers(&mut self, at: f64) {
         let count = (self.controllers.len() / 2).max(1);
         let half = self.draw_distinct(count);
@@ -83,7 +84,7 @@
             1 => FaultKind::Freeze,
             2 => FaultKind::Partition { proxies: Vec::new() },
             3 => FaultKind::Shutdown,
-            4 => FaultKind::SlowLink(SLOW_LINK_RATE),
+            4 => FaultKind::SlowLink(SLOW_LINK_BYTES_PER_SECOND),
             _ => FaultKind::PowerLoss(self.draw_unsynced()),
         };
         self.push_fault(at, span, kind, vec![victim]);
@@ -96,7 +97,7 @@
         self.push_fault(at, span, FaultKind::PowerLoss(unsynced), vec![proxy]);
     }
 
-    /// As many disks as may be lost at once, each with its machine.
+    /// Schedules the loss of as many disks, with their machines, as may be lost at the same time.
     fn lose_disks(&mut self, at: f64) {
         for victim in self.draw_distinct(self.losses.tolerated()) {
             let offset = self.rng.random_range(0.0..1.0);
@@ -105,7 +106,7 @@
         }
     }
 
-    /// All machines lose power, and as many disks as may be are lost with it.
+    /// Schedules a power loss of all machines, with the loss of as many disks as may be lost at the same time.
     fn blackout(&mut self, at: f64, trigger: FaultTrigger) {
         let wiped = self.draw_distinct(self.losses.tolerated());
         let unsynced = self.draw_unsynced();
