--- a/crates/system-simulator/src/fault.rs
+++ b/crates/system-simulator/src/fault.rs
@@ -1,4 +1,4 @@
-//! Faults: what each does to a cluster when it begins and when it is over.
+//! Faults that can be injected into a cluster, and how the cluster recovers from each.
 
 use crate::cluster::{Cluster, CutDirection, FaultScope, ProgramSelection};
 use crate::configuration::{replace_backend, stop_backend};
@@ -6,60 +6,60 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// How long a program that was asked to shut down has before it is killed.
+/// How long a program may take to shut down before it is killed.
 pub(crate) const SHUTDOWN_GRACE: Duration = Duration::from_millis(800);
 
-/// A machine that loses power.
+/// A machine that loses power, and what becomes of its unsynced data.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct PowerLoss {
     pub(crate) machine: usize,
     pub(crate) unsynced: UnsyncedData,
 }
 
-/// A fault of a cluster. Machines are given by number.
+/// A fault. Machines are identified by their numbers.
 #[derive(Clone, Debug)]
 pub(crate) enum Fault {
-    /// Programs of machines are killed, and started again.
+    /// Kills programs of machines; recovery starts the machines again.
     Kill { machines: Vec<usize>, programs: ProgramSelection },
-    /// Machines lose power, some of them their disks as well.
+    /// Cuts the power of machines and wipes the disks of some; recovery starts the machines again.
     PowerLoss { machines: Vec<PowerLoss>, wiped: Vec<usize> },
-    /// Machines lose power, and their disks all that was written since these images.
+    /// Cuts the power of machines and resets their disks to these images; recovery starts the machines again.
     DiskRollback { machines: Vec<(usize, DiskImage)> },
-    /// Programs of machines stop where they are.
+    /// Suspends the programs of machines; recovery resumes them.
     Freeze { machines: Vec<usize> },
-    /// Controllers are asked to shut down, killed after the grace period, and started again.
+    /// Requests controllers to shut down and kills them after the grace period; recovery starts them again.
     Shutdown { machines: Vec<usize> },
-    /// Links between two groups of machines are cut.
+    /// Cuts the links between two groups of machines; recovery heals them.
     Partition {
         one: BTreeSet<usize>,
         other: BTreeSet<usize>,
         direction: CutDirection,
-        /// What the checker excuses meanwhile.
+        /// The scopes of the fault that the checker takes into account while it lasts.
         scopes: Vec<FaultScope>,
     },
-    /// Disks do not work as they should.
+    /// Makes disks slow, hung or full; recovery makes them healthy.
     Disk { machines: Vec<usize>, condition: DiskCondition },
-    /// Machines send slowly.
+    /// Limits the outbound bandwidth of machines; recovery lifts the limit.
     SlowLink { machines: Vec<usize>, bytes_per_second: u64 },
-    /// Controllers are shut down and removed for good, and a new one is added.
+    /// Shuts controllers down and removes them permanently after the grace period; recovery adds a new controller.
     Replacement { machines: Vec<usize>, new: usize },
-    /// A backend drains and stops, and one that has to warm up takes its place.
+    /// Drains a backend and adds a replacement that has to warm up; recovery stops the drained backend.
     BackendReplacement { backend: String },
 }
 
 impl Fault {
-    /// Kills all programs of these machines.
+    /// A fault that kills all programs of these machines.
     pub(crate) fn kill(machines: Vec<usize>) -> Fault {
         Fault::Kill { machines, programs: ProgramSelection::All }
     }
 
-    /// Cuts power of these machines; what was not synced is lost.
+    /// A fault that cuts the power of these machines, with the same effect on the unsynced data of each.
     pub(crate) fn power_loss(machines: &[usize], unsynced: UnsyncedData, wiped: Vec<usize>) -> Fault {
         let machines = machines.iter().map(|&machine| PowerLoss { machine, unsynced }).collect();
         Fault::PowerLoss { machines, wiped }
     }
 
-    /// Begins the fault.
+    /// Injects the fault.
     pub(crate) fn inject(&self, cluster: &Cluster) {
         match self {
             Fault::Kill { machines, programs } => {
@@ -95,12 +95,12 @@
         }
     }
 
-    /// How long after its beginning `escalate` follows.
+    /// How long after `inject` the fault has to be escalated; `None`: it has no second stage.
     pub(crate) fn grace(&self) -> Option<Duration> {
         matches!(self, Fault::Shutdown { .. } | Fault::Replacement { .. }).then_some(SHUTDOWN_GRACE)
     }
 
-    /// The second stage of faults with a grace period.
+    /// Executes the second stage of a fault with a grace period.
     pub(crate) fn escalate(&self, cluster: &Cluster) {
         match self {
             Fault::Shutdown { machines } => {
@@ -113,7 +113,7 @@
         }
     }
 
-    /// Ends the fault.
+    /// Recovers from the fault.
     pub(crate) fn recover(&self, cluster: &Cluster) {
         match self {
             Fault::Kill { machines, .. } | Fault::Shutdown { machines } => {
--- a/crates/system-simulator/src/fault_generator.rs
+++ b/crates/system-simulator/src/fault_generator.rs
@@ -1,6 +1,7 @@
-//! Draws the faults of a run from its seed.
+//! Generates the faults of a run from its seed.
 //!
-//! The order of the draws decides every run: a draw that is added, left out or moved changes all outcomes by seed.
+//! Every run depends on the order of the random draws: adding, removing or moving a draw changes the outcomes of all
+//! seeds.
 
 use crate::cluster::{Cluster, CutDirection, FaultScope, Program, ProgramSelection};
 use crate::disk::{DiskCondition, UnsyncedData};
@@ -14,7 +15,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// What to do about a fault at one time.
+/// The stages of a fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum FaultStage {
     Inject,
@@ -22,9 +23,9 @@
     Recover,
 }
 
-/// One stage of a fault and when it is due.
+/// A stage of a fault and the time at which it is due.
 pub(crate) struct FaultAction {
-    /// From the start of the run.
+    /// The time from the start of the run.
     pub(crate) at: Duration,
     pub(crate) stage: FaultStage,
     pub(crate) fault: Rc<Fault>,
@@ -60,7 +61,7 @@
     Blackout,
 }
 
-/// By number drawn; kinds that stand twice are drawn twice as often.
+/// All kinds, indexed by a random number; a kind that is listed twice is drawn twice as often.
 const FAULT_KINDS: [FaultKind; 18] = [
     FaultKind::Kill,
     FaultKind::KillAllControllers,
@@ -82,23 +83,25 @@
     FaultKind::OneWayProxyPartition,
 ];
 
-/// What is drawn for every fault.
+/// The values that are drawn for every fault, whether its kind uses them or not.
 struct Draw {
+    /// Seconds from the start of the run.
     at: f64,
+    /// Duration in seconds.
     span: f64,
-    /// A controller.
+    /// The controller that a fault of a single controller affects.
     controller: usize,
-    /// Controllers that are lost with the fault, where it is of a kind that loses some.
+    /// The controllers that the loss budget counts as lost; empty for kinds of fault that it does not count.
     lost: BTreeSet<usize>,
 }
 
-/// Draws faults and collects what is to be done about them.
+/// Draws faults and collects their stages.
 pub(crate) struct FaultGenerator {
     cluster: Rc<Cluster>,
     pub(crate) rng: SmallRng,
-    /// One line for each fault, with its time.
+    /// A line for each fault, with its time.
     pub(crate) events: Vec<String>,
-    /// In the order in which they were drawn.
+    /// The stages of all faults, in the order in which the faults were drawn.
     pub(crate) actions: Vec<FaultAction>,
     losses: LossBudget,
 }
@@ -114,7 +117,7 @@
         }
     }
 
-    /// Draws one fault that begins at that time, in seconds; none where too many controllers would be lost at once.
+    /// Draws a fault that begins at `at` seconds. It is dropped if too many controllers would be lost at the same time.
     pub(crate) fn draw_fault(&mut self, at: f64) {
         let controllers = self.cluster.parameters.controllers;
         let controller = self.rng.random_range(0..controllers);
@@ -159,7 +162,7 @@
         }
     }
 
-    /// Schedules a fault from `at` for `span` seconds, after its grace period if it has one.
+    /// Schedules a fault that begins at `at` and ends after its grace period, if any, and `span` seconds.
     fn schedule(&mut self, at: f64, span: f64, event: &str, fault: Fault) {
         self.events.push(format!("{at:5.2} s  {event}"));
         let fault = Rc::new(fault);
@@ -207,7 +210,7 @@
     fn kill_all_controllers(&mut self, draw: &Draw) {
         let span = self.rng.random_range(0.1..1.5);
         let fault = Fault::kill((0..self.controller_count()).collect());
-        self.schedule(draw.at, span, &format!("the whole core is killed, for {span:.1} s"), fault);
+        self.schedule(draw.at, span, &format!("all controllers are killed, for {span:.1} s"), fault);
     }
 
     fn power_loss(&mut self, draw: &Draw) {
@@ -240,19 +243,22 @@
 
     fn shutdown(&mut self, draw: &Draw) {
         let Draw { at, span, controller, .. } = *draw;
-        let event = format!("central-{controller} is told to end, back in {span:.1} s");
+        let event =
+            format!("central-{controller} is requested to shut down, and starts again after {span:.1} s");
         self.schedule(at, span, &event, Fault::Shutdown { machines: vec![controller] });
     }
 
-    /// Some controllers and some proxies against all other machines.
+    /// Partitions some controllers and some proxies from all other machines.
     fn partition(&mut self, draw: Draw, direction: CutDirection) {
         let Draw { at, span, lost: controllers, .. } = draw;
         let all = self.all_machines();
         let all_proxies: BTreeSet<usize> = (self.controller_count()..self.cluster.machines.len()).collect();
         let proxies: BTreeSet<usize> =
             all_proxies.iter().copied().filter(|_| self.rng.random_bool(0.3)).collect();
-        let how = if direction == CutDirection::Both { "cut off" } else { "not heard" };
-        let event = format!("{controllers:?} of the core and doors {proxies:?} are {how}, for {span:.1} s");
+        let how = if direction == CutDirection::Both { "cut off from" } else { "unable to send to" };
+        let event = format!(
+            "controllers {controllers:?} and proxy machines {proxies:?} are {how} the others, for {span:.1} s"
+        );
         let one: BTreeSet<usize> = controllers.union(&proxies).copied().collect();
         let other = all.difference(&one).copied().collect();
         let mut scopes = vec![FaultScope::Partitioned(controllers)];
@@ -260,15 +266,15 @@
         self.schedule(at, span, &event, Fault::Partition { one, other, direction, scopes });
     }
 
-    /// One proxy against all controllers or all machines.
+    /// Partitions a proxy from the controllers or from all machines.
     fn proxy_partition(&mut self, draw: &Draw, direction: CutDirection) {
         let proxy = self.draw_proxy();
         let span = self.rng.random_range(2.0..9.0);
         let only_controllers = self.rng.random_bool(0.5);
         let other: BTreeSet<usize> =
             if only_controllers { (0..self.controller_count()).collect() } else { self.all_machines() };
-        let how = if direction == CutDirection::Both { "cut off from" } else { "not heard by" };
-        let event = format!("door {proxy} is {how} {} machines, for {span:.1} s", other.len());
+        let how = if direction == CutDirection::Both { "cut off from" } else { "unable to send to" };
+        let event = format!("proxy machine {proxy} is {how} {} machines, for {span:.1} s", other.len());
         let scopes = vec![FaultScope::Degraded(proxy)];
         let fault = Fault::Partition { one: [proxy].into(), other, direction, scopes };
         self.schedule(draw.at, span, &event, fault);
@@ -282,17 +288,18 @@
             ProgramSelection::Only(Program::Proxy),
         ];
         let programs = *selections.choose(&mut self.rng).expect("there are three");
-        let killed = match programs {
+        let only_program = match programs {
             ProgramSelection::All => "None".to_owned(),
             ProgramSelection::Only(program) => format!("Some({program})"),
         };
-        let event = format!("door {proxy}: {killed} killed, for {:.1} s", draw.span);
+        let event =
+            format!("proxy machine {proxy}: killed (only program: {only_program}), for {:.1} s", draw.span);
         self.schedule(draw.at, draw.span, &event, Fault::Kill { machines: vec![proxy], programs });
     }
 
     fn proxy_freeze(&mut self, draw: &Draw) {
         let proxy = self.draw_proxy();
-        let event = format!("door {proxy} is frozen for {:.1} s", draw.span);
+        let event = format!("proxy machine {proxy} is frozen for {:.1} s", draw.span);
         self.schedule(draw.at, draw.span, &event, Fault::Freeze { machines: vec![proxy] });
     }
 
@@ -307,12 +314,12 @@
     fn backend_replacement(&mut self, draw: &Draw) {
         let ids: Vec<String> = self.cluster.ground_truth.backends.borrow().keys().cloned().collect();
         let backend = ids[self.rng.random_range(0..ids.len())].clone();
-        let event = format!("backend {backend} drains, and a cold one comes");
+        let event = format!("backend {backend} drains, and one that has to warm up replaces it");
         let fault = Fault::BackendReplacement { backend };
         self.schedule(draw.at, DRAIN_TIME.as_secs_f64(), &event, fault);
     }
 
-    /// All machines lose power, and now and then one controller its disk.
+    /// All machines lose power; some of these faults also wipe the disk of a controller.
     fn blackout(&mut self, draw: &Draw) {
         let unsynced: Vec<UnsyncedData> =
             (0..self.controller_count()).map(|_| self.draw_unsynced()).collect();
@@ -321,7 +328,10 @@
             && self.losses.try_reserve(draw.at, span, [draw.controller].into(), DiskLoss::DiskLost);
         let wiped = wiped.then_some(draw.controller);
         let texts: Vec<String> = unsynced.iter().map(ToString::to_string).collect();
-        let event = format!("all lose power [{}], {wiped:?} its disk, for {span:.1} s", texts.join(", "));
+        let event = format!(
+            "all machines lose power (controllers' unsynced data: [{}]), wiped controller: {wiped:?}, for {span:.1} s",
+            texts.join(", ")
+        );
         let machines = (0..self.cluster.machines.len()).map(|machine| {
             let unsynced = unsynced.get(machine).copied().unwrap_or(UnsyncedData::Lost);
             PowerLoss { machine, unsynced }
--- a/crates/system-simulator/src/scheduled_run.rs
+++ b/crates/system-simulator/src/scheduled_run.rs
@@ -1,5 +1,5 @@
-//! Simulates a schedule: operators with several commands in progress at once, whose acknowledgements may be lost, readers
-//! who read back during the whole run, and the schedule's faults.
+//! Simulates a schedule: operators send commands concurrently and may not receive their acknowledgements, readers read
+//! the configuration during the whole run, and the faults of the schedule are injected.
 
 mod faults;
 
@@ -26,31 +26,36 @@
 use tokio::sync::{Mutex, Notify, Semaphore};
 use tokio::time::{Instant, sleep, sleep_until};
 
-/// How many commands may be in progress at once.
+/// Maximum number of commands in progress.
 const MAX_COMMANDS_IN_PROGRESS: usize = 8;
-/// How long commands other than configurations are retried: as long as the checker waits for them.
+/// How long commands other than configuration changes are retried: the time after which the checker stops waiting for
+/// an acknowledgement.
 const RETRY_TIME: Duration = Duration::from_secs(24);
-/// How many operators send commands; the next ones read.
+/// Number of operators that send commands. The readers have the next operator numbers.
 const OPERATORS: u8 = 5;
 const READERS: u8 = 2;
 const READ_INTERVAL: Duration = Duration::from_millis(350);
 const READ_JITTER_MS: u64 = 100;
+/// When the first reader begins, from the start of the run.
 const FIRST_READ_S: f64 = 3.0;
-/// When the first configuration is sent, in seconds.
+/// When the first configuration is sent, from the start of the run.
 const FIRST_COMMAND_S: f64 = 1.0;
-/// How many commands the events of a run name.
+/// Maximum number of commands that are listed in the events of a run.
 const MAX_COMMAND_EVENTS: usize = 40;
-/// Separate the draws of commands and of repetitions from others of the same seed.
+/// Makes the random stream of the commands independent of other streams of the same seed.
 const COMMAND_SEED_SALT: u64 = 0x0bde;
+/// Makes the random stream of a repeated command independent of that of its first sending.
 const REPETITION_SEED_SALT: u64 = 0xa6a1;
+/// Multiplies the schedule's seed, so that the commands of different seeds have different streams.
 const COMMAND_SEED_FACTOR: u64 = 0x9e37;
 
-/// Simulates a schedule; the same schedule has the same outcome.
+/// Simulates a schedule. The simulation is deterministic: the same schedule always has the same outcome.
 pub fn simulate_schedule(schedule: &Schedule) -> RunOutcome {
     simulate_tampered_schedule(schedule, |_| {})
 }
 
-/// Simulates a schedule and changes what was observed before it is judged, to show what the checker sees.
+/// Simulates a schedule and modifies the observed history before the checker evaluates it. Tests use this to verify
+/// that the checker detects violations.
 pub fn simulate_tampered_schedule(schedule: &Schedule, tamper: impl FnOnce(&mut History)) -> RunOutcome {
     block_on_simulation(run(schedule, tamper))
 }
@@ -81,7 +86,7 @@
     }
     sleep_until(started + duration).await;
 
-    let events = describe(schedule);
+    let events = describe_events(schedule);
     CompletedRun { cluster: &cluster, seed, started, duration, events, commands }.conclude(tamper).await
 }
 
@@ -89,7 +94,7 @@
     Duration::from_secs_f64(at)
 }
 
-/// When the last command is sent or the last fault ends.
+/// The time from the start of the run at which the last command is sent or the last fault ends.
 fn last_event(schedule: &Schedule) -> Duration {
     let end = |fault: &ScheduledFault| {
         let wait = match fault.trigger {
@@ -104,15 +109,15 @@
     times.fold(faults_until, Duration::max)
 }
 
-/// The run's events: all faults and the first commands.
-fn describe(schedule: &Schedule) -> Vec<String> {
+/// Describes all faults and the first commands, a line each.
+fn describe_events(schedule: &Schedule) -> Vec<String> {
     let faults = schedule.faults.iter().map(ToString::to_string);
     let commands = schedule.commands.iter().take(MAX_COMMAND_EVENTS);
     let commands = commands.map(|command| format!("{:6.2} s  {}", command.at, command.command));
     faults.chain(commands).collect()
 }
 
-/// Starts a task for each command, in the order in which they are sent; returns how many there are.
+/// Spawns a task for each command, ordered by the time at which it is sent; returns the number of commands.
 fn spawn_commands(
     schedule: &Schedule,
     operators: &Rc<Operators>,
@@ -143,13 +148,13 @@
     count as usize
 }
 
-/// A command whose machines may not be known until it is sent.
+/// A command whose machines may have to be resolved when it is sent.
 enum PreparedCommand {
     Ready(Command),
     ReplaceVoter { outgoing: MachineSelector, incoming: MachineSelector },
 }
 
-/// What a scheduled command sends, several bodies at once where it says so.
+/// Resolves a scheduled command: a configuration change gets the next revision and one command per body.
 fn prepare(
     cluster: &Cluster,
     scheduled: &ScheduledCommand,
@@ -190,11 +195,11 @@
 struct Operators {
     cluster: Rc<Cluster>,
     in_progress: Semaphore,
-    /// Commands for one zone are sent one after the other.
-    zones: BTreeMap<&'static str, Mutex<()>>,
-    /// Which part of the acknowledgements is lost.
+    /// Serializes the commands for each zone.
+    zone_locks: BTreeMap<&'static str, Mutex<()>>,
+    /// Probability with which an acknowledgement is lost.
     acknowledgement_loss: f64,
-    /// Notified with each acknowledgement that an operator gets.
+    /// Notified of each acknowledgement that an operator receives.
     acknowledged: Notify,
 }
 
@@ -203,13 +208,13 @@
         Operators {
             cluster: Rc::clone(cluster),
             in_progress: Semaphore::new(MAX_COMMANDS_IN_PROGRESS),
-            zones: ZONES.iter().map(|(zone, _)| (*zone, Mutex::default())).collect(),
+            zone_locks: ZONES.iter().map(|(zone, _)| (*zone, Mutex::default())).collect(),
             acknowledgement_loss,
             acknowledged: Notify::new(),
         }
     }
 
-    /// Sends a command until its outcome is known, and where it was acknowledged once more later.
+    /// Sends a command until its outcome is known; sends it again `repeat_after` seconds after an acknowledgement.
     async fn send(&self, command: PreparedCommand, seed: u64, repeat_after: Option<f64>) {
         let command = match command {
             PreparedCommand::Ready(command) => command,
@@ -218,7 +223,7 @@
                 incoming: select_machine(&self.cluster, incoming),
             },
         };
-        let _zone_guard = match command.zone().and_then(|zone| self.zones.get(zone)) {
+        let _zone_guard = match command.zone().and_then(|zone| self.zone_locks.get(zone)) {
             Some(zone) => Some(zone.lock().await),
             None => None,
         };
@@ -246,7 +251,7 @@
     }
 }
 
-/// Reads the configuration again and again during the whole run.
+/// Reads the configuration at regular intervals during the whole run.
 async fn read_repeatedly(cluster: Rc<Cluster>, reader: u8, seed: u64, started: Instant) {
     sleep_until(started + seconds(FIRST_READ_S + f64::from(reader) / f64::from(OPERATORS))).await;
     let environment = operator_environment(&cluster, OPERATORS + reader, seed ^ u64::from(reader) << 40);
@@ -256,7 +261,8 @@
     }
 }
 
-/// Which machine that is now.
+/// Returns the number of the machine that the selector matches at this time. Without a leaseholder or a follower this
+/// is the first active controller.
 fn select_machine(cluster: &Cluster, selector: MachineSelector) -> usize {
     let controllers = cluster.active_controllers.borrow();
     let leaseholder = cluster.leaseholder().filter(|leaseholder| controllers.contains(leaseholder));
--- a/crates/system-simulator/src/scheduled_run/faults.rs
+++ b/crates/system-simulator/src/scheduled_run/faults.rs
@@ -1,4 +1,5 @@
-//! The faults of a scheduled run: selects their machines when they begin, and ends them.
+//! Executes the faults of a scheduled run: resolves their machines when they begin, injects them and recovers from
+//! them.
 
 use super::{Operators, seconds, select_machine};
 use crate::cluster::{Cluster, CutDirection, FaultScope, Machine};
@@ -10,10 +11,10 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 
-/// A fault that waits for an acknowledgement begins without one after this.
+/// A fault that waits for an acknowledgement begins without one after this time.
 pub(super) const ACKNOWLEDGEMENT_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Waits until a fault is due, injects it, and ends it after its time.
+/// Waits until a fault is due, injects it, and recovers from it after its duration.
 pub(super) async fn run_fault(
     cluster: Rc<Cluster>,
     scheduled: ScheduledFault,
@@ -38,13 +39,13 @@
     fault.recover(&cluster);
 }
 
-/// What is on the disks of all machines that have one.
+/// The current disk contents of all machines that have a disk, by machine number.
 fn disk_images(cluster: &Cluster) -> BTreeMap<usize, DiskImage> {
     let image = |(number, machine): (usize, &Machine)| Some((number, machine.disk.as_ref()?.image()));
     cluster.machines.iter().enumerate().filter_map(image).collect()
 }
 
-/// Sets the seed nodes of the machines that will start again, or of the one that will come.
+/// Sets the seed nodes with which the affected machines start again, or those of the replacement that is added.
 fn set_seed_nodes(cluster: &Cluster, scheduled: &ScheduledFault, machines: &BTreeSet<usize>) {
     if scheduled.seeds.is_empty() {
         return;
@@ -59,7 +60,7 @@
     starting.into_iter().for_each(|machine| cluster.set_seed_nodes(machine, seeds.clone()));
 }
 
-/// `images` are of the disks at the fault's time.
+/// Converts a scheduled fault to one for these machines. `images` are the disk contents at its scheduled time.
 fn to_fault(
     cluster: &Cluster,
     kind: &FaultKind,
@@ -111,7 +112,7 @@
     }
 }
 
-/// These controllers and proxies against all other machines.
+/// Partitions these controllers and proxies from all other machines.
 fn partition(cluster: &Cluster, controllers: BTreeSet<usize>, proxies: &[usize]) -> Fault {
     let one: BTreeSet<usize> = controllers.iter().chain(proxies).copied().collect();
     let other = all_except(cluster, &one);
