--- a/crates/system-simulator/src/fault_generator.rs
+++ b/crates/system-simulator/src/fault_generator.rs
@@ -91,7 +91,7 @@
     span: f64,
     /// The controller that a fault of a single controller affects.
     controller: usize,
-    /// The controllers that the loss budget counts as lost; empty for kinds of fault that it does not count.
+    /// The controllers whose loss is reserved in the loss budget; empty for kinds of fault that reserve none in advance.
     lost: BTreeSet<usize>,
 }
 
