--- a/crates/system-simulator/tests/commands/main.rs
+++ b/crates/system-simulator/tests/commands/main.rs
@@ -1,5 +1,5 @@
-//! Operators' commands to simulated controllers without proxies: many at once, sent again, late, and two under one revision.
-//! Time is simulated: a sleep only says when in the run something is done, and takes none.
+//! Tests of operator commands to simulated controllers without proxies: concurrent, repeated, delayed and conflicting
+//! ones. Time is simulated: a sleep only sets the point of the run at which a step is executed, and takes no real time.
 
 mod stallable_controller;
 mod stalling_network;
@@ -24,20 +24,20 @@
 const PARAMETERS: SimulationParameters =
     SimulationParameters { controllers: 3, proxies: 0, seconds: 0, requests_per_second: 0, max_faults: 0 };
 const ACKNOWLEDGEMENT_TIME: Duration = Duration::from_secs(6);
-/// As long as an operator waits for a controller that does not respond.
+/// How long an operator waits for the response of a controller.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(1);
 const REPLACE: &str = "/-/Configuration.Replace";
 const READ: &str = "/-/Configuration.Read";
-/// The operator who reads.
+/// The number of the operator that reads.
 const READER: u8 = 7;
 const CONTROL_PORT: u16 = 8200;
 
-/// Runs a test on a cluster of three controllers that has its first configuration.
+/// Runs a test on a cluster of three controllers, once the first configuration is acknowledged.
 fn with_cluster<F: Future<Output = ()>>(seed: u64, test: impl FnOnce(Rc<Cluster>) -> F) {
     with_cluster_of(PARAMETERS.controllers, seed, test);
 }
 
-/// The same with this many controllers, of which three vote.
+/// Like `with_cluster`, with this number of controllers, three of which are voters.
 fn with_cluster_of<F: Future<Output = ()>>(
     controllers: usize,
     seed: u64,
@@ -70,7 +70,7 @@
     .to_string()
 }
 
-/// One request of an operator to one controller.
+/// Sends one request of an operator to a controller; `None` where no response arrives in time.
 async fn send(
     cluster: &Cluster,
     operator: u8,
@@ -84,7 +84,8 @@
     timeout(RESPONSE_TIMEOUT, client.send(method, path, body, RESPONSE_TIMEOUT)).await.ok()?.ok()
 }
 
-/// Sends to one controller after the other until the outcome is known: its status, or `None` where that took too long.
+/// Sends a command to the controllers in turn until its outcome is known. Returns its status, or `None` if that takes
+/// longer than `within`.
 async fn send_until_known(
     cluster: &Cluster,
     operator: u8,
@@ -106,7 +107,7 @@
     None
 }
 
-/// Waits until a controller holds the lease.
+/// Waits until a controller holds the lease, and returns its number.
 async fn leaseholder(cluster: &Cluster) -> usize {
     loop {
         for controller in 0..PARAMETERS.controllers {
@@ -140,7 +141,7 @@
     response.register.expect("a register").evacuated
 }
 
-/// A command as it is sent.
+/// A command as an operator sends it.
 struct Command {
     path: String,
     body: String,
@@ -156,8 +157,8 @@
     }
 }
 
-/// Sends all commands at once, each by an operator of its own; returns how many were acknowledged in time.
-async fn send_at_once(cluster: &Rc<Cluster>, commands: Vec<Command>) -> usize {
+/// Sends commands concurrently, each from an operator of its own; returns how many were acknowledged in time.
+async fn send_concurrently(cluster: &Rc<Cluster>, commands: Vec<Command>) -> usize {
     let tasks = commands.into_iter().enumerate().map(|(operator, command)| {
         let cluster = Rc::clone(cluster);
         tokio::task::spawn_local(async move {
@@ -183,14 +184,18 @@
 }
 
 #[test]
-fn eight_commands_at_once_are_acknowledged_while_a_disk_hangs() {
+fn eight_concurrent_commands_are_acknowledged_while_a_disk_hangs() {
     for hung in 0..PARAMETERS.controllers {
         with_cluster(hung as u64, |cluster| async move {
             set_disk_condition(&cluster, hung, DiskCondition::Hung);
             let zones = ["east-a", "west-a", "east-b", "west-b"];
             let evacuations = zones.into_iter().map(Command::begin_evacuation);
             let commands = evacuations.chain((2..6).map(Command::replace)).collect();
-            assert_eq!(send_at_once(&cluster, commands).await, 8, "with the disk of {hung}");
+            assert_eq!(
+                send_concurrently(&cluster, commands).await,
+                8,
+                "while the disk of controller {hung} hangs"
+            );
             assert_eq!(read_configuration(&cluster).await["revision"], "r5");
             assert_eq!(evacuated_zones(&cluster).await.len(), 4);
         });
@@ -198,16 +203,16 @@
 }
 
 #[test]
-fn waiting_commands_share_an_accept_round_where_each_write_is_slow() {
+fn waiting_commands_share_an_accept_round_if_writes_are_slow() {
     with_cluster(3, |cluster| async move {
-        // Each write takes 0.24 s at two of three controllers: one after the other they would take over 7 s.
+        // A write takes 0.24 s at two of three controllers, so 30 accept rounds in sequence would take over 7 s.
         for controller in 0..2 {
             set_disk_condition(&cluster, controller, DiskCondition::Slow);
         }
         let before = disk_operations(&cluster);
         let started = Instant::now();
         let commands = (2..32).map(Command::replace).collect();
-        assert_eq!(send_at_once(&cluster, commands).await, 30);
+        assert_eq!(send_concurrently(&cluster, commands).await, 30);
         let operations = disk_operations(&cluster) - before;
         println!("30 commands: {:?}, {operations} disk operations", started.elapsed());
         assert!(started.elapsed() < Duration::from_millis(1500), "{:?}", started.elapsed());
@@ -215,12 +220,13 @@
     });
 }
 
-/// The change needs a majority of the new voters, two of whose disks hang; the old ones are a majority without these.
+/// A voter replacement needs a majority of the new voters, of which two have a disk that hangs. A majority of the old
+/// voters has working disks, so configuration changes must not wait for the replacement.
 #[test]
-fn a_change_of_the_voters_that_cannot_be_accepted_delays_no_command_beyond_its_time() {
+fn a_voter_replacement_that_cannot_be_accepted_delays_no_command_beyond_its_time() {
     for seed in 0..6 {
         with_cluster_of(4, seed, |cluster| async move {
-            // The fourth controller has to be in sync to be taken for a voter.
+            // A controller has to be in sync to become a voter.
             sleep(Duration::from_secs(3)).await;
             let leaseholder = leaseholder(&cluster).await;
             let others: Vec<usize> = (0..3).filter(|controller| *controller != leaseholder).collect();
@@ -233,12 +239,12 @@
             let change = send(&cluster, 1, leaseholder, &path, "").await;
             assert!(
                 change.is_none(),
-                "it is tried, and cannot be answered: {:?}",
+                "the replacement cannot be acknowledged, but was answered: {:?}",
                 change.map(|change| change.status)
             );
             let started = Instant::now();
-            assert_eq!(send_at_once(&cluster, vec![Command::replace(2)]).await, 1);
-            println!("acknowledged {:?} after the change's caller gave up", started.elapsed());
+            assert_eq!(send_concurrently(&cluster, vec![Command::replace(2)]).await, 1);
+            println!("acknowledged {:?} after the operator gave up the voter replacement", started.elapsed());
             assert!(started.elapsed() < Duration::from_secs(3), "{:?}", started.elapsed());
             for controller in [staying, incoming] {
                 set_disk_condition(&cluster, controller, DiskCondition::Healthy);
@@ -257,7 +263,7 @@
                 async |path: &str| send_until_known(&cluster, 1, path, "", ACKNOWLEDGEMENT_TIME).await;
             assert_eq!(send_elsewhere(begin).await, Some(200));
             let leaseholder = leaseholder(&cluster).await;
-            // A connection that is open, whose bytes are then held up.
+            // The first request opens a connection; the second one on it is then held up by the network.
             let (operator, controller) = (operator_ip(0), cluster.machines[leaseholder].ip);
             let network = cluster.network.interface(operator);
             let mut client = RpcClient::new(cluster.controller_address(leaseholder), &network);
@@ -265,16 +271,16 @@
             assert_eq!(response.status, 200);
             cluster.network.cut(operator, controller);
             let response = client.send("POST", finish, "", RESPONSE_TIMEOUT).await;
-            assert!(response.is_err(), "nothing gets through");
+            assert!(response.is_err(), "the link is cut, but a response arrived");
             drop(client);
-            // Sent again by another way, and taken back after that.
+            // Another operator sends the same command successfully and then reverts it.
             assert_eq!(send_elsewhere(finish).await, Some(200));
             assert_eq!(send_elsewhere(begin).await, Some(200));
             cluster.network.heal(operator, controller);
             sleep(Duration::from_secs(2)).await;
             assert!(
                 evacuated_zones(&cluster).await.contains("east-a"),
-                "acknowledged, and ended by an earlier command"
+                "the delayed command ended an evacuation that was acknowledged later"
             );
         });
     }
@@ -308,13 +314,13 @@
     }
 }
 
-/// Two bodies under one revision, of which one was acknowledged.
+/// Two bodies that were sent under the same revision, one of which was acknowledged.
 struct Conflict {
     acknowledged: String,
     rejected: String,
 }
 
-/// Two operators send different bodies under one revision to two controllers at once.
+/// Two operators concurrently send different bodies under the same revision to two controllers.
 async fn race(cluster: &Rc<Cluster>) -> Conflict {
     let (one, other) = (config(4, "one"), config(4, "other"));
     let replace = |operator: u8, body: &str| -> JoinHandle<Option<u16>> {
@@ -325,15 +331,16 @@
     };
     let (first, second) = (replace(0, &one), replace(1, &other));
     let statuses = [first.await.expect("ends"), second.await.expect("ends")];
-    let winner = statuses.iter().position(|status| *status == Some(200)).expect("one of them");
-    assert_eq!(statuses[1 - winner], Some(409), "the other one has no confirmation");
+    let winner =
+        statuses.iter().position(|status| *status == Some(200)).expect("one of the bodies is acknowledged");
+    assert_eq!(statuses[1 - winner], Some(409), "the other body is rejected");
     let (acknowledged, rejected) = if winner == 0 { (one, other) } else { (other, one) };
     Conflict { acknowledged, rejected }
 }
 
 impl Conflict {
-    /// Both are sent again by way of every controller and answered as before.
-    async fn assert_same_answers(&self, cluster: &Cluster, when: &str) {
+    /// Sends both bodies again to each controller and asserts that the responses are the same as before.
+    async fn assert_same_responses(&self, cluster: &Cluster, when: &str) {
         for operator in 0..PARAMETERS.controllers as u8 {
             let send = async |body: &str| {
                 send_until_known(cluster, operator, REPLACE, body, ACKNOWLEDGEMENT_TIME).await
@@ -352,26 +359,26 @@
 }
 
 #[test]
-fn a_repeated_command_has_the_same_answer_at_any_controller_and_after_restarts() {
+fn a_repeated_command_gets_the_same_response_from_any_controller_and_after_restarts() {
     for seed in 0..12 {
         with_cluster(seed, |cluster| async move {
             let conflict = race(&cluster).await;
             let acknowledged: Value = serde_json::from_str(&conflict.acknowledged).expect("JSON");
             assert_eq!(read_configuration(&cluster).await, acknowledged);
-            conflict.assert_same_answers(&cluster, "at once").await;
+            conflict.assert_same_responses(&cluster, "after the race").await;
             restart_all(&cluster).await;
-            conflict.assert_same_answers(&cluster, "after all were restarted").await;
+            conflict.assert_same_responses(&cluster, "after a restart of all controllers").await;
             for revision in 5..9 {
                 let newer = config(revision, "newer");
                 let status = send_until_known(&cluster, 2, REPLACE, &newer, ACKNOWLEDGEMENT_TIME).await;
                 assert_eq!(status, Some(200));
             }
-            conflict.assert_same_answers(&cluster, "after newer ones").await;
-            // The leaseholder fails: another one answers by what the majority has persisted.
+            conflict.assert_same_responses(&cluster, "after newer configurations").await;
+            // After the leaseholder has failed, the next one responds from what a majority has persisted.
             cluster.kill(leaseholder(&cluster).await, ProgramSelection::All);
             sleep(Duration::from_secs(2)).await;
             leaseholder(&cluster).await;
-            conflict.assert_same_answers(&cluster, "at another leaseholder").await;
+            conflict.assert_same_responses(&cluster, "from another leaseholder").await;
             assert_eq!(read_configuration(&cluster).await["revision"], "r8");
         });
     }
@@ -401,16 +408,16 @@
                 None => sleep(Duration::from_millis(20)).await,
             }
         };
-        // In the middle between two renewals of the lease.
+        // Wait until halfway between two renewals of the lease.
         sleep(Duration::from_millis(200)).await;
         controllers[leaseholder].network.stall_open_connections();
         let first = tokio::task::spawn_local(evacuate(leaseholder, "east-a"));
         sleep(Duration::from_millis(50)).await;
         let second = tokio::task::spawn_local(evacuate(leaseholder, "west-a"));
         let (first, second) = (first.await.expect("ends"), second.await.expect("ends"));
-        println!("the first {first:?}, the second {second:?}");
+        println!("first command: {first:?}, second command: {second:?}");
         assert_eq!((first.0, second.0), (Some(200), Some(200)));
-        // An attempt on a stalled connection lasts 2.5 s.
+        // A call on a stalled connection times out only after 2.5 s.
         assert!(first.1.max(second.1) < Duration::from_secs(1), "{first:?} {second:?}");
     });
 }
--- a/crates/system-simulator/tests/commands/stallable_controller.rs
+++ b/crates/system-simulator/tests/commands/stallable_controller.rs
@@ -1,4 +1,4 @@
-//! Controllers whose connections can be stalled.
+//! Starts controllers whose outbound connections can be stalled.
 
 use crate::CONTROL_PORT;
 use crate::stalling_network::StallingNetwork;
@@ -29,7 +29,7 @@
     Settings::parse(text.to_string().as_bytes()).expect("valid settings")
 }
 
-/// A controller whose connections can be stalled.
+/// A controller on a network that can stall its outbound connections.
 pub struct StallableController {
     pub controller: RunningController,
     pub network: StallingNetwork,
--- a/crates/system-simulator/tests/commands/stalling_network.rs
+++ b/crates/system-simulator/tests/commands/stalling_network.rs
@@ -1,5 +1,5 @@
-//! A network whose open connections can be stalled: what is sent on them is lost, and nothing arrives. Connections that are
-//! opened later work.
+//! A network that can stall all outbound connections that are open: bytes that are written to them are lost, and reads
+//! never complete. Connections that are opened later work.
 
 use std::cell::Cell;
 use std::io;
@@ -10,32 +10,33 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use vanewharf_runtime::environment::{BoxFuture, Listener, Network, Stream};
 
-/// Clones share their connections.
+/// Wraps a network. Clones share the count of connections and the stalled ones.
 #[derive(Clone)]
 pub struct StallingNetwork {
     network: Rc<dyn Network>,
-    connections: Rc<Cell<u64>>,
+    /// Number of connections that have been opened.
+    opened: Rc<Cell<u64>>,
     /// Connections up to this number are stalled.
-    stalled: Rc<Cell<u64>>,
+    stalled_up_to: Rc<Cell<u64>>,
 }
 
 impl StallingNetwork {
     pub fn new(network: Rc<dyn Network>) -> StallingNetwork {
-        StallingNetwork { network, connections: Rc::default(), stalled: Rc::default() }
+        StallingNetwork { network, opened: Rc::default(), stalled_up_to: Rc::default() }
     }
 
     pub fn stall_open_connections(&self) {
-        self.stalled.set(self.connections.get());
+        self.stalled_up_to.set(self.opened.get());
     }
 }
 
 impl Network for StallingNetwork {
     fn connect(&self, to: SocketAddr) -> BoxFuture<'static, io::Result<Stream>> {
-        let (connecting, stalled) = (self.network.connect(to), Rc::clone(&self.stalled));
-        self.connections.set(self.connections.get() + 1);
-        let number = self.connections.get();
+        let (connecting, stalled_up_to) = (self.network.connect(to), Rc::clone(&self.stalled_up_to));
+        self.opened.set(self.opened.get() + 1);
+        let number = self.opened.get();
         Box::pin(async move {
-            Ok(Box::new(StallableStream { stream: connecting.await?, number, stalled }) as Stream)
+            Ok(Box::new(StallableStream { stream: connecting.await?, number, stalled_up_to }) as Stream)
         })
     }
 
@@ -51,12 +52,12 @@
 struct StallableStream {
     stream: Stream,
     number: u64,
-    stalled: Rc<Cell<u64>>,
+    stalled_up_to: Rc<Cell<u64>>,
 }
 
 impl StallableStream {
     fn is_stalled(&self) -> bool {
-        self.number <= self.stalled.get()
+        self.number <= self.stalled_up_to.get()
     }
 }
 
@@ -66,7 +67,7 @@
         context: &mut Context<'_>,
         buffer: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        // The reader has a timeout of its own.
+        // No waker is registered: readers use timeouts of their own.
         if self.is_stalled() { Poll::Pending } else { Pin::new(&mut self.stream).poll_read(context, buffer) }
     }
 }
--- a/crates/system-simulator/tests/partitions/client.rs
+++ b/crates/system-simulator/tests/partitions/client.rs
@@ -1,4 +1,4 @@
-//! What an operator sends to controllers.
+//! An operator's client of the controllers.
 
 use serde_json::{Value, json};
 use std::net::SocketAddr;
@@ -29,13 +29,14 @@
     }
 }
 
-/// A controller's answer.
-pub struct Answer {
+/// A controller's response.
+pub struct Response {
     pub status: u16,
-    /// Of a redirection.
+    /// The target of a redirection.
     pub location: Option<SocketAddr>,
 }
 
+/// The JSON text of a configuration with this revision.
 pub fn config(revision: u64) -> String {
     let route = json!({"hostname": "shop.example", "path_prefix": format!("/v{revision}/"),
         "route_kind": "read_only", "deadline": "2000ms", "target": "500ms", "precedence": 1, "service": "reads",
@@ -50,7 +51,8 @@
     .to_string()
 }
 
-pub async fn send(environment: &Environment, controller: SocketAddr, call: Call<'_>) -> Option<Answer> {
+/// Sends a call to a controller; `None` where no response arrives in time.
+pub async fn send(environment: &Environment, controller: SocketAddr, call: Call<'_>) -> Option<Response> {
     let mut client = RpcClient::new(controller, &environment.network);
     let response = client.send(call.method, call.path, call.body, RESPONSE_TIMEOUT).await.ok()?;
     let RawResponse { status, body } = response;
@@ -58,10 +60,10 @@
     let location = body["location"].as_str().and_then(|text| {
         text.trim_start_matches("http://").split('/').next().and_then(|address| address.parse().ok())
     });
-    Some(Answer { status, location })
+    Some(Response { status, location })
 }
 
-/// Sends to these controllers in turn until one acknowledges; returns when.
+/// Sends a call to the controllers in turn until one acknowledges it; returns the time of the acknowledgement.
 pub async fn send_until_acknowledged(
     environment: &Environment,
     controllers: &[SocketAddr],
@@ -72,8 +74,8 @@
             let mut to = *controller;
             for _ in 0..3 {
                 match send(environment, to, call).await {
-                    Some(Answer { status: 200, .. }) => return Instant::now(),
-                    Some(Answer { status: 307, location: Some(location) }) => to = location,
+                    Some(Response { status: 200, .. }) => return Instant::now(),
+                    Some(Response { status: 307, location: Some(location) }) => to = location,
                     _ => break,
                 }
             }
@@ -82,7 +84,7 @@
     }
 }
 
-/// Reads the configuration by way of any controller, redirected or not.
+/// Reads the configuration from a controller or from where it redirects to; returns the response's text.
 pub async fn read_configuration(environment: &Environment, controller: SocketAddr) -> String {
     let mut to = controller;
     for _ in 0..3 {
--- a/crates/system-simulator/tests/partitions/main.rs
+++ b/crates/system-simulator/tests/partitions/main.rs
@@ -1,5 +1,5 @@
-//! Controllers that are cut off from the others, and the proxies near them: what a proxy that reaches the others receives,
-//! and when, and how commands are answered by the controllers that are cut off. All time here is simulated.
+//! Tests of partitions of controllers: which data the proxies that reach the other controllers receive, and when, and
+//! how the separated controllers respond to commands. Time is simulated.
 
 mod client;
 
@@ -28,7 +28,10 @@
 use vanewharf_system_simulator::topology::{SimulationParameters, ZONES, backend_address, operator_ip};
 use yare::parameterized;
 
+/// How long a cluster runs before its tests begin.
 const READY_TIME: Duration = Duration::from_secs(8);
+/// How long a lease lasts.
+const LEASE_DURATION: Duration = Duration::from_millis(1500);
 const PARTITION_TIME: Duration = Duration::from_secs(20);
 const BACKENDS: u8 = 60;
 
@@ -36,11 +39,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Separation {
     BothWays,
-    /// What they send is lost.
+    /// Messages from them are lost.
     Outbound,
-    /// What is sent to them is lost.
+    /// Messages to them are lost.
     Inbound,
-    /// They are frozen.
+    /// Their programs are frozen.
     Frozen,
 }
 
@@ -70,33 +73,34 @@
 struct Case {
     controllers: usize,
     proxies: usize,
-    /// The separated controllers, by their distance from the leaseholder: 0 is the leaseholder.
+    /// The separated controllers, by the distance of their numbers from the leaseholder's; 0 is the leaseholder.
     separated: &'static [usize],
     separation: Separation,
     seed: u64,
 }
 
-/// What was observed in a run.
+/// The observations of a run.
 #[derive(Debug, Default)]
 struct Observed {
-    /// From an acknowledgement until the last proxy had the configuration.
+    /// Times from the acknowledgement of a configuration until the last proxy received it.
     configurations: Vec<Duration>,
-    /// The same of evacuations, begun and finished.
+    /// Times from the acknowledgement of the begin or end of an evacuation until the last proxy received it.
     evacuations: Vec<Duration>,
-    /// From when the platform's list showed a drain until the last proxy had it.
+    /// Times from when the platform's list showed that a backend drains until the last proxy received that.
     drains: Vec<Duration>,
-    /// How often separated controllers gave each answer to each call, later than a lease lasts after the separation.
-    late_answers: BTreeMap<String, usize>,
-    /// New configurations that such a controller acknowledged at any time.
+    /// Counts of each response of a separated controller to each call, after a lease granted before the separation has
+    /// expired.
+    late_responses: BTreeMap<String, usize>,
+    /// Configurations that separated controllers acknowledged, at any time.
     acknowledged: usize,
 }
 
 impl Observed {
-    fn record_answer(&mut self, path: &str, status: Option<u16>, is_late: bool) {
+    fn record_response(&mut self, path: &str, status: Option<u16>, is_late: bool) {
         self.acknowledged += usize::from(status == Some(200) && path.ends_with("Replace"));
         if is_late {
-            let answer = format!("{} {status:?}", path.split('/').nth(2).unwrap_or_default());
-            *self.late_answers.entry(answer).or_default() += 1;
+            let response = format!("{} {status:?}", path.split('/').nth(2).unwrap_or_default());
+            *self.late_responses.entry(response).or_default() += 1;
         }
     }
 }
@@ -105,12 +109,14 @@
     (0..cluster.parameters.controllers).filter(|controller| !separated.contains(controller)).collect()
 }
 
-fn all_proxies_have(cluster: &Cluster, has: impl Fn(&VersionStore) -> bool) -> bool {
+/// Whether the stores of all proxies match.
+fn all_proxies_match(cluster: &Cluster, matches: impl Fn(&VersionStore) -> bool) -> bool {
     let publishers = cluster.ground_truth.publishers.borrow();
     publishers.len() == cluster.parameters.proxies
-        && publishers.values().all(|publisher| has(&publisher.store()))
+        && publishers.values().all(|publisher| matches(&publisher.store()))
 }
 
+/// Waits until the condition is true; returns the time.
 async fn wait_until(condition: impl Fn() -> bool) -> Instant {
     while !condition() {
         sleep(Duration::from_millis(5)).await;
@@ -123,7 +129,7 @@
     runtime.block_on(LocalSet::new().run_until(run))
 }
 
-/// A cluster that serves.
+/// A running cluster whose first configuration is in force.
 struct ReadyCluster {
     cluster: Rc<Cluster>,
     operator: Environment,
@@ -145,11 +151,11 @@
     sleep_until(started + READY_TIME).await;
     let mut leaseholder = None;
     for (controller, address) in addresses.iter().enumerate() {
-        let answer = send(&operator, *address, Call::get(READ)).await;
-        let holds_lease = answer.is_some_and(|answer| answer.status == 200);
+        let response = send(&operator, *address, Call::get(READ)).await;
+        let holds_lease = response.is_some_and(|response| response.status == 200);
         leaseholder = leaseholder.or(holds_lease.then_some(controller));
     }
-    ReadyCluster { cluster, operator, leaseholder: leaseholder.expect("one holds the lease") }
+    ReadyCluster { cluster, operator, leaseholder: leaseholder.expect("a controller holds the lease") }
 }
 
 fn add_backends(cluster: &Cluster) {
@@ -163,7 +169,7 @@
     cluster.ground_truth.publish_backends();
 }
 
-/// Marks a backend as draining, or takes that back.
+/// Marks a backend as draining or not draining.
 fn set_draining(cluster: &Cluster, id: &str, draining: bool) {
     let since = draining.then(Instant::now);
     let mut backends = cluster.ground_truth.backends.borrow_mut();
@@ -172,14 +178,15 @@
     cluster.ground_truth.publish_backends();
 }
 
-fn lists(store: &VersionStore, id: &str, draining: bool) -> bool {
+/// Whether a proxy's backend list has a backend in this state.
+fn lists_backend(store: &VersionStore, id: &str, draining: bool) -> bool {
     let list = store.backend_list.as_ref();
     list.is_some_and(|list| {
         list.backends.iter().any(|backend| backend.id == id && backend.draining == draining)
     })
 }
 
-/// Sends commands to a separated controller during the whole separation and records its answers.
+/// Sends commands to a separated controller during the whole separation and records its responses.
 async fn send_to_separated(
     environment: Environment,
     controller: SocketAddr,
@@ -197,14 +204,14 @@
         if separated_at.elapsed() >= PARTITION_TIME {
             return;
         }
-        let is_late = separated_at.elapsed() > Duration::from_millis(1500);
-        let status = send(&environment, controller, *call).await.map(|answer| answer.status);
-        observed.borrow_mut().record_answer(call.path, status, is_late);
+        let is_late = separated_at.elapsed() > LEASE_DURATION;
+        let status = send(&environment, controller, *call).await.map(|response| response.status);
+        observed.borrow_mut().record_response(call.path, status, is_late);
         sleep(Duration::from_millis(130)).await;
     }
 }
 
-/// Changes the configuration, an evacuation and a backend's state, and measures when all proxies have each.
+/// Changes the configuration, an evacuation and a backend's state, and measures until all proxies have received each.
 async fn measure_propagation(
     ready: &ReadyCluster,
     controllers: &[SocketAddr],
@@ -219,7 +226,7 @@
         let register = store.register.as_ref().and_then(|register| register.config.as_ref());
         register.is_some_and(|config| config.get().contains(&text))
     };
-    let received = wait_until(|| all_proxies_have(cluster, has_config)).await;
+    let received = wait_until(|| all_proxies_match(cluster, has_config)).await;
     observed.borrow_mut().configurations.push(received - acknowledged);
 
     let (begins, path) = match revision % 2 {
@@ -230,22 +237,22 @@
     let has_evacuation = |store: &VersionStore| {
         store.register.as_ref().is_some_and(|register| register.evacuated.contains("east-b") == begins)
     };
-    let received = wait_until(|| all_proxies_have(cluster, has_evacuation)).await;
+    let received = wait_until(|| all_proxies_match(cluster, has_evacuation)).await;
     observed.borrow_mut().evacuations.push(received - acknowledged);
 
     let id = format!("i{revision}");
     set_draining(cluster, &id, true);
     let listed = Instant::now() + PLATFORM_LAG;
-    let received = wait_until(|| all_proxies_have(cluster, |store| lists(store, &id, true))).await;
+    let received = wait_until(|| all_proxies_match(cluster, |store| lists_backend(store, &id, true))).await;
     observed.borrow_mut().drains.push(received - listed);
 }
 
-/// The newest configuration is read by way of every controller soon after the separation.
-async fn assert_all_read(ready: &ReadyCluster, case: Case, revision: u64) {
+/// Asserts that every controller returns, or redirects to, the newest configuration soon after the separation.
+async fn assert_newest_is_read(ready: &ReadyCluster, case: Case, revision: u64) {
     let newest = format!("\"r{revision}\"");
     for controller in 0..case.controllers {
         let read = async {
-            // One that has just been cut off may say for a moment that it knows no leaseholder.
+            // A controller that has just been separated may respond for a moment that it knows no leaseholder.
             loop {
                 let address = ready.cluster.controller_address(controller);
                 let text = read_configuration(&ready.operator, address).await;
@@ -255,8 +262,9 @@
                 sleep(Duration::from_millis(50)).await;
             }
         };
-        let text = timeout(RESPONSE_TIMEOUT, read).await.expect("a clear answer in time");
-        assert!(text.contains(&newest), "{case:?}: {text:?} at {controller}, not {newest}");
+        let text =
+            timeout(RESPONSE_TIMEOUT, read).await.expect("a configuration within the response timeout");
+        assert!(text.contains(&newest), "{case:?}: controller {controller} returned {text:?}, not {newest}");
     }
 }
 
@@ -274,7 +282,7 @@
         let sending = send_to_separated(operator, controller, Rc::clone(&observed), separated_at);
         tokio::task::spawn_local(sending);
     }
-    // The proxies are in touch from then on, as they reach the others.
+    // From this time on the system must serve the proxies, which reach the other controllers.
     sleep_until(separated_at + CONTACT_TIME).await;
     let reachable: Vec<_> = others(cluster, &separated)
         .into_iter()
@@ -287,21 +295,21 @@
     }
     sleep_until(separated_at + PARTITION_TIME).await;
     case.separation.end(cluster, &separated);
-    // What was sent to the separated controllers meanwhile arrives only now.
+    // Messages that were held up by the separation arrive only now.
     sleep_until(separated_at + PARTITION_TIME + CONTACT_TIME).await;
-    assert_all_read(&ready, case, revision).await;
+    assert_newest_is_read(&ready, case, revision).await;
     observed.take()
 }
 
-/// Far within the 3 s that are promised, of which the hop to the proxy and the proxy's own work take little.
-const PROPAGATION_TIME: Duration = Duration::from_millis(800);
-/// The platform is polled every 0.6 s besides.
-const DRAIN_PROPAGATION_TIME: Duration = Duration::from_millis(1600);
-/// After that, a drain is not waited for any longer.
-const LONGEST_DRAIN: Duration = Duration::from_secs(10);
+/// The system promises 3 s, of which the transfer to the proxy and the proxy's own work take little.
+const MAX_PROPAGATION_TIME: Duration = Duration::from_millis(800);
+/// Longer than `MAX_PROPAGATION_TIME`, as the platform is polled only every 0.6 s.
+const MAX_DRAIN_PROPAGATION_TIME: Duration = Duration::from_millis(1600);
+/// How long a test waits until the proxies have received a drain.
+const DRAIN_TIMEOUT: Duration = Duration::from_secs(10);
 
 #[test]
-fn proxies_near_separated_controllers_follow_the_others_in_time() {
+fn proxies_receive_changes_in_time_while_controllers_are_separated() {
     vanewharf_runtime::log::disable();
     let mut cases = Vec::new();
     for separation in [Separation::BothWays, Separation::Outbound, Separation::Inbound, Separation::Frozen] {
@@ -317,22 +325,23 @@
             println!("{case:?}: {observed:?}");
             let worst = |times: &[Duration]| times.iter().max().copied().expect("some");
             assert!(observed.configurations.len() >= 5, "{case:?}: {observed:?}");
-            assert!(worst(&observed.configurations) < PROPAGATION_TIME, "{case:?}: {observed:?}");
-            assert!(worst(&observed.evacuations) < PROPAGATION_TIME, "{case:?}: {observed:?}");
-            assert!(worst(&observed.drains) < DRAIN_PROPAGATION_TIME, "{case:?}: {observed:?}");
+            assert!(worst(&observed.configurations) < MAX_PROPAGATION_TIME, "{case:?}: {observed:?}");
+            assert!(worst(&observed.evacuations) < MAX_PROPAGATION_TIME, "{case:?}: {observed:?}");
+            assert!(worst(&observed.drains) < MAX_DRAIN_PROPAGATION_TIME, "{case:?}: {observed:?}");
             assert_eq!(observed.acknowledged, 0, "{case:?}: {observed:?}");
-            let unexpected =
-                |answer: &&String| !["307", "503", "None"].iter().any(|expected| answer.contains(expected));
-            assert_eq!(observed.late_answers.keys().find(unexpected), None, "{case:?}: {observed:?}");
+            let unexpected = |response: &&String| {
+                !["307", "503", "None"].iter().any(|expected| response.contains(expected))
+            };
+            assert_eq!(observed.late_responses.keys().find(unexpected), None, "{case:?}: {observed:?}");
         },
     );
 }
 
-/// The leaseholder that is cut off is the only one to see a change of the platform's list, and sends it to the proxies near
-/// it; by the time that another one holds the lease the change is undone, so that the new leaseholder's list is as it was
-/// before.
+/// Guards against proxies that keep a list of a former leaseholder: the separated leaseholder is the only controller
+/// that reads a change of the platform's list, and sends it to the proxies. When another controller gets the lease, the
+/// change has been reverted, so that the new leaseholder's list is the same as before the change.
 #[test]
-fn a_list_that_only_a_former_leaseholder_had_is_replaced_by_the_next_ones() {
+fn a_list_that_only_the_former_leaseholder_had_is_replaced() {
     vanewharf_runtime::log::disable();
     simulate(async {
         let ReadyCluster { cluster, leaseholder, .. } = start_cluster(3, 8, 5).await;
@@ -342,39 +351,45 @@
         Separation::BothWays.begin(&cluster, &separated);
         let any_proxy_has_drain = || {
             let publishers = cluster.ground_truth.publishers.borrow();
-            publishers.values().any(|publisher| lists(&publisher.store(), "i7", true))
+            publishers.values().any(|publisher| lists_backend(&publisher.store(), "i7", true))
         };
         let separated_at = Instant::now();
         wait_until(any_proxy_has_drain).await;
         assert!(separated_at.elapsed() < Duration::from_millis(1200), "{:?}", separated_at.elapsed());
-        // By then it does not consider itself the leaseholder any more.
+        // Its lease has expired then.
         wait_until(|| cluster.leaseholder_count() == 0).await;
         set_draining(&cluster, "i7", false);
         let listed = Instant::now() + PLATFORM_LAG;
         sleep_until(separated_at + PARTITION_TIME).await;
-        assert!(all_proxies_have(&cluster, |store| lists(store, "i7", false)), "{:?}", listed.elapsed());
+        assert!(
+            all_proxies_match(&cluster, |store| lists_backend(store, "i7", false)),
+            "{:?}",
+            listed.elapsed()
+        );
     });
 }
 
-/// A controller that wins the lease may have a pull at another one still under way, whose answer then holds what the new
-/// leaseholder has itself published meanwhile, as a change of what it had before.
+/// Guards against a new leaseholder that applies the response to an earlier pull of its own: when a controller gets the
+/// lease, a pull from another one may be in progress, whose response contains the new leaseholder's own list as a
+/// change of the list that it had before.
 #[test]
-fn a_new_leaseholder_publishes_every_drain_while_an_older_pull_of_its_own_is_answered() {
+fn a_new_leaseholder_publishes_every_drain_despite_an_older_pull_in_progress() {
     const RUNS: u64 = 80;
     vanewharf_runtime::log::disable();
     let drains_after_election = |seed: u64| async move {
         let ReadyCluster { cluster, leaseholder, .. } = start_cluster(3, 2, seed).await;
-        // At another moment of the followers' pulls in each run.
+        // Each run continues at another phase of the followers' pulls.
         sleep(Duration::from_millis(600 + 5 * seed)).await;
         cluster.lose_power(leaseholder, UnsyncedData::Lost);
-        // The list is published anew at the election; one that came with it would hide that later ones do not.
+        // The list is published again at the election. A drain that is published with it would hide that later ones are
+        // not published.
         sleep(Duration::from_secs(3)).await;
         let mut drains = Vec::new();
         for id in ["i7", "i8"] {
             set_draining(&cluster, id, true);
             let listed = Instant::now() + PLATFORM_LAG;
-            let received = wait_until(|| all_proxies_have(&cluster, |store| lists(store, id, true)));
-            drains.push(timeout(LONGEST_DRAIN, received).await.map_or(LONGEST_DRAIN, |at| at - listed));
+            let received = wait_until(|| all_proxies_match(&cluster, |store| lists_backend(store, id, true)));
+            drains.push(timeout(DRAIN_TIMEOUT, received).await.map_or(DRAIN_TIMEOUT, |at| at - listed));
         }
         drains
     };
@@ -383,20 +398,20 @@
         4,
         |seed| (seed, simulate(drains_after_election(seed))),
         |(seed, drains)| {
-            let is_in_time = |drain: &Duration| *drain < DRAIN_PROPAGATION_TIME;
+            let is_in_time = |drain: &Duration| *drain < MAX_DRAIN_PROPAGATION_TIME;
             assert!(drains.iter().all(is_in_time), "seed {seed}: {drains:?}");
         },
     );
 }
 
-/// A follower that was cut off for a while tried in vain to get the lease; once it is healed it votes for the leaseholder
-/// again, and its disk has what the others' have.
+/// A voter that was partitioned has tried to get the lease without success. After the partition has healed it must vote
+/// for the leaseholder again, and its disk must have the same state as those of the others.
 #[parameterized(
     one_of_three = { 3, &[1] },
     one_of_five = { 5, &[2] },
     two_of_five_together = { 5, &[1, 2] },
 )]
-fn separated_voters_vote_again_and_have_the_state_of_the_others(controllers: usize, distances: &[usize]) {
+fn partitioned_voters_vote_again_and_have_the_state_of_the_others(controllers: usize, distances: &[usize]) {
     vanewharf_runtime::log::disable();
     simulate(async {
         let ReadyCluster { cluster, operator, leaseholder } = start_cluster(controllers, 2, 5).await;
@@ -414,7 +429,7 @@
         let mut states = BTreeMap::new();
         for controller in 0..controllers {
             let mut client = RpcClient::new(cluster.internal_address(controller), &operator.network);
-            // As one that is no member: it leaves no trace that counts.
+            // The request names an address that is not a member, so it does not affect the state of the members.
             let recover = r#"{"Recover":{"member":"10.9.9.9:1","incarnation":0}}"#;
             let response =
                 client.send("POST", endpoints::VOTE, recover, RESPONSE_TIMEOUT).await.expect("answered");
@@ -428,10 +443,10 @@
     });
 }
 
-/// One voter has lost its disk and asks to be recovered, which another has to record on a disk that hangs: the lease needs
-/// no disk, so it is renewed all the time, and proxies go on receiving the list.
+/// A voter that lost its disk requests its recovery, which another voter has to record on a disk that hangs. Renewing
+/// the lease needs no disk, so there must be exactly one leaseholder all the time.
 #[test]
-fn a_disk_that_hangs_while_another_voter_recovers_costs_no_lease() {
+fn a_hung_disk_while_another_voter_recovers_does_not_interrupt_the_lease() {
     vanewharf_runtime::log::disable();
     simulate(async {
         let ReadyCluster { cluster, leaseholder, .. } = start_cluster(3, 2, 11).await;
@@ -445,7 +460,12 @@
         cluster.start_machine(wiped);
         let started = Instant::now();
         while started.elapsed() < Duration::from_secs(8) {
-            assert_eq!(cluster.leaseholder_count(), 1, "{:?} after", started.elapsed());
+            assert_eq!(
+                cluster.leaseholder_count(),
+                1,
+                "leaseholders {:?} after the restart",
+                started.elapsed()
+            );
             sleep(Duration::from_millis(50)).await;
         }
         set_condition(DiskCondition::Healthy);
--- a/crates/system-simulator/tests/simulation.rs
+++ b/crates/system-simulator/tests/simulation.rs
@@ -1,5 +1,5 @@
-//! The simulator: a seed has one outcome, runs violate no rule, nothing that was acknowledged is lost whatever operation
-//! of a controller's disk is the last before power is lost, and the checker sees what it is there for.
+//! Tests of the simulator: the outcome of a seed is deterministic, runs violate no rule, no acknowledged change is lost
+//! if power fails before any operation of a controller's disk, and the checker detects corrupted histories.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -21,9 +21,9 @@
 const THREADS: usize = 8;
 const PARAMETERS: SimulationParameters =
     SimulationParameters { controllers: 3, proxies: 4, seconds: 12, requests_per_second: 30, max_faults: 4 };
-/// When what is in force at the end is read in the histories that the checker is shown.
+/// When the final configuration is read in the histories that are passed to the checker.
 const END: Duration = Duration::from_secs(20);
-/// Runs with a change of the configuration, one that two operators race for, and an evacuation.
+/// Seeds of runs with a configuration change, a change that two operators race for, and an evacuation.
 const CRASH_SEEDS: [u64; 2] = [28, 85];
 
 fn assert_no_violation(outcome: &RunOutcome) {
@@ -34,11 +34,11 @@
         outcome.violations,
         outcome.events
     );
-    assert_eq!(total_violations(), 0, "invariants, by seed {} or one before it", outcome.seed);
+    assert_eq!(total_violations(), 0, "invariant violations in seed {} or an earlier one", outcome.seed);
 }
 
 #[test]
-fn a_seed_has_one_outcome_and_violates_no_rule() {
+fn a_seed_has_a_deterministic_outcome_and_violates_no_rule() {
     let seeds: Vec<u64> = (0..24).chain([46, 724]).collect();
     let mut totals_by_seed = BTreeMap::new();
     for_each_parallel(
@@ -56,13 +56,13 @@
                 outcome.events.clone(),
             );
             let first = totals_by_seed.entry(outcome.seed).or_insert(totals.clone());
-            assert_eq!(*first, totals, "seed {} was simulated twice", outcome.seed);
+            assert_eq!(*first, totals, "two simulations of seed {} differ", outcome.seed);
         },
     );
     assert_eq!(totals_by_seed.len(), seeds.len());
 }
 
-/// The crashes before one operation of a controller's disk.
+/// The crashes that are simulated before an operation of a controller's disk.
 fn crashes_before(controller: usize, operation: u64) -> [CrashPoint; 5] {
     let crash = |unsynced, extent, wiped| CrashPoint { controller, operation, unsynced, extent, wiped };
     let next = |distance| Some((controller + distance) % PARAMETERS.controllers);
@@ -84,7 +84,7 @@
     for seed in CRASH_SEEDS {
         let undisturbed = simulate(parameters, seed);
         assert_no_violation(&undisturbed);
-        assert!(undisturbed.acknowledged >= 5, "a run with something to lose: {undisturbed:?}");
+        assert!(undisturbed.acknowledged >= 5, "too few acknowledged changes: {undisturbed:?}");
         let operations = undisturbed.disk_operations.iter().enumerate();
         let crashes: Vec<CrashPoint> = operations
             .flat_map(|(controller, count)| {
@@ -101,14 +101,14 @@
             },
         );
     }
-    assert!(crash_points >= 300, "{crash_points} crash points");
+    assert!(crash_points >= 300, "only {crash_points} crash points");
     println!("{crash_points} crash points");
 }
 
-/// Changes a history so that one thing is wrong with it.
+/// Modifies a history so that it violates one rule.
 type Corruption = fn(&GroundTruth, Instant);
 
-/// What the checker must not let pass, each with the rule that it must report.
+/// Corruptions that the checker must detect, each with the rule that it must report.
 const CORRUPTIONS: [(Option<Rule>, Corruption); 19] = [
     (None, |_, _| {}),
     (Some(Rule::Configuration), |truth, _| {
@@ -129,7 +129,7 @@
         (0..2).for_each(|_| add_execution(truth, at, "key", 5, true));
     }),
     (Some(Rule::SingleLease), |truth, at| truth.history.borrow_mut().dual_leases.push(at)),
-    // Two bodies under one revision: both are acknowledged, or the acknowledgement of one is lost.
+    // Two bodies under one revision are acknowledged, of which one acknowledgement may be lost.
     (Some(Rule::Configuration), |truth, at| {
         let record = CommandRecord::new(other_replace(), at);
         add_command(truth, CommandRecord { acknowledged: Some(at), ..record });
@@ -138,14 +138,14 @@
         let record = CommandRecord::new(other_replace(), at);
         add_command(truth, CommandRecord { acknowledgement_lost: Some(at), ..record });
     }),
-    // What was acknowledged is rejected when it comes again.
+    // An acknowledged command is rejected when it is repeated.
     (Some(Rule::Acknowledgement), |truth, at| add_rejected(truth, at, replace(2))),
-    // What was rejected is in force, and another body than the one that was acknowledged.
+    // A rejected body is in force in place of the acknowledged one.
     (Some(Rule::Configuration), |truth, at| {
         add_rejected(truth, at, other_replace());
         add_read(truth, at, other_body());
     }),
-    // A read that began after an acknowledgement, or after another read, and is older.
+    // A read returns an older configuration than one that was acknowledged, or read, before it began.
     (Some(Rule::StaleRead), |truth, at| add_read(truth, at, body(1))),
     (Some(Rule::StaleRead), |truth, at| {
         add_command(truth, CommandRecord::new(replace(3), at));
@@ -180,7 +180,8 @@
     }
 }
 
-/// Two configurations are acknowledged, the second of which revokes a key, and read back in the end.
+/// Adds a history without violations: two configurations are acknowledged, of which the second one revokes a key, and
+/// the second one is read at the end.
 fn add_correct_history(truth: &GroundTruth, started: Instant) {
     let mut history = truth.history.borrow_mut();
     for (revision, keys) in [(1, vec!["key", "gone"]), (2, vec!["key"])] {
@@ -252,7 +253,7 @@
     });
 }
 
-/// A request that is served by revision 1, long after revision 2 was acknowledged.
+/// Adds a request that is served by revision 1 long after revision 2 was acknowledged.
 fn add_outdated_request(truth: &GroundTruth, sent: Instant) {
     let request =
         ClientRequest { sent, proxy: 0, revision: 1, attempt: 1, status: Some(200), latency: after(0.1) };
