--- a/crates/system-simulator/examples/capacity/backend_lists.rs
+++ b/crates/system-simulator/examples/capacity/backend_lists.rs
@@ -1,4 +1,4 @@
-//! Lists of backends: messages, changes, and what a proxy does with them.
+//! Measures backend lists: their messages, changes to them, and the work of a proxy that receives them.
 
 use crate::fleet::{ConfigVersion, SERVICES, config, hash, limits_table, register, service, zone, zones};
 use crate::measure::{compressed_size, measure, to_json};
@@ -13,16 +13,18 @@
 use vanewharf_proxy::snapshot::Snapshot;
 use vanewharf_proxy::update::Update;
 
-/// How many backends a release replaces at once.
-const RELEASED: usize = 100;
+/// Number of backends that a release replaces at the same time.
+const RELEASED_BACKENDS: usize = 100;
+/// Routes of a proxy's configuration in most columns, and in the column on many routes.
 const FEW_ROUTES: usize = 10;
 const MANY_ROUTES: usize = 48_000;
 
 /// Prints a table by the number of backends.
 pub fn measure_all() {
     println!(
-        "\n| backends | mail bytes, packed | written, read ms | held MB | release of 100: change made ms, bytes, packed, \
-         followed ms | carrier: first list ms, held MB | same, 48,000 routes ms | each list after ms | each ledger ms |"
+        "\n| backends | message bytes, compressed | serialize, parse ms | retained MB | release of 100: record change ms, \
+         bytes, compressed, apply change ms | proxy: first list ms, retained MB | first list with 48,000 routes ms | each later \
+         list ms | each fleet summary ms |"
     );
     println!("| --- | --- | --- | --- | --- | --- | --- | --- | --- |");
     for count in [1_000, 6_000, 24_000] {
@@ -49,11 +51,11 @@
     backends
 }
 
-/// The backends after a release: some are gone, and as many that warm up have come.
+/// The backends after a release: some have been replaced by new ones that have to warm up.
 fn released_backends(count: usize) -> Vec<Backend> {
     let mut released = backends(count, 0);
-    released.truncate(count - RELEASED);
-    let new = backends(RELEASED, count);
+    released.truncate(count - RELEASED_BACKENDS);
+    let new = backends(RELEASED_BACKENDS, count);
     released.extend(new.into_iter().map(|backend| Backend { warmup_left_ms: 3_000, ..backend }));
     released.sort_by(|one, other| one.id.cmp(&other.id));
     released
@@ -86,7 +88,7 @@
     let recording = measure(|| sender.record_replacement(Some(old), new));
     let changes = sender.changes_since(old.list.version, now, now).expect("a change");
     let changes_json = to_json(&changes);
-    let applying = measure(|| receiver.apply_changes(old, changes, now).expect("it applies"));
+    let applying = measure(|| receiver.apply_changes(old, changes, now).expect("the change applies"));
     format!(
         "{:.1}, {}, {}, {:.1}",
         recording.milliseconds,
--- a/crates/system-simulator/examples/capacity/configurations.rs
+++ b/crates/system-simulator/examples/capacity/configurations.rs
@@ -1,4 +1,4 @@
-//! Configurations: parsing, compression, routing tables, and changes of one route.
+//! Measures configurations: parsing, compression, routing tables, and changes of one route.
 
 use crate::fleet::{ConfigVersion, config, register};
 use crate::measure::{compressed_size, measure, to_json};
@@ -8,7 +8,7 @@
 use vanewharf_protocol::messages::{PullResponse, Revision};
 use vanewharf_proxy::routing::RoutingTables;
 
-/// Routes and tenants of each configuration.
+/// Numbers of routes and tenants of each configuration.
 const SIZES: [(usize, usize); 9] = [
     (1_000, 0),
     (10_000, 0),
@@ -21,9 +21,11 @@
     (48_000, 240_000),
 ];
 
-/// Prints a table of parsing, and one of changes.
+/// Prints a table of parsing and a table of changes.
 pub fn measure_all() {
-    println!("\n| routes | tenants | text MB | packed MB | packing ms | Config::of ms, held MB, most MB |");
+    println!(
+        "\n| routes | tenants | text MB | compressed MB | compression ms | Config::parse ms, retained MB, peak MB |"
+    );
     println!("| --- | --- | --- | --- | --- | --- |");
     let mut change_rows = String::new();
     for (routes, tenants) in SIZES {
@@ -32,8 +34,8 @@
         change_rows.push_str(&format!("| {routes} | {tenants} | {} |\n", change_row(text, routes, tenants)));
     }
     println!(
-        "\n| routes | tenants | Document::of ms, held MB | change made ms | bytes, packed | followed ms | \
-         Tables::of ms, held MB, most MB | snapshot written, read ms |"
+        "\n| routes | tenants | ConfigDocument::parse ms, retained MB | record change ms | bytes, compressed | apply change ms | \
+         RoutingTables::from_register ms, retained MB, peak MB | serialize, parse snapshot ms |"
     );
     println!("| --- | --- | --- | --- | --- | --- | --- | --- |\n{change_rows}");
 }
@@ -67,7 +69,7 @@
     let recording = measure(|| sender.record_replacement(Some(&older), &newer));
     let changes = sender.changes_since(Revision(1)).expect("a change");
     let changes_json = to_json(&changes);
-    let applying = measure(|| receiver.apply_changes(&older, changes).expect("it applies"));
+    let applying = measure(|| receiver.apply_changes(&older, changes).expect("the change applies"));
     let response = PullResponse { register: Some(older), ..PullResponse::default() };
     let writing = measure(|| to_json(&response));
     let reading =
--- a/crates/system-simulator/examples/capacity/fleet.rs
+++ b/crates/system-simulator/examples/capacity/fleet.rs
@@ -1,4 +1,4 @@
-//! A made-up fleet of the size that the system is designed for.
+//! Synthetic data of a fleet of the size that the system is designed for.
 
 use serde_json::json;
 use serde_json::value::RawValue;
@@ -10,16 +10,16 @@
     ControllerEntry, HostCounts, ProxyEntry, ProxyReport, Register, Revision,
 };
 
-/// How many services backends belong to.
+/// Number of services that the backends belong to.
 pub const SERVICES: usize = 440;
 const ZONES: usize = 28;
 const REGIONS: usize = 12;
-/// How many controllers there are.
+/// Number of controllers.
 pub const CONTROLLERS: usize = 13;
-/// Hosts that a proxy's report names unless a part needs another number.
+/// Number of hosts in a proxy's report, unless a part sets another one.
 const HOSTS: usize = 8;
 
-/// A pseudo-random number.
+/// A pseudo-random number that depends only on `number`.
 pub fn hash(number: usize) -> u64 {
     (number as u64 + 1).wrapping_mul(0x9E37_79B9_7F4A_7C15) ^ 0x5851_F42D_4C95_7F2D
 }
@@ -40,15 +40,15 @@
     format!("service-{:03}", number % SERVICES)
 }
 
-/// Which version of a configuration is meant.
+/// The version of a configuration.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub enum ConfigVersion {
     Original,
-    /// One route has another latency target.
+    /// The original configuration with another latency target for one route.
     OneRouteChanged,
 }
 
-/// A configuration of that size.
+/// A configuration with these numbers of routes and tenants.
 pub fn config(routes: usize, tenants: usize, revision: u64, version: ConfigVersion) -> Box<RawValue> {
     let mut route_table = serde_json::Map::new();
     for number in 0..routes {
@@ -98,7 +98,7 @@
     }
 }
 
-/// A proxy's report at that second, after requests of this many tenants out of a pool.
+/// A proxy's report at `second`, after requests of this number of tenants, which are chosen from `pool` tenants.
 pub fn report(proxy: usize, tenants: usize, pool: usize, second: u64) -> ProxyReport {
     let entry = ProxyEntry {
         name: format!("front-{proxy:04}"),
@@ -122,18 +122,18 @@
     }
 }
 
-/// Requests to this many hosts.
+/// The counts of requests to this number of hosts.
 pub fn host_counts(hosts: usize, requests: u64) -> BTreeMap<String, HostCounts> {
     let counts = |number| (format!("host-{number:04}.shop.example"), HostCounts { requests, homed: 20 });
     (0..hosts).map(counts).collect()
 }
 
-/// That many seconds after the start.
+/// The time this number of seconds after the start.
 pub fn at(second: u64) -> Timestamp {
     Timestamp(1_000_000_000 + second * 10_000)
 }
 
-/// A controller.
+/// A controller's entry in the fleet summary.
 pub fn controller(number: usize) -> ControllerEntry {
     ControllerEntry { ip: [10, 100, 0, number as u8].into(), zone: zone(number) }
 }
--- a/crates/system-simulator/examples/capacity/main.rs
+++ b/crates/system-simulator/examples/capacity/main.rs
@@ -1,8 +1,9 @@
-//! Measures what one process pays at sizes that no fleet here reaches: time, bytes on the wire and bytes in memory, of the
-//! same code that the programs run.
+//! Measures the cost of single processes at fleet sizes that are too large to run here: time, bytes on the wire and
+//! bytes in memory of the code that the programs run.
 //!
-//! `cargo run --release -p vanewharf-system-simulator --example capacity [PART...]`, parts: config, list, ledger, hosts,
-//! lenders, calls; all where none is named. The figures are in docs/CAPACITY.md.
+//! Run `cargo run --release -p vanewharf-system-simulator --example capacity [PART...]`. The parts are config, list,
+//! ledger (fleet summaries), hosts, lenders (token leases) and calls; without an argument all of them are measured. The
+//! figures are in docs/CAPACITY.md.
 
 mod backend_lists;
 mod configurations;
@@ -12,7 +13,7 @@
 mod summaries;
 mod token_leases;
 
-/// The parts by their names on the command line.
+/// The parts, by their command-line names.
 const PARTS: [(&str, fn()); 6] = [
     ("config", configurations::measure_all),
     ("list", backend_lists::measure_all),
--- a/crates/system-simulator/examples/capacity/measure.rs
+++ b/crates/system-simulator/examples/capacity/measure.rs
@@ -1,6 +1,6 @@
-//! Time and memory of a piece of work. The allocator counts what is allocated.
+//! Measures the time and memory that a function takes. The global allocator counts the allocated bytes.
 
-// A global allocator cannot be written without unsafe code.
+// Implementing a global allocator requires unsafe code.
 #![allow(unsafe_code)]
 
 use flate2::Compression;
@@ -12,13 +12,13 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Instant;
 
-/// Counts the bytes that are allocated, and the most that were.
+/// Counts the bytes that are allocated, and their peak.
 struct CountingAllocator;
 
 static ALLOCATED: AtomicUsize = AtomicUsize::new(0);
 static PEAK: AtomicUsize = AtomicUsize::new(0);
 
-// SAFETY: each call is handed on to the system's allocator unchanged; the counters are independent of it.
+// SAFETY: Every call is forwarded unchanged to the system allocator, which does not depend on the counters.
 unsafe impl GlobalAlloc for CountingAllocator {
     unsafe fn alloc(&self, layout: Layout) -> *mut u8 {
         let allocated = ALLOCATED.fetch_add(layout.size(), Ordering::Relaxed) + layout.size();
@@ -42,17 +42,17 @@
 #[global_allocator]
 static ALLOCATOR: CountingAllocator = CountingAllocator;
 
-/// The output of a piece of work and what it took.
+/// The output of a function, and the time and memory that it took.
 pub struct Measured<T> {
     pub output: T,
     pub milliseconds: f64,
-    /// Megabytes that are still allocated afterwards.
+    /// Megabytes that the function allocated and did not free.
     pub retained_mb: f64,
-    /// The most megabytes that were allocated at a time.
+    /// The peak of allocated megabytes during the call, above those allocated before.
     pub peak_mb: f64,
 }
 
-/// Does the work and measures it.
+/// Calls a function and measures it.
 pub fn measure<T>(work: impl FnOnce() -> T) -> Measured<T> {
     let before = ALLOCATED.load(Ordering::Relaxed);
     PEAK.store(before, Ordering::Relaxed);
@@ -68,12 +68,12 @@
     }
 }
 
-/// The JSON text of a message.
+/// Serializes a message to JSON.
 pub fn to_json(message: &impl Serialize) -> Vec<u8> {
     serde_json::to_vec(message).expect("it can be serialized")
 }
 
-/// How many bytes remain when a body is compressed as RPC compresses it.
+/// The size in bytes of a body that is compressed like an RPC body.
 pub fn compressed_size(body: &[u8]) -> usize {
     let mut encoder = DeflateEncoder::new(Vec::with_capacity(body.len() / 4), Compression::fast());
     encoder.write_all(body).expect("writing to memory");
--- a/crates/system-simulator/examples/capacity/rpc.rs
+++ b/crates/system-simulator/examples/capacity/rpc.rs
@@ -1,4 +1,4 @@
-//! RPC over loopback: what a call costs its server.
+//! Measures the cost of RPC calls over loopback to their server.
 
 use crate::fleet::report;
 use serde::Serialize;
@@ -14,19 +14,20 @@
 const CLIENTS: usize = 32;
 const CALLS_PER_CLIENT: usize = 1_500;
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(9);
-/// Answered by the server's CPU time so far.
-const CPU_TIME: &str = "/spent";
-/// The server's port is from here on, by process id, so that two runs do not meet.
+/// The server responds to this path with the CPU time that its thread has used.
+const CPU_TIME_PATH: &str = "/spent";
+/// The server's port is the first one plus the process id modulo the range, so that concurrent runs use different
+/// ports.
 const FIRST_PORT: u16 = 30_000;
 const PORT_RANGE: u32 = 20_000;
 
-/// Prints a table by kind of call.
+/// Prints a table of the calls by kind.
 pub fn measure_all() {
     let address = SocketAddr::from(([127, 0, 0, 1], FIRST_PORT + (std::process::id() % PORT_RANGE) as u16));
     let (ready, is_ready) = std::sync::mpsc::channel();
     std::thread::spawn(move || run_server(address, ready));
-    is_ready.recv().expect("it listens");
-    println!("\n| calls over loopback, 32 callers | calls | callee's processor µs a call | a second |");
+    is_ready.recv().expect("the server listens");
+    println!("\n| calls over loopback, 32 clients | calls | server's CPU µs per call | calls per second |");
     println!("| --- | --- | --- | --- |");
     let token = TokenCounts::from([("tenant-000123".to_owned(), 1)]);
     block_on(async {
@@ -48,14 +49,14 @@
     }
 }
 
-/// The CPU time of this thread so far.
+/// The CPU time that this thread has used.
 fn thread_cpu_time() -> Duration {
     let statistics = std::fs::read_to_string("/proc/thread-self/schedstat").unwrap_or_default();
     let nanoseconds = statistics.split(' ').next().and_then(|time| time.parse().ok()).unwrap_or(0);
     Duration::from_nanos(nanoseconds)
 }
 
-/// Serves for as long as this process runs: leases tokens as requested, and answers pulls with nothing new.
+/// Serves until the process ends: grants all requested tokens, and responds to pulls with nothing new.
 fn run_server(address: SocketAddr, ready: std::sync::mpsc::Sender<()>) {
     block_on(async {
         let network = Environment::of_machine(None).expect("it needs no disk").network;
@@ -84,7 +85,7 @@
     tokio::task::LocalSet::new().block_on(&runtime, work)
 }
 
-/// Measures many calls by several clients at once and prints a row.
+/// Measures calls of concurrent clients and prints a row of the table.
 async fn measure_calls<Q, A>(address: SocketAddr, name: &str, path: &'static str, request: Q)
 where
     Q: Serialize + Clone + 'static,
@@ -92,11 +93,11 @@
 {
     let network = Environment::of_machine(None).expect("it needs no disk").network;
     let mut observer = RpcClient::new(address, &network);
-    let cpu_before: Duration = observer.call(CPU_TIME, &(), RESPONSE_TIMEOUT).await.expect("answered");
+    let cpu_before: Duration = observer.call(CPU_TIME_PATH, &(), RESPONSE_TIMEOUT).await.expect("answered");
     let started = Instant::now();
     call_repeatedly::<Q, A>(address, path, request).await;
     let seconds = started.elapsed().as_secs_f64();
-    let cpu_after: Duration = observer.call(CPU_TIME, &(), RESPONSE_TIMEOUT).await.expect("answered");
+    let cpu_after: Duration = observer.call(CPU_TIME_PATH, &(), RESPONSE_TIMEOUT).await.expect("answered");
     let calls = (CLIENTS * CALLS_PER_CLIENT) as f64;
     let microseconds = (cpu_after - cpu_before).as_secs_f64() * 1e6 / calls;
     println!("| {name} | {calls} | {microseconds:.1} | {:.0} |", calls / seconds);
--- a/crates/system-simulator/examples/capacity/summaries.rs
+++ b/crates/system-simulator/examples/capacity/summaries.rs
@@ -1,19 +1,20 @@
-//! The fleet's summary, which the leaseholder makes of all proxies' reports.
+//! Measures the fleet summary, which the leaseholder aggregates from the reports of all proxies.
 
 use crate::fleet::{CONTROLLERS, at, controller, host_counts, report};
 use crate::measure::{compressed_size, measure, to_json};
 use vanewharf_discovery::{FleetAggregator, summary_for_proxies};
 use vanewharf_protocol::messages::{Ballot, FleetSummary, ProxyReport, Version};
 
-/// The aggregator looks each tenant up at each proxy: with more of them a part takes minutes.
+/// The aggregator looks up each tenant for each proxy. With more lookups a row takes minutes.
 const MAX_LOOKUPS: usize = 60_000_000;
+/// Number of proxies in the table by number of hosts.
 const HOST_PROXIES: usize = 540;
 
 /// Prints a table by the number of proxies and tenants.
 pub fn measure_summaries() {
     println!(
-        "\n| doors | tenants a door, of | a report's bytes | all taken in ms | held MB | ledger made ms | ledger bytes, packed | \
-         to doors | copied ms | written, read ms | a follower's reports: ms, bytes |"
+        "\n| proxies | tenants per proxy, of | report bytes | record all ms | retained MB | summarize ms | summary bytes, compressed | \
+         summary for proxies, bytes | clone ms | serialize, parse ms | a follower's reports: ms, bytes |"
     );
     println!("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |");
     for proxies in [30, 300, 1_000, 5_400] {
@@ -55,7 +56,7 @@
     )
 }
 
-/// One controller's part of the reports, which it forwards to the leaseholder.
+/// Measures the reports that one controller receives and forwards to the leaseholder.
 fn measure_forwarding(proxies: usize, tenants: usize, pool: usize) -> String {
     let mut aggregator = FleetAggregator::default();
     (0..proxies.div_ceil(CONTROLLERS))
@@ -66,7 +67,7 @@
 
 /// Prints a table by the number of hosts that each proxy reports.
 pub fn measure_hosts() {
-    println!("\n| doors | hosts at each | a report's bytes | all taken in ms | held MB | ledger made ms |");
+    println!("\n| proxies | hosts per proxy | report bytes | parse all ms | retained MB | summarize ms |");
     println!("| --- | --- | --- | --- | --- | --- |");
     for hosts in [8, 100, 1_000, 6_000] {
         println!("| {HOST_PROXIES} | {hosts} | {} |", host_columns(hosts));
--- a/crates/system-simulator/examples/capacity/token_leases.rs
+++ b/crates/system-simulator/examples/capacity/token_leases.rs
@@ -1,4 +1,4 @@
-//! Token buckets at the controllers that lease tokens to proxies.
+//! Measures the token buckets of controllers, which lease tokens to proxies.
 
 use crate::fleet::{CONTROLLERS, at, controller, report};
 use crate::measure::{Measured, compressed_size, measure, to_json};
@@ -13,8 +13,8 @@
 /// Prints a table by the number of tenants.
 pub fn measure_all() {
     println!(
-        "\n| tenants | buckets held MB | bytes a bucket | one token lent µs | what a lender tells: ms, bytes, packed | ledger of 13 made ms, \
-         bytes, packed | copied ms | read by a lender ms |"
+        "\n| tenants | buckets MB | bytes per bucket | lease one token µs | lease report: ms, bytes, compressed | summary of 13 \
+         controllers: ms, bytes, compressed | clone for proxies ms | apply summary ms |"
     );
     println!("| --- | --- | --- | --- | --- | --- | --- | --- |");
     for tenants in [1_000, 10_000, 60_000, 240_000] {
@@ -22,7 +22,7 @@
     }
 }
 
-/// Buckets that have leased one token of each tenant.
+/// Creates buckets that have leased one token of each tenant.
 fn fill_buckets(names: &[String]) -> Measured<TokenBuckets> {
     measure(|| {
         let mut buckets = TokenBuckets::new(RATE_ALLOWANCE, InitialFill::Empty, at(0));
