--- a/crates/system-simulator/src/parallel.rs
+++ b/crates/system-simulator/src/parallel.rs
@@ -3,7 +3,7 @@
 use crate::outcome::RunOutcome;
 use crate::run::simulate;
 use crate::schedule::Schedule;
-use crate::schedule::hard::draw_schedule;
+use crate::schedule::stress::generate_schedule;
 use crate::scheduled_run::simulate_schedule;
 use crate::topology::SimulationParameters;
 use std::sync::mpsc;
@@ -50,7 +50,7 @@
     for_each_parallel(seeds, threads, |seed| simulate(parameters, seed), handle_outcome);
 }
 
-/// Simulates the hard schedules of consecutive seeds.
+/// Simulates the stress schedules of consecutive seeds.
 pub fn simulate_hard_seeds(
     parameters: SimulationParameters,
     first_seed: u64,
@@ -59,7 +59,7 @@
     handle_outcome: impl FnMut(RunOutcome),
 ) {
     let seeds = (first_seed..first_seed + count).collect();
-    let run = |seed| simulate_schedule(&draw_schedule(parameters, seed));
+    let run = |seed| simulate_schedule(&generate_schedule(parameters, seed));
     for_each_parallel(seeds, threads, run, handle_outcome);
 }
 
--- a/crates/system-simulator/src/schedule.rs
+++ b/crates/system-simulator/src/schedule.rs
@@ -1,9 +1,10 @@
-//! Schedules of operator commands and faults, generated from a seed ([`hard`]) or read from a TOML file ([`mod@file`]).
+//! Schedules of operator commands and faults, generated from a seed ([`stress`]) or read from a TOML file
+//! ([`mod@file`]).
 //!
 //! The `Display` implementations produce the event lines of a run's report.
 
 pub mod file;
-pub mod hard;
+pub mod stress;
 
 use crate::disk::{DiskCondition, UnsyncedData};
 use crate::topology::SimulationParameters;
--- a/crates/system-simulator/src/schedule/hard.rs
+++ b/crates/system-simulator/src/schedule/stress.rs
@@ -101,7 +101,7 @@
 }
 
 /// Generates the schedule of a seed.
-pub fn draw_schedule(parameters: SimulationParameters, seed: u64) -> Schedule {
+pub fn generate_schedule(parameters: SimulationParameters, seed: u64) -> Schedule {
     let mut rng = SmallRng::seed_from_u64(seed ^ SEED_SALT);
     let drawn = THEME_WEIGHTS.choose_weighted(&mut rng, |(_, weight)| *weight).expect("there are themes").0;
     let losses_overlap = draw_separately(seed, OVERLAP_SEED_SALT, OVERLAP_PROBABILITY);
--- a/crates/system-simulator/tests/schedules.rs
+++ b/crates/system-simulator/tests/schedules.rs
@@ -6,7 +6,7 @@
 use vanewharf_system_simulator::outcome::RunOutcome;
 use vanewharf_system_simulator::parallel::{for_each_parallel, simulate_hard_seeds, simulate_schedules};
 use vanewharf_system_simulator::schedule::Schedule;
-use vanewharf_system_simulator::schedule::hard::draw_schedule;
+use vanewharf_system_simulator::schedule::stress::generate_schedule;
 use vanewharf_system_simulator::scheduled_run::simulate_schedule;
 use vanewharf_system_simulator::topology::SimulationParameters;
 
@@ -72,7 +72,7 @@
 fn assert_no_rule_is_violated(controllers: usize, seed: u64) {
     let parameters =
         SimulationParameters { controllers, proxies: 3, seconds: 20, requests_per_second: 5, max_faults: 6 };
-    let outcome = simulate_schedule(&draw_schedule(parameters, seed));
+    let outcome = simulate_schedule(&generate_schedule(parameters, seed));
     assert!(outcome.violations.is_empty(), "{:#?}", outcome.violations);
 }
 
@@ -111,7 +111,7 @@
     for_each_parallel(
         vec![7, 7],
         2,
-        |seed| simulate_schedule(&draw_schedule(parameters, seed)),
+        |seed| simulate_schedule(&generate_schedule(parameters, seed)),
         |outcome| outcomes.push(outcome),
     );
     let totals = |outcome: &RunOutcome| {
