--- a/crates/system-simulator/tests/partitions/main.rs
+++ b/crates/system-simulator/tests/partitions/main.rs
@@ -30,7 +30,7 @@
 
 /// How long a cluster runs before its tests begin.
 const READY_TIME: Duration = Duration::from_secs(8);
-/// How long a lease lasts.
+/// Same as `LEASE_DURATION` of vanewharf-consensus.
 const LEASE_DURATION: Duration = Duration::from_millis(1500);
 const PARTITION_TIME: Duration = Duration::from_secs(20);
 const BACKENDS: u8 = 60;
@@ -301,7 +301,7 @@
     observed.take()
 }
 
-/// The system promises 3 s, of which the transfer to the proxy and the proxy's own work take little.
+/// Far below the 3 s that the system promises, of which the transfer to the proxy and the proxy's own work take little.
 const MAX_PROPAGATION_TIME: Duration = Duration::from_millis(800);
 /// Longer than `MAX_PROPAGATION_TIME`, as the platform is polled only every 0.6 s.
 const MAX_DRAIN_PROPAGATION_TIME: Duration = Duration::from_millis(1600);
@@ -444,7 +444,8 @@
 }
 
 /// A voter that lost its disk requests its recovery, which another voter has to record on a disk that hangs. Renewing
-/// the lease needs no disk, so there must be exactly one leaseholder all the time.
+/// the lease needs no disk, so there must be exactly one leaseholder all the time; otherwise proxies would stop
+/// receiving the backend list.
 #[test]
 fn a_hung_disk_while_another_voter_recovers_does_not_interrupt_the_lease() {
     vanewharf_runtime::log::disable();
