--- a/crates/system-simulator/src/cluster.rs
+++ b/crates/system-simulator/src/cluster.rs
@@ -1,7 +1,7 @@
-//! The machines of a simulated system and the real programs on them: they can be killed, frozen, lose power or their
-//! disk, be cut off, be removed and be added.
+//! The machines of a simulated system and the real programs that run on them. Programs can be killed and frozen;
+//! machines can lose power or their disk, be disconnected, removed and added.
 //!
-//! Machines are numbered: first the controllers of the first start, then the proxies, then spare controllers, which are
+//! Machines are numbered from 0: first the initial controllers, then the proxies, then the spare controllers, which are
 //! not started until they are added.
 
 mod fault_log;
@@ -30,17 +30,17 @@
 use tokio::time::Instant;
 use vanewharf_rpc::{RpcResponse, serve};
 
-/// Separates the draw of clock rates from other draws of the same seed.
+/// XORed into the run's seed so that clock rates are independent of other values drawn from it.
 const CLOCK_SEED_SALT: u64 = 0xc10c;
-/// By how much a message may be late in an erratic system.
+/// Upper bound of a message's random delay in a cluster with erratic timing.
 const ERRATIC_MAX_JITTER: Duration = Duration::from_millis(60);
 
-/// Which of a machine's programs are meant.
+/// Selects programs of a machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProgramSelection {
-    /// All of them.
+    /// All programs.
     All,
-    /// Only this one.
+    /// Only this program.
     Only(Program),
 }
 
@@ -56,49 +56,49 @@
 /// Which directions between two groups of machines are cut.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CutDirection {
-    /// Both.
+    /// Both directions.
     Both,
     /// Only from the first group to the second.
     Outbound,
 }
 
-/// A controller was removed for good, or a new one was added.
+/// The addition or permanent removal of a controller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ControllerChange {
-    /// When it happened.
+    /// When the controller was added or removed.
     pub at: Instant,
     /// The machine's number.
     pub machine: usize,
-    /// What happened.
+    /// Whether it was added or removed.
     pub kind: ControllerChangeKind,
 }
 
-/// What happened to a controller's machine.
+/// Whether a controller was added or removed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ControllerChangeKind {
-    /// It came with an empty disk.
+    /// The machine was added with an empty disk.
     Added,
-    /// It is gone with its disk.
+    /// The machine was removed together with its disk.
     Removed,
 }
 
 /// A simulated system.
 pub struct Cluster {
-    /// Its size.
+    /// Size and load of the system.
     pub parameters: SimulationParameters,
-    /// The backends and everything that was observed.
+    /// The state of the backends, and everything that was observed.
     pub ground_truth: Rc<GroundTruth>,
-    /// Connects the machines.
+    /// The network between the machines.
     pub network: SimulatedNetwork,
-    /// All machines, also spares and those that were removed.
+    /// All machines by number, including spares and removed ones.
     pub machines: Vec<Machine>,
-    /// What happened to machines.
+    /// The faults of the machines so far.
     pub faults: FaultLog,
-    /// The controllers of the operators' list, in its order.
+    /// The operators' list of controllers. The seed nodes of a machine are its first entries.
     pub active_controllers: RefCell<Vec<usize>>,
-    /// How that list has changed.
+    /// Changes of `active_controllers`, in the order in which they happened.
     pub controller_changes: RefCell<Vec<ControllerChange>>,
-    /// Seed nodes of machines that do not get the first of the operators' list.
+    /// Seed nodes of machines that do not use the first entries of `active_controllers`.
     seed_overrides: RefCell<BTreeMap<usize, Vec<usize>>>,
     initial_start: Cell<bool>,
     operators_have_stopped: Cell<bool>,
@@ -107,12 +107,13 @@
 }
 
 impl Cluster {
-    /// A cluster without spares whose clocks run true; nothing is started yet.
+    /// Creates a cluster without spares and without clock drift. No machine is started yet.
     pub fn new(parameters: SimulationParameters, seed: u64) -> Rc<Cluster> {
         Cluster::with_spares(parameters, seed, 0, 0.0)
     }
 
-    /// A cluster with spare controllers, and monotonic clocks that are fast or slow by up to `clock_drift`, a part of 1.
+    /// Creates a cluster with spare controllers, whose monotonic clocks are fast or slow by at most the fraction
+    /// `clock_drift`. No machine is started yet.
     pub fn with_spares(
         parameters: SimulationParameters,
         seed: u64,
@@ -143,7 +144,8 @@
         })
     }
 
-    /// From now on disk operations and messages take times that differ much, and complete in any order.
+    /// Makes the durations of disk operations and the delays of messages vary so widely that they complete in any
+    /// order.
     pub fn make_erratic(&self) {
         self.network.set_max_jitter(ERRATIC_MAX_JITTER);
         for (number, machine) in self.machines.iter().enumerate() {
@@ -151,17 +153,17 @@
         }
     }
 
-    /// Where a controller listens for operators.
+    /// The address at which a controller serves operators.
     pub fn controller_address(&self, machine: usize) -> SocketAddr {
         SocketAddr::new(self.machines[machine].ip, CONTROL_PORT)
     }
 
-    /// Where a controller listens for the system's own RPC.
+    /// The address at which a controller serves the system's internal RPC.
     pub fn internal_address(&self, machine: usize) -> SocketAddr {
         SocketAddr::new(self.machines[machine].ip, INTERNAL_PORT)
     }
 
-    /// The first start of all machines.
+    /// Starts the cloud platform's API, the initial controllers and the proxies.
     pub fn start(&self) {
         self.serve_platform();
         let count = self.parameters.controllers + self.parameters.proxies;
@@ -183,7 +185,8 @@
         }));
     }
 
-    /// Starts those of a machine's programs that do not run; does nothing where the operators' list does not have it.
+    /// Powers on a machine and starts those of its programs that are not running. Does nothing for a controller that is
+    /// not in `active_controllers`.
     pub fn start_machine(&self, number: usize) {
         let machine = &self.machines[number];
         if machine.is_controller() && !self.active_controllers.borrow().contains(&number) {
@@ -200,7 +203,7 @@
         self.faults.end(&FaultScope::Down(number));
     }
 
-    /// Kills programs of a machine with everything that they have open.
+    /// Kills programs of a machine and drops their connections and open files.
     pub fn kill(&self, number: usize, selection: ProgramSelection) {
         self.faults.begin(FaultScope::Down(number));
         let machine = &self.machines[number];
@@ -217,7 +220,8 @@
         killed.into_iter().for_each(|(_, process)| process.kill());
     }
 
-    /// Cuts a machine's power: its programs are killed, and its disk loses what this says of what was not synced.
+    /// Cuts a machine's power and kills its programs. `unsynced` says what its disk loses of the data that was not
+    /// synced.
     pub fn lose_power(&self, number: usize, unsynced: UnsyncedData) {
         let machine = &self.machines[number];
         self.network.power_off(machine.ip);
@@ -225,29 +229,29 @@
         machine.disk.iter().for_each(|disk| disk.lose_power(unsynced));
     }
 
-    /// Deletes what is on a machine's disk.
+    /// Deletes all data on a machine's disk.
     pub fn wipe_disk(&self, number: usize) {
         self.faults.record_disk_loss(number);
         self.machines[number].disk.iter().for_each(SimulatedDisk::wipe);
     }
 
-    /// Cuts a machine's power, and its disk forgets what was written since an image.
+    /// Cuts a machine's power and restores its disk to an earlier image.
     pub fn roll_back_disk(&self, number: usize, image: &DiskImage) {
         self.lose_power(number, UnsyncedData::Lost);
         self.machines[number].disk.iter().for_each(|disk| disk.roll_back(image));
     }
 
-    /// Stops a machine's programs where they are, as SIGSTOP does.
+    /// Suspends a machine's programs, as SIGSTOP does.
     pub fn freeze(&self, number: usize) {
         self.faults.begin(FaultScope::Down(number));
         self.machines[number].processes.borrow().values().for_each(Process::freeze);
     }
 
-    /// Lets frozen programs go on.
+    /// Resumes a machine's suspended programs.
     pub fn resume(&self, number: usize) {
         let processes = self.machines[number].processes.borrow();
         processes.values().for_each(Process::resume);
-        // One that was killed meanwhile stays down.
+        // A machine whose programs were killed while they were suspended stays down.
         if !processes.is_empty() {
             self.faults.end(&FaultScope::Down(number));
         }
@@ -258,7 +262,7 @@
         self.for_each_link(one, other, direction, |from, to| self.network.cut(from, to));
     }
 
-    /// Heals the links between two groups of machines, once for each time that they were cut.
+    /// Undoes one cut of the links between two groups of machines.
     pub fn heal_links(&self, one: &BTreeSet<usize>, other: &BTreeSet<usize>, direction: CutDirection) {
         self.for_each_link(one, other, direction, |from, to| self.network.heal(from, to));
     }
@@ -285,42 +289,42 @@
     pub fn request_shutdown(&self, number: usize) {
         self.faults.begin(FaultScope::Down(number));
         if let Some(shutdown) = self.machines[number].shutdown.borrow_mut().take() {
-            // A controller that has ended does not listen any more.
+            // Sending fails if the controller has already exited.
             let _ = shutdown.send(());
         }
     }
 
-    /// CPU time of the machine that simulates that this kind of program took so far.
+    /// Host CPU time that all processes of this program have used so far.
     pub fn cpu_time(&self, program: Program) -> Duration {
         self.cpu_times.of(program)
     }
 
-    /// Operators begin no call any more, but for reads.
+    /// Stops operators from sending further commands; they may still read.
     pub fn stop_operators(&self) {
         self.operators_have_stopped.set(true);
     }
 
-    /// Whether operators begin no call any more.
+    /// Whether operators send no further commands.
     pub fn operators_have_stopped(&self) -> bool {
         self.operators_have_stopped.get()
     }
 
-    /// How many controllers hold the lease, by their own account.
+    /// The number of controllers that consider themselves leaseholder.
     pub fn leaseholder_count(&self) -> usize {
         self.machines.iter().filter(|machine| machine.holds_lease()).count()
     }
 
-    /// The first controller that holds the lease, by its own account.
+    /// The first controller that considers itself leaseholder.
     pub fn leaseholder(&self) -> Option<usize> {
         self.machines.iter().position(Machine::holds_lease)
     }
 
-    /// Sets the seed nodes of a machine from its next start on.
+    /// Sets the seed nodes that a machine uses from its next start on.
     pub fn set_seed_nodes(&self, number: usize, seeds: Vec<usize>) {
         self.seed_overrides.borrow_mut().insert(number, seeds);
     }
 
-    /// Removes a controller for good, with its disk.
+    /// Removes a controller and its disk permanently.
     pub fn remove_controller(&self, number: usize) {
         self.lose_power(number, UnsyncedData::Lost);
         self.wipe_disk(number);
@@ -328,7 +332,7 @@
         self.record_controller_change(number, ControllerChangeKind::Removed);
     }
 
-    /// Adds a spare controller, which starts with an empty disk.
+    /// Adds a spare controller and starts it with an empty disk.
     pub fn add_controller(&self, number: usize) {
         self.active_controllers.borrow_mut().push(number);
         self.record_controller_change(number, ControllerChangeKind::Added);
@@ -339,7 +343,7 @@
         self.controller_changes.borrow_mut().push(ControllerChange { at: Instant::now(), machine, kind });
     }
 
-    /// Slows a machine's link to this many bytes per second; `None` ends that.
+    /// Limits a machine's outgoing bandwidth; `None` lifts the limit.
     pub fn limit_bandwidth(&self, number: usize, bytes_per_second: Option<u64>) {
         match bytes_per_second {
             Some(_) => self.faults.begin(FaultScope::SlowLink(number)),
--- a/crates/system-simulator/src/cluster/fault_log.rs
+++ b/crates/system-simulator/src/cluster/fault_log.rs
@@ -1,4 +1,4 @@
-//! What happened to machines and when: the checker excuses what a fault explains.
+//! The faults of machines and their times. The checker reports no loss of availability that a fault explains.
 
 use std::cell::RefCell;
 use std::collections::BTreeSet;
@@ -7,24 +7,24 @@
 /// What a fault affects.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FaultScope {
-    /// A machine's processes did not run, or not all of them.
+    /// Some or all of a machine's processes were not running.
     Down(usize),
-    /// A machine's disk had a fault, or it was cut off from some controllers.
+    /// A machine's disk was faulty, or the machine was disconnected from some controllers.
     Degraded(usize),
-    /// What a machine sends arrived slowly.
+    /// A machine's outgoing bandwidth was limited.
     SlowLink(usize),
-    /// These controllers were cut off from the others.
+    /// These controllers were disconnected from the others.
     Partitioned(BTreeSet<usize>),
-    /// A controller's disk was lost, in a moment.
+    /// All data on a controller's disk was lost. The record ends when it starts.
     DiskLost(usize),
 }
 
-/// One fault.
+/// A fault and the time for which it lasted.
 #[derive(Clone, Debug)]
 pub struct FaultRecord {
     /// When it began.
     pub started: Instant,
-    /// When it was over; `None` while it lasts.
+    /// When it ended; `None` while it is active.
     pub ended: Option<Instant>,
     /// What it affects.
     pub scope: FaultScope,
@@ -35,8 +35,8 @@
 pub struct FaultLog(RefCell<Vec<FaultRecord>>);
 
 impl FaultLog {
-    /// A fault begins; one that lasts already is not recorded again, except for partitions, of which each has its own
-    /// end.
+    /// Records the beginning of a fault. A fault that is already active is not recorded again, except for partitions,
+    /// each of which ends separately.
     pub fn begin(&self, scope: FaultScope) {
         let mut records = self.0.borrow_mut();
         let is_partition = matches!(scope, FaultScope::Partitioned(_));
@@ -45,20 +45,20 @@
         }
     }
 
-    /// A controller's disk is lost now.
+    /// Records that a controller's disk is lost now.
     pub fn record_disk_loss(&self, machine: usize) {
         let now = Instant::now();
         let scope = FaultScope::DiskLost(machine);
         self.0.borrow_mut().push(FaultRecord { started: now, ended: Some(now), scope });
     }
 
-    /// A fault is over; of several partitions of the same controllers the first.
+    /// Records the end of a fault. Of several partitions of the same controllers, only the one that began first ends.
     pub fn end(&self, scope: &FaultScope) {
         let now = Instant::now();
         let mut records = self.0.borrow_mut();
-        let lasting = records.iter_mut().filter(|fault| fault.scope == *scope && fault.ended.is_none());
-        let most = if let FaultScope::Partitioned(_) = scope { 1 } else { usize::MAX };
-        lasting.take(most).for_each(|fault| fault.ended = Some(now));
+        let active = records.iter_mut().filter(|fault| fault.scope == *scope && fault.ended.is_none());
+        let max_ended = if let FaultScope::Partitioned(_) = scope { 1 } else { usize::MAX };
+        active.take(max_ended).for_each(|fault| fault.ended = Some(now));
     }
 
     /// All faults in the order in which they began.
--- a/crates/system-simulator/src/cluster/machine.rs
+++ b/crates/system-simulator/src/cluster/machine.rs
@@ -24,17 +24,17 @@
     pub ip: IpAddr,
     /// Its zone.
     pub zone: &'static str,
-    /// Controllers have a disk, proxies have none.
+    /// The disk of a controller; proxies have none.
     pub disk: Option<SimulatedDisk>,
     pub(super) processes: RefCell<BTreeMap<Program, Process>>,
-    /// How often a program was started.
+    /// How many programs were started so far.
     pub(super) starts: Cell<u64>,
-    /// Where clients' requests go while a proxy runs.
+    /// The channel to the proxy for clients' requests, while a proxy runs.
     pub(crate) requests: RequestInbox,
     pub(super) controller: Rc<RefCell<Option<Rc<RunningController>>>>,
-    /// Asks the controller to shut down.
+    /// Requests the shutdown of the controller.
     pub(super) shutdown: RefCell<Option<oneshot::Sender<()>>>,
-    /// How fast its monotonic clock runs; 1.0 is true time.
+    /// The rate of its monotonic clock, relative to true time.
     pub(super) clock_rate: f64,
 }
 
@@ -48,14 +48,14 @@
     }
 }
 
-/// The machine of that number before its first start.
+/// Creates the machine with this number; none of its programs is started.
 pub(super) fn new_machine(parameters: &SimulationParameters, number: usize, clock_rate: f64) -> Machine {
     let SimulationParameters { controllers, proxies, .. } = *parameters;
     let (name, ip, zone_index, disk) = if (controllers..controllers + proxies).contains(&number) {
         let proxy = number - controllers;
         (format!("frontend-{proxy}"), proxy_ip(proxy), proxy % ZONES.len(), None)
     } else {
-        // Spares are numbered after the first controllers.
+        // The node numbers of spare controllers follow those of the initial controllers.
         let controller = if number < controllers { number } else { number - proxies };
         let disk = SimulatedDisk::new(DISK_SYNC_TIME);
         (format!("central-{controller}"), controller_ip(controller as u8), controller, Some(disk))
@@ -74,7 +74,8 @@
     }
 }
 
-/// A quarter of the clocks are as slow as they may be, a quarter as fast, the others anything between.
+/// Draws the rate of a clock: the minimum and the maximum with a probability of 1/4 each, otherwise uniformly between
+/// them.
 pub(super) fn draw_clock_rate(rng: &mut SmallRng, drift: f64) -> f64 {
     match rng.random_range(0..4) {
         0 => 1.0 - drift,
--- a/crates/system-simulator/src/cluster/process.rs
+++ b/crates/system-simulator/src/cluster/process.rs
@@ -1,4 +1,4 @@
-//! A process of a simulated machine: all tasks of one program, which can be killed and frozen together.
+//! A process of a simulated machine: all tasks of one program, which are killed, suspended and resumed together.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -9,7 +9,7 @@
 use std::time::Duration;
 use tokio::task::LocalSet;
 
-/// A program of the system. The order is that in which a machine's processes are killed.
+/// A program of the system. The processes of a machine are killed in the order of these variants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Program {
     /// Forwards clients' requests to backends.
@@ -20,7 +20,7 @@
     Controller,
 }
 
-/// The names that a run's events and violations have.
+/// The names of the programs in events and violations.
 impl fmt::Display for Program {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str(match self {
@@ -31,7 +31,7 @@
     }
 }
 
-/// CPU time of the machine that simulates, by kind of program.
+/// Host CPU time by program.
 #[derive(Clone, Default)]
 pub(super) struct CpuTimes(Rc<RefCell<BTreeMap<Program, Duration>>>);
 
@@ -46,13 +46,13 @@
 }
 
 struct ProcessState {
-    /// None once it was killed.
+    /// `None` once the process was killed.
     tasks: Option<LocalSet>,
     frozen: bool,
     waker: Option<Waker>,
 }
 
-/// A running process. Clones are handles of the same one.
+/// A handle to a process; clones refer to the same process.
 #[derive(Clone)]
 pub(super) struct Process {
     program: Program,
@@ -66,14 +66,14 @@
         Process { program, cpu_times: cpu_times.clone(), state: Rc::new(RefCell::new(state)) }
     }
 
-    /// Runs its tasks until it is killed.
+    /// Runs the process's tasks until all have ended or the process is killed.
     pub(super) fn run(self) -> impl Future<Output = ()> {
         RunProcess(self)
     }
 
-    /// Drops all tasks with everything that they have open.
+    /// Drops all tasks, and with them their connections and open files.
     pub(super) fn kill(&self) {
-        // The tasks' destructors wake others: the state must not be borrowed meanwhile.
+        // The tasks' destructors wake other tasks, so the state must not be borrowed while they run.
         let tasks = self.state.borrow_mut().tasks.take();
         drop(tasks);
         let waker = self.state.borrow_mut().waker.take();
--- a/crates/system-simulator/src/cluster/settings.rs
+++ b/crates/system-simulator/src/cluster/settings.rs
@@ -8,8 +8,8 @@
 use std::net::{IpAddr, SocketAddr};
 use vanewharf_config::settings::Settings;
 
-/// How many seed nodes a machine gets; also the voters of the first start.
-const SEED_NODES: usize = 3;
+/// The number of seed nodes in a machine's settings. At the initial start, these are also the voters.
+const SEED_NODE_COUNT: usize = 3;
 
 impl Cluster {
     /// The settings that a machine's programs would read if they started now.
@@ -32,11 +32,12 @@
         Settings::parse(text.to_string().as_bytes()).expect("valid settings")
     }
 
-    /// The first of the operators' list, as it is when the file is written, unless the machine was given others.
+    /// The first current entries of `active_controllers`, unless other seed nodes were set for the machine.
     fn seed_nodes(&self, number: usize) -> Vec<String> {
         let override_seeds = self.seed_overrides.borrow().get(&number).cloned();
-        let seeds = override_seeds
-            .unwrap_or_else(|| self.active_controllers.borrow().iter().copied().take(SEED_NODES).collect());
+        let seeds = override_seeds.unwrap_or_else(|| {
+            self.active_controllers.borrow().iter().copied().take(SEED_NODE_COUNT).collect()
+        });
         seeds.into_iter().map(|seed| self.controller_address(seed).to_string()).collect()
     }
 }
--- a/crates/system-simulator/src/cluster/start.rs
+++ b/crates/system-simulator/src/cluster/start.rs
@@ -11,10 +11,10 @@
 use vanewharf_config::settings::Settings;
 use vanewharf_runtime::environment::{Directory, Environment};
 
-/// Separates the random numbers of programs from other draws of the same seed.
+/// Multiplies the run's seed so that the random numbers of programs are independent of other values drawn from it.
 const ENVIRONMENT_SEED_FACTOR: u64 = 0x9e37_79b9;
 
-/// Records that a program has ended, which none does by itself.
+/// Records that a program exited. No program should exit unless it is killed, so the checker reports each exit.
 struct ExitReporter {
     ground_truth: Rc<GroundTruth>,
     machine: String,
@@ -23,14 +23,14 @@
 
 impl ExitReporter {
     fn report<E: fmt::Display>(self, result: Result<(), E>) {
-        let reason = result.err().map_or("it ended by itself".to_owned(), |error| error.to_string());
+        let reason = result.err().map_or("exited without an error".to_owned(), |error| error.to_string());
         let exit = format!("{} {}: {reason}", self.machine, self.program);
         self.ground_truth.history.borrow_mut().exits.push(exit);
     }
 }
 
 impl Cluster {
-    /// Starts a program of a machine as a process of its own.
+    /// Starts a program of a machine as a separate process.
     pub(super) fn start_program(&self, number: usize, program: Program) {
         let machine = &self.machines[number];
         machine.starts.set(machine.starts.get() + 1);
@@ -93,7 +93,7 @@
                     if shutdown.await.is_ok() {
                         controller.shut_down().await;
                     }
-                    // Its tasks run until the process is killed.
+                    // The controller's tasks run until the process is killed.
                     std::future::pending::<()>().await;
                 }
                 Err(error) => exit_reporter.report(Err(error)),
@@ -101,7 +101,7 @@
         });
     }
 
-    /// The environment of a program that starts now; each start has random numbers of its own.
+    /// Creates the environment of a program that is about to start. Each start has its own random seed.
     fn environment(&self, number: usize) -> Environment {
         let machine = &self.machines[number];
         let directory = machine.disk.clone().map(|disk| Rc::new(disk) as Rc<dyn Directory>);
--- a/crates/system-simulator/src/lib.rs
+++ b/crates/system-simulator/src/lib.rs
@@ -1,8 +1,8 @@
-//! A deterministic simulator of the whole system: the real controllers and agents, and the real data plane of each proxy
-//! among simulated clients and backends, on a network, a clock and disks that are decided by a seed.
+//! A deterministic simulator of the whole system. It runs the real controllers and agents, and the real data plane of
+//! each proxy, against simulated clients and backends. A seed determines the behaviour of network, clocks and disks.
 //!
-//! A run is drawn from a seed ([`run`]) or follows a [`schedule`]; afterwards the [`checker`] judges what clients,
-//! backends and operators observed. docs/lab.md says what is and is not like a real machine.
+//! A run is either generated from a seed ([`run`]) or follows a [`schedule`]. After the run, the [`checker`] verifies
+//! what clients, backends and operators observed. docs/lab.md describes how the simulation differs from real machines.
 
 #![forbid(unsafe_code)]
 
--- a/crates/system-simulator/src/network.rs
+++ b/crates/system-simulator/src/network.rs
@@ -1,7 +1,8 @@
-//! The simulated network: links with a delay by location, which can be cut or slowed, and machines without power.
+//! The simulated network. The delay of a link depends on the locations of its machines. Links can be cut, the outgoing
+//! bandwidth of machines can be limited, and machines can lose power.
 //!
-//! Bytes that a cut holds up arrive once it is healed. A machine without power sends nothing, not even the end of its
-//! connections; its peers learn of that by a reset when it has power again.
+//! Bytes that are written while a link is cut arrive once the cut is healed. A machine without power sends nothing, not
+//! even the end of its connections; its peers get a connection reset once it has power again.
 
 mod connection;
 
@@ -14,16 +15,16 @@
 use tokio::time::Instant;
 use vanewharf_runtime::environment::Network;
 
-/// Jitter of each write, in microseconds.
+/// Default upper bound of the random delay added to each write.
 const DEFAULT_MAX_JITTER_US: u64 = 400;
 const LOOPBACK_DELAY: Duration = Duration::from_micros(50);
 const SAME_ZONE_DELAY: Duration = Duration::from_micros(300);
 const SAME_REGION_DELAY: Duration = Duration::from_micros(900);
 const BETWEEN_REGIONS_DELAY: Duration = Duration::from_millis(20);
-/// To or from a machine that has no location, such as an operator's.
+/// Delay to or from a machine that has no location, such as an operator's.
 const OUTSIDE_DELAY: Duration = Duration::from_millis(2);
 
-/// Where a machine is.
+/// The location of a machine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Location {
     /// Its zone.
@@ -32,16 +33,16 @@
     pub region: String,
 }
 
-/// What a machine has sent.
+/// The total of what a machine has sent.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Traffic {
-    /// Bytes, without headers of lower layers.
+    /// Payload bytes, without the headers of lower layers.
     pub bytes: u64,
-    /// Writes to a connection.
+    /// Number of writes to connections.
     pub messages: u64,
 }
 
-/// How fast a machine's link sends.
+/// The limit of a machine's outgoing bandwidth.
 struct LinkLimit {
     bytes_per_second: u64,
     /// When everything that was written so far has been sent.
@@ -52,17 +53,17 @@
     locations: BTreeMap<IpAddr, Location>,
     powered_off: BTreeSet<IpAddr>,
     link_limits: BTreeMap<IpAddr, LinkLimit>,
-    /// How many cuts there are from one machine to another: the link is healed with the last of them.
+    /// Number of active cuts from one machine to another. The link is open again once all of them are healed.
     cuts: BTreeMap<(IpAddr, IpAddr), usize>,
     listeners: BTreeMap<SocketAddr, Rc<RefCell<AcceptQueue>>>,
     channels: Vec<Weak<RefCell<Channel>>>,
-    /// By sending machine.
+    /// Traffic by sending machine.
     traffic: BTreeMap<IpAddr, Traffic>,
-    /// How many connections were attempted.
-    connections: u64,
-    /// How many unique ids were given out.
+    /// Number of connection attempts so far.
+    connection_attempts: u64,
+    /// Number of unique ids generated so far.
     unique_ids: u64,
-    /// The most by which a write is late beyond its link's delay.
+    /// Upper bound of the random delay added to each write.
     max_jitter_us: u64,
 }
 
@@ -76,7 +77,7 @@
             listeners: BTreeMap::new(),
             channels: Vec::new(),
             traffic: BTreeMap::new(),
-            connections: 0,
+            connection_attempts: 0,
             unique_ids: 0,
             max_jitter_us: DEFAULT_MAX_JITTER_US,
         }
@@ -90,7 +91,7 @@
             && !self.cuts.contains_key(&(from, to))
     }
 
-    /// One way, without jitter.
+    /// The one-way delay between two machines, without jitter.
     fn delay(&self, from: IpAddr, to: IpAddr) -> Duration {
         if from == to {
             return LOOPBACK_DELAY;
@@ -103,7 +104,7 @@
         }
     }
 
-    /// When the last of this many bytes leaves the machine.
+    /// Queues bytes on the machine's outgoing link and returns when the last of them leaves it.
     fn transmit(&mut self, from: IpAddr, bytes: usize) -> Instant {
         let now = Instant::now();
         let Some(limit) = self.link_limits.get_mut(&from) else {
@@ -122,7 +123,7 @@
     }
 }
 
-/// A pseudo-random number by seed and purpose, so that the order in which tasks run decides nothing.
+/// Returns a pseudo-random number that depends on the arguments only, and so not on the order in which tasks run.
 fn hash_seed(seed: u64, number: u64) -> u64 {
     let mut mixed = seed ^ number.wrapping_mul(0x9e37_79b9_7f4a_7c15);
     mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -130,7 +131,7 @@
     mixed ^ (mixed >> 31)
 }
 
-/// The network of a cluster. Clones share it.
+/// The network of a cluster. Clones share its state.
 #[derive(Clone)]
 pub struct SimulatedNetwork {
     state: Rc<RefCell<NetworkState>>,
@@ -138,33 +139,32 @@
 }
 
 impl SimulatedNetwork {
-    /// A network without machines whose jitter is decided by the seed.
+    /// Creates a network without machines. The seed determines its jitter.
     pub fn new(seed: u64) -> SimulatedNetwork {
         SimulatedNetwork { state: Rc::default(), seed }
     }
 
-    /// Sets a machine's location, which decides its delays.
+    /// Sets a machine's location, which determines the delays of its links.
     pub fn add_machine(&self, ip: IpAddr, location: Location) {
         self.state.borrow_mut().locations.insert(ip, location);
     }
 
-    /// The network as a process on that machine sees it.
+    /// The network interface of the processes on a machine.
     pub fn interface(&self, ip: IpAddr) -> Rc<dyn Network> {
         Rc::new(HostNetwork { network: self.clone(), ip })
     }
 
-    /// Sets by how much a write may be late beyond its link's delay. Messages of different connections overtake each other
-    /// then.
-    pub fn set_max_jitter(&self, most: Duration) {
-        self.state.borrow_mut().max_jitter_us = (most.as_micros() as u64).max(1);
+    /// Sets the upper bound of the random delay added to each write. It can reorder messages of different connections.
+    pub fn set_max_jitter(&self, max_jitter: Duration) {
+        self.state.borrow_mut().max_jitter_us = (max_jitter.as_micros() as u64).max(1);
     }
 
-    /// Cuts one direction; a link that is cut several times must be healed as often.
+    /// Cuts one direction of a link. Each cut must be healed separately.
     pub fn cut(&self, from: IpAddr, to: IpAddr) {
         *self.state.borrow_mut().cuts.entry((from, to)).or_default() += 1;
     }
 
-    /// Takes one cut of this direction back.
+    /// Undoes one cut of one direction of a link.
     pub fn heal(&self, from: IpAddr, to: IpAddr) {
         let mut state = self.state.borrow_mut();
         let remaining = state.cuts.get(&(from, to)).map_or(0, |cuts| cuts - 1);
@@ -175,7 +175,7 @@
         state.wake_all_channels();
     }
 
-    /// Limits what a machine sends to this many bytes per second; `None` lifts the limit.
+    /// Limits a machine's outgoing bandwidth; `None` lifts the limit.
     pub fn limit_bandwidth(&self, ip: IpAddr, bytes_per_second: Option<u64>) {
         let mut state = self.state.borrow_mut();
         match bytes_per_second {
@@ -187,22 +187,22 @@
         }
     }
 
-    /// Whether bytes get from one machine to another now.
+    /// Whether bytes are currently delivered from one machine to another.
     pub fn is_open(&self, from: IpAddr, to: IpAddr) -> bool {
         self.state.borrow().is_open(from, to)
     }
 
-    /// How long bytes take one way, without jitter.
+    /// The one-way delay from one machine to another, without jitter.
     pub fn delay(&self, from: IpAddr, to: IpAddr) -> Duration {
         self.state.borrow().delay(from, to)
     }
 
-    /// The machine loses power; its peers are not notified.
+    /// Cuts a machine's power. Its peers are not notified.
     pub fn power_off(&self, ip: IpAddr) {
         self.state.borrow_mut().powered_off.insert(ip);
     }
 
-    /// The machine has power again; the connections that it had are reset.
+    /// Restores a machine's power and resets the connections that it had.
     pub fn power_on(&self, ip: IpAddr) {
         let mut state = self.state.borrow_mut();
         if state.powered_off.remove(&ip) {
--- a/crates/system-simulator/src/network/connection.rs
+++ b/crates/system-simulator/src/network/connection.rs
@@ -1,4 +1,4 @@
-//! Connections and listeners of the simulated network, as a process on one machine uses them.
+//! Connections and listeners of the simulated network, and its interface for the processes on one machine.
 
 use super::{SimulatedNetwork, hash_seed};
 use std::cell::RefCell;
@@ -14,19 +14,19 @@
 use tokio::time::{Instant, Sleep, sleep, sleep_until};
 use vanewharf_runtime::environment::{BoxFuture, Listener, Network, Stream};
 
-/// How many bytes may be in flight before a writer waits for its reader.
-const WINDOW: usize = 256 * 1024;
-/// What the end of a connection takes on top of the link's delay.
+/// A writer waits for its reader while this many bytes are in flight.
+const SEND_WINDOW_BYTES: usize = 256 * 1024;
+/// How much later than the link's delay the end of a connection arrives.
 const CLOSE_DELAY: Duration = Duration::from_micros(500);
 
-/// Connections that wait to be accepted.
+/// The connections of a listener that are not accepted yet.
 #[derive(Default)]
 pub(super) struct AcceptQueue {
     waiting: VecDeque<Endpoint>,
     waker: Option<Waker>,
 }
 
-/// Bytes that a reader gets at a time.
+/// The bytes of one write, which arrive together.
 struct Segment {
     arrives_at: Instant,
     bytes: Vec<u8>,
@@ -38,29 +38,30 @@
     pub(super) to: IpAddr,
     segments: VecDeque<Segment>,
     /// Bytes in all segments.
-    in_flight: usize,
-    /// The writer has closed it: nothing arrives after that time.
+    in_flight_bytes: usize,
+    /// When the end of the channel arrives at the reader, if the writer has closed the channel.
     closed_at: Option<Instant>,
     pub(super) reset: bool,
-    reader_gone: bool,
+    reader_closed: bool,
     reader: Option<Waker>,
     writer: Option<Waker>,
-    jitter: u64,
+    /// The random state from which the jitter of each write is derived.
+    jitter_state: u64,
 }
 
 impl Channel {
-    fn new(from: IpAddr, to: IpAddr, jitter: u64) -> Channel {
+    fn new(from: IpAddr, to: IpAddr, jitter_state: u64) -> Channel {
         Channel {
             from,
             to,
             segments: VecDeque::new(),
-            in_flight: 0,
+            in_flight_bytes: 0,
             closed_at: None,
             reset: false,
-            reader_gone: false,
+            reader_closed: false,
             reader: None,
             writer: None,
-            jitter,
+            jitter_state,
         }
     }
 
@@ -69,7 +70,7 @@
         self.writer.take().into_iter().for_each(Waker::wake);
     }
 
-    /// That time, or when the last segment arrives, as order is kept.
+    /// The later of `at` and the arrival of the last segment, as bytes arrive in the order in which they were written.
     fn after_last_segment(&self, at: Instant) -> Instant {
         self.segments.back().map_or(at, |last| at.max(last.arrives_at))
     }
@@ -85,7 +86,7 @@
         if segment.bytes.is_empty() {
             self.segments.pop_front();
         }
-        self.in_flight -= length;
+        self.in_flight_bytes -= length;
         self.writer.take().into_iter().for_each(Waker::wake);
     }
 }
@@ -97,7 +98,7 @@
 }
 
 impl HostNetwork {
-    /// Each machine has a loopback of its own.
+    /// Maps loopback addresses to the machine's own address, as each machine has a separate loopback interface.
     fn resolve_loopback(&self, address: SocketAddr) -> SocketAddr {
         if address.ip().is_loopback() { SocketAddr::new(self.ip, address.port()) } else { address }
     }
@@ -126,12 +127,12 @@
     }
 }
 
-/// Connects after a round trip; never returns where a direction is cut, as the caller has a timeout.
+/// Connects after one round trip. Where either direction is cut this never returns, and callers rely on a timeout.
 async fn connect(network: SimulatedNetwork, from: IpAddr, to: SocketAddr) -> io::Result<Stream> {
     let (number, delay) = {
         let mut state = network.state.borrow_mut();
-        state.connections += 1;
-        (state.connections, state.delay(from, to.ip()))
+        state.connection_attempts += 1;
+        (state.connection_attempts, state.delay(from, to.ip()))
     };
     if !network.is_open(from, to.ip()) || !network.is_open(to.ip(), from) {
         std::future::pending::<()>().await;
@@ -181,7 +182,7 @@
 impl Drop for SimulatedListener {
     fn drop(&mut self) {
         self.network.state.borrow_mut().listeners.remove(&self.at);
-        // Endpoints borrow the state when they are dropped: first the queue's borrow ends.
+        // Dropping the endpoints borrows the network's state, so the borrow of the queue has to end first.
         let waiting = std::mem::take(&mut self.queue.borrow_mut().waiting);
         drop(waiting);
     }
@@ -195,13 +196,13 @@
     timer: Option<Pin<Box<Sleep>>>,
 }
 
-/// What a reader finds.
+/// The result of trying to read.
 enum ReadState {
     /// Bytes were read, or the connection has been closed.
     Ready,
-    /// Nothing arrives before that time.
+    /// The next bytes, or the end of the channel, arrive at this time.
     ArrivesAt(Instant),
-    /// Nothing is on its way, or the link is cut; the channel wakes the reader.
+    /// Nothing is in flight, or the link is cut. The channel wakes the reader when this changes.
     Idle,
 }
 
@@ -268,21 +269,21 @@
 impl AsyncWrite for Endpoint {
     fn poll_write(self: Pin<&mut Self>, context: &mut Context<'_>, buffer: &[u8]) -> Poll<io::Result<usize>> {
         let mut channel = self.outbound.borrow_mut();
-        if channel.reset || channel.reader_gone && self.network.is_open(channel.from, channel.to) {
+        if channel.reset || channel.reader_closed && self.network.is_open(channel.from, channel.to) {
             return Poll::Ready(Err(io::ErrorKind::BrokenPipe.into()));
         }
-        if channel.in_flight >= WINDOW {
+        if channel.in_flight_bytes >= SEND_WINDOW_BYTES {
             channel.writer = Some(context.waker().clone());
             return Poll::Pending;
         }
         let mut state = self.network.state.borrow_mut();
-        channel.jitter = hash_seed(channel.jitter, 1);
-        let jitter = Duration::from_micros(channel.jitter % state.max_jitter_us);
+        channel.jitter_state = hash_seed(channel.jitter_state, 1);
+        let jitter = Duration::from_micros(channel.jitter_state % state.max_jitter_us);
         let delay = state.delay(channel.from, channel.to) + jitter;
         let due = state.transmit(channel.from, buffer.len()) + delay;
         let arrives_at = channel.after_last_segment(due);
         channel.segments.push_back(Segment { arrives_at, bytes: buffer.to_vec() });
-        channel.in_flight += buffer.len();
+        channel.in_flight_bytes += buffer.len();
         let traffic = state.traffic.entry(channel.from).or_default();
         traffic.bytes += buffer.len() as u64;
         traffic.messages += 1;
@@ -300,7 +301,7 @@
     }
 }
 
-/// The writer closes its direction, unless its machine has no power to say so.
+/// Closes a channel from the writer's side, unless the writer's machine has no power.
 fn close(network: &SimulatedNetwork, channel: &RefCell<Channel>) {
     let mut channel = channel.borrow_mut();
     let state = network.state.borrow();
@@ -316,7 +317,7 @@
         close(&self.network, &self.outbound);
         let mut channel = self.inbound.borrow_mut();
         if !self.network.state.borrow().powered_off.contains(&channel.to) {
-            channel.reader_gone = true;
+            channel.reader_closed = true;
             channel.wake();
         }
     }
