--- a/crates/system-simulator/src/checker.rs
+++ b/crates/system-simulator/src/checker.rs
@@ -1,5 +1,6 @@
-//! Judges a run after the fact by the rules that the system must keep: by what was observed, never by what the programs
-//! say of themselves. Each rule, or group of rules about the same observations, has a module of its own.
+//! Checks after a run whether the system has kept its rules. The checks rely on what clients, backends and operators
+//! observed, not on what the programs report about themselves, except for the rule that only one controller holds the
+//! lease. Each rule, or group of rules about the same observations, has a separate module.
 
 mod amnesia;
 mod availability;
@@ -18,39 +19,39 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// How long after a fault proxies and controllers may take to be in touch again.
+/// How long proxies and controllers may take to be connected again after a fault.
 pub const CONTACT_TIME: Duration = Duration::from_millis(4000);
 
 /// A rule that the system must keep. `Display` is its name in reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Rule {
-    /// What is in force is what was acknowledged, with one body for each revision, and never goes back.
+    /// The newest acknowledged configuration is in force, each revision has one body, and revisions never decrease.
     Configuration,
-    /// An acknowledged evacuation is not lost.
+    /// The effect of an acknowledged evacuation command is not lost.
     LostCommand,
     /// Valid commands are acknowledged in time.
     Acknowledgement,
-    /// A read never returns something older than what was acknowledged or read before.
+    /// A read never returns an older configuration than one that was acknowledged or read before.
     StaleRead,
-    /// All controllers agree in the end.
+    /// All controllers have the same state at the end of a run.
     Agreement,
-    /// Revoked access keys admit nobody.
+    /// Requests with revoked access keys are not admitted.
     RevokedKey,
-    /// Tenants get no more than their quotas.
+    /// Tenants get no more requests admitted than their quotas allow.
     Quota,
     /// Draining backends get no requests.
     Drain,
     /// Backends in evacuated zones get no requests.
     Evacuation,
-    /// Backends that warm up get few requests.
+    /// Backends get a limited number of requests while they warm up.
     WarmUp,
     /// At most one controller holds the lease.
     SingleLease,
-    /// Programs do not end by themselves.
+    /// Programs do not exit unless they are killed.
     ProgramExit,
     /// Mutating requests are executed at most once.
     DuplicateExecution,
-    /// Requests that were executed are not reported as rejected.
+    /// Mutating requests that were executed are not answered as rejected.
     ExecutedButRejected,
 }
 
@@ -86,15 +87,15 @@
     pub description: String,
 }
 
-/// What the checker judges by.
+/// The input of the checker.
 pub struct Observation<'a> {
     /// The backends and the history.
     pub ground_truth: &'a GroundTruth,
-    /// What happened to machines.
+    /// The faults of the machines.
     pub faults: &'a [FaultRecord],
-    /// Controllers of the first start.
+    /// Number of controllers at the start of the run.
     pub controllers: usize,
-    /// How the controllers changed since.
+    /// Controllers that were added or removed during the run.
     pub controller_changes: &'a [ControllerChange],
     /// The start of the run.
     pub started: Instant,
@@ -120,7 +121,7 @@
     }
 }
 
-/// Returns all violations, by rule.
+/// Returns all violations, grouped by rule.
 pub fn check(observation: &Observation<'_>) -> Vec<Violation> {
     let history = observation.ground_truth.history.borrow();
     let mut report = Report { started: observation.started, violations: Vec::new() };
@@ -135,7 +136,7 @@
     quotas::check(&history, &mut report);
     backends::check(&availability, &history, &mut report);
     for at in &history.dual_leases {
-        report.add(Rule::SingleLease, *at, "two hold the lease");
+        report.add(Rule::SingleLease, *at, "more than one controller holds the lease");
     }
     for exit in &history.exits {
         report.add(Rule::ProgramExit, observation.started, exit.clone());
--- a/crates/system-simulator/src/checker/amnesia.rs
+++ b/crates/system-simulator/src/checker/amnesia.rs
@@ -1,9 +1,10 @@
-//! From when until when a controller that has lost its disk cannot help to decide anything.
+//! Determines the periods in which a controller that has lost its disk cannot take part in decisions.
 //!
-//! It has amnesia until it has been connected for `CONTACT_TIME` without a break to a majority of the controllers that
-//! remember what they have persisted: it cannot recover without one. Where so many disks and machines are lost at once
-//! that no such majority is left, which is more than the system is built to tolerate, nothing is acknowledged until one is
-//! together again; nothing may be lost meanwhile, and the checker excuses no more than the missing acknowledgements.
+//! Such a controller has amnesia until it has been connected, for `CONTACT_TIME` without interruption, to a majority
+//! of controllers whose persisted state is intact, as it cannot recover without such a majority. If so many disks and
+//! machines are lost at once that no such majority is left, which is more than the system is designed to tolerate,
+//! nothing is acknowledged until such a majority is connected again. The checker then accepts missing
+//! acknowledgements, but no loss of data.
 
 use super::availability::connected_groups;
 use super::{CONTACT_TIME, Observation};
@@ -12,18 +13,18 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// How often it is looked at who is connected.
-const STEP: Duration = Duration::from_millis(100);
+/// Interval at which the connections between controllers are evaluated.
+const SAMPLING_INTERVAL: Duration = Duration::from_millis(100);
 
-/// One controller's amnesia.
+/// A period in which a controller had amnesia.
 struct AmnesiaPeriod {
     machine: usize,
     from: Instant,
-    /// `None` where it did not recover.
+    /// `None` if it did not recover.
     until: Option<Instant>,
 }
 
-/// All times at which controllers had amnesia.
+/// All periods in which controllers had amnesia.
 pub(super) struct AmnesiaPeriods(Vec<AmnesiaPeriod>);
 
 impl AmnesiaPeriods {
@@ -45,19 +46,20 @@
                 periods.begin(machine, from);
             }
             periods.end_where_recovered(observation, &mut connected_since, at);
-            at += STEP;
+            at += SAMPLING_INTERVAL;
         }
         periods
     }
 
     /// Whether this machine had amnesia at that time.
-    pub(super) fn include(&self, machine: usize, at: Instant) -> bool {
-        let lasts = |period: &AmnesiaPeriod| period.from <= at && period.until.is_none_or(|until| at < until);
-        self.0.iter().any(|period| period.machine == machine && lasts(period))
+    pub(super) fn has_amnesia(&self, machine: usize, at: Instant) -> bool {
+        let is_active =
+            |period: &AmnesiaPeriod| period.from <= at && period.until.is_none_or(|until| at < until);
+        self.0.iter().any(|period| period.machine == machine && is_active(period))
     }
 
     fn begin(&mut self, machine: usize, from: Instant) {
-        if !self.include(machine, from) {
+        if !self.has_amnesia(machine, from) {
             self.0.push(AmnesiaPeriod { machine, from, until: None });
         }
     }
@@ -69,12 +71,13 @@
         at: Instant,
     ) {
         let members = observation.controllers_at(at);
-        let groups = connected_groups(&members, observation.faults.iter().filter(|fault| fault.lasts(at)));
+        let groups =
+            connected_groups(&members, observation.faults.iter().filter(|fault| fault.is_active_at(at)));
         let with_majority: Vec<usize> = groups
             .iter()
             .filter(|group| {
-                let remembering = group.iter().filter(|machine| !self.include(**machine, at)).count();
-                remembering * 2 > members.len()
+                let intact = group.iter().filter(|machine| !self.has_amnesia(**machine, at)).count();
+                intact * 2 > members.len()
             })
             .flatten()
             .copied()
--- a/crates/system-simulator/src/checker/availability.rs
+++ b/crates/system-simulator/src/checker/availability.rs
@@ -1,5 +1,5 @@
-//! When the system owes something: while a majority of the controllers is connected that have their disks, and a proxy with
-//! it.
+//! Determines when the system must be available: while a majority of the controllers is connected and has its persisted
+//! state intact. A proxy must be up to date while it is connected to such a majority.
 
 use super::amnesia::AmnesiaPeriods;
 use super::{CONTACT_TIME, Observation};
@@ -8,7 +8,7 @@
 use std::ops::Deref;
 use tokio::time::Instant;
 
-/// An observation, and what follows from it about when the system owes something.
+/// An observation, from which it can be determined when the system had to be available.
 pub(super) struct Availability<'a> {
     observation: &'a Observation<'a>,
     amnesia: AmnesiaPeriods,
@@ -19,11 +19,12 @@
         Availability { observation, amnesia: AmnesiaPeriods::of(observation) }
     }
 
-    /// Whether a majority of the controllers was connected at that time that remembered what they had persisted, and
-    /// nothing changed among the controllers in the `CONTACT_TIME` before.
+    /// Whether a majority of the controllers was connected at that time and had its persisted state intact, no
+    /// controller's bandwidth was limited, and in the `CONTACT_TIME` before no fault of the controllers began or ended
+    /// and none of them was added or removed.
     pub(super) fn is_stable(&self, at: Instant) -> bool {
         let members = self.controllers_at(at);
-        let concerns_controllers = |scope: &FaultScope| match scope {
+        let affects_controllers = |scope: &FaultScope| match scope {
             FaultScope::Down(machine) | FaultScope::SlowLink(machine) => members.contains(machine),
             FaultScope::Degraded(_) | FaultScope::DiskLost(_) => false,
             FaultScope::Partitioned(_) => true,
@@ -33,42 +34,42 @@
         if self.controller_changes.iter().any(|change| is_recent(change.at)) {
             return false;
         }
-        let faults: Vec<_> = self.faults.iter().filter(|fault| concerns_controllers(&fault.scope)).collect();
+        let faults: Vec<_> = self.faults.iter().filter(|fault| affects_controllers(&fault.scope)).collect();
         if faults.iter().any(|fault| is_recent(fault.started) || fault.ended.is_some_and(is_recent)) {
             return false;
         }
         let has_slow_link =
-            |fault: &&FaultRecord| matches!(fault.scope, FaultScope::SlowLink(_)) && fault.lasts(at);
+            |fault: &&FaultRecord| matches!(fault.scope, FaultScope::SlowLink(_)) && fault.is_active_at(at);
         if faults.iter().any(has_slow_link) {
             return false;
         }
-        let groups = connected_groups(&members, faults.into_iter().filter(|fault| fault.lasts(at)));
+        let groups = connected_groups(&members, faults.into_iter().filter(|fault| fault.is_active_at(at)));
         groups.iter().any(|group| {
-            let remembering = group.iter().filter(|machine| !self.amnesia.include(**machine, at)).count();
-            remembering * 2 > members.len()
+            let intact = group.iter().filter(|machine| !self.amnesia.has_amnesia(**machine, at)).count();
+            intact * 2 > members.len()
         })
     }
 
-    /// Whether a proxy was connected to a stable system at that time, and for `CONTACT_TIME` before.
-    pub(super) fn proxy_is_in_touch(&self, proxy: usize, at: Instant) -> bool {
+    /// Whether a proxy was connected to a stable system at that time and in the `CONTACT_TIME` before.
+    pub(super) fn is_proxy_connected(&self, proxy: usize, at: Instant) -> bool {
         let proxy_machine = proxy + self.controllers;
-        let concerns_proxy = |scope: &FaultScope| match scope {
+        let affects_proxy = |scope: &FaultScope| match scope {
             FaultScope::Down(machine) | FaultScope::Degraded(machine) | FaultScope::SlowLink(machine) => {
                 *machine == proxy_machine
             }
             FaultScope::Partitioned(_) | FaultScope::DiskLost(_) => false,
         };
         at.duration_since(self.started) > CONTACT_TIME
-            && !self.had_recent_fault(at, concerns_proxy)
+            && !self.had_recent_fault(at, affects_proxy)
             && self.is_stable(at)
     }
 
-    /// Whether there was such a fault at any time in the `CONTACT_TIME` before.
-    fn had_recent_fault(&self, at: Instant, concerns: impl Fn(&FaultScope) -> bool) -> bool {
+    /// Whether a fault with a scope for which `is_relevant` holds was active at any time in the `CONTACT_TIME` before.
+    fn had_recent_fault(&self, at: Instant, is_relevant: impl Fn(&FaultScope) -> bool) -> bool {
         let from = at.checked_sub(CONTACT_TIME).unwrap_or(self.started);
         let is_recent =
             |fault: &FaultRecord| fault.started <= at && fault.ended.is_none_or(|ended| ended >= from);
-        self.faults.iter().any(|fault| is_recent(fault) && concerns(&fault.scope))
+        self.faults.iter().any(|fault| is_recent(fault) && is_relevant(&fault.scope))
     }
 }
 
@@ -81,7 +82,7 @@
 }
 
 impl Observation<'_> {
-    /// The controllers of that time.
+    /// The controllers that the system had at that time.
     pub(super) fn controllers_at(&self, at: Instant) -> BTreeSet<usize> {
         let mut controllers: BTreeSet<usize> = (0..self.controllers).collect();
         for change in self.controller_changes.iter().filter(|change| change.at <= at) {
@@ -95,13 +96,13 @@
 }
 
 impl FaultRecord {
-    /// Whether it has begun and is not over.
-    pub(super) fn lasts(&self, at: Instant) -> bool {
+    /// Whether the fault has begun and not yet ended at that time.
+    pub(super) fn is_active_at(&self, at: Instant) -> bool {
         self.started <= at && self.ended.is_none_or(|ended| ended > at)
     }
 }
 
-/// The controllers that run, in groups of those that reach each other while these faults last.
+/// Groups the running controllers by which of them can reach each other while these faults are active.
 pub(super) fn connected_groups<'a>(
     members: &BTreeSet<usize>,
     faults: impl Iterator<Item = &'a FaultRecord>,
@@ -114,7 +115,7 @@
             FaultScope::SlowLink(_) | FaultScope::Degraded(_) | FaultScope::DiskLost(_) => {}
         }
     }
-    // Controllers reach each other that are on the same side of every partition.
+    // Two controllers can reach each other if they are on the same side of every partition.
     let mut sides: BTreeMap<Vec<bool>, BTreeSet<usize>> = BTreeMap::new();
     for machine in members.iter().filter(|machine| !down.contains(machine)) {
         let side = partitions.iter().map(|partition| partition.contains(machine)).collect();
--- a/crates/system-simulator/src/checker/commands.rs
+++ b/crates/system-simulator/src/checker/commands.rs
@@ -1,4 +1,5 @@
-//! Acknowledged commands are in force at the end, invalid ones are rejected, and valid ones are acknowledged in time.
+//! Checks that acknowledged commands are in force at the end, invalid ones are rejected, and valid ones are
+//! acknowledged in time.
 
 use super::availability::Availability;
 use super::{Observation, Report, Rule};
@@ -9,27 +10,27 @@
 use tokio::time::Instant;
 
 /// How long an acknowledgement may take while the system is stable.
-const ACKNOWLEDGEMENT_TIME: Duration = Duration::from_millis(6000);
-/// How often a stable time is looked for.
-const STABILITY_STEP: Duration = Duration::from_millis(100);
+const ACKNOWLEDGEMENT_DEADLINE: Duration = Duration::from_millis(6000);
+/// Interval at which the stability of the system is evaluated.
+const STABILITY_SAMPLING_INTERVAL: Duration = Duration::from_millis(100);
 
 pub(super) fn check(availability: &Availability<'_>, history: &History, report: &mut Report) {
     check_final_configuration(availability, history, report);
     check_final_evacuations(history, report);
     for record in &history.commands {
         if matches!(record.command, Command::Invalid { .. }) && record.acknowledged.is_some() {
-            report.add(Rule::Configuration, record.sent, "what is invalid was acknowledged");
+            report.add(Rule::Configuration, record.sent, "an invalid configuration was acknowledged");
         }
         check_acknowledgement(availability, history, record, report);
     }
 }
 
-/// The configuration that is read at the end was sent so, and is at least as new as any that was acknowledged before
-/// the read was sent.
+/// Checks that the configuration that is read at the end was sent, and that it is at least as new as any that was
+/// acknowledged before the read was sent.
 fn check_final_configuration(availability: &Availability<'_>, history: &History, report: &mut Report) {
     let last = last_acknowledgement(availability, history);
     let final_read = history.final_configuration.as_ref();
-    // One that never comes is judged by all that was acknowledged.
+    // Without a successful read, the newest of all acknowledged revisions counts.
     let newest = match final_read {
         Some(read) => history.newest_acknowledged_before(read.sent),
         None => history.commands.iter().filter_map(acknowledged_revision).max().unwrap_or(0),
@@ -38,7 +39,8 @@
     let revision =
         read.as_ref().and_then(|read| read["revision"].as_str()?.strip_prefix('r')?.parse::<u64>().ok());
     if newest > 0 && revision.is_none_or(|revision| revision < newest) {
-        let description = format!("r{newest} was acknowledged, and {revision:?} is read back");
+        let found = revision.map_or("no configuration".to_owned(), |revision| format!("r{revision}"));
+        let description = format!("r{newest} was acknowledged, but {found} was read at the end");
         report.add(Rule::Configuration, last, description);
     }
     let Some(revision) = revision else {
@@ -51,7 +53,7 @@
         _ => false,
     });
     if !was_sent {
-        let description = format!("what is read back under r{revision} was never sent so");
+        let description = format!("the body read at the end as r{revision} was never sent");
         report.add(Rule::Configuration, last, description);
     }
 }
@@ -60,13 +62,13 @@
     record.acknowledged.and_then(|_| record.command.revision())
 }
 
-/// When the last acknowledgement of any command came.
+/// When an operator got the last acknowledgement of any command, or else the start of the run.
 pub(super) fn last_acknowledgement(observation: &Observation<'_>, history: &History) -> Instant {
     let acknowledged = history.commands.iter().filter_map(|record| record.acknowledged);
     acknowledged.max().unwrap_or(observation.started)
 }
 
-/// The last command for a zone decides, where it was acknowledged.
+/// Checks that the last command for each zone is in force at the end, if it was acknowledged.
 fn check_final_evacuations(history: &History, report: &mut Report) {
     let mut last_by_zone: BTreeMap<&str, &CommandRecord> = BTreeMap::new();
     for record in &history.commands {
@@ -78,15 +80,17 @@
     for (zone, record) in acknowledged {
         let expected = matches!(record.command, Command::BeginEvacuation(_));
         if history.final_evacuations.as_ref().is_some_and(|zones| zones.contains(zone) != expected) {
-            let description = format!("{zone} evacuated: {expected}, acknowledged and gone");
+            let description = format!(
+                "the acknowledged command for {zone} is not in force at the end (expected evacuated: {expected})"
+            );
             report.add(Rule::LostCommand, record.sent, description);
         }
     }
 }
 
-/// A valid command is not rejected, and is acknowledged in time once the system is stable.
+/// Checks that a valid command is not rejected, and is acknowledged in time once the system is stable.
 ///
-/// A voter's replacement may be rejected, and so may one of two bodies under one revision.
+/// The replacement of a voter may be rejected, and so may one of two bodies with the same revision.
 fn check_acknowledgement(
     availability: &Availability<'_>,
     history: &History,
@@ -94,25 +98,27 @@
     report: &mut Report,
 ) {
     let may_be_rejected = matches!(record.command, Command::Invalid { .. } | Command::ReplaceVoter { .. });
-    if may_be_rejected || is_contested(history, record) {
+    if may_be_rejected || has_conflicting_body(history, record) {
         return;
     }
-    if record.rejected.is_some() {
-        let description = format!("{:?} refused with {:?}", summary(&record.command), record.rejected);
+    if let Some(status) = record.rejected {
+        let description = format!("{} was rejected with status {status}", describe(&record.command));
         report.add(Rule::Acknowledgement, record.sent, description);
     }
     if let Some(at) = overdue_at(availability, history, record) {
-        let (command, sent) = (summary(&record.command), availability.seconds(record.sent));
-        let acknowledged = record.acknowledged.map(|at| availability.seconds(at));
+        let (command, sent) = (describe(&record.command), availability.seconds(record.sent));
+        let acknowledged = record
+            .acknowledged
+            .map_or("never".to_owned(), |at| format!("at {:.2} s", availability.seconds(at)));
         let description = format!(
-            "{command} not acknowledged in time: sent at {sent:.2}, {acknowledged:.2?}; tries: {}",
+            "{command} was not acknowledged in time: sent at {sent:.2} s, acknowledged {acknowledged}; attempts: {}",
             describe_attempts(availability, record)
         );
         report.add(Rule::Acknowledgement, at, description);
     }
 }
 
-/// Whom the operator asked and when, and what came of it.
+/// The controllers to which the operator sent the command, with times and results.
 fn describe_attempts(availability: &Availability<'_>, record: &CommandRecord) -> String {
     let describe = |attempt: &CommandAttempt| {
         let (sent, ended) = (availability.seconds(attempt.sent), availability.seconds(attempt.ended));
@@ -121,36 +127,37 @@
     record.attempts.iter().map(describe).collect::<Vec<_>>().join(", ")
 }
 
-/// When the system had been stable for too long without a confirmation, if ever.
+/// When the system had been stable for longer than `ACKNOWLEDGEMENT_DEADLINE` without acknowledging the command, if
+/// ever.
 fn overdue_at(availability: &Availability<'_>, history: &History, record: &CommandRecord) -> Option<Instant> {
-    let until = record.first_acknowledged_at().unwrap_or(record.sent + ACKNOWLEDGEMENT_TIME * 4);
+    let until = record.first_acknowledged_at().unwrap_or(record.sent + ACKNOWLEDGEMENT_DEADLINE * 4);
     let last_request = history.requests.values().map(|request| request.sent).max().unwrap_or(record.sent);
     let mut stable_for = Duration::ZERO;
     let mut at = record.sent;
     while at < until.min(last_request) {
         let is_stable = availability.is_stable(at);
-        stable_for = if is_stable { stable_for + STABILITY_STEP } else { Duration::ZERO };
-        at += STABILITY_STEP;
-        if stable_for > ACKNOWLEDGEMENT_TIME {
+        stable_for = if is_stable { stable_for + STABILITY_SAMPLING_INTERVAL } else { Duration::ZERO };
+        at += STABILITY_SAMPLING_INTERVAL;
+        if stable_for > ACKNOWLEDGEMENT_DEADLINE {
             return Some(at);
         }
     }
     None
 }
 
-/// A command in a few words.
-pub(super) fn summary(command: &Command) -> String {
+/// A short description of a command.
+pub(super) fn describe(command: &Command) -> String {
     match command {
         Command::ReplaceConfiguration { revision, .. } => format!("r{revision}"),
-        Command::BeginEvacuation(zone) => format!("evacuation of {zone}: true"),
-        Command::FinishEvacuation(zone) => format!("evacuation of {zone}: false"),
-        Command::Invalid { revision } => format!("an invalid r{revision}"),
-        Command::ReplaceVoter { outgoing, incoming } => format!("voter {incoming} for {outgoing}"),
+        Command::BeginEvacuation(zone) => format!("beginning the evacuation of {zone}"),
+        Command::FinishEvacuation(zone) => format!("ending the evacuation of {zone}"),
+        Command::Invalid { revision } => format!("invalid r{revision}"),
+        Command::ReplaceVoter { outgoing, incoming } => format!("replacing voter {outgoing} by {incoming}"),
     }
 }
 
-/// Whether another body was sent under the same revision.
-fn is_contested(history: &History, record: &CommandRecord) -> bool {
+/// Whether another body with the same revision was sent.
+fn has_conflicting_body(history: &History, record: &CommandRecord) -> bool {
     let Command::ReplaceConfiguration { revision, body } = &record.command else {
         return false;
     };
--- a/crates/system-simulator/src/checker/requests.rs
+++ b/crates/system-simulator/src/checker/requests.rs
@@ -1,4 +1,4 @@
-//! Mutating requests are executed at most once, and never where they were reported as rejected.
+//! Checks that mutating requests are executed at most once, and not at all if they were answered as rejected.
 
 use super::{Report, Rule};
 use crate::history::History;
@@ -9,14 +9,15 @@
     let mut executed = BTreeSet::new();
     for execution in mutating() {
         if !executed.insert(execution.attempt) {
-            let description = format!("attempt {} ran again", execution.attempt);
+            let description = format!("attempt {} was executed again", execution.attempt);
             report.add(Rule::DuplicateExecution, execution.at, description);
         }
     }
     for execution in mutating() {
         let status = history.requests.get(&execution.attempt).and_then(|request| request.status);
-        if matches!(status, Some(429 | 503)) {
-            let description = format!("attempt {} ran and was answered {status:?}", execution.attempt);
+        if let Some(status @ (429 | 503)) = status {
+            let description =
+                format!("attempt {} was executed, but answered with {status}", execution.attempt);
             report.add(Rule::ExecutedButRejected, execution.at, description);
         }
     }
