--- a/crates/system-simulator/src/checker.rs
+++ b/crates/system-simulator/src/checker.rs
@@ -20,7 +20,7 @@
 use tokio::time::Instant;
 
 /// How long proxies and controllers may take to be connected again after a fault.
-pub const CONTACT_TIME: Duration = Duration::from_millis(4000);
+pub const MAX_RECONNECT_TIME: Duration = Duration::from_millis(4000);
 
 /// A rule that the system must keep. `Display` is its name in reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
--- a/crates/system-simulator/src/checker/amnesia.rs
+++ b/crates/system-simulator/src/checker/amnesia.rs
@@ -1,13 +1,13 @@
 //! Determines the periods in which a controller that has lost its disk cannot take part in decisions.
 //!
-//! Such a controller has amnesia until it has been connected, for `CONTACT_TIME` without interruption, to a majority
-//! of controllers whose persisted state is intact, as it cannot recover without such a majority. If so many disks and
-//! machines are lost at once that no such majority is left, which is more than the system is designed to tolerate,
-//! nothing is acknowledged until such a majority is connected again. The checker then accepts missing
+//! Such a controller has amnesia until it has been connected, for `MAX_RECONNECT_TIME` without interruption, to a
+//! majority of controllers whose persisted state is intact, as it cannot recover without such a majority. If so many
+//! disks and machines are lost at once that no such majority is left, which is more than the system is designed to
+//! tolerate, nothing is acknowledged until such a majority is connected again. The checker then accepts missing
 //! acknowledgements, but no loss of data.
 
 use super::availability::connected_groups;
-use super::{CONTACT_TIME, Observation};
+use super::{MAX_RECONNECT_TIME, Observation};
 use crate::cluster::{FaultRecord, FaultScope};
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -36,7 +36,7 @@
             return periods;
         };
         let last_event = observation.faults.iter().map(|fault| fault.ended.unwrap_or(fault.started)).max();
-        let end = last_event.unwrap_or(first) + CONTACT_TIME * 2;
+        let end = last_event.unwrap_or(first) + MAX_RECONNECT_TIME * 2;
         let mut losses = losses.into_iter().peekable();
         let mut connected_since: BTreeMap<usize, Instant> = BTreeMap::new();
         let mut at = first;
@@ -86,7 +86,7 @@
         for period in self.0.iter_mut().filter(|period| period.until.is_none()) {
             if with_majority.contains(&period.machine) {
                 let since = *connected_since.entry(period.machine).or_insert(at);
-                let has_recovered = at.duration_since(since) >= CONTACT_TIME;
+                let has_recovered = at.duration_since(since) >= MAX_RECONNECT_TIME;
                 period.until = has_recovered.then_some(at);
             }
         }
--- a/crates/system-simulator/src/checker/availability.rs
+++ b/crates/system-simulator/src/checker/availability.rs
@@ -1,8 +1,8 @@
-//! Determines when the system must be available: while a majority of the controllers is connected and has its persisted
-//! state intact. A proxy must be up to date while it is connected to such a majority.
+//! Determines when the system must be available: while a majority of the controllers is connected and has its
+//! persisted state intact. A proxy must be up to date while it is connected to such a majority.
 
 use super::amnesia::AmnesiaPeriods;
-use super::{CONTACT_TIME, Observation};
+use super::{MAX_RECONNECT_TIME, Observation};
 use crate::cluster::{ControllerChangeKind, FaultRecord, FaultScope};
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Deref;
@@ -20,8 +20,8 @@
     }
 
     /// Whether a majority of the controllers was connected at that time and had its persisted state intact, no
-    /// controller's bandwidth was limited, and in the `CONTACT_TIME` before no fault of the controllers began or ended
-    /// and none of them was added or removed.
+    /// controller's bandwidth was limited, and in the `MAX_RECONNECT_TIME` before no fault of the controllers began or
+    /// ended and none of them was added or removed.
     pub(super) fn is_stable(&self, at: Instant) -> bool {
         let members = self.controllers_at(at);
         let affects_controllers = |scope: &FaultScope| match scope {
@@ -29,7 +29,7 @@
             FaultScope::Degraded(_) | FaultScope::DiskLost(_) => false,
             FaultScope::Partitioned(_) => true,
         };
-        let from = at.checked_sub(CONTACT_TIME).unwrap_or(self.started);
+        let from = at.checked_sub(MAX_RECONNECT_TIME).unwrap_or(self.started);
         let is_recent = |when: Instant| when >= from && when <= at;
         if self.controller_changes.iter().any(|change| is_recent(change.at)) {
             return false;
@@ -50,7 +50,7 @@
         })
     }
 
-    /// Whether a proxy was connected to a stable system at that time and in the `CONTACT_TIME` before.
+    /// Whether a proxy was connected to a stable system at that time and in the `MAX_RECONNECT_TIME` before.
     pub(super) fn is_proxy_connected(&self, proxy: usize, at: Instant) -> bool {
         let proxy_machine = proxy + self.controllers;
         let affects_proxy = |scope: &FaultScope| match scope {
@@ -59,14 +59,15 @@
             }
             FaultScope::Partitioned(_) | FaultScope::DiskLost(_) => false,
         };
-        at.duration_since(self.started) > CONTACT_TIME
+        at.duration_since(self.started) > MAX_RECONNECT_TIME
             && !self.had_recent_fault(at, affects_proxy)
             && self.is_stable(at)
     }
 
-    /// Whether a fault with a scope for which `is_relevant` holds was active at any time in the `CONTACT_TIME` before.
+    /// Whether a fault with a scope for which `is_relevant` holds was active at any time in the `MAX_RECONNECT_TIME`
+    /// before.
     fn had_recent_fault(&self, at: Instant, is_relevant: impl Fn(&FaultScope) -> bool) -> bool {
-        let from = at.checked_sub(CONTACT_TIME).unwrap_or(self.started);
+        let from = at.checked_sub(MAX_RECONNECT_TIME).unwrap_or(self.started);
         let is_recent =
             |fault: &FaultRecord| fault.started <= at && fault.ended.is_none_or(|ended| ended >= from);
         self.faults.iter().any(|fault| is_recent(fault) && is_relevant(&fault.scope))
--- a/crates/system-simulator/src/outcome.rs
+++ b/crates/system-simulator/src/outcome.rs
@@ -1,6 +1,6 @@
 //! Finishes a run: reads the final state, runs the checker and computes the totals.
 
-use crate::checker::{CONTACT_TIME, Observation, Violation, check};
+use crate::checker::{MAX_RECONNECT_TIME, Observation, Violation, check};
 use crate::cluster::{Cluster, Machine, Program};
 use crate::history::{FinalState, History, ReplicaVersion};
 use crate::network::Traffic;
@@ -84,8 +84,8 @@
         self.summarize(violations)
     }
 
-    /// Reads from every controller for `CONTACT_TIME` while operators continue. Then stops the operators and reads the
-    /// final state, which no command changes any more.
+    /// Reads from every controller for `MAX_RECONNECT_TIME` while operators continue. Then stops the operators and
+    /// reads the final state, which no command changes any more.
     async fn read_final_states(&self) {
         let environment = operator_environment(self.cluster, FINAL_OPERATOR, self.seed);
         self.read_from_every_controller(&environment).await;
@@ -110,7 +110,7 @@
     }
 
     async fn read_from_every_controller(&self, environment: &Environment) {
-        let until = Instant::now() + CONTACT_TIME;
+        let until = Instant::now() + MAX_RECONNECT_TIME;
         while Instant::now() < until {
             let controllers = self.cluster.active_controllers.borrow().clone();
             for controller in controllers {
--- a/crates/system-simulator/tests/partitions/main.rs
+++ b/crates/system-simulator/tests/partitions/main.rs
@@ -19,7 +19,7 @@
 use vanewharf_protocol::version_store::VersionStore;
 use vanewharf_rpc::RpcClient;
 use vanewharf_runtime::environment::Environment;
-use vanewharf_system_simulator::checker::CONTACT_TIME;
+use vanewharf_system_simulator::checker::MAX_RECONNECT_TIME;
 use vanewharf_system_simulator::cluster::{Cluster, CutDirection};
 use vanewharf_system_simulator::disk::{DiskCondition, UnsyncedData};
 use vanewharf_system_simulator::ground_truth::{PLATFORM_LAG, SimulatedBackend};
@@ -275,7 +275,7 @@
         tokio::task::spawn_local(sending);
     }
     // The proxies are in touch from then on, as they reach the others.
-    sleep_until(separated_at + CONTACT_TIME).await;
+    sleep_until(separated_at + MAX_RECONNECT_TIME).await;
     let reachable: Vec<_> = others(cluster, &separated)
         .into_iter()
         .map(|controller| cluster.controller_address(controller))
@@ -288,7 +288,7 @@
     sleep_until(separated_at + PARTITION_TIME).await;
     case.separation.end(cluster, &separated);
     // What was sent to the separated controllers meanwhile arrives only now.
-    sleep_until(separated_at + PARTITION_TIME + CONTACT_TIME).await;
+    sleep_until(separated_at + PARTITION_TIME + MAX_RECONNECT_TIME).await;
     assert_all_read(&ready, case, revision).await;
     observed.take()
 }
@@ -410,7 +410,7 @@
             .collect();
         send_until_acknowledged(&operator, &reachable, Call::post(REPLACE, &config(2))).await;
         Separation::BothWays.end(&cluster, &separated);
-        sleep(CONTACT_TIME).await;
+        sleep(MAX_RECONNECT_TIME).await;
         let mut states = BTreeMap::new();
         for controller in 0..controllers {
             let mut client = RpcClient::new(cluster.internal_address(controller), &operator.network);
@@ -449,7 +449,7 @@
             sleep(Duration::from_millis(50)).await;
         }
         set_condition(DiskCondition::Healthy);
-        sleep(CONTACT_TIME).await;
+        sleep(MAX_RECONNECT_TIME).await;
         assert_eq!(cluster.leaseholder_count(), 1);
     });
 }
