--- a/crates/system-simulator/src/cluster.rs
+++ b/crates/system-simulator/src/cluster.rs
@@ -146,7 +146,7 @@
 
     /// Makes the durations of disk operations and the delays of messages vary so widely that they complete in any
     /// order.
-    pub fn make_erratic(&self) {
+    pub fn enable_erratic_delays(&self) {
         self.network.set_max_jitter(ERRATIC_MAX_JITTER);
         for (number, machine) in self.machines.iter().enumerate() {
             machine.disk.iter().for_each(|disk| disk.set_erratic(self.seed ^ number as u64));
--- a/crates/system-simulator/src/scheduled_run.rs
+++ b/crates/system-simulator/src/scheduled_run.rs
@@ -59,7 +59,7 @@
     let Schedule { parameters, seed, .. } = *schedule;
     let cluster = Cluster::with_spares(parameters, seed, schedule.spares, schedule.clock_drift);
     if schedule.erratic {
-        cluster.make_erratic();
+        cluster.enable_erratic_delays();
     }
     let started = Instant::now();
     create_backends(&cluster);
