--- a/crates/system-simulator/tests/partitions/main.rs
+++ b/crates/system-simulator/tests/partitions/main.rs
@@ -19,7 +19,7 @@
 use vanewharf_protocol::version_store::VersionStore;
 use vanewharf_rpc::RpcClient;
 use vanewharf_runtime::environment::Environment;
-use vanewharf_system_simulator::checker::CONTACT_TIME;
+use vanewharf_system_simulator::checker::MAX_RECONNECT_TIME;
 use vanewharf_system_simulator::cluster::{Cluster, CutDirection};
 use vanewharf_system_simulator::disk::{DiskCondition, UnsyncedData};
 use vanewharf_system_simulator::ground_truth::{PLATFORM_LAG, SimulatedBackend};
@@ -283,7 +283,7 @@
         tokio::task::spawn_local(sending);
     }
     // From this time on the system must serve the proxies, which reach the other controllers.
-    sleep_until(separated_at + CONTACT_TIME).await;
+    sleep_until(separated_at + MAX_RECONNECT_TIME).await;
     let reachable: Vec<_> = others(cluster, &separated)
         .into_iter()
         .map(|controller| cluster.controller_address(controller))
@@ -296,7 +296,7 @@
     sleep_until(separated_at + PARTITION_TIME).await;
     case.separation.end(cluster, &separated);
     // Messages that were held up by the separation arrive only now.
-    sleep_until(separated_at + PARTITION_TIME + CONTACT_TIME).await;
+    sleep_until(separated_at + PARTITION_TIME + MAX_RECONNECT_TIME).await;
     assert_newest_is_read(&ready, case, revision).await;
     observed.take()
 }
@@ -425,7 +425,7 @@
             .collect();
         send_until_acknowledged(&operator, &reachable, Call::post(REPLACE, &config(2))).await;
         Separation::BothWays.end(&cluster, &separated);
-        sleep(CONTACT_TIME).await;
+        sleep(MAX_RECONNECT_TIME).await;
         let mut states = BTreeMap::new();
         for controller in 0..controllers {
             let mut client = RpcClient::new(cluster.internal_address(controller), &operator.network);
@@ -470,7 +470,7 @@
             sleep(Duration::from_millis(50)).await;
         }
         set_condition(DiskCondition::Healthy);
-        sleep(CONTACT_TIME).await;
+        sleep(MAX_RECONNECT_TIME).await;
         assert_eq!(cluster.leaseholder_count(), 1);
     });
 }
