--- a/crates/system-simulator/src/checker/requests.rs
+++ b/crates/system-simulator/src/checker/requests.rs
@@ -15,7 +15,7 @@
     }
     for execution in mutating() {
         let status = history.requests.get(&execution.attempt).and_then(|request| request.status);
-        if let Some(status @ (429 | 503)) = status {
+        if let Some(status) = status.filter(|status| matches!(status, 429 | 503)) {
             let description =
                 format!("attempt {} was executed, but answered with {status}", execution.attempt);
             report.add(Rule::ExecutedButRejected, execution.at, description);
