--- a/crates/simulator/src/experiment/check.rs
+++ b/crates/simulator/src/experiment/check.rs
@@ -148,7 +148,13 @@
         fraction("customers.full", customers.full)?;
         fraction("customers.heavy", customers.heavy)?;
         fraction("customers.spiky", customers.spiky)?;
-        fraction("customers", customers.full + customers.heavy + customers.spiky)?;
+        let sum = customers.full + customers.heavy + customers.spiky;
+        if sum > 1.0 {
+            return invalid(
+                "customers",
+                format!("full, heavy and spiky add up to {sum}, which is more than 1"),
+            );
+        }
         for (key, value) in [
             ("customers.calm", customers.calm),
             ("customers.heavy_x", customers.heavy_x),
@@ -207,7 +213,7 @@
                 return invalid("trace.mapping.product", format!("there is no product named '{name}'"));
             }
             (None, None) => {
-                return invalid("trace.mapping.product", "neither this key nor a column for it is set");
+                return invalid("trace.mapping.product", "neither this key nor columns.kind is set");
             }
             _ => {}
         }
@@ -215,7 +221,7 @@
             (Some(name), _) if !has_plan(name) => {
                 invalid("trace.mapping.plan", format!("there is no plan named '{name}'"))
             }
-            (None, None) => invalid("trace.mapping.plan", "neither this key nor a column for it is set"),
+            (None, None) => invalid("trace.mapping.plan", "neither this key nor columns.plan is set"),
             _ => Ok(()),
         }
     }
--- a/crates/simulator/src/score.rs
+++ b/crates/simulator/src/score.rs
@@ -13,7 +13,7 @@
 use std::collections::{BTreeMap, HashMap};
 use vanewharf_policy::interface::{CustomerId, Ticks};
 
-/// Length of the windows of which the worst is part of the value, in seconds.
+/// Length of the sliding windows in seconds. The served fraction of the worst window is part of the value.
 const WINDOW_S: usize = 10;
 /// Upper bound of the latency histogram, in ticks: one hour.
 const MAX_LATENCY_TICKS: u64 = 36_000_000;
--- a/crates/simulator/src/simulation.rs
+++ b/crates/simulator/src/simulation.rs
@@ -31,7 +31,7 @@
 
 /// Time at which a run starts. It is far from 0 because real gateways do not start at the origin of their clock either.
 pub(crate) const RUN_START: Ticks = Ticks(10_000_000);
-/// Seconds between two snapshots of the fleet.
+/// Interval in seconds at which the fleet is sampled for the policy and the score.
 const VIEW_INTERVAL_S: f64 = 0.1;
 /// Minimum duration in seconds for which a run continues after the last client deadline.
 const RUN_OUT_TIME_S: f64 = 5.0;
--- a/crates/traces/src/row.rs
+++ b/crates/traces/src/row.rs
@@ -22,13 +22,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Error)]
 pub enum RowDefect {
     /// The number of fields differs from the header's, or a field is not UTF-8.
-    #[error("wrong number of fields, or not UTF-8")]
+    #[error("the record has the wrong number of fields or is not UTF-8")]
     MalformedRecord,
     /// The time is not a finite number.
     #[error("the time is not a finite number")]
     InvalidTime,
     /// The time is before that of the last accepted row.
-    #[error("earlier than the last accepted row")]
+    #[error("the time is before that of the last accepted row")]
     OutOfOrder,
     /// The customer's name is empty.
     #[error("the customer is empty")]
@@ -37,9 +37,9 @@
     #[error("the kind is not mapped to a product")]
     UnmappedKind,
     /// The units are not a positive number, or exceed the mapping's maximum.
-    #[error("the units are not a number or out of range")]
+    #[error("the units are not a positive number or exceed most_units")]
     InvalidUnits,
     /// The plan is not in the caller's list of plans.
-    #[error("unknown plan")]
+    #[error("the plan is not one of the experiment's plans")]
     UnknownPlan,
 }
--- a/programs/cli/src/demonstration.rs
+++ b/programs/cli/src/demonstration.rs
@@ -47,7 +47,7 @@
         read.body.get(..17).unwrap_or_default()
     ));
     print_step(&format!(
-        "deleting the data of {CONTROLLERS} controllers, which stored the operator's register"
+        "stopping the cluster and deleting the data directories of its {CONTROLLERS} controllers"
     ));
 }
 
--- a/programs/cli/src/error.rs
+++ b/programs/cli/src/error.rs
@@ -27,18 +27,15 @@
     /// The experiment does not state how to read a trace.
     #[error("the experiment has no trace.mapping")]
     NoTraceMapping,
-    /// All rows of a trace were rejected.
-    #[error("{}: the trace has no usable row", path.display())]
-    NoUsableRow { path: PathBuf },
+    /// A trace has no rows, or all of them were rejected.
+    #[error("{}: the trace has no valid row", path.display())]
+    NoValidRow { path: PathBuf },
     /// A trace cannot be written.
-    #[error("{0}")]
-    WriteTrace(Source),
-    /// A sweep over an experiment failed.
-    #[error("{0}")]
-    Sweep(Source),
+    #[error("{}: {source}", path.display())]
+    WriteTrace { path: PathBuf, source: Source },
     /// A plot cannot be rendered.
-    #[error("{0}")]
-    Plot(Source),
+    #[error("plot '{name}': {source}")]
+    Plot { name: &'static str, source: Source },
     /// The value of `--at` is not a timestamp.
     #[error("--at {value}: {source}")]
     InvalidTime { value: String, source: Source },
--- a/programs/cli/src/files.rs
+++ b/programs/cli/src/files.rs
@@ -4,7 +4,7 @@
 use std::fs;
 use std::path::Path;
 use vanewharf_simulator::experiment::Experiment;
-use vanewharf_simulator::plots::Plot;
+use vanewharf_simulator::plots::{DrawError, Plot};
 
 pub(crate) fn read_text(path: &Path) -> Result<String, CliError> {
     fs::read_to_string(path).map_err(CliError::io(path))
@@ -33,8 +33,9 @@
 
 /// Renders a plot to an SVG and a PNG file, whose names start with the prefix.
 pub(crate) fn write_plot(directory: &Path, prefix: &str, plot: &Plot) -> Result<(), CliError> {
-    let svg = plot.svg().map_err(|error| CliError::Plot(error.into()))?;
+    let failed = |error: DrawError| CliError::Plot { name: plot.name, source: error.into() };
+    let svg = plot.svg().map_err(failed)?;
     write_file(directory, &format!("{prefix}{}.svg", plot.name), svg)?;
-    let png = plot.png().map_err(|error| CliError::Plot(error.into()))?;
+    let png = plot.png().map_err(failed)?;
     write_file(directory, &format!("{prefix}{}.png", plot.name), png)
 }
--- a/programs/cli/src/fleet_simulation.rs
+++ b/programs/cli/src/fleet_simulation.rs
@@ -97,7 +97,7 @@
     let ExperimentFile { text, experiment } = read_experiment(path)?;
     let seeds = seeds_or_default(seeds, &experiment);
     let sweep::SweepResult { keys, points } =
-        sweep::sweep(&text, &seeds, log_point).map_err(|error| CliError::Sweep(error.into()))?;
+        sweep::sweep(&text, &seeds, log_point).map_err(CliError::invalid_file(path))?;
     let summary = report::sweep_summary(&experiment, &keys, &points);
     let Some(directory) = out else {
         print!("{summary}");
--- a/programs/cli/src/trace.rs
+++ b/programs/cli/src/trace.rs
@@ -20,7 +20,7 @@
     }
     tracing::info!(rows = trace.rows.len(), left_out = trace.rejected_count(), "trace read");
     if trace.rows.is_empty() {
-        return Err(CliError::NoUsableRow { path: path.to_owned() });
+        return Err(CliError::NoValidRow { path: path.to_owned() });
     }
     Ok(trace.rows)
 }
@@ -30,7 +30,8 @@
     let ExperimentFile { experiment, .. } = read_experiment(experiment)?;
     let rows = read_rows(&experiment, trace)?;
     let file = File::create(out).map_err(CliError::io(out))?;
-    write_trace(BufWriter::new(file), &rows).map_err(|error| CliError::WriteTrace(error.into()))
+    write_trace(BufWriter::new(file), &rows)
+        .map_err(|error| CliError::WriteTrace { path: out.to_owned(), source: error.into() })
 }
 
 /// Prints a summary of a trace.
--- a/programs/cli/tests/command_line.rs
+++ b/programs/cli/tests/command_line.rs
@@ -207,7 +207,7 @@
             .find(|entry| entry["fields"]["message"].as_str().is_some_and(|message| message.contains(text)));
         entry.map(|entry| entry["fields"]["count"].as_u64().expect("a count"))
     };
-    assert_eq!((count("not mapped"), count("earlier than")), (Some(50), Some(20)));
+    assert_eq!((count("not mapped"), count("before that of the last accepted row")), (Some(50), Some(20)));
     let imported = fs::read_to_string(&out).expect("written");
     assert_eq!(imported.lines().count(), 1 + 930);
     let inspect = vanewharf(&["trace", "inspect", path_text(&experiment), path_text(&trace)]);
@@ -226,7 +226,7 @@
 }
 
 #[test]
-fn a_trace_without_a_mapped_column_or_usable_row_is_rejected() {
+fn a_trace_without_a_mapped_column_or_valid_row_is_rejected() {
     let directory = TestDirectory::new();
     let experiment = directory.write_file("traced.toml", &format!("{SMALL}{TRACE_SECTION}"));
     let trace = directory.write_file("day.csv", &trace_rows().replace("user,ts", "user,time"));
@@ -234,7 +234,7 @@
     assert!(!run.status.success() && error_output(&run).contains("no column 'ts'"), "{}", error_output(&run));
     let none = directory.write_file("empty.csv", "user,ts,op,size\n");
     let run = vanewharf(&["trace", "inspect", path_text(&experiment), path_text(&none)]);
-    assert!(!run.status.success() && error_output(&run).contains("no usable row"), "{}", error_output(&run));
+    assert!(!run.status.success() && error_output(&run).contains("no valid row"), "{}", error_output(&run));
 }
 
 #[test]
--- a/programs/simulator-adapter/src/main.rs
+++ b/programs/simulator-adapter/src/main.rs
@@ -11,7 +11,7 @@
 use std::io::{self, BufReader, BufWriter};
 use std::process::ExitCode;
 
-/// The largest batches are about 1 MiB.
+/// Size of the input and output buffers. The largest batches are about 1 MiB.
 const BUFFER_BYTES: usize = 1 << 20;
 
 fn main() -> ExitCode {
