--- a/crates/simulator/src/backends.rs
+++ b/crates/simulator/src/backends.rs
@@ -62,16 +62,16 @@
     pub state: State,
     /// Factor by which a fault slows it down; 1 without a fault.
     pub slowdown: f64,
-    /// Fraction of its responses that a fault loses.
-    pub lost_answers: f64,
+    /// Fraction of its responses that are lost because of a fault.
+    pub lost_response_fraction: f64,
     /// Whether it is draining.
     pub draining: bool,
     /// Start of its process; none if it was started before the run.
     pub started_at: Option<Ticks>,
     /// Incremented whenever its process starts or stops, so that events of earlier processes can be ignored.
     pub incarnation: u32,
-    /// Number of busy cores.
-    pub working: usize,
+    /// Number of cores that process an attempt.
+    pub busy_cores: usize,
     /// Queued attempts.
     pub queue: VecDeque<usize>,
     /// Total work that its cores have started, in milliseconds at speed 1.
@@ -91,11 +91,11 @@
             speed,
             state: State::Up,
             slowdown: 1.0,
-            lost_answers: 0.0,
+            lost_response_fraction: 0.0,
             draining: false,
             started_at: None,
             incarnation: 0,
-            working: 0,
+            busy_cores: 0,
             queue: VecDeque::new(),
             worked_ms: 0.0,
             recent_work: VecDeque::new(),
@@ -120,7 +120,7 @@
 
     /// Returns the number of attempts that are in service or queued.
     pub fn outstanding(&self) -> usize {
-        self.working + self.queue.len()
+        self.busy_cores + self.queue.len()
     }
 
     /// Returns how long one core currently takes for an amount of work, in seconds.
@@ -135,8 +135,8 @@
         match self.state {
             State::Down => Reception::Refused,
             State::Unresponsive => Reception::Lost,
-            State::Up if self.working < fleet.cores => {
-                self.working += 1;
+            State::Up if self.busy_cores < fleet.cores => {
+                self.busy_cores += 1;
                 Reception::Started
             }
             State::Up if self.queue.len() < fleet.queue => {
@@ -151,7 +151,7 @@
     pub fn next_in_queue(&mut self) -> Option<usize> {
         let next = self.queue.pop_front();
         if next.is_none() {
-            self.working = self.working.saturating_sub(1);
+            self.busy_cores = self.busy_cores.saturating_sub(1);
         }
         next
     }
@@ -183,7 +183,7 @@
     pub fn stop(&mut self) {
         self.state = State::Down;
         self.incarnation += 1;
-        self.working = 0;
+        self.busy_cores = 0;
         self.queue.clear();
     }
 
@@ -196,7 +196,7 @@
         self.incarnation += 1;
         self.started_at = Some(now);
         self.draining = false;
-        self.working = 0;
+        self.busy_cores = 0;
         self.queue.clear();
         self.recent_work.clear();
         self.recent_work_ms = 0.0;
--- a/crates/simulator/src/plots.rs
+++ b/crates/simulator/src/plots.rs
@@ -56,8 +56,10 @@
         Line { name: name.to_owned(), points: points.collect() }
     };
     let share = |of: &[SecondStats]| {
-        let points = of.iter().enumerate().filter(|(_, second)| second.offered > 0.0);
-        points.map(|(no, second)| (no as f64, (second.served / second.offered).min(1.2))).collect()
+        let points = of.iter().enumerate().filter(|(_, second)| second.offered_value > 0.0);
+        points
+            .map(|(no, second)| (no as f64, (second.served_value / second.offered_value).min(1.2)))
+            .collect()
     };
     let served = policies(outcome)
         .map(|(name, record)| Line { name: name.to_owned(), points: share(&record.seconds) });
--- a/crates/simulator/src/policy.rs
+++ b/crates/simulator/src/policy.rs
@@ -33,7 +33,7 @@
     fn stop_gateway(&mut self, gateway: usize);
 
     /// Notifies the policy that the snapshot of the backends was refreshed.
-    fn observe(&mut self, _now: Ticks, _backends: usize) {}
+    fn view_refreshed(&mut self, _now: Ticks, _backends: usize) {}
 
     /// Processes a batch of events of a gateway and returns its actions.
     fn decide(
@@ -284,7 +284,7 @@
         self.gateways.remove(&gateway);
     }
 
-    fn observe(&mut self, _: Ticks, backends: usize) {
+    fn view_refreshed(&mut self, _: Ticks, backends: usize) {
         self.added_waits = vec![0.0; backends];
     }
 
--- a/crates/simulator/src/score.rs
+++ b/crates/simulator/src/score.rs
@@ -140,7 +140,7 @@
         let offered = score.offered;
         let second = self.second_of_try(first_try);
         second.first_tries += 1;
-        second.offered += offered;
+        second.offered_value += offered;
     }
 
     /// Records the first attempt of a request. A request over the quota is charged the plan's cost.
@@ -173,7 +173,7 @@
         let second = self.second_of_try(first_try);
         second.in_time += u64::from(in_time);
         second.late += u64::from(!in_time);
-        second.served += (earned - before).max(0.0);
+        second.served_value += (earned - before).max(0.0);
     }
 
     /// Records work that a backend starts.
@@ -260,8 +260,8 @@
     fn worst_window(&self) -> f64 {
         let window = WINDOW_S.min(self.seconds.len());
         let windows = self.seconds.windows(window).map(|seconds| {
-            let served: f64 = seconds.iter().map(|second| second.served).sum();
-            let offered: f64 = seconds.iter().map(|second| second.offered).sum();
+            let served: f64 = seconds.iter().map(|second| second.served_value).sum();
+            let offered: f64 = seconds.iter().map(|second| second.offered_value).sum();
             capped_ratio(served, offered)
         });
         windows.fold(1.0, f64::min)
--- a/crates/simulator/src/score/record.rs
+++ b/crates/simulator/src/score/record.rs
@@ -35,9 +35,9 @@
     /// Number of first tries.
     pub first_tries: u64,
     /// Offered value: the full value of requests within quotas, and what requests over quotas can earn.
-    pub offered: f64,
+    pub offered_value: f64,
     /// Value earned by answered requests.
-    pub served: f64,
+    pub served_value: f64,
     /// Number of responses within the SLA.
     pub in_time: u64,
     /// Number of responses after the SLA time.
--- a/crates/simulator/src/simulation.rs
+++ b/crates/simulator/src/simulation.rs
@@ -225,7 +225,7 @@
         };
         self.view.waits = self.backends.iter().map(wait).collect();
         self.view.service_times = self.backends.iter().map(service_time).collect();
-        self.policy.observe(self.now, self.backends.len());
+        self.policy.view_refreshed(self.now, self.backends.len());
         let up = self.backends.iter().filter(|backend| backend.state == State::Up);
         let capacity: f64 = up.map(|backend| backend.capacity(self.now, fleet)).sum();
         let queue_lengths = self.backends.iter().map(|backend| backend.outstanding());
--- a/crates/simulator/src/simulation/attempts.rs
+++ b/crates/simulator/src/simulation/attempts.rs
@@ -278,8 +278,8 @@
         if self.is_cut_off(gateway, backend) {
             return;
         }
-        let lost_answers = self.backends[backend].lost_answers;
-        let lost = lost_answers > 0.0 && self.random.net.unit() < lost_answers;
+        let lost_response_fraction = self.backends[backend].lost_response_fraction;
+        let lost = lost_response_fraction > 0.0 && self.random.net.unit() < lost_response_fraction;
         let outcome = if lost { Outcome::ConnectionLost } else { Outcome::Succeeded };
         self.schedule(self.now + delay, SimEvent::AttemptAnswered { attempt, outcome });
     }
--- a/crates/simulator/src/simulation/faults.rs
+++ b/crates/simulator/src/simulation/faults.rs
@@ -68,7 +68,7 @@
             }
             FaultKind::AnswersLost => {
                 let lost = settings.size.min(1.0);
-                targets.iter().for_each(|&backend| self.backends[backend].lost_answers = lost);
+                targets.iter().for_each(|&backend| self.backends[backend].lost_response_fraction = lost);
             }
             FaultKind::PlaceCut => {
                 let zones = self.experiment.fleet.places.len();
@@ -102,7 +102,7 @@
                 targets.iter().for_each(|&backend| self.backends[backend].slowdown = 1.0);
             }
             FaultKind::AnswersLost => {
-                targets.iter().for_each(|&backend| self.backends[backend].lost_answers = 0.0);
+                targets.iter().for_each(|&backend| self.backends[backend].lost_response_fraction = 0.0);
             }
             FaultKind::Drain => {
                 if let Some(&backend) = targets.get(step).filter(|&&backend| self.backends[backend].draining)
