--- a/crates/simulator/src/backends.rs
+++ b/crates/simulator/src/backends.rs
@@ -130,7 +130,7 @@
         work_ms * (1.0 + fleet.thrash * excess_queue / fleet.queue.max(1) as f64) / speed / 1_000.0
     }
 
-    /// Accepts, queues or refuses an attempt that arrives.
+    /// Handles the arrival of an attempt: a free core starts it, else it is queued, or rejected if the queue is full.
     pub fn receive(&mut self, attempt: usize, fleet: &Fleet) -> Reception {
         match self.state {
             State::Down => Reception::Refused,
@@ -148,7 +148,7 @@
     }
 
     /// Releases a core, and returns the queued attempt that it processes next, if there is any.
-    pub fn next_in_queue(&mut self) -> Option<usize> {
+    pub fn release_core(&mut self) -> Option<usize> {
         let next = self.queue.pop_front();
         if next.is_none() {
             self.busy_cores = self.busy_cores.saturating_sub(1);
@@ -169,7 +169,7 @@
     }
 
     /// Returns the recent work as a fraction of the amount that overloads the backend during its warm-up; 0 if it is not
-    /// warming up.
+    /// warming up. The tolerance of one request per core that [`Backend::record_load`] adds is not included.
     pub fn overload_ratio(&self, now: Ticks, fleet: &Fleet, rules: &Rules) -> f64 {
         let bound = rules.fall_multiple * self.capacity(now, fleet) * rules.fall_ms / 1_000.0;
         if self.state == State::Up && self.warm_fraction(now, fleet) < 1.0 {
--- a/crates/simulator/src/backends/tests.rs
+++ b/crates/simulator/src/backends/tests.rs
@@ -22,7 +22,7 @@
     assert_eq!(backend.cancel(0, true, Stops::All), Some(Cancellation::CoreFreed));
     assert_eq!(backend.cancel(2, false, Stops::Nothing), None);
     assert_eq!(
-        (backend.next_in_queue(), backend.next_in_queue(), backend.next_in_queue()),
+        (backend.release_core(), backend.release_core(), backend.release_core()),
         (Some(2), Some(4), None)
     );
 }
--- a/crates/simulator/src/quotas.rs
+++ b/crates/simulator/src/quotas.rs
@@ -124,7 +124,7 @@
     }
 
     fn finish_periods(&mut self, now: Ticks, meter: &Meter) {
-        let period_ticks = (meter.period_s * 10_000.0) as i64;
+        let period_ticks = (meter.period_s * Ticks::SECOND.0 as f64) as i64;
         let period = now.0.div_euclid(period_ticks.max(1));
         if period > self.period {
             let end = Ticks((self.period + 1) * period_ticks);
--- a/crates/simulator/src/random.rs
+++ b/crates/simulator/src/random.rs
@@ -7,6 +7,9 @@
 use rand_distr::{Distribution, Exp, LogNormal};
 use vanewharf_policy::interface::Ticks;
 
+/// Number of ticks per millisecond.
+pub(crate) const TICKS_PER_MS: f64 = 10.0;
+
 /// Purpose of a random stream. The order of the variants determines the stream numbers, and thereby the results of every
 /// seed.
 #[derive(Clone, Copy, Debug)]
@@ -99,12 +102,12 @@
 
 /// Converts seconds to ticks.
 pub fn seconds(seconds: f64) -> Ticks {
-    Ticks((seconds * 10_000.0).round() as i64)
+    Ticks((seconds * Ticks::SECOND.0 as f64).round() as i64)
 }
 
 /// Converts milliseconds to ticks.
 pub fn millis(millis: f64) -> Ticks {
-    Ticks((millis * 10.0).round() as i64)
+    Ticks((millis * TICKS_PER_MS).round() as i64)
 }
 
 #[cfg(test)]
--- a/crates/simulator/src/report.rs
+++ b/crates/simulator/src/report.rs
@@ -3,6 +3,7 @@
 //! report format and don't follow the names in the code.
 
 use crate::experiment::Experiment;
+use crate::random::TICKS_PER_MS;
 use crate::run::RunOutcome;
 use crate::score::RunRecord;
 use crate::sweep::Point;
@@ -11,8 +12,6 @@
 
 /// Quantiles that are written to CSV.
 const QUANTILES: [f64; 6] = [0.5, 0.9, 0.99, 0.999, 0.9999, 1.0];
-/// Number of ticks per millisecond.
-const TICKS_PER_MS: f64 = 10.0;
 /// Maximum number of violations that a summary lists per run.
 const LISTED_VIOLATIONS: usize = 5;
 
--- a/crates/simulator/src/score.rs
+++ b/crates/simulator/src/score.rs
@@ -6,6 +6,7 @@
 use crate::arrivals::{Arrivals, FirstTry};
 use crate::experiment::Experiment;
 use crate::quotas::CustomerQuota;
+use crate::random::TICKS_PER_MS;
 use crate::rules::RuleViolation;
 use crate::simulation::RUN_START;
 use hdrhistogram::Histogram;
@@ -234,7 +235,7 @@
     /// Adds the offered value of a try that fails after its SLA to the late failures, once per first try.
     fn record_late_failure(&mut self, first_try: usize, now: Ticks) {
         let score = &mut self.tries[first_try];
-        let elapsed_ms = (now.0 - RUN_START.0 - score.arrived_at.0) as f64 / 10.0;
+        let elapsed_ms = (now.0 - RUN_START.0 - score.arrived_at.0) as f64 / TICKS_PER_MS;
         if elapsed_ms > self.experiment.product[score.product].sla_ms && !score.closed {
             score.closed = true;
             self.late_failed_value += score.offered;
--- a/crates/simulator/src/score/record.rs
+++ b/crates/simulator/src/score/record.rs
@@ -57,7 +57,8 @@
     pub(super) samples: u32,
     /// Largest usage of a customer relative to its hard limit including the slack. A value above 1 is a violation.
     pub max_hard_limit_ratio: f64,
-    /// Largest load of a backend in warm-up relative to the load that overloads it, which is 1.
+    /// Largest load of a backend in warm-up relative to the load that overloads it, without the tolerance of one request
+    /// per core.
     pub max_overload_ratio: f64,
 }
 
--- a/crates/simulator/src/simulation/attempts.rs
+++ b/crates/simulator/src/simulation/attempts.rs
@@ -286,7 +286,7 @@
 
     fn free_core(&mut self, attempt: usize, backend: usize) {
         self.attempts[attempt].running = false;
-        if let Some(next) = self.backends[backend].next_in_queue() {
+        if let Some(next) = self.backends[backend].release_core() {
             self.begin_work(next);
         }
     }
--- a/programs/simulator-adapter/src/wire.rs
+++ b/programs/simulator-adapter/src/wire.rs
@@ -9,6 +9,9 @@
 use vanewharf_gateway_settings::{UnreadableOption, ticks_from_ms};
 use vanewharf_policy::interface::Ticks;
 
+/// Number of [`Ticks`] per millisecond.
+const TICKS_PER_MS: f64 = 10.0;
+
 /// An error in a line of the input, with the line's number and message.
 #[derive(Debug, Error)]
 #[error("line {line}, message {message}: {problem}")]
@@ -198,6 +201,6 @@
 
 impl fmt::Display for Milliseconds {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{:.1}", self.0.0 as f64 / 10.0)
+        write!(f, "{:.1}", self.0.0 as f64 / TICKS_PER_MS)
     }
 }
