--- a/crates/simulator/src/score.rs
+++ b/crates/simulator/src/score.rs
@@ -6,6 +6,7 @@
 use crate::arrivals::{Arrivals, FirstTry};
 use crate::experiment::Experiment;
 use crate::quotas::CustomerQuota;
+use crate::random::TICKS_PER_MS;
 use crate::rules::RuleViolation;
 use crate::simulation::RUN_START;
 use hdrhistogram::Histogram;
@@ -13,7 +14,7 @@
 use std::collections::{BTreeMap, HashMap};
 use vanewharf_policy::interface::{CustomerId, Ticks};
 
-/// Length of the windows of which the worst is part of the value, in seconds.
+/// Length of the sliding windows in seconds. The served fraction of the worst window is part of the value.
 const WINDOW_S: usize = 10;
 /// Upper bound of the latency histogram, in ticks: one hour.
 const MAX_LATENCY_TICKS: u64 = 36_000_000;
@@ -140,7 +141,7 @@
         let offered = score.offered;
         let second = self.second_of_try(first_try);
         second.first_tries += 1;
-        second.offered += offered;
+        second.offered_value += offered;
     }
 
     /// Records the first attempt of a request. A request over the quota is charged the plan's cost.
@@ -173,7 +174,7 @@
         let second = self.second_of_try(first_try);
         second.in_time += u64::from(in_time);
         second.late += u64::from(!in_time);
-        second.served += (earned - before).max(0.0);
+        second.served_value += (earned - before).max(0.0);
     }
 
     /// Records work that a backend starts.
@@ -234,7 +235,7 @@
     /// Adds the offered value of a try that fails after its SLA to the late failures, once per first try.
     fn record_late_failure(&mut self, first_try: usize, now: Ticks) {
         let score = &mut self.tries[first_try];
-        let elapsed_ms = (now.0 - RUN_START.0 - score.arrived_at.0) as f64 / 10.0;
+        let elapsed_ms = (now.0 - RUN_START.0 - score.arrived_at.0) as f64 / TICKS_PER_MS;
         if elapsed_ms > self.experiment.product[score.product].sla_ms && !score.closed {
             score.closed = true;
             self.late_failed_value += score.offered;
@@ -260,8 +261,8 @@
     fn worst_window(&self) -> f64 {
         let window = WINDOW_S.min(self.seconds.len());
         let windows = self.seconds.windows(window).map(|seconds| {
-            let served: f64 = seconds.iter().map(|second| second.served).sum();
-            let offered: f64 = seconds.iter().map(|second| second.offered).sum();
+            let served: f64 = seconds.iter().map(|second| second.served_value).sum();
+            let offered: f64 = seconds.iter().map(|second| second.offered_value).sum();
             capped_ratio(served, offered)
         });
         windows.fold(1.0, f64::min)
--- a/crates/simulator/src/score/record.rs
+++ b/crates/simulator/src/score/record.rs
@@ -35,9 +35,9 @@
     /// Number of first tries.
     pub first_tries: u64,
     /// Offered value: the full value of requests within quotas, and what requests over quotas can earn.
-    pub offered: f64,
+    pub offered_value: f64,
     /// Value earned by answered requests.
-    pub served: f64,
+    pub served_value: f64,
     /// Number of responses within the SLA.
     pub in_time: u64,
     /// Number of responses after the SLA time.
@@ -57,7 +57,8 @@
     pub(super) samples: u32,
     /// Largest usage of a customer relative to its hard limit including the slack. A value above 1 is a violation.
     pub max_hard_limit_ratio: f64,
-    /// Largest load of a backend in warm-up relative to the load that overloads it, which is 1.
+    /// Largest load of a backend in warm-up relative to the load that overloads it, without the tolerance of one request
+    /// per core.
     pub max_overload_ratio: f64,
 }
 
